--- a/hollyspur.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package hollyspur decides where a load balancer sends each request, when it tries again and
+// Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns, and may ask how many servers it Avoided and what it has Learned. This file is the whole
 // interface but for New, those and Memory; every decision is in policy.go and memory.go.
@@ -8,7 +8,7 @@
 // give the same actions. Balancers share nothing. Memory is held for each request until it is
 // answered and its attempts have ended, and for each server until it has left the list and its
 // attempts have ended.
-package hollyspur
+package balancer
 
 import (
 	"fmt"
@@ -107,7 +107,7 @@
 	}
 	for _, c := range checks {
 		if !c.ok {
-			return fmt.Errorf("hollyspur: setting %s is missing or out of range", c.name)
+			return fmt.Errorf("balancer: setting %s is missing or out of range", c.name)
 		}
 	}
 	return nil
--- /dev/null
+++ b/balancer/example_test.go
@@ -0,0 +1,66 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"umberbank/balancer"
+)
+
+// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+func Example() {
+	b, err := balancer.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
+			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+	}, 42)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	b.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
+
+	now := 5 * time.Millisecond
+	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
+	first := acts[0].(balancer.Send)
+	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
+
+	now += 3 * time.Millisecond
+	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
+		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+	second := acts[0].(balancer.Send)
+	fmt.Println("sent again to another server:", second.Server != first.Server)
+
+	now += 20 * time.Millisecond
+	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
+		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+	fmt.Println("left to do:", len(acts))
+	// Output:
+	// sent r1 with a time-out of 1s
+	// sent again to another server: true
+	// left to do: 0
+}
+
+func BenchmarkHandle(bench *testing.B) {
+	b, err := balancer.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
+			Deadline: time.Second, Worth: 1}},
+		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+	}, 1)
+	if err != nil {
+		bench.Fatal(err)
+	}
+	var list []balancer.Server
+	for i := range 50 {
+		list = append(list, balancer.Server{ID: fmt.Sprint("s", i)})
+	}
+	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	bench.ReportAllocs()
+	for i := 0; bench.Loop(); i++ {
+		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
+		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
+		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+	}
+}
--- a/memory.go
+++ b/balancer/memory.go
@@ -1,4 +1,4 @@
-package hollyspur
+package balancer
 
 import (
 	"errors"
@@ -49,18 +49,18 @@
 func (m Memory) Validate() error {
 	if m.Tier < 0 || !within(0, 1, m.Errors, m.Fill, m.Calm, m.Bare) ||
 		!within(0, retryPurse, m.Tokens) || !within(0, math.MaxFloat64, m.Window) {
-		return errors.New("hollyspur: a figure of the memory is out of range")
+		return errors.New("balancer: a figure of the memory is out of range")
 	}
 	for _, c := range m.Classes {
 		if !within(0, float64(max(c.Deadline, 0)), c.Mean, c.Dev) || !within(0, math.MaxFloat64, c.Cost) ||
 			c.LongestTry < 0 {
-			return errors.New("hollyspur: the memory of class " + c.Name + " is out of range")
+			return errors.New("balancer: the memory of class " + c.Name + " is out of range")
 		}
 	}
 	for _, s := range m.Servers {
 		if !within(-math.MaxFloat64, math.MaxFloat64, s.Slow) || s.Samples < 0 || s.Level < 0 ||
 			s.Level > maxLevel || s.Left < 0 {
-			return errors.New("hollyspur: the memory of server " + s.ID + " is out of range")
+			return errors.New("balancer: the memory of server " + s.ID + " is out of range")
 		}
 	}
 	return nil
--- a/policy.go
+++ b/balancer/policy.go
@@ -1,10 +1,10 @@
-// Every decision of hollyspur. The interface (settings, events, actions) is in hollyspur.go, the
+// Every decision of the balancer. The interface (settings, events, actions) is in balancer.go, the
 // types of what a Balancer remembers in state.go.
 //
 // Sections: constants, events, discovery, requests, the pick, eligibility, health,
 // slow start, further attempts, admission, answers.
 
-package hollyspur
+package balancer
 
 import (
 	"cmp"
--- a/scale_test.go
+++ b/balancer/scale_test.go
@@ -1,4 +1,4 @@
-package hollyspur
+package balancer
 
 import (
 	"container/heap"
--- a/ci_test.go
+++ b/ci_test.go
@@ -1,4 +1,4 @@
-package hollyspur_test
+package umberbank_test
 
 import (
 	"bytes"
--- a/cmd/cranegrade/main.go
+++ b/cmd/umberbank-node/main.go
@@ -1,4 +1,4 @@
-// Command cranegrade is one real node. ROUTER_CONFIG names its configuration; SIGHUP makes it read
+// Command umberbank-node is one real node. ROUTER_CONFIG names its configuration; SIGHUP makes it read
 // that again, and SIGTERM ends it once all that it has taken is answered.
 package main
 
@@ -9,7 +9,7 @@
 	"os/signal"
 	"syscall"
 
-	"hollyspur/internal/node"
+	"umberbank/internal/node"
 )
 
 func main() {
@@ -18,7 +18,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	if err := node.RunProgram(ctx, hangups); err != nil {
-		fmt.Fprintf(os.Stderr, "cranegrade: %v\n", err)
+		fmt.Fprintf(os.Stderr, "umberbank-node: %v\n", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/cranegrade/main_test.go
+++ b/cmd/umberbank-node/main_test.go
@@ -25,12 +25,12 @@
 	if run := os.Getenv("NODE_RUN"); run != "" {
 		return run, nil
 	}
-	dir, err := os.MkdirTemp("", "cranegrade-test-")
+	dir, err := os.MkdirTemp("", "umberbank-node-test-")
 	if err != nil {
 		return "", err
 	}
 	built = dir
-	bin := filepath.Join(dir, "cranegrade")
+	bin := filepath.Join(dir, "umberbank-node")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("build: %w\n%s", err, out)
 	}
@@ -218,7 +218,7 @@
 		if exit, is := err.(*exec.ExitError); !is || exit.ExitCode() != 1 {
 			t.Errorf("config %q: %v", config, err)
 		}
-		if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "cranegrade: ") || stdout.Len() > 0 {
+		if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "umberbank-node: ") || stdout.Len() > 0 {
 			t.Errorf("config %q: standard error %q, output %q", config, s, stdout.String())
 		}
 	}
--- a/cmd/cranegrade/state_test.go
+++ b/cmd/umberbank-node/state_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/durable"
+	"umberbank/internal/durable"
 )
 
 // process is the program as it runs.
--- a/cmd/hollyspur-sim/main.go
+++ b/cmd/umberbank-sim/main.go
@@ -1,4 +1,4 @@
-// Command hollyspur-sim hosts Balancers on the simulator's wire: batches of events on standard
+// Command umberbank-sim hosts Balancers on the simulator's wire: batches of events on standard
 // input, one reply for each on standard output.
 package main
 
@@ -9,23 +9,23 @@
 	"os"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "hollyspur-sim: %v\n", err)
+		fmt.Fprintf(os.Stderr, "umberbank-sim: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 // run serves batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simwire.NewDecoder(in)
 	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*hollyspur.Balancer{}
+	enc := simwire.NewEncoder(&reply)
+	hosted := map[int]*balancer.Balancer{}
 	var now time.Duration
 	for {
 		m, err := dec.Next()
@@ -36,17 +36,17 @@
 			return err
 		}
 		switch m.Kind {
-		case wire.Sync:
+		case simwire.Sync:
 			now = m.Now
-		case wire.Hello:
-			b, err := hollyspur.New(m.Settings, m.Seed)
+		case simwire.Hello:
+			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case wire.Stop:
+		case simwire.Stop:
 			delete(hosted, m.Instance)
-		case wire.Event:
+		case simwire.Event:
 			b := hosted[m.Instance]
 			if b == nil {
 				return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
@@ -54,7 +54,7 @@
 			for _, a := range b.Handle(now, m.Event) {
 				enc.Action(m.Instance, a)
 			}
-		case wire.End:
+		case simwire.End:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
--- a/cmd/umberbank/compare.go
+++ b/cmd/umberbank/compare.go
@@ -12,10 +12,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"hollyspur/internal/lab"
-	"hollyspur/internal/lab/compare"
-	"hollyspur/internal/lab/report"
-	"hollyspur/internal/lab/scenario"
+	"umberbank/internal/lab"
+	"umberbank/internal/lab/compare"
+	"umberbank/internal/lab/report"
+	"umberbank/internal/lab/scenario"
 )
 
 // side is one way of playing, in words: a file, keys that win over it, clock=virtual, node=COMMAND.
@@ -76,7 +76,7 @@
 Examples:
   umberbank lab compare "labs/flap.toml" "labs/flap.toml limits.second_copies=false" --virtual
   umberbank lab compare "labs/calm.toml clock=real" "labs/calm.toml clock=virtual" --within 0.05
-  umberbank lab compare "node=bin/earlier" "node=bin/cranegrade" --seeds 6
+  umberbank lab compare "node=bin/earlier" "node=bin/umberbank-node" --seeds 6
   umberbank lab compare "labs/crash-many.toml state.keep=false" labs/crash-many.toml --virtual --plot crash.svg`
 }
 
--- a/cmd/umberbank/cost.go
+++ b/cmd/umberbank/cost.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/lab/cost"
+	"umberbank/internal/lab/cost"
 )
 
 type labCostCmd struct {
--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -10,11 +10,11 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/agree/release"
-	"hollyspur/internal/registry/state"
-	"hollyspur/internal/strict"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/release"
+	"umberbank/internal/registry/state"
+	"umberbank/internal/stricttoml"
 )
 
 type fleetCmd struct {
@@ -104,8 +104,8 @@
 	if err != nil {
 		return err
 	}
-	var l budget.Limits
-	if err := strict.Decode(c.File, text, &l); err != nil {
+	var l disruption.Limits
+	if err := stricttoml.Decode(c.File, text, &l); err != nil {
 		return err
 	}
 	if err := l.Check(); err != nil {
--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/agree/release"
-	"hollyspur/internal/agree/rollout"
-	"hollyspur/internal/agree/trial"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/faulttest"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/release"
+	"umberbank/internal/coordination/rollout"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
 )
 
 // The test binary is the program's processes too, or a wrong one.
@@ -231,7 +231,7 @@
 // should.
 func TestFleetTrial(t *testing.T) {
 	t.Parallel()
-	r, err := trial.Run(t.Context(), trial.Options{Seed: 5, For: 3 * time.Second, Program: as(t, "program")})
+	r, err := faulttest.Run(t.Context(), faulttest.Options{Seed: 5, For: 3 * time.Second, Program: as(t, "program")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 // Versions of settings on real nodes, with faults.
 func TestFleetConfigTrial(t *testing.T) {
 	t.Parallel()
-	r, err := trial.RunConfig(t.Context(), trial.Options{Seed: 4, For: 3 * time.Second, Program: as(t, "program")}, 9)
+	r, err := faulttest.RunConfig(t.Context(), faulttest.Options{Seed: 4, For: 3 * time.Second, Program: as(t, "program")}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,20 +258,20 @@
 func TestFleetConfigTrialIsProven(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		opt   trial.Options
-		named func(*trial.ConfigResult) int
+		opt   faulttest.Options
+		named func(*faulttest.ConfigResult) int
 	}{
-		"eager":    {trial.Options{For: time.Second, Node: as(t, "eager")}, func(r *trial.ConfigResult) int { return r.Uncommitted }},
-		"hasty":    {trial.Options{For: time.Second, Node: as(t, "hasty")}, func(r *trial.ConfigResult) int { return r.ServedEarly }},
-		"revenant": {trial.Options{For: time.Second, Node: as(t, "revenant"), Again: true}, func(r *trial.ConfigResult) int { return r.OldStarts }},
-		"gravedigger": {trial.Options{For: 6 * time.Second, Beside: func(at []string, _ string) []string {
+		"eager":    {faulttest.Options{For: time.Second, Node: as(t, "eager")}, func(r *faulttest.ConfigResult) int { return r.Uncommitted }},
+		"hasty":    {faulttest.Options{For: time.Second, Node: as(t, "hasty")}, func(r *faulttest.ConfigResult) int { return r.ServedEarly }},
+		"revenant": {faulttest.Options{For: time.Second, Node: as(t, "revenant"), Again: true}, func(r *faulttest.ConfigResult) int { return r.OldStarts }},
+		"gravedigger": {faulttest.Options{For: 6 * time.Second, Beside: func(at []string, _ string) []string {
 			return append(as(t, "gravedigger"), strings.Join(at, ","))
-		}}, func(r *trial.ConfigResult) int { return r.CalledDead }},
-		"right": {trial.Options{For: 2 * time.Second, Again: true}, nil},
+		}}, func(r *faulttest.ConfigResult) int { return r.CalledDead }},
+		"right": {faulttest.Options{For: 2 * time.Second, Again: true}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { // one after the other: each is some twenty processes
 			c.opt.Seed, c.opt.Calm, c.opt.Program = 4, true, as(t, "program")
-			r, err := trial.RunConfig(t.Context(), c.opt, 6)
+			r, err := faulttest.RunConfig(t.Context(), c.opt, 6)
 			switch {
 			case err != nil:
 				t.Fatal(err)
@@ -294,18 +294,18 @@
 	}
 	dead := []string{"s00", "s02"}
 	for name, c := range map[string]struct {
-		opt   trial.Options
-		named func(*trial.Result) int
+		opt   faulttest.Options
+		named func(*faulttest.Result) int
 	}{
-		"ignorant": {trial.Options{Beside: beside("ignorant")}, func(r *trial.Result) int { return r.TwoActors }},
-		"reaper":   {trial.Options{Dead: dead, Beside: beside("reaper")}, func(r *trial.Result) int { return r.OverBudget }},
-		"reckless": {trial.Options{Beside: beside("reckless")}, func(r *trial.Result) int { return r.OverBudget }},
-		"right":    {trial.Options{Dead: dead}, nil},
+		"ignorant": {faulttest.Options{Beside: beside("ignorant")}, func(r *faulttest.Result) int { return r.TwoActors }},
+		"reaper":   {faulttest.Options{Dead: dead, Beside: beside("reaper")}, func(r *faulttest.Result) int { return r.OverBudget }},
+		"reckless": {faulttest.Options{Beside: beside("reckless")}, func(r *faulttest.Result) int { return r.OverBudget }},
+		"right":    {faulttest.Options{Dead: dead}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { // one after the other: each is some twenty processes
 			for seed := uint64(1); ; seed++ { // a race that a wrong process does not always win
 				c.opt.Seed, c.opt.For, c.opt.Calm, c.opt.Program = seed, 4*time.Second, true, as(t, "program")
-				r, err := trial.Run(t.Context(), c.opt)
+				r, err := faulttest.Run(t.Context(), c.opt)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/umberbank/fleetconfig.go
+++ b/cmd/umberbank/fleetconfig.go
@@ -12,9 +12,9 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/agree/rollout"
-	"hollyspur/internal/registry/state"
-	"hollyspur/internal/wire"
+	"umberbank/internal/coordination/rollout"
+	"umberbank/internal/registry/state"
+	"umberbank/internal/simwire"
 )
 
 type fleetConfigCmd struct {
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	set, _, err := wire.ParseSettings(text)
+	set, _, err := simwire.ParseSettings(text)
 	if err == nil {
 		err = set.Validate()
 	}
--- a/cmd/umberbank/fleettrial.go
+++ b/cmd/umberbank/fleettrial.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hollyspur/internal/agree/trial"
+	"umberbank/internal/coordination/faulttest"
 )
 
 type fleetTrialCmd struct {
@@ -80,8 +80,8 @@
 	if c.Nodes < 3 || c.Nodes > 99 {
 		return fmt.Errorf("--nodes: %d is not between 3 and 99", c.Nodes)
 	}
-	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*trial.ConfigResult, error) {
-		return trial.RunConfig(ctx, trial.Options{Seed: c.Seed + uint64(i), Calm: c.Calm}, c.Nodes)
+	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.ConfigResult, error) {
+		return faulttest.RunConfig(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm}, c.Nodes)
 	})
 	if err != nil {
 		return err
@@ -144,8 +144,8 @@
 	if c.Config {
 		return c.config(a)
 	}
-	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*trial.Result, error) {
-		return trial.Run(ctx, trial.Options{Seed: c.Seed + uint64(i), Calm: c.Calm})
+	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
+		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm})
 	})
 	if err != nil {
 		return err
--- a/cmd/umberbank/lab.go
+++ b/cmd/umberbank/lab.go
@@ -13,9 +13,9 @@
 
 	"github.com/mattn/go-isatty"
 
-	"hollyspur/internal/lab"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/labs"
+	"umberbank/internal/lab"
+	"umberbank/internal/lab/scenario"
+	"umberbank/labs"
 )
 
 type labCmd struct {
@@ -82,7 +82,7 @@
   umberbank lab run
   umberbank lab run labs/partition.toml --seed 3 --duration 30s --json
   umberbank lab run labs/amman.toml --virtual --set load.rate=200
-  umberbank lab run --node "bin/cranegrade"`
+  umberbank lab run --node "bin/umberbank-node"`
 }
 
 func (c *labRunCmd) Run(a *app) error {
--- a/cmd/umberbank/main.go
+++ b/cmd/umberbank/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"hollyspur/internal/lab/cost"
-	"hollyspur/internal/node"
+	"umberbank/internal/lab/cost"
+	"umberbank/internal/node"
 )
 
 // Exit codes.
@@ -34,7 +34,7 @@
 	LogLevel  slog.Level `help:"Least level of what is logged: debug, info, warn or error." default:"warn"`
 	LogFormat string     `help:"Form of the log, on standard error." enum:"text,json" default:"text"`
 
-	Node     nodeCmd     `cmd:"" help:"Run one node, as bin/cranegrade does."`
+	Node     nodeCmd     `cmd:"" help:"Run one node, as bin/umberbank-node does."`
 	Lab      labCmd      `cmd:"" help:"Play scenarios on fleets of nodes, with faults."`
 	Registry registryCmd `cmd:"" help:"Run, read and change the registry of servers."`
 	Fleet    fleetCmd    `cmd:"" help:"Take units out and change their version, by agreement."`
--- a/cmd/umberbank/main_test.go
+++ b/cmd/umberbank/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/durable"
-	"hollyspur/internal/node"
+	"umberbank/internal/durable"
+	"umberbank/internal/node"
 )
 
 func call(args ...string) (code int, out, errOut string) {
--- a/cmd/umberbank/regbench.go
+++ b/cmd/umberbank/regbench.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/registry/bench"
+	"umberbank/internal/registry/bench"
 )
 
 type registryBenchCmd struct {
--- a/cmd/umberbank/registry.go
+++ b/cmd/umberbank/registry.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
 )
 
 type registryCmd struct {
--- a/cmd/umberbank/report.go
+++ b/cmd/umberbank/report.go
@@ -7,7 +7,7 @@
 	"os"
 	"strings"
 
-	"hollyspur/internal/lab/report"
+	"umberbank/internal/lab/report"
 )
 
 type labReportCmd struct {
--- a/cmd/umberbank/scale.go
+++ b/cmd/umberbank/scale.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"hollyspur/internal/lab/scale"
+	"umberbank/internal/lab/scale"
 )
 
 type labScaleCmd struct {
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/durable"
-	"hollyspur/internal/node"
+	"umberbank/internal/durable"
+	"umberbank/internal/node"
 )
 
 type stateCmd struct {
--- a/cmd/umberbank/trial.go
+++ b/cmd/umberbank/trial.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"hollyspur/internal/registry/trial"
+	"umberbank/internal/registry/faulttest"
 )
 
 type registryTrialCmd struct {
@@ -32,12 +32,12 @@
 }
 
 func (c *registryTrialCmd) Run(a *app) error {
-	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*trial.Result, error) {
+	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
 		n := c.Replicas
 		if n == 0 {
 			n = 3 + 2*(i%2)
 		}
-		return trial.Run(ctx, trial.Options{Seed: c.Seed + uint64(i), Replicas: n})
+		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Replicas: n})
 	})
 	if err != nil {
 		return err
@@ -78,8 +78,8 @@
 	return results, err
 }
 
-func (c *registryTrialCmd) print(a *app, results []*trial.Result) error {
-	var sum trial.Result
+func (c *registryTrialCmd) print(a *app, results []*faulttest.Result) error {
+	var sum faulttest.Result
 	failed, faults, worst := 0, 0, 0.0
 	for _, r := range results {
 		if c.JSON {
--- a/internal/agree/budget/budget.go
+++ b/internal/coordination/disruption/budget.go
@@ -1,11 +1,11 @@
-// Package budget decides what may be out of service at once. It is pure: facts about units and permits go in, and the
+// Package disruption decides what may be out of service at once. It is pure: facts about units and permits go in, and the
 // same facts in the same order give the same decisions everywhere.
 //
 // What holds: at no time do permits and what does not serve without one exceed a limit by a permit's doing. A
 // permit counts as its unit's whole capacity from the moment it is given until its unit has been seen out and then
 // back and whole, or was declared gone; what faults have taken counts before any permit, and while they alone take
 // more than a limit allows no permit is given.
-package budget
+package disruption
 
 import (
 	"cmp"
--- a/internal/agree/budget/budget_test.go
+++ b/internal/coordination/disruption/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package disruption
 
 import (
 	"fmt"
--- a/internal/agree/trial/config.go
+++ b/internal/coordination/faulttest/config.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/procs"
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/process"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // ConfigResult is what came of a run with versions of nodes' settings.
@@ -97,8 +97,8 @@
 	}
 	zones := zoneOf(nodes)
 	for i := range nodes {
-		p := &process{name: fmt.Sprintf("n%02d", i)}
-		p.Process = procs.Process{Launcher: s.launch, Log: filepath.Join(s.dir, p.name+".log")}
+		p := &siteProcess{name: fmt.Sprintf("n%02d", i)}
+		p.Process = process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, p.name+".log")}
 		at, err := s.links(p)
 		if err != nil {
 			return err
@@ -166,7 +166,7 @@
 		return err
 	}
 	if s.opt.Beside != nil {
-		p := &process{name: "beside", Process: procs.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
+		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
 		p.SetCommand(s.opt.Beside(s.cluster.Addresses(), s.dir))
 		if err := p.Start(); err != nil {
 			return err
@@ -264,7 +264,7 @@
 
 // killForGood ends one node that no fault has ended yet; it is not started again, and nobody declares it gone.
 func (s *site) killForGood() {
-	running := slices.DeleteFunc(slices.Clone(s.units), func(p *process) bool { return p.off })
+	running := slices.DeleteFunc(slices.Clone(s.units), func(p *siteProcess) bool { return p.off })
 	if s.dead != "" || len(s.units) < mayDie || len(running) == 0 {
 		return
 	}
@@ -278,7 +278,7 @@
 }
 
 // again ends a node once the first version is in force, and starts it again.
-func (s *site) again(ctx context.Context, p *process) error {
+func (s *site) again(ctx context.Context, p *siteProcess) error {
 	if err := s.await(ctx, "the first version is to be in force", func(v *state.Agreed) bool {
 		return v.Book != nil && v.Book.Committed.Number > 0
 	}); err != nil {
@@ -306,8 +306,8 @@
 	s.zonesLost++
 	silent := &relay.Effect{Silent: true, There: true, Back: true}
 	var links []*relay.Relay
-	var killed []*process
-	var there []*process
+	var killed []*siteProcess
+	var there []*siteProcess
 	for i, p := range s.units {
 		if i%3 != zone {
 			if kind == "apart" { // and it hears nothing from the replica over there
@@ -387,7 +387,7 @@
 var said = regexp.MustCompile(`agreed: (?:(runs|could run|in touch|out of touch)(?: by start (\d+)(?:, renewed within (\d+) ms,)? with)? version (\d+) (\S+)|(serves)) at (\d+)`)
 
 // readLogs adds what nodes wrote of their versions.
-func (r *record) readLogs(nodes []*process) error {
+func (r *record) readLogs(nodes []*siteProcess) error {
 	for _, p := range nodes {
 		f, err := os.Open(p.Log)
 		if err != nil {
--- a/internal/agree/trial/judge.go
+++ b/internal/coordination/faulttest/judge.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/agree/host"
+	"umberbank/internal/coordination/host"
 )
 
 // record is what processes did, by their own words, and what befell them, by the trial's.
--- a/internal/agree/trial/judge_test.go
+++ b/internal/coordination/faulttest/judge_test.go
@@ -1,11 +1,11 @@
-package trial
+package faulttest
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"hollyspur/internal/agree/host"
+	"umberbank/internal/coordination/host"
 )
 
 // What processes did, in seconds, and what the judge makes of it.
--- a/internal/agree/trial/trial.go
+++ b/internal/coordination/faulttest/trial.go
@@ -1,8 +1,8 @@
-// Package trial plays releases and drains on real processes, with faults between them, and judges what they did: a
+// Package faulttest plays releases and drains on real processes, with faults between them, and judges what they did: a
 // registry of three replicas, units with their agents, controllers, and staff at the command line. Every process reaches every
 // replica over a relay of its own, so any of them can be cut off. The judge reads what processes wrote down as
 // they did it, and knows of faults what the trial did; it asks no registry.
-package trial
+package faulttest
 
 import (
 	"bytes"
@@ -19,12 +19,12 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/procs"
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/process"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // Options say what is played.
@@ -109,9 +109,9 @@
 	return l
 }
 
-// process is one of the trial's, and its links to the replicas.
-type process struct {
-	procs.Process
+// siteProcess is one of the trial's, and its links to the replicas.
+type siteProcess struct {
+	process.Process
 	name  string
 	links []*relay.Relay
 	off   bool // a fault has ended it, and may have started it again since; it is left in peace then
@@ -122,9 +122,9 @@
 	opt      Options
 	dir      string
 	cluster  *cluster.Cluster
-	launch   *procs.Launcher
-	units    []*process
-	controls []*process
+	launch   *process.Launcher
+	units    []*siteProcess
+	controls []*siteProcess
 	r        *rand.Rand
 	res      *Result
 	record   *record
@@ -158,7 +158,7 @@
 		}
 		opt.Program = []string{self}
 	}
-	return &site{opt: opt, launch: procs.New(), r: rand.New(rand.NewPCG(opt.Seed, 7)), res: res, record: newRecord()}, nil
+	return &site{opt: opt, launch: process.New(), r: rand.New(rand.NewPCG(opt.Seed, 7)), res: res, record: newRecord()}, nil
 }
 
 // Run plays one run.
@@ -274,7 +274,7 @@
 }
 
 // links gives a process its own way to each replica.
-func (s *site) links(p *process) (at []string, err error) {
+func (s *site) links(p *siteProcess) (at []string, err error) {
 	for _, to := range s.cluster.Addresses() {
 		l, err := relay.Listen("127.0.0.1", to)
 		if err != nil {
@@ -286,9 +286,9 @@
 	return at, nil
 }
 
-// process starts a process of the program with links of its own.
-func (s *site) process(name, command string, args []string) (*process, error) {
-	p := &process{name: name, Process: procs.Process{Launcher: s.launch, Log: filepath.Join(s.dir, name+".log")}}
+// siteProcess starts a process of the program with links of its own.
+func (s *site) process(name, command string, args []string) (*siteProcess, error) {
+	p := &siteProcess{name: name, Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, name+".log")}}
 	at, err := s.links(p)
 	if err != nil {
 		return nil, err
@@ -346,7 +346,7 @@
 		return false, fmt.Errorf("%w: %s", err, out)
 	}
 	if s.opt.Beside != nil {
-		p := &process{name: "beside", Process: procs.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
+		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
 		p.SetCommand(s.opt.Beside(s.cluster.Addresses(), s.dir))
 		if err := p.Start(); err != nil {
 			return false, err
--- a/internal/agree/host/agent.go
+++ b/internal/coordination/host/agent.go
@@ -15,9 +15,9 @@
 
 	"github.com/google/renameio/v2"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // Agent stands beside one unit: it starts its process, holds its lease for as long as the process runs, and changes its
@@ -132,7 +132,7 @@
 
 // follow changes the unit's version if a permit says so. The permit is begun by a write first: whoever is cut off, comes late,
 // or has been halted meanwhile changes nothing.
-func (a *Agent) follow(ctx context.Context, p *budget.Permit, e *state.Entry) {
+func (a *Agent) follow(ctx context.Context, p *disruption.Permit, e *state.Entry) {
 	if p.To == a.Entry.Version && p.Begun && e.State == state.Draining && e.BootMS == a.Entry.BootMS && a.stop != nil {
 		// It was taken back before anything had changed. Another look tells what came of it.
 		a.writer.One(ctx, state.Op{Kind: state.Update, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
--- a/internal/agree/host/control.go
+++ b/internal/coordination/host/control.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"hollyspur/internal/agree/release"
-	"hollyspur/internal/agree/rollout"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/release"
+	"umberbank/internal/coordination/rollout"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
 )
 
 // Lead is the uid of the entry that the controller holds that acts.
--- a/internal/agree/host/host.go
+++ b/internal/coordination/host/host.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // Agreed asks for all that is agreed, with all units, as of when it was called.
--- a/internal/agree/release/machine.go
+++ b/internal/coordination/release/machine.go
@@ -7,15 +7,15 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
 )
 
 // View is what a controller knows, as of one revision.
 type View struct {
 	Units   []*state.Entry
-	Outs    []budget.Out
-	Permits []*budget.Permit
+	Outs    []disruption.Out
+	Permits []*disruption.Permit
 	Records []*state.Record
 }
 
@@ -139,11 +139,11 @@
 	for _, u := range v.Units {
 		units[u.UID] = u
 	}
-	out := map[string]budget.Out{}
+	out := map[string]disruption.Out{}
 	for _, o := range v.Outs {
 		out[o.Unit] = o
 	}
-	permits := map[string]*budget.Permit{}
+	permits := map[string]*disruption.Permit{}
 	inHand := 0
 	for _, pt := range v.Permits {
 		permits[pt.Unit] = pt
@@ -163,7 +163,7 @@
 		switch {
 		case u == nil, pt == nil && u.Version == s.To && out[s.Unit].Share == 0:
 			continue // declared gone, or changed
-		case pt == nil && u.Version != s.To && out[s.Unit].Why != budget.Missing,
+		case pt == nil && u.Version != s.To && out[s.Unit].Why != disruption.Missing,
 			pt != nil && pt.Plan == p.Undoes && pt.Begun: // on its way to what is taken back
 			todo = append(todo, s)
 		}
--- a/internal/agree/release/plan.go
+++ b/internal/coordination/release/plan.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
-	"hollyspur/internal/strict"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
+	"umberbank/internal/stricttoml"
 )
 
 // File is a plan as staff write it.
@@ -68,7 +68,7 @@
 // Parse reads a plan for the units that there are, and says what is wrong with it by file and key.
 func Parse(file string, text []byte, units []*state.Entry) (*Plan, *File, error) {
 	var f File
-	if err := strict.Decode(file, text, &f); err != nil {
+	if err := stricttoml.Decode(file, text, &f); err != nil {
 		return nil, nil, err
 	}
 	p, err := f.plan(units)
@@ -187,7 +187,7 @@
 
 // Fits says with the arithmetic why the present load could not be kept with as much out as the plan may take out at
 // once beside what is out already; nil: it could.
-func Fits(p *Plan, needs map[string]float64, units []*state.Entry, l budget.Limits, outs []budget.Out) error {
+func Fits(p *Plan, needs map[string]float64, units []*state.Entry, l disruption.Limits, outs []disruption.Out) error {
 	out := map[string]float64{}
 	for _, o := range outs {
 		out[o.Unit] = o.Share
--- a/internal/agree/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
 )
 
 // world is a registry's State on a clock of its own, with agents that follow permits at once and what leases would do.
@@ -22,7 +22,7 @@
 
 func newWorld(units int, whole float64) *world {
 	w := &world{State: state.New()}
-	w.Apply(state.Op{Kind: state.SetLimits, Limits: &budget.Limits{Tiers: []budget.Limit{{Tier: "web", Whole: &whole}}, ColdFrom: 0.5, WarmMS: 1}})
+	w.Apply(state.Op{Kind: state.SetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Whole: &whole}}, ColdFrom: 0.5, WarmMS: 1}})
 	for i := range units {
 		w.Apply(state.Op{Kind: state.Register, Entry: w.entry(fmt.Sprintf("s%02d", i), "v1", 0)})
 	}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/durable"
-	"hollyspur/internal/durable/faulty"
+	"umberbank/internal/durable"
+	"umberbank/internal/durable/faulty"
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
--- a/internal/durable/faulty/faulty.go
+++ b/internal/durable/faulty/faulty.go
@@ -12,7 +12,7 @@
 	"strings"
 	"syscall"
 
-	"hollyspur/internal/durable"
+	"umberbank/internal/durable"
 )
 
 // ErrCrashed is what every call gets once the power is gone.
--- a/internal/lab/bench_test.go
+++ b/internal/lab/bench_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"hollyspur/internal/lab/scenario"
+	"umberbank/internal/lab/scenario"
 )
 
 // How the virtual clock's pace, and the memory of servers and nodes, go with the size of the site.
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"hollyspur/internal/lab"
+	"umberbank/internal/lab"
 )
 
 // Measure is one figure of a run.
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/lab"
+	"umberbank/internal/lab"
 )
 
 func runs(n int, served func(i int) float64) []*lab.Result {
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -22,7 +22,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/procs"
+	"umberbank/internal/process"
 )
 
 // Options say how the cost is measured.
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	by := procs.New()
+	by := process.New()
 	defer by.Close()
 	node, err := startNode(ctx, by, o.Node, dir, addrs)
 	if err != nil {
@@ -146,7 +146,7 @@
 	r := &Result{Valid: true, Servers: o.Servers, Pinned: node.pinned && relay.pinned}
 	for _, x := range []struct {
 		name string
-		p    *process
+		p    *measuredProcess
 		s    *Subject
 	}{{"the node", node, &r.Node}, {"the bare relay", relay, &r.Relay}} {
 		o.Step("what " + x.name + " holds")
@@ -190,8 +190,8 @@
 	return r, nil
 }
 
-// process is one that is measured.
-type process struct {
+// measuredProcess is one that is measured.
+type measuredProcess struct {
 	cmd    *exec.Cmd
 	addr   string
 	stats  string
@@ -199,11 +199,11 @@
 	pinned bool
 }
 
-func (p *process) at(int) string { return p.addr }
+func (p *measuredProcess) at(int) string { return p.addr }
 
 // start runs a command with one core, and waits until it says that it is ready.
-func start(ctx context.Context, by *procs.Launcher, command []string, env []string, dir, name, addr string) (*process, error) {
-	p := &process{addr: addr, stats: filepath.Join(dir, name+".stats"), log: filepath.Join(dir, name+".log")}
+func start(ctx context.Context, by *process.Launcher, command []string, env []string, dir, name, addr string) (*measuredProcess, error) {
+	p := &measuredProcess{addr: addr, stats: filepath.Join(dir, name+".stats"), log: filepath.Join(dir, name+".log")}
 	log, err := os.Create(p.log)
 	if err != nil {
 		return nil, err
@@ -259,13 +259,13 @@
 	return true
 }
 
-func (p *process) stop() {
+func (p *measuredProcess) stop() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait() // killed: there is nothing to learn from how it ends
 }
 
 // said is the end of what the process wrote.
-func (p *process) said() string {
+func (p *measuredProcess) said() string {
 	text, err := os.ReadFile(p.log)
 	if err != nil {
 		return err.Error()
@@ -274,7 +274,7 @@
 }
 
 // hold keeps the process as busy as it can be, and reckons what a request costs it.
-func (p *process) hold(ctx context.Context, d time.Duration, s *Subject) error {
+func (p *measuredProcess) hold(ctx context.Context, d time.Duration, s *Subject) error {
 	l := &loader{addr: p.at}
 	s.MemoryRest, _ = p.holds()
 	if _, err := l.closed(ctx, busyConns, warmFor); err != nil {
@@ -313,7 +313,7 @@
 	return nil
 }
 
-func (p *process) readStats() (Stats, error) {
+func (p *measuredProcess) readStats() (Stats, error) {
 	var st Stats
 	for deadline := time.Now().Add(startFor); ; time.Sleep(10 * time.Millisecond) {
 		text, err := os.ReadFile(p.stats)
@@ -327,7 +327,7 @@
 }
 
 // processor is the processor time that the process has used.
-func (p *process) processor() time.Duration {
+func (p *measuredProcess) processor() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -343,7 +343,7 @@
 }
 
 // holds is the process's memory, in MB, and its descriptors.
-func (p *process) holds() (mb float64, open int) {
+func (p *measuredProcess) holds() (mb float64, open int) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	if text, err := os.ReadFile(dir + "statm"); err == nil {
 		if f := strings.Fields(string(text)); len(f) > 1 {
@@ -368,7 +368,7 @@
 }
 
 // startNode starts a node before the servers. Its discovery does not answer: the list that it starts with holds.
-func startNode(ctx context.Context, by *procs.Launcher, command []string, dir string, addrs []string) (*process, error) {
+func startNode(ctx context.Context, by *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
@@ -400,7 +400,7 @@
 	return start(ctx, by, command, []string{"ROUTER_CONFIG=" + path}, dir, "node", addr)
 }
 
-func startRelay(ctx context.Context, by *procs.Launcher, command []string, dir string, addrs []string) (*process, error) {
+func startRelay(ctx context.Context, by *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/pprof/profile"
 
-	"hollyspur/internal/node"
+	"umberbank/internal/node"
 )
 
 // The test binary is the processes that are measured too.
@@ -105,10 +105,10 @@
 // The innermost frame that says a part decides, but the module has all that it calls.
 func TestParts(t *testing.T) {
 	for want, stack := range map[string][]string{
-		Module:  {"runtime.mapassign", "slices.SortFunc", "hollyspur.(*Balancer).arrange", "hollyspur/internal/node.(*loop).handle"},
+		Module:  {"runtime.mapassign", "slices.SortFunc", "umberbank/balancer.(*Balancer).arrange", "umberbank/internal/node.(*loop).handle"},
 		Sockets: {"internal/runtime/syscall.Syscall6", "internal/poll.(*FD).Write", "net/http.(*conn).serve"},
-		Parsing: {"runtime.mallocgc", "net/textproto.(*Reader).ReadLine", "hollyspur/internal/node.(*upstream).exchange"},
-		Own:     {"runtime.mallocgc", "hollyspur/internal/node.(*download).fill", "net/http.HandlerFunc.ServeHTTP"},
+		Parsing: {"runtime.mallocgc", "net/textproto.(*Reader).ReadLine", "umberbank/internal/node.(*upstream).exchange"},
+		Own:     {"runtime.mallocgc", "umberbank/internal/node.(*download).fill", "net/http.HandlerFunc.ServeHTTP"},
 		Runtime: {"runtime.gcBgMarkWorker"},
 	} {
 		s := &profile.Sample{}
--- a/internal/lab/cost/stats.go
+++ b/internal/lab/cost/stats.go
@@ -131,7 +131,7 @@
 				continue
 			}
 			name := line.Function.Name
-			if strings.HasPrefix(name, "hollyspur.") {
+			if strings.HasPrefix(name, "umberbank/balancer.") {
 				return Module
 			}
 			if found != Runtime {
@@ -142,7 +142,7 @@
 				found = Sockets
 			case hasAny(name, "net/http", "net/textproto.", "net/url.", "bufio.", "io.", "mime"):
 				found = Parsing
-			case hasAny(name, "hollyspur/", "main.", "context.", "time."):
+			case hasAny(name, "umberbank/", "main.", "context.", "time."):
 				found = Own
 			}
 		}
--- a/internal/lab/fault/fault.go
+++ b/internal/lab/fault/fault.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/traffic"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/traffic"
 )
 
 // Event is one fault of the timetable with what it hits.
--- a/internal/lab/fleet/client.go
+++ b/internal/lab/fleet/client.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/lab/model"
+	"umberbank/internal/lab/model"
 )
 
 // pool keeps the senders' connections to one node.
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/lab/model"
+	"umberbank/internal/lab/model"
 )
 
 // agent answers one node's questions for its servers, on the node's own machine. What it holds changes on the loop;
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/lab/fault"
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/procs"
-	"hollyspur/internal/procs/relay"
+	"umberbank/internal/lab/fault"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/process"
+	"umberbank/internal/process/relay"
 )
 
 // Observer hears what only the real fleet can tell, besides what the model tells.
@@ -54,12 +54,12 @@
 
 	links    map[[2]int]*link
 	agents   []*agent
-	procs    []*process
+	procs    []*fleetProcess
 	pools    []*pool
 	servers  []*http.Server
 	calls    map[string]*model.Call // in hand; the loop's
 	registry *registry              // nil: discovery is the model's
-	launch   *procs.Launcher
+	launch   *process.Launcher
 	running  sync.WaitGroup
 }
 
@@ -113,7 +113,7 @@
 	if f.dir, err = os.MkdirTemp("", "umberbank-lab-"); err != nil {
 		return f, err
 	}
-	f.launch = procs.New()
+	f.launch = process.New()
 	touched := map[[2]int]bool{}
 	fault.Links(opt.Events, w.Site, func(node, server int) { touched[[2]int{node, server}] = true })
 	if err = f.startServers(touched); err != nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	for i := range w.Site.Nodes {
-		f.procs = append(f.procs, &process{f: f, node: i})
+		f.procs = append(f.procs, &fleetProcess{f: f, node: i})
 		f.pools = append(f.pools, newPool(f.nodeAddr(i)))
 	}
 	return f, nil
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/lab/model"
+	"umberbank/internal/lab/model"
 )
 
 // The test binary is also a server that answers at once, and says where on its standard output.
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -14,12 +14,12 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/lab/model"
+	"umberbank/internal/lab/model"
 )
 
-// process is a node's process, over its restarts. The loop owns it, but for what the goroutine that waits for the
-// process posts.
-type process struct {
+// fleetProcess is a node's process, over its restarts. The loop owns it, but for what the goroutine that waits for the
+// fleetProcess posts.
+type fleetProcess struct {
 	f      *Fleet
 	node   int
 	cmd    *exec.Cmd // nil: it does not run
@@ -56,7 +56,7 @@
 }
 
 // spawn starts the node's process and lets ended hear of its end on the waiting goroutine.
-func (p *process) spawn(ended func(cmd *exec.Cmd, err error)) error {
+func (p *fleetProcess) spawn(ended func(cmd *exec.Cmd, err error)) error {
 	f := p.f
 	name := f.w.Site.Nodes[p.node].Name
 	config := filepath.Join(f.dir, name+".json")
@@ -162,7 +162,7 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-func (p *process) signal(s syscall.Signal, wanted bool) {
+func (p *fleetProcess) signal(s syscall.Signal, wanted bool) {
 	if p.cmd != nil {
 		p.wanted = wanted
 		p.cmd.Process.Signal(s) // it may have ended by now, which its waiting goroutine tells
@@ -170,7 +170,7 @@
 }
 
 // restart starts the process while the run goes on.
-func (p *process) restart() {
+func (p *fleetProcess) restart() {
 	f := p.f
 	p.again = false
 	err := p.spawn(func(cmd *exec.Cmd, err error) { f.w.Loop.Post(func() { p.ended(cmd, err) }) })
@@ -196,7 +196,7 @@
 }
 
 // ended notes that the process has ended.
-func (p *process) ended(cmd *exec.Cmd, err error) {
+func (p *fleetProcess) ended(cmd *exec.Cmd, err error) {
 	if p.cmd != cmd {
 		return
 	}
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // registry is a registry of real processes that servers hold leases at and nodes' agents follow.
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/procs/relay"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/process/relay"
 )
 
 // endpoint is one link's end at its server.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -10,27 +10,27 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hollyspur"
-	"hollyspur/internal/lab/fault"
-	"hollyspur/internal/lab/fleet"
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/lab/oracle"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
-	"hollyspur/internal/lab/traffic"
-	"hollyspur/internal/lab/virtual"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/lab/fault"
+	"umberbank/internal/lab/fleet"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/oracle"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
+	"umberbank/internal/lab/traffic"
+	"umberbank/internal/lab/virtual"
+	"umberbank/internal/simwire"
 )
 
 // Options say how a scenario is played.
 type Options struct {
 	Seed     uint64
 	Virtual  bool
-	Replica  []string                                                        // the command of a replica of the registry, which takes --config FILE; none: this program's own
-	Node     []string                                                        // the command of a node; none: this program's own
-	Progress func(done, total time.Duration)                                 // called about once a second of the run; may be nil
-	Log      func(format string, args ...any)                                // what nodes write and what befalls them; may be nil
-	Module   func(s hollyspur.Settings, seed uint64) (virtual.Module, error) // on the virtual clock; nil: the one in service
+	Replica  []string                                                       // the command of a replica of the registry, which takes --config FILE; none: this program's own
+	Node     []string                                                       // the command of a node; none: this program's own
+	Progress func(done, total time.Duration)                                // called about once a second of the run; may be nil
+	Log      func(format string, args ...any)                               // what nodes write and what befalls them; may be nil
+	Module   func(s balancer.Settings, seed uint64) (virtual.Module, error) // on the virtual clock; nil: the one in service
 }
 
 // Result is what came of a run.
@@ -451,16 +451,16 @@
 	}
 	mk := r.opt.Module
 	if mk == nil {
-		mk = func(s hollyspur.Settings, seed uint64) (virtual.Module, error) { return hollyspur.New(s, seed) }
+		mk = func(s balancer.Settings, seed uint64) (virtual.Module, error) { return balancer.New(s, seed) }
 	}
 	var failed error
-	parsed := map[int]hollyspur.Settings{}
-	settings := func(node int) hollyspur.Settings {
+	parsed := map[int]balancer.Settings{}
+	settings := func(node int) balancer.Settings {
 		n := r.site.Nodes[node]
 		s, ok := parsed[n.Tier] // they differ by tier and index only
 		if !ok {
 			var err error
-			if s, _, err = wire.ParseSettings(r.site.Settings(node)); err != nil {
+			if s, _, err = simwire.ParseSettings(r.site.Settings(node)); err != nil {
 				failed = err
 			}
 			parsed[n.Tier] = s
@@ -471,7 +471,7 @@
 		}
 		return s
 	}
-	f := virtual.New(r.world, settings, func(_ int, s hollyspur.Settings, seed uint64) (virtual.Module, error) { return mk(s, seed) }, r.ready)
+	f := virtual.New(r.world, settings, func(_ int, s balancer.Settings, seed uint64) (virtual.Module, error) { return mk(s, seed) }, r.ready)
 	r.world.Backend = f
 	events := fault.Plan(r.site)
 	f.StartAll()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,11 +19,11 @@
 
 	"go.uber.org/goleak"
 
-	"hollyspur/internal/lab/oracle"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/node"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/labs"
+	"umberbank/internal/lab/oracle"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/node"
+	"umberbank/internal/registry/replica"
+	"umberbank/labs"
 )
 
 // The test binary is the node processes too: the one in service, or a wrong one.
--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hollyspur/internal/lab/scenario"
+	"umberbank/internal/lab/scenario"
 )
 
 // Entry is a server as discovery lists it.
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
 )
 
 // Call is one request to a node, by a client or by a server that calls the next tier. Each has an id of its own.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
 )
 
 // State is what discovery says of a server.
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
 )
 
 // nobody is an Observer and a Backend for servers that stand alone.
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
 )
 
 // The rules, by the name that a Violation gives.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"hollyspur/internal/lab"
+	"umberbank/internal/lab"
 )
 
 // Read reads a result as lab run keeps it.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/lab"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/labs"
+	"umberbank/internal/lab"
+	"umberbank/internal/lab/scenario"
+	"umberbank/labs"
 )
 
 // A run is kept, read again and drawn: each picture with its axes named, and the faults on it.
--- a/internal/lab/report/served.go
+++ b/internal/lab/report/served.go
@@ -6,7 +6,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"hollyspur/internal/lab"
+	"umberbank/internal/lab"
 )
 
 // Served draws what several ways of playing serve second by second, each the mean of its runs, as SVG. The faults are those
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
 )
 
 // limit is how long anything may take that has to happen.
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/node"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
-	"hollyspur/internal/wire"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/node"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+	"umberbank/internal/simwire"
 )
 
 // The site: zones and services are dealt out in turn, so each has its share at every size.
@@ -77,7 +77,7 @@
 
 // couldRun looks at settings as a node does.
 func couldRun(settings json.RawMessage) error {
-	set, _, err := wire.ParseSettings(settings)
+	set, _, err := simwire.ParseSettings(settings)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/procs"
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/process"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // play is one size, played once.
@@ -27,12 +27,12 @@
 	dir    string
 	c      *cluster.Cluster
 	w      *client.Writer
-	launch *procs.Launcher
+	launch *process.Launcher
 	guard  *guard
 
-	control       *procs.Process // the controller
-	with, without *procs.Process // real nodes, with a control part and without one
-	quiet         *listServer    // discovery of the one without
+	control       *process.Process // the controller
+	with, without *process.Process // real nodes, with a control part and without one
+	quiet         *listServer      // discovery of the one without
 
 	hollows []*hollow // nil: it is dead
 	apart   string    // region that is cut from the registry's majority; "": none
@@ -57,7 +57,7 @@
 func measure(ctx context.Context, o Options, n int, mayMB float64, say string) (*Figures, error) {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	p := &play{o: o, n: n, f: newFigures(n), launch: procs.New(), guard: &guard{mayMB: mayMB, may: MostProcesses}}
+	p := &play{o: o, n: n, f: newFigures(n), launch: process.New(), guard: &guard{mayMB: mayMB, may: MostProcesses}}
 	defer p.close()
 	began := time.Now()
 	var watching sync.WaitGroup
@@ -103,7 +103,7 @@
 	for i := range p.c.Len() {
 		l = append(l, p.c.Pid(i))
 	}
-	for _, x := range []*procs.Process{p.control, p.with, p.without} {
+	for _, x := range []*process.Process{p.control, p.with, p.without} {
 		l = append(l, x.Pid())
 	}
 	return l
@@ -166,8 +166,8 @@
 	return err
 }
 
-func (p *play) process(name string, env []string, command []string) *procs.Process {
-	x := &procs.Process{Launcher: p.launch, Log: filepath.Join(p.dir, name+".log")}
+func (p *play) process(name string, env []string, command []string) *process.Process {
+	x := &process.Process{Launcher: p.launch, Log: filepath.Join(p.dir, name+".log")}
 	if len(env) > 0 {
 		command = append(append([]string{"/usr/bin/env"}, env...), command...)
 	}
@@ -176,7 +176,7 @@
 }
 
 // node starts a real node. Both know the same list from the start; the one with a control part follows the registry too.
-func (p *play) node(name string, control bool) (*procs.Process, error) {
+func (p *play) node(name string, control bool) (*process.Process, error) {
 	listen, err := cluster.Free()
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/agree/host"
-	"hollyspur/internal/node"
-	"hollyspur/internal/registry/replica"
+	"umberbank/internal/coordination/host"
+	"umberbank/internal/node"
+	"umberbank/internal/registry/replica"
 )
 
 // The test binary is the processes of a play too, by the command line of the program.
--- a/internal/lab/scale/track.go
+++ b/internal/lab/scale/track.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // tracker knows when versions came into force at nodes, by what these themselves run.
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -13,11 +13,11 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"hollyspur/internal/strict"
+	"umberbank/internal/stricttoml"
 )
 
 // Error is a fault of a file, on one line.
-type Error = strict.Error
+type Error = stricttoml.Error
 
 // Read reads a file. Overrides are key=value in TOML's words, such as load.rate=200; they win over the file.
 func Read(path string, overrides []string) (*Scenario, error) {
@@ -32,7 +32,7 @@
 // fault.
 func Parse(file string, text []byte, overrides []string) (*Scenario, error) {
 	s := defaults()
-	if err := strict.Decode(file, text, s); err != nil {
+	if err := stricttoml.Decode(file, text, s); err != nil {
 		return nil, err
 	}
 	lines := keyLines(text)
@@ -71,7 +71,7 @@
 		if err != nil {
 			return nil, &Error{File: "--set " + o, Reason: err.Error()}
 		}
-		if err := strict.Decode("--set "+o, merged, defaults()); err != nil {
+		if err := stricttoml.Decode("--set "+o, merged, defaults()); err != nil {
 			var e *Error
 			if errors.As(err, &e) {
 				e.Line = 0 // of the merged text, which nobody sees
@@ -84,7 +84,7 @@
 		return nil, &Error{File: file, Reason: err.Error()}
 	}
 	s := defaults()
-	return s, strict.Decode(file, merged, s)
+	return s, stricttoml.Decode(file, merged, s)
 }
 
 // keyLines finds the line of every key, as "tier[0].kind[1].cores". A text that does not parse has none.
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hollyspur/internal/agree/budget"
+	"umberbank/internal/coordination/disruption"
 )
 
 // Rand is a source of randomness for one purpose, the same for the same seed wherever else is drawn.
@@ -83,16 +83,16 @@
 }
 
 // BudgetLimits are the budget's, for every tier.
-func (s *Site) BudgetLimits() budget.Limits {
+func (s *Site) BudgetLimits() disruption.Limits {
 	share := func(v float64) *float64 {
 		if v == 0 {
 			return nil
 		}
 		return &v
 	}
-	var l budget.Limits
+	var l disruption.Limits
 	for _, t := range s.Tiers {
-		l.Tiers = append(l.Tiers, budget.Limit{Tier: t.Name, Whole: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
+		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Whole: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
 	}
 	l.ColdFrom = 1
 	for _, sv := range s.Servers {
@@ -103,10 +103,10 @@
 }
 
 // Unit is a server as it counts in the budget while it serves fully.
-func (s *Site) Unit(server int) budget.Unit {
+func (s *Site) Unit(server int) disruption.Unit {
 	sv := &s.Servers[server]
 	z := &s.Zones[sv.Zone]
-	return budget.Unit{ID: sv.Name, Start: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.Size()}
+	return disruption.Unit{ID: sv.Name, Start: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.Size()}
 }
 
 // MeanWork is the mean work of a request at a tier, on a yardstick core.
--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/lab/scenario"
-	"hollyspur/internal/lab/sim"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/sim"
 )
 
 // End is what became of a client's request, over all its tries.
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -13,16 +13,16 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"hollyspur"
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/lab/model"
-	"hollyspur/internal/lab/sim"
+	"umberbank/balancer"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/sim"
 )
 
-// Module decides for one node; hollyspur.Balancer does.
+// Module decides for one node; balancer.Balancer does.
 type Module interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
-	Learned(now time.Duration) hollyspur.Memory
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
+	Learned(now time.Duration) balancer.Memory
 }
 
 // ownDelay is what a node leaves of a caller's time for the way back.
@@ -34,8 +34,8 @@
 // Fleet is a model.Backend.
 type Fleet struct {
 	w        *model.World
-	settings func(node int) hollyspur.Settings
-	make     func(node int, s hollyspur.Settings, seed uint64) (Module, error)
+	settings func(node int) balancer.Settings
+	make     func(node int, s balancer.Settings, seed uint64) (Module, error)
 	ready    func(node int)
 	nodes    []*node
 	names    map[string]int // servers
@@ -51,13 +51,13 @@
 	f       *Fleet
 	index   int
 	module  Module
-	kept    hollyspur.Memory // what its disk has of an earlier process, where there is a disk
-	keptAt  time.Duration    // by the node's clock; 0: nothing
-	life    int              // counts starts, so that what belongs to an earlier process is known
+	kept    balancer.Memory // what its disk has of an earlier process, where there is a disk
+	keptAt  time.Duration   // by the node's clock; 0: nothing
+	life    int             // counts starts, so that what belongs to an earlier process is known
 	up      bool
 	paused  bool
 	held    []func() // what waits for a paused process
-	queue   []hollyspur.Event
+	queue   []balancer.Event
 	handing bool
 	nextID  uint64
 	calls   map[string]*call
@@ -92,7 +92,7 @@
 }
 
 // New returns a fleet of nodes that are not started. ready is called when a node is.
-func New(w *model.World, settings func(node int) hollyspur.Settings, mk func(node int, s hollyspur.Settings, seed uint64) (Module, error), ready func(int)) *Fleet {
+func New(w *model.World, settings func(node int) balancer.Settings, mk func(node int, s balancer.Settings, seed uint64) (Module, error), ready func(int)) *Fleet {
 	f := &Fleet{w: w, settings: settings, make: mk, ready: ready, names: map[string]int{}, links: map[[2]int][]*model.Effect{},
 		quiet: map[int]bool{}, down: map[int]bool{}, conns: make([]int, len(w.Site.Servers))}
 	for i := range w.Site.Servers {
@@ -107,10 +107,10 @@
 // StartAll starts every node at once, ready to serve. The nodes of a tier hold the same list, and what a module makes of
 // it depends on nothing else, so they take it side by side; what they do then comes in their order.
 func (f *Fleet) StartAll() {
-	lists := map[int]hollyspur.ServerList{}
+	lists := map[int]balancer.ServerList{}
 	var work errgroup.Group
 	work.SetLimit(runtime.GOMAXPROCS(0))
-	did := make([][]hollyspur.Action, len(f.nodes))
+	did := make([][]balancer.Action, len(f.nodes))
 	for i, n := range f.nodes {
 		tier := f.w.Site.Nodes[i].Tier
 		if _, made := lists[tier]; !made {
@@ -214,13 +214,13 @@
 
 // Take asks the budget for a permit, with all servers as they are now.
 func (f *Fleet) Take(server int, done func(error)) {
-	l := budget.New()
+	l := disruption.New()
 	l.Limit(f.w.Site.BudgetLimits())
 	for i, s := range f.w.Servers {
 		u := f.w.Site.Unit(i)
 		switch {
 		case !s.Up():
-			u.Out, u.Why = 1, budget.Missing
+			u.Out, u.Why = 1, disruption.Missing
 		case s.Drains():
 			u.Out, u.Why = 1, "draining"
 		case s.Cold():
@@ -228,7 +228,7 @@
 		}
 		l.Set(u)
 	}
-	_, refused := l.Grant(budget.Permit{Unit: f.w.Site.Servers[server].Name, Start: 1}, "")
+	_, refused := l.Grant(disruption.Permit{Unit: f.w.Site.Servers[server].Name, Start: 1}, "")
 	done(refused)
 }
 
@@ -368,7 +368,7 @@
 	n.life++
 	if w.Site.State.Keep {
 		if n.keptAt > 0 {
-			m.Handle(n.clock(), hollyspur.Recalled{Memory: n.kept, Age: n.clock() - n.keptAt})
+			m.Handle(n.clock(), balancer.Recalled{Memory: n.kept, Age: n.clock() - n.keptAt})
 		}
 		n.keep(n.life)
 	}
@@ -447,7 +447,7 @@
 const epoch = 1000 * time.Hour
 
 // handle gives the module an event, and then those that its own actions caused at once.
-func (n *node) handle(e hollyspur.Event) {
+func (n *node) handle(e balancer.Event) {
 	n.queue = append(n.queue, e)
 	if n.handing {
 		return
@@ -463,28 +463,28 @@
 	n.handing = false
 }
 
-func (n *node) carryOut(a hollyspur.Action) {
+func (n *node) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		n.send(a)
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		if c := n.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
-			n.end(c.attempts[a.Attempt], hollyspur.Withdrawn, true, "")
+			n.end(c.attempts[a.Attempt], balancer.Withdrawn, true, "")
 		}
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		n.finish(a.ID, model.Answer{Reply: model.Refused, RetryAfter: a.RetryAfter})
-	case hollyspur.Fail:
+	case balancer.Fail:
 		n.finish(a.ID, model.Answer{Reply: model.Failed})
-	case hollyspur.Wake:
+	case balancer.Wake:
 		life := n.life
 		n.f.w.Loop.At(a.At-epoch, func() {
 			n.run(func() {
 				if n.life == life {
-					n.handle(hollyspur.Timer{Token: a.Token})
+					n.handle(balancer.Timer{Token: a.Token})
 				}
 			})
 		})
-	case hollyspur.Subscribe: // the list is pushed
+	case balancer.Subscribe: // the list is pushed
 	}
 }
 
@@ -494,7 +494,7 @@
 	own := min(ownDelay, c.Left/4)
 	k := &call{Call: c, id: strconv.FormatUint(n.nextID, 10), num: n.nextID, done: done, deadline: w.Loop.Now() + c.Left - own}
 	n.calls[k.id] = k
-	n.handle(hollyspur.Request{ID: k.id, Class: w.Site.Classes[c.Class].Name, Deadline: epoch + k.deadline, Repeat: c.Repeat})
+	n.handle(balancer.Request{ID: k.id, Class: w.Site.Classes[c.Class].Name, Deadline: epoch + k.deadline, Repeat: c.Repeat})
 	return k
 }
 
@@ -502,7 +502,7 @@
 func (n *node) left(c *call) {
 	if n.calls[c.id] == c && !c.finished {
 		c.finished = true
-		n.handle(hollyspur.ClientGone{ID: c.id})
+		n.handle(balancer.ClientGone{ID: c.id})
 		n.forget(c)
 	}
 }
@@ -525,7 +525,7 @@
 }
 
 // send starts an attempt. Every Send gets exactly one Outcome.
-func (n *node) send(s hollyspur.Send) {
+func (n *node) send(s balancer.Send) {
 	c := n.calls[s.ID]
 	if c == nil {
 		return
@@ -540,10 +540,10 @@
 		timeout = min(timeout, s.Timeout)
 	}
 	if !known || c.finished || timeout <= 0 || n.barred[server] || a.n >= f.w.Site.Limits.MaxAttempts {
-		n.end(a, hollyspur.Void, false, "")
+		n.end(a, balancer.Void, false, "")
 		return
 	}
-	a.timer = loop.After(timeout, func() { n.run(func() { n.end(a, hollyspur.TimedOut, true, "") }) })
+	a.timer = loop.After(timeout, func() { n.run(func() { n.end(a, balancer.TimedOut, true, "") }) })
 	fresh := !n.takeIdle(server)
 	if !fresh {
 		n.write(a, false)
@@ -553,11 +553,11 @@
 	s0 := f.w.Servers[server]
 	switch {
 	case l.refused || f.down[server] && !f.quiet[server]:
-		n.later(a, l.there+l.back, func() { n.end(a, hollyspur.Unreachable, false, "") })
+		n.later(a, l.there+l.back, func() { n.end(a, balancer.Unreachable, false, "") })
 	case f.quiet[server] || l.lostThere || l.lostBack:
-		n.later(a, f.w.Site.Limits.Connect.D(), func() { n.end(a, hollyspur.Unreachable, false, "") })
+		n.later(a, f.w.Site.Limits.Connect.D(), func() { n.end(a, balancer.Unreachable, false, "") })
 	case f.conns[server] >= s0.Kind.Connections:
-		n.later(a, l.there+l.back, func() { n.end(a, hollyspur.Unreachable, false, "") })
+		n.later(a, l.there+l.back, func() { n.end(a, balancer.Unreachable, false, "") })
 	default:
 		f.conns[server]++
 		n.later(a, l.there+l.back, func() { n.write(a, true) })
@@ -580,7 +580,7 @@
 func (n *node) write(a *attempt, fresh bool) {
 	f, loop := n.f, n.f.w.Loop
 	if n.barred[a.server] {
-		n.end(a, hollyspur.Unreachable, true, "")
+		n.end(a, balancer.Unreachable, true, "")
 		return
 	}
 	l := f.link(n.index, a.server)
@@ -606,7 +606,7 @@
 	}
 	if f.down[a.server] {
 		a.kept = false
-		n.later(a, l.back, func() { n.end(a, hollyspur.Broken, true, "") })
+		n.later(a, l.back, func() { n.end(a, balancer.Broken, true, "") })
 		return
 	}
 	at := a.at
@@ -622,13 +622,13 @@
 	})
 }
 
-var endings = map[model.Outcome]hollyspur.Ending{
-	model.Done: hollyspur.Success, model.Errored: hollyspur.Failure, model.TurnedAway: hollyspur.Overloaded,
-	model.Reset: hollyspur.Broken, model.Dropped: hollyspur.Withdrawn,
+var endings = map[model.Outcome]balancer.Ending{
+	model.Done: balancer.Success, model.Errored: balancer.Failure, model.TurnedAway: balancer.Overloaded,
+	model.Reset: balancer.Broken, model.Dropped: balancer.Withdrawn,
 }
 
 // end notes that an attempt has ended. cut: its connection is of no more use.
-func (n *node) end(a *attempt, e hollyspur.Ending, cut bool, body string) {
+func (n *node) end(a *attempt, e balancer.Ending, cut bool, body string) {
 	if a.over {
 		return
 	}
@@ -640,11 +640,11 @@
 	}
 	c := a.c
 	c.out--
-	if e == hollyspur.Success {
+	if e == balancer.Success {
 		n.finish(c.id, model.Answer{Reply: model.Served, Body: body})
 	}
 	n.forget(c)
-	n.handle(hollyspur.Outcome{ID: c.id, Attempt: a.n, Server: n.f.w.Site.Servers[a.server].Name, Ending: e,
+	n.handle(balancer.Outcome{ID: c.id, Attempt: a.n, Server: n.f.w.Site.Servers[a.server].Name, Ending: e,
 		Latency: n.f.w.Loop.Now() - a.sent, Ended: c.finished})
 }
 
@@ -686,22 +686,22 @@
 	for _, c := range n.open() {
 		for _, a := range c.attempts {
 			if !a.over && a.server == server && a.at != nil {
-				n.end(a, hollyspur.Broken, true, "")
+				n.end(a, balancer.Broken, true, "")
 			}
 		}
 	}
 }
 
-var states = map[model.State]hollyspur.ServerState{
-	model.Serving: hollyspur.Ready, model.Draining: hollyspur.Draining, model.Deleted: hollyspur.Gone,
+var states = map[model.State]balancer.ServerState{
+	model.Serving: balancer.Ready, model.Draining: balancer.Draining, model.Deleted: balancer.Gone,
 }
 
 // list words a list for the module.
-func (f *Fleet) list(l model.List, cached bool) hollyspur.ServerList {
-	e := hollyspur.ServerList{Full: l.All, Cached: cached, Servers: make([]hollyspur.Server, 0, len(l.Entries))}
+func (f *Fleet) list(l model.List, cached bool) balancer.ServerList {
+	e := balancer.ServerList{Full: l.All, Cached: cached, Servers: make([]balancer.Server, 0, len(l.Entries))}
 	for _, t := range l.Entries {
 		sv := &f.w.Site.Servers[t.Server]
-		s := hollyspur.Server{ID: sv.Name, Zone: f.w.Site.Zones[sv.Zone].Name, Cell: sv.Rack, State: states[t.State], Size: sv.Size()}
+		s := balancer.Server{ID: sv.Name, Zone: f.w.Site.Zones[sv.Zone].Name, Cell: sv.Rack, State: states[t.State], Size: sv.Size()}
 		if t.Boot >= 0 {
 			s.Boot = epoch + t.Boot
 		}
--- a/internal/interleave/interleave.go
+++ b/internal/modelcheck/interleave.go
@@ -1,4 +1,4 @@
-// Package interleave runs a few threads of real code under every order in which their synchronising steps can come, and
+// Package modelcheck runs a few threads of real code under every order in which their synchronising steps can come, and
 // reports the order in which an invariant breaks, a thread panics, or nobody can go on: a deadlock or a lost wake-up.
 //
 // Code is checked by synchronising through package isync, whose types are those of sync and sync/atomic, and under the build
@@ -7,7 +7,7 @@
 // Partial-Order Methods for the Verification of Concurrent Systems, 1996): of orders that differ only in steps
 // that do not touch the same object, or only read it, one is run. That prunes orders, never outcomes. What it cannot see are data
 // races, which the race detector shows, and loops that wait without a step, which run into a bound.
-package interleave
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/interleave/interleave_test.go
+++ b/internal/modelcheck/interleave_test.go
@@ -1,4 +1,4 @@
-package interleave
+package modelcheck
 
 import (
 	"strings"
--- /dev/null
+++ b/internal/modelcheck/isync/checked.go
@@ -0,0 +1,14 @@
+//go:build interleave
+
+package isync
+
+import "umberbank/internal/modelcheck"
+
+// The types, as the checker has them.
+type (
+	Mutex          = modelcheck.Mutex
+	RWMutex        = modelcheck.RWMutex
+	Bool           = modelcheck.Bool
+	Int64          = modelcheck.Int64
+	Pointer[T any] = modelcheck.Pointer[T]
+)
--- a/internal/node/agreed.go
+++ b/internal/node/agreed.go
@@ -15,8 +15,8 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // Agreed says that a node takes its settings from a site's registry, in versions that its nodes have agreed on. Without
--- a/internal/node/agreed_test.go
+++ b/internal/node/agreed_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // agreedConfig is a configuration that takes its settings from a registry, which nobody answers for.
--- a/internal/node/caughtup_test.go
+++ b/internal/node/caughtup_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // oneReplica is a registry of one replica without leases: a State behind the calls that a follower makes. gate holds back what
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/simwire"
 )
 
 // Config is what a node is told at its start.
@@ -27,8 +27,8 @@
 	Registry  Registry
 	State     State
 	Agreed    Agreed
-	Settings  hollyspur.Settings
-	Conns     wire.Connections
+	Settings  balancer.Settings
+	Conns     simwire.Connections
 	shape     any             // the file as decoded, for a later one to be compared with
 	text      json.RawMessage // and as it stands, where settings are agreed on
 }
@@ -116,7 +116,7 @@
 	if len(raw.Settings) == 0 {
 		return Config{}, fmt.Errorf("settings: missing")
 	}
-	if c.Settings, c.Conns, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, c.Conns, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return Config{}, err
 	}
 	if c.State, err = parseState(raw.State); err != nil {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -21,7 +21,7 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Rev != 41 ||
 		len(c.Known.Targets) != 1 || c.Conns.Idle != 30*time.Second || c.Conns.ConnectWithin != 200*time.Millisecond ||
-		!c.Settings.AskDiscovery || c.Settings.Classes[0].Effect != hollyspur.Safe {
+		!c.Settings.AskDiscovery || c.Settings.Classes[0].Effect != balancer.Safe {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // List is a message of discovery: the whole list, or the entries that changed.
@@ -35,8 +35,8 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-var states = map[string]hollyspur.ServerState{
-	"SERVING": hollyspur.Ready, "DRAINING": hollyspur.Draining, "DELETED": hollyspur.Gone,
+var states = map[string]balancer.ServerState{
+	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
 }
 
 // parseList reads one message. A message with any bad entry is bad as a whole: half a list would
@@ -67,8 +67,8 @@
 
 // server is the entry in the module's form. The node's clock is Unix time, so boot times need no
 // conversion but of their unit.
-func (t Target) server() hollyspur.Server {
-	return hollyspur.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
+func (t Target) server() balancer.Server {
+	return balancer.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
 		Size: t.Size, Boot: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // registry is a stub of discovery: what comes on lines goes out on the watch that is open, one
@@ -68,23 +68,23 @@
 func TestWatch(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := registry(t)
-	events := make(chan hollyspur.Event, 10)
+	events := make(chan balancer.Event, 10)
 	startNode(t, testConfig(addr, serving("old", "127.0.0.1:1")),
-		moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+		moduleFunc(func(e balancer.Event) []balancer.Action {
 			events <- e
 			switch e := e.(type) {
-			case hollyspur.ServerList:
+			case balancer.ServerList:
 				if e.Cached {
-					return []hollyspur.Action{hollyspur.Subscribe{}}
+					return []balancer.Action{balancer.Subscribe{}}
 				}
-			case hollyspur.ListFailed:
-				return []hollyspur.Action{hollyspur.Subscribe{}}
+			case balancer.ListFailed:
+				return []balancer.Action{balancer.Subscribe{}}
 			}
 			return nil
 		}))
 	list := func(full, cached bool, ids ...string) {
 		t.Helper()
-		l, is := wait(t, events).(hollyspur.ServerList)
+		l, is := wait(t, events).(balancer.ServerList)
 		if !is || l.Full != full || l.Cached != cached || len(l.Servers) != len(ids) {
 			t.Fatalf("event %+v", l)
 		}
@@ -96,7 +96,7 @@
 	}
 	failed := func() {
 		t.Helper()
-		if e, is := wait(t, events).(hollyspur.ListFailed); !is {
+		if e, is := wait(t, events).(balancer.ListFailed); !is {
 			t.Fatalf("event %+v, want ListFailed", e)
 		}
 	}
@@ -245,11 +245,11 @@
 			cfg.Settings.AskDiscovery = c.ask
 			news := make(chan time.Time, 10)
 			started := time.Now()
-			startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-				if l, is := e.(hollyspur.ServerList); is && !l.Cached {
+			startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.ServerList); is && !l.Cached {
 					news <- time.Now()
 				} else if is && c.ask {
-					return []hollyspur.Action{hollyspur.Subscribe{}}
+					return []balancer.Action{balancer.Subscribe{}}
 				}
 				return nil
 			}))
@@ -293,9 +293,9 @@
 			t.Cleanup(s.CloseClientConnections)
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
 			cfg.Settings.AskDiscovery = false
-			lists := make(chan hollyspur.ServerList, 10)
-			n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-				if l, is := e.(hollyspur.ServerList); is && !l.Cached {
+			lists := make(chan balancer.ServerList, 10)
+			n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.ServerList); is && !l.Cached {
 					lists <- l
 				}
 				return nil
@@ -303,7 +303,7 @@
 			if late {
 				n.loop.post(n.loop.ask) // while the watch speaks
 			}
-			if l := wait(t, lists); l.Servers[0].State != hollyspur.Draining {
+			if l := wait(t, lists); l.Servers[0].State != balancer.Draining {
 				t.Fatalf("first %+v", l)
 			}
 			start := onLoop(t, n, func() time.Duration { return n.loop.proven })
@@ -340,8 +340,8 @@
 	cfg := testConfig(before)
 	cfg.Settings.AskDiscovery = false
 	news := make(chan struct{}, 10)
-	n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if l, is := e.(hollyspur.ServerList); is && !l.Cached {
+	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+		if l, is := e.(balancer.ServerList); is && !l.Cached {
 			news <- struct{}{}
 		}
 		return nil
@@ -378,8 +378,8 @@
 		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
 		cfg.Settings.AskDiscovery = false
 		started := time.Now()
-		n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-			if l, is := e.(hollyspur.ServerList); is && !l.Cached {
+		n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+			if l, is := e.(balancer.ServerList); is && !l.Cached {
 				close(told)
 			}
 			return nil
@@ -472,7 +472,7 @@
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	n := startNode(t, testConfig(strings.TrimPrefix(s.URL, "http://")),
-		moduleFunc(func(hollyspur.Event) []hollyspur.Action { return nil }))
+		moduleFunc(func(balancer.Event) []balancer.Action { return nil }))
 	n.loop.post(func() { n.loop.discovery.silence = time.Hour; n.loop.subscribe() })
 	wait(t, open)
 	n.loop.post(n.loop.subscribe)
@@ -499,9 +499,9 @@
 	after, newLines, newAsked := registry(t)
 	cfg := testConfig(before)
 	cfg.Settings.AskDiscovery = false
-	lists := make(chan hollyspur.ServerList, 10)
-	n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if l, is := e.(hollyspur.ServerList); is {
+	lists := make(chan balancer.ServerList, 10)
+	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+		if l, is := e.(balancer.ServerList); is {
 			lists <- l
 		}
 		return nil
@@ -536,7 +536,7 @@
 
 // The loop must not use a server that a list no longer names, nor an address that it has left.
 func TestListRulesServers(t *testing.T) {
-	m := moduleFunc(func(hollyspur.Event) []hollyspur.Action { return nil })
+	m := moduleFunc(func(balancer.Event) []balancer.Action { return nil })
 	cfg := testConfig("127.0.0.1:1")
 	l := newLoop(cfg, m, newUpstream(cfg, 1, &metrics{}, newBudget(defaultBudget)), newDiscovery(cfg.Discovery), &metrics{})
 	l.takeList(List{All: true, Targets: []Target{serving("a", "127.0.0.1:1"), serving("b", "127.0.0.1:2"),
@@ -595,9 +595,9 @@
 		t.Cleanup(s.CloseClientConnections)
 		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
 		cfg.Settings.AskDiscovery = false
-		lists := make(chan hollyspur.ServerList, 10)
-		startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-			if l, is := e.(hollyspur.ServerList); is {
+		lists := make(chan balancer.ServerList, 10)
+		startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
+			if l, is := e.(balancer.ServerList); is {
 				lists <- l
 			}
 			return nil
@@ -664,16 +664,16 @@
 	t.Cleanup(s.CloseClientConnections)
 	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
 	cfg.Settings.AskDiscovery = true
-	lists := make(chan hollyspur.ServerList, 10)
-	startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	lists := make(chan balancer.ServerList, 10)
+	startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.ServerList:
+		case balancer.ServerList:
 			if e.Cached {
-				return []hollyspur.Action{hollyspur.Subscribe{}}
+				return []balancer.Action{balancer.Subscribe{}}
 			}
 			lists <- e
-		case hollyspur.ListFailed:
-			return []hollyspur.Action{hollyspur.Subscribe{}}
+		case balancer.ListFailed:
+			return []balancer.Action{balancer.Subscribe{}}
 		}
 		return nil
 	}))
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/simwire"
 )
 
 // What has to hold at the instant in which something ends: docs/endings.md. Each test holds one side and lets go in a
@@ -74,11 +74,11 @@
 	t.Parallel()
 	for _, request := range []string{head("GET", "/read/1", ""), head("POST", "/order/1", "Content-Length: 2\r\n") + "ab"} {
 		taken, gone := make(chan struct{}), make(chan struct{})
-		n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+		n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
 			switch e.(type) {
-			case hollyspur.Request:
+			case balancer.Request:
 				close(taken)
-			case hollyspur.ClientGone:
+			case balancer.ClientGone:
 				close(gone)
 			}
 			return nil
@@ -97,8 +97,8 @@
 	t.Parallel()
 	taken, answer := make(chan string, 2), make(chan struct{})
 	n := newNodeFor(t, testConfig("127.0.0.1:1"))
-	n.loop.module = moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if r, is := e.(hollyspur.Request); is {
+	n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
+		if r, is := e.(balancer.Request); is {
 			taken <- r.ID
 			if len(taken) == 1 {
 				go func() {
@@ -107,7 +107,7 @@
 				}()
 				return nil
 			}
-			return []hollyspur.Action{hollyspur.Refuse{ID: r.ID}}
+			return []balancer.Action{balancer.Refuse{ID: r.ID}}
 		}
 		return nil
 	})
@@ -176,14 +176,14 @@
 				}
 			})
 			n := newNodeFor(t, testConfig("127.0.0.1:1", serving("away", "127.0.0.1:1"), serving("s", addr)))
-			outcomes := make(chan hollyspur.Outcome, 4)
-			n.loop.module = moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+			outcomes := make(chan balancer.Outcome, 4)
+			n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
-				case hollyspur.Request:
-					return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: []string{"s", "away"}[first]}}
-				case hollyspur.Outcome:
+				case balancer.Request:
+					return []balancer.Action{balancer.Send{ID: e.ID, Server: []string{"s", "away"}[first]}}
+				case balancer.Outcome:
 					if outcomes <- e; e.Attempt < first && !e.Spent {
-						return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
+						return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
 					}
 				}
 				return nil
@@ -444,7 +444,7 @@
 			c, err := connect(ctx, addr, within)
 			return readTeller{c, sync.OnceFunc(func() { close(read) })}, err
 		}
-		if res := try(t, u, newServer(addr)); res.ending != hollyspur.Broken {
+		if res := try(t, u, newServer(addr)); res.ending != balancer.Broken {
 			t.Errorf("after %q: ending %d", said, res.ending)
 		}
 	}
@@ -472,7 +472,7 @@
 		if shaken {
 			u.distrust(4 * time.Second)
 		}
-		u.retune(wire.Connections{Idle: time.Hour, ConnectWithin: time.Second})
+		u.retune(simwire.Connections{Idle: time.Hour, ConnectWithin: time.Second})
 		if u.distrustful() != shaken {
 			t.Errorf("shaken %v: trusted for %v of %v", shaken, u.trusted, u.idleFor)
 		}
@@ -490,16 +490,16 @@
 		cfg.Settings.Classes[i].Window = window
 	}
 	n := newNodeFor(t, cfg)
-	outcomes := make(chan hollyspur.Outcome, 2)
-	n.loop.module = moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	outcomes := make(chan balancer.Outcome, 2)
+	n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "a"}}
-		case hollyspur.Outcome:
+		case balancer.Request:
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "a"}}
+		case balancer.Outcome:
 			if outcomes <- e; e.Attempt == 0 {
-				return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "b"}}
+				return []balancer.Action{balancer.Send{ID: e.ID, Server: "b"}}
 			}
-			return []hollyspur.Action{hollyspur.Fail{ID: e.ID}}
+			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
 		return nil
 	})
@@ -516,7 +516,7 @@
 	if resp, _ := do(t, r); resp.StatusCode != 502 {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	if a, b := wait(t, outcomes), wait(t, outcomes); a.Ending != hollyspur.Failure || b.Ending != hollyspur.Void || len(got) > 0 {
+	if a, b := wait(t, outcomes), wait(t, outcomes); a.Ending != balancer.Failure || b.Ending != balancer.Void || len(got) > 0 {
 		t.Errorf("outcomes %+v, %+v, %d sent on", a, b, len(got))
 	}
 }
@@ -528,15 +528,15 @@
 	const late, given = 100 * time.Millisecond, 10 * time.Second
 	failing, got := stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true)
 	n := newNodeFor(t, testConfig("127.0.0.1:1", serving("s", failing)))
-	n.loop.module = moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
-		case hollyspur.Outcome:
+		case balancer.Request:
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+		case balancer.Outcome:
 			if e.Attempt == 0 {
-				return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
+				return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
 			}
-			return []hollyspur.Action{hollyspur.Fail{ID: e.ID}}
+			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
 		return nil
 	})
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // round is a registry in this process without a clock: in each round it answers every node that holds an older revision, and
--- a/internal/node/keep.go
+++ b/internal/node/keep.go
@@ -9,15 +9,15 @@
 	"math"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/durable"
+	"umberbank/balancer"
+	"umberbank/internal/durable"
 )
 
 // State says where a node keeps what it has learned, for the process after it. It is read at the start alone.
 type State struct {
 	Dir   string        // of this node alone, on a disk that survives; "": it keeps nothing
 	Every time.Duration // between snapshots
-	Age   time.Duration // what is older counts for nothing; see hollyspur.Settings
+	Age   time.Duration // what is older counts for nothing; see balancer.Settings
 }
 
 // What stands where the configuration says nothing of the times.
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// Kind and schema of the snapshots; another form of hollyspur.Memory needs another schema.
+// Kind and schema of the snapshots; another form of balancer.Memory needs another schema.
 const (
 	StateKind   = "node"
 	stateSchema = 1
@@ -82,9 +82,9 @@
 }
 
 // recall is what an earlier process had learned; false: nothing that can be used. A bad file is said, and no more.
-func (k *keeper) recall(now time.Time) (e hollyspur.Recalled, ok bool) {
+func (k *keeper) recall(now time.Time) (e balancer.Recalled, ok bool) {
 	found, thrown := durable.Load(k.opt, func(s durable.Snapshot) error {
-		e = hollyspur.Recalled{Age: now.Sub(s.Taken)}
+		e = balancer.Recalled{Age: now.Sub(s.Taken)}
 		if err := json.Unmarshal(s.Payload, &e.Memory); err != nil {
 			return err
 		}
@@ -103,7 +103,7 @@
 }
 
 // run saves what learned gives until ctx ends.
-func (k *keeper) run(ctx context.Context, learned func() (hollyspur.Memory, bool)) {
+func (k *keeper) run(ctx context.Context, learned func() (balancer.Memory, bool)) {
 	defer func() {
 		if k.store != nil {
 			k.store.Close()
@@ -127,7 +127,7 @@
 }
 
 // save saves once, and returns how long the work took that is no waiting for the disk.
-func (k *keeper) save(learned func() (hollyspur.Memory, bool)) (took time.Duration, err error) {
+func (k *keeper) save(learned func() (balancer.Memory, bool)) (took time.Duration, err error) {
 	if k.store == nil {
 		if k.store, err = durable.Open(k.opt); err != nil {
 			k.store = nil // a predecessor that still ends, or the disk: it is tried again
@@ -148,8 +148,8 @@
 }
 
 // learned asks the loop for what the module has learned; false: the loop has ended.
-func (l *loop) learned() (m hollyspur.Memory, ok bool) {
-	got := make(chan hollyspur.Memory, 1)
+func (l *loop) learned() (m balancer.Memory, ok bool) {
+	got := make(chan balancer.Memory, 1)
 	l.post(func() { got <- l.module.Learned(l.clock.now()) })
 	select {
 	case m = <-got:
@@ -164,7 +164,7 @@
 	if s.Kind != StateKind || s.Schema > stateSchema {
 		return nil, errors.New("no state of a node that this version knows")
 	}
-	var m hollyspur.Memory
+	var m balancer.Memory
 	if err := json.Unmarshal(s.Payload, &m); err != nil {
 		return nil, err
 	}
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/durable"
+	"umberbank/balancer"
+	"umberbank/internal/durable"
 )
 
 // What the configuration may say of the state, and how a fault of it is worded.
@@ -35,14 +35,14 @@
 
 // What one snapshot of 10,000 servers costs beside the loop; the node rests for keepShare times as long after it.
 func BenchmarkSave(b *testing.B) {
-	m := hollyspur.Memory{Window: 4}
+	m := balancer.Memory{Window: 4}
 	for i := range 10_000 {
-		m.Servers = append(m.Servers, hollyspur.ServerMemory{ID: fmt.Sprintf("s-%08x", i*7919), Slow: 0.1 + float64(i)/1e5, Samples: 3})
+		m.Servers = append(m.Servers, balancer.ServerMemory{ID: fmt.Sprintf("s-%08x", i*7919), Slow: 0.1 + float64(i)/1e5, Samples: 3})
 	}
 	k := &keeper{opt: durable.Options{Dir: b.TempDir(), Kind: StateKind, Schema: stateSchema, Most: maxState}}
 	var took time.Duration
 	for range b.N {
-		d, err := k.save(func() (hollyspur.Memory, bool) { return m, true })
+		d, err := k.save(func() (balancer.Memory, bool) { return m, true })
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/node/long_test.go
+++ b/internal/node/long_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // text is n bytes in which every piece can be told from another.
@@ -137,14 +137,14 @@
 			close(closed)
 		}
 	})
-	outcomes, started := make(chan hollyspur.Outcome, 1), make(chan hollyspur.Started, 1)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	outcomes, started := make(chan balancer.Outcome, 1), make(chan balancer.Started, 1)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
-		case hollyspur.Started:
+		case balancer.Request:
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+		case balancer.Started:
 			started <- e
-		case hollyspur.Outcome:
+		case balancer.Outcome:
 			outcomes <- e
 		}
 		return nil
@@ -154,7 +154,7 @@
 	wait(t, started)
 	c.Close()
 	wait(t, closed)
-	if o := wait(t, outcomes); o.Ending != hollyspur.Withdrawn || !o.Ended {
+	if o := wait(t, outcomes); o.Ending != balancer.Withdrawn || !o.Ended {
 		t.Errorf("outcome %+v", o)
 	}
 }
@@ -278,18 +278,18 @@
 
 // firstThenSecond is a module that sends to one server, then to the other unless the body is spent.
 func firstThenSecond() moduleFunc {
-	return func(e hollyspur.Event) []hollyspur.Action {
+	return func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
+		case balancer.Request:
 			if !e.Long {
-				return []hollyspur.Action{hollyspur.Fail{ID: e.ID}}
+				return []balancer.Action{balancer.Fail{ID: e.ID}}
 			}
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "first"}}
-		case hollyspur.Outcome:
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "first"}}
+		case balancer.Outcome:
 			if e.Ended || e.Spent {
-				return []hollyspur.Action{hollyspur.Refuse{ID: e.ID}}
+				return []balancer.Action{balancer.Refuse{ID: e.ID}}
 			}
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "second"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "second"}}
 		}
 		return nil
 	}
@@ -299,12 +299,12 @@
 func TestLongRequestIsTaken(t *testing.T) {
 	t.Parallel()
 	addr, _ := sink(t)
-	taken := make(chan hollyspur.Taken, 1)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	taken := make(chan balancer.Taken, 1)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
-		case hollyspur.Taken:
+		case balancer.Request:
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+		case balancer.Taken:
 			taken <- e
 		}
 		return nil
@@ -382,12 +382,12 @@
 func TestRequestInsideALongBody(t *testing.T) {
 	t.Parallel()
 	addr, got := stub(t, ok, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if e, is := e.(hollyspur.Request); is {
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
+		if e, is := e.(balancer.Request); is {
 			if e.Long {
-				return []hollyspur.Action{hollyspur.Refuse{ID: e.ID}}
+				return []balancer.Action{balancer.Refuse{ID: e.ID}}
 			}
-			return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "s"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
 		}
 		return nil
 	}))
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // clock is Unix time that never goes back: the wall's at the start plus what has passed since.
@@ -37,9 +37,9 @@
 	rest     *callerBody   // what follows of a long one; nil: nothing
 	answer   chan answer   // holds the final answer; never blocks
 
-	maxAttempts int             // by the settings when it was accepted
-	kind        hollyspur.Class // likewise
-	ran         time.Duration   // when the first attempt was sent that may have run; 0: none may have
+	maxAttempts int            // by the settings when it was accepted
+	kind        balancer.Class // likewise
+	ran         time.Duration  // when the first attempt was sent that may have run; 0: none may have
 
 	finished atomic.Bool // answered, or its caller has gone; set by the loop alone
 	departed atomic.Bool // its caller was seen to go; the loop may not know yet
@@ -70,11 +70,11 @@
 	begun  bool        // its answer is being passed on, as the request's
 }
 
-// module decides; hollyspur.Balancer is the one in service.
+// module decides; balancer.Balancer is the one in service.
 type module interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 	Avoided(now time.Duration) int
-	Learned(now time.Duration) hollyspur.Memory
+	Learned(now time.Duration) balancer.Memory
 }
 
 // loop owns the module. All its methods but post run on the one goroutine of run; I/O happens on
@@ -92,7 +92,7 @@
 	events      chan func()
 	done        chan struct{} // closed when run has ended
 
-	queue     []hollyspur.Event // for the module, in order
+	queue     []balancer.Event // for the module, in order
 	requests  map[string]*request
 	servers   map[string]*server
 	rev       int64 // of the list we hold
@@ -127,7 +127,7 @@
 	l.takeClasses(cfg.Settings)
 	l.maxAttempts, l.pushed = cfg.Settings.MaxAttempts, !cfg.Settings.AskDiscovery
 	l.upstream.retune(cfg.Conns)
-	l.handle(hollyspur.Retuned{Settings: cfg.Settings})
+	l.handle(balancer.Retuned{Settings: cfg.Settings})
 	if cfg.Discovery != l.discovery.addr {
 		l.moveDiscovery(newDiscovery(cfg.Discovery))
 	} else if l.pushed && !l.watching {
@@ -136,7 +136,7 @@
 }
 
 // takeClasses puts the classes of the settings in force.
-func (l *loop) takeClasses(set hollyspur.Settings) {
+func (l *loop) takeClasses(set balancer.Settings) {
 	l.classes.Store(newClasses(set))
 	for _, c := range set.Classes {
 		l.metrics.list(c.Name)
@@ -183,7 +183,7 @@
 }
 
 // handle gives the module an event, and then those that its own actions caused at once.
-func (l *loop) handle(e hollyspur.Event) {
+func (l *loop) handle(e balancer.Event) {
 	l.queue = append(l.queue, e)
 	for len(l.queue) > 0 {
 		e := l.queue[0]
@@ -194,21 +194,21 @@
 	}
 }
 
-func (l *loop) carryOut(a hollyspur.Action) {
+func (l *loop) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		l.send(a)
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt].cancel(errWithdrawn)
 		}
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
-	case hollyspur.Fail:
+	case balancer.Fail:
 		l.finish(a.ID, answer{status: http.StatusBadGateway})
-	case hollyspur.Wake:
-		l.after(a.At-l.clock.now(), func() { l.handle(hollyspur.Timer{Token: a.Token}) })
-	case hollyspur.Subscribe:
+	case balancer.Wake:
+		l.after(a.At-l.clock.now(), func() { l.handle(balancer.Timer{Token: a.Token}) })
+	case balancer.Subscribe:
 		l.subscribe()
 	}
 }
@@ -235,7 +235,7 @@
 	l.requests[r.id] = r
 	l.metrics.outstanding.Add(1)
 	l.awaitLastCall(r)
-	l.handle(hollyspur.Request{ID: r.id, Class: r.class, Deadline: r.deadline, Repeat: r.repeat,
+	l.handle(balancer.Request{ID: r.id, Class: r.class, Deadline: r.deadline, Repeat: r.repeat,
 		Cost: r.cost, Long: r.rest != nil})
 }
 
@@ -260,7 +260,7 @@
 // abandon fails a request without the module, which is told that nothing is owed any more.
 func (l *loop) abandon(r *request) {
 	l.finish(r.id, answer{status: http.StatusBadGateway})
-	l.handle(hollyspur.ClientGone{ID: r.id})
+	l.handle(balancer.ClientGone{ID: r.id})
 }
 
 // abandonAll fails whatever is unanswered, and refuses whatever comes from now on.
@@ -277,7 +277,7 @@
 func (l *loop) gone(r *request) {
 	if r.lastCall != nil && l.close(r) { // else it was never accepted
 		l.metrics.outstanding.Add(-1)
-		l.handle(hollyspur.ClientGone{ID: r.id})
+		l.handle(balancer.ClientGone{ID: r.id})
 		l.forget(r)
 	}
 }
@@ -308,7 +308,7 @@
 // ---- Attempts ----
 
 // send starts an attempt. Every Send gets exactly one Outcome.
-func (l *loop) send(a hollyspur.Send) {
+func (l *loop) send(a balancer.Send) {
 	r := l.requests[a.ID]
 	if r == nil {
 		log.Printf("send for the unknown request %s", a.ID)
@@ -325,7 +325,7 @@
 	r.out++
 	s := l.servers[a.Server]
 	if r.finished.Load() || r.departed.Load() || timeout <= 0 && r.rest == nil || s == nil || r.maxAttempts > 0 && at.n >= r.maxAttempts {
-		l.queue = append(l.queue, l.end(at, result{ending: hollyspur.Void}))
+		l.queue = append(l.queue, l.end(at, result{ending: balancer.Void}))
 		return
 	}
 	out := call{request: r.forward.Clone(ctx), rest: r.rest,
@@ -354,7 +354,7 @@
 // sendBy is the clock time from which on the servers may run a repeat of the request anew, less the time on the way; 0:
 // there is none. A connection that comes up late must not carry it past that.
 func (r *request) sendBy() time.Duration {
-	if r.kind.Effect != hollyspur.Keyed || r.ran == 0 {
+	if r.kind.Effect != balancer.Keyed || r.ran == 0 {
 		return 0
 	}
 	return r.ran + r.kind.Window - min(ownDelay, r.kind.Window/4)
@@ -370,7 +370,7 @@
 	l.startTime(r)
 	at.timer.Reset(r.deadline - l.clock.now())
 	l.awaitLastCall(r)
-	l.handle(hollyspur.Taken{ID: r.id, Attempt: at.n, Deadline: r.deadline})
+	l.handle(balancer.Taken{ID: r.id, Attempt: at.n, Deadline: r.deadline})
 }
 
 // started makes an answer that begins the final one of its request, unless there is one already.
@@ -384,7 +384,7 @@
 	at.begun = true
 	at.stop()
 	at.req.answer <- answer{status: http.StatusOK, contentType: d.contentType, stream: d}
-	l.handle(hollyspur.Started{ID: at.req.id, Attempt: at.n})
+	l.handle(balancer.Started{ID: at.req.id, Attempt: at.n})
 }
 
 // stop ends an attempt's timer, if it has one.
@@ -396,7 +396,7 @@
 
 // end notes that an attempt has ended and words it for the module. The first success is the
 // request's answer.
-func (l *loop) end(at *attempt, res result) hollyspur.Outcome {
+func (l *loop) end(at *attempt, res result) balancer.Outcome {
 	r := at.req
 	at.stop()
 	at.cancel(nil)
@@ -408,17 +408,17 @@
 		l.metrics.outstanding.Add(-1)
 	}
 	switch res.ending {
-	case hollyspur.Overloaded, hollyspur.Unreachable, hollyspur.Void: // it never ran
+	case balancer.Overloaded, balancer.Unreachable, balancer.Void: // it never ran
 	default:
 		if r.ran == 0 || at.sent < r.ran {
 			r.ran = at.sent
 		}
 	}
-	if res.ending == hollyspur.Success {
+	if res.ending == balancer.Success {
 		l.finish(r.id, answer{status: http.StatusOK, body: res.body, contentType: res.contentType})
 	}
 	l.forget(r)
-	return hollyspur.Outcome{ID: r.id, Attempt: at.n, Server: at.server, Ending: res.ending,
+	return balancer.Outcome{ID: r.id, Attempt: at.n, Server: at.server, Ending: res.ending,
 		Latency: l.clock.now() - at.sent, Ended: r.finished.Load(), Spent: r.rest != nil && r.rest.spent.Load()}
 }
 
@@ -431,11 +431,11 @@
 		l.hear()
 	}
 	listed := map[string]bool{}
-	e := hollyspur.ServerList{Full: list.All, Cached: cached}
+	e := balancer.ServerList{Full: list.All, Cached: cached}
 	for _, t := range list.Targets {
 		sv := t.server()
 		e.Servers = append(e.Servers, sv)
-		listed[t.UID] = sv.State != hollyspur.Gone
+		listed[t.UID] = sv.State != balancer.Gone
 		s := l.servers[t.UID]
 		if s == nil || s.addr != t.Endpoint || s.boot != sv.Boot {
 			// Connections to an earlier process or address are of no use.
@@ -443,11 +443,11 @@
 			s = &server{id: t.UID, addr: t.Endpoint, boot: sv.Boot}
 			l.servers[t.UID] = s
 		}
-		s.usable.Store(sv.State == hollyspur.Ready)
-		if sv.State != hollyspur.Ready {
+		s.usable.Store(sv.State == balancer.Ready)
+		if sv.State != balancer.Ready {
 			l.upstream.dropIdle(s)
 		}
-		if sv.State == hollyspur.Gone {
+		if sv.State == balancer.Gone {
 			l.removeServer(t.UID)
 		}
 	}
@@ -606,7 +606,7 @@
 				// When to ask is the module's to say where lists are asked for; a watch fallen silent is broken
 				// and is opened anew in any case.
 				if !l.pushed && err != errSilent {
-					l.handle(hollyspur.ListFailed{})
+					l.handle(balancer.ListFailed{})
 				} else {
 					l.after(l.restAfter(l.clock.now()-begun), func() {
 						if ctx.Err() == nil { // else another was opened meanwhile
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/registry/client"
+	"umberbank/balancer"
+	"umberbank/internal/registry/client"
 )
 
 // Node is one real node.
@@ -48,7 +48,7 @@
 // New returns a node that listens.
 func New(cfg Config) (*Node, error) {
 	cfg, kept := withKept(cfg)
-	b, err := hollyspur.New(cfg.Settings, cfg.Seed)
+	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 			n.control.serve()
 		}()
 	}
-	var recalled hollyspur.Recalled
+	var recalled balancer.Recalled
 	known := false
 	if n.keeper != nil {
 		recalled, known = n.keeper.recall(time.Now())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,26 +16,26 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/simwire"
 )
 
 // limit bounds every wait of the tests; none passes by waiting.
 const limit = 20 * time.Second
 
 func testConfig(discovery string, targets ...Target) Config {
-	class := func(name string, e hollyspur.Effect) hollyspur.Class {
-		return hollyspur.Class{Name: name, Effect: e, Scope: hollyspur.ScopeAll, Window: 10 * time.Second,
+	class := func(name string, e balancer.Effect) balancer.Class {
+		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, Window: 10 * time.Second,
 			Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
 	}
 	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
 		Known: List{Rev: 7, All: true, Targets: targets},
-		Settings: hollyspur.Settings{
-			Classes: []hollyspur.Class{class("read", hollyspur.Safe), class("send", hollyspur.Keyed),
-				class("order", hollyspur.Unsafe)},
+		Settings: balancer.Settings{
+			Classes: []balancer.Class{class("read", balancer.Safe), class("send", balancer.Keyed),
+				class("order", balancer.Unsafe)},
 			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
 			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
-		Conns: wire.Connections{Idle: time.Minute, ConnectWithin: limit}}
+		Conns: simwire.Connections{Idle: time.Minute, ConnectWithin: limit}}
 }
 
 func serving(uid, addr string) Target {
@@ -46,7 +46,7 @@
 func startNode(t *testing.T, cfg Config, m module) *Node {
 	t.Helper()
 	if m == nil {
-		b, err := hollyspur.New(cfg.Settings, cfg.Seed)
+		b, err := balancer.New(cfg.Settings, cfg.Seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,12 +86,12 @@
 }
 
 // moduleFunc is a module of a test's own.
-type moduleFunc func(e hollyspur.Event) []hollyspur.Action
+type moduleFunc func(e balancer.Event) []balancer.Action
 
-func (f moduleFunc) Handle(_ time.Duration, e hollyspur.Event) []hollyspur.Action { return f(e) }
+func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-func (moduleFunc) Avoided(time.Duration) int              { return 0 }
-func (moduleFunc) Learned(time.Duration) hollyspur.Memory { return hollyspur.Memory{} }
+func (moduleFunc) Avoided(time.Duration) int             { return 0 }
+func (moduleFunc) Learned(time.Duration) balancer.Memory { return balancer.Memory{} }
 
 // listen serves each connection of a stub with serve.
 func listen(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (addr string) {
@@ -433,10 +433,10 @@
 func TestCostHint(t *testing.T) {
 	t.Parallel()
 	costs := make(chan time.Duration, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if r, is := e.(hollyspur.Request); is {
+	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
+		if r, is := e.(balancer.Request); is {
 			costs <- r.Cost
-			return []hollyspur.Action{hollyspur.Refuse{ID: r.ID}}
+			return []balancer.Action{balancer.Refuse{ID: r.ID}}
 		}
 		return nil
 	}))
@@ -454,13 +454,13 @@
 // A refusal is 503 with the advice in decimal seconds, a failure 502.
 func TestFinalAnswers(t *testing.T) {
 	t.Parallel()
-	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		switch r, _ := e.(hollyspur.Request); r.Class {
+	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
+		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
-			return []hollyspur.Action{hollyspur.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
-				hollyspur.Fail{ID: r.ID}} // the second is ignored
+			return []balancer.Action{balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
+				balancer.Fail{ID: r.ID}} // the second is ignored
 		case "order":
-			return []hollyspur.Action{hollyspur.Fail{ID: r.ID}}
+			return []balancer.Action{balancer.Fail{ID: r.ID}}
 		}
 		return nil
 	}))
@@ -476,9 +476,9 @@
 // Whatever the module forgets, the caller has an answer before its time is out.
 func TestSilentModule(t *testing.T) {
 	t.Parallel()
-	gone := make(chan hollyspur.ClientGone, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if e, is := e.(hollyspur.ClientGone); is {
+	gone := make(chan balancer.ClientGone, 1)
+	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
+		if e, is := e.(balancer.ClientGone); is {
 			gone <- e
 		}
 		return nil
@@ -557,24 +557,24 @@
 	addr, got := stub(t, ok, false)
 	cfg := testConfig("127.0.0.1:1", serving("s", addr))
 	cfg.Settings.MaxAttempts = 2
-	outcomes := make(chan hollyspur.Outcome, 10)
-	n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	outcomes := make(chan balancer.Outcome, 10)
+	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			send := func(to string) hollyspur.Action { return hollyspur.Send{ID: e.ID, Server: to} }
+		case balancer.Request:
+			send := func(to string) balancer.Action { return balancer.Send{ID: e.ID, Server: to} }
 			if e.Class == "read" {
-				return []hollyspur.Action{send("nowhere"), send("nowhere"), send("s"), hollyspur.Fail{ID: e.ID}}
+				return []balancer.Action{send("nowhere"), send("nowhere"), send("s"), balancer.Fail{ID: e.ID}}
 			}
-			return []hollyspur.Action{hollyspur.Cancel{ID: e.ID, Attempt: 3}, send("nowhere"),
-				hollyspur.Fail{ID: e.ID}, send("s")}
-		case hollyspur.Outcome:
+			return []balancer.Action{balancer.Cancel{ID: e.ID, Attempt: 3}, send("nowhere"),
+				balancer.Fail{ID: e.ID}, send("s")}
+		case balancer.Outcome:
 			outcomes <- e
 		}
 		return nil
 	}))
 	do(t, newRequest(t, n, "GET", "/read/1", ""))
 	for i := range 3 {
-		if o := wait(t, outcomes); o.Ending != hollyspur.Void || o.Attempt != i {
+		if o := wait(t, outcomes); o.Ending != balancer.Void || o.Attempt != i {
 			t.Errorf("outcome %+v", o)
 		}
 	}
@@ -595,13 +595,13 @@
 		}
 	})
 	fast, _ := stub(t, ok, false)
-	outcomes := make(chan hollyspur.Outcome, 10)
+	outcomes := make(chan balancer.Outcome, 10)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("slow", slow), serving("fast", fast)),
-		moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+		moduleFunc(func(e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
-			case hollyspur.Request:
-				return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "slow"}, hollyspur.Send{ID: e.ID, Server: "fast"}}
-			case hollyspur.Outcome:
+			case balancer.Request:
+				return []balancer.Action{balancer.Send{ID: e.ID, Server: "slow"}, balancer.Send{ID: e.ID, Server: "fast"}}
+			case balancer.Outcome:
 				outcomes <- e
 			}
 			return nil
@@ -609,7 +609,7 @@
 	if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != 200 || body != "hi" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
-	if o := wait(t, outcomes); o.Server != "fast" || o.Attempt != 1 || !o.Ended || o.Ending != hollyspur.Success {
+	if o := wait(t, outcomes); o.Server != "fast" || o.Attempt != 1 || !o.Ended || o.Ending != balancer.Success {
 		t.Errorf("first outcome %+v", o)
 	}
 	close(release)
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"log"
 
-	"hollyspur/internal/registry/client"
+	"umberbank/internal/registry/client"
 )
 
 // Registry says which registry a node follows, over all its replicas, in discovery's place. Without endpoints it follows
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,14 +10,14 @@
 	"slices"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // classes are the classes that requests may name now, with what is said of them. They are never changed:
 // a reload swaps them whole.
-type classes map[string]hollyspur.Class
+type classes map[string]balancer.Class
 
-func newClasses(set hollyspur.Settings) *classes {
+func newClasses(set balancer.Settings) *classes {
 	c := classes{}
 	for _, k := range set.Classes {
 		c[k.Name] = k
@@ -34,7 +34,7 @@
 	switch {
 	case !known:
 		return fmt.Errorf("the class %q: %w", class, errUnknownClass)
-	case k.Effect == hollyspur.Keyed && h.Get("Idempotency-Key") == "":
+	case k.Effect == balancer.Keyed && h.Get("Idempotency-Key") == "":
 		// Without its key the servers would run every repeat.
 		return errors.New("Idempotency-Key is missing")
 	}
@@ -42,7 +42,7 @@
 }
 
 // patienceFor is how long callers may wait for what a stopping node has taken.
-func patienceFor(set hollyspur.Settings) time.Duration {
+func patienceFor(set balancer.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range set.Classes {
 		longest = max(longest, min(c.Deadline, maxPatience))
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"umberbank/balancer"
+	"umberbank/internal/simwire"
 )
 
 const (
@@ -44,7 +44,7 @@
 
 // result is how an attempt ended; body and contentType belong to a Success whose answer was short.
 type result struct {
-	ending      hollyspur.Ending
+	ending      balancer.Ending
 	body        []byte
 	contentType string
 }
@@ -119,7 +119,7 @@
 func usable(idle time.Duration) time.Duration { return idle * 3 / 4 }
 
 // retune takes over new settings of connections. Trust that no server has shaken follows the setting.
-func (u *upstream) retune(set wire.Connections) {
+func (u *upstream) retune(set simwire.Connections) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.trusted == u.idleFor {
@@ -143,9 +143,9 @@
 	}
 	c, err := connect(ctx, s)
 	if err != nil && ctx.Err() == nil {
-		return result{ending: hollyspur.Unreachable}
+		return result{ending: balancer.Unreachable}
 	} else if err != nil {
-		return result{ending: hollyspur.Void} // the dial took the attempt's time or its reason away
+		return result{ending: balancer.Void} // the dial took the attempt's time or its reason away
 	}
 	if why, ok := out.lastLook(ctx, s); !ok {
 		u.put(s, c) // not a byte was written
@@ -173,14 +173,14 @@
 func (u *upstream) exchange(ctx context.Context, c *conn, out call) (res result, keep bool) {
 	var message bytes.Buffer
 	if err := out.request.Write(&message); err != nil {
-		return result{ending: hollyspur.Void}, false
+		return result{ending: balancer.Void}, false
 	}
 	if _, err := c.Write(message.Bytes()); err != nil {
 		// Not all of it was written, so it can't have run.
 		if ctx.Err() != nil {
-			return result{ending: hollyspur.Void}, false
+			return result{ending: balancer.Void}, false
 		}
-		return result{ending: hollyspur.Unreachable}, false
+		return result{ending: balancer.Unreachable}, false
 	}
 	u.metrics.forwards.Add(1)
 	c.limit.N = maxAnswer
@@ -203,10 +203,10 @@
 		}
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
-		res.ending = hollyspur.Overloaded
+		res.ending = balancer.Overloaded
 		whole = discard(resp.Body)
 	default:
-		res.ending = hollyspur.Failure
+		res.ending = balancer.Failure
 		whole = discard(resp.Body) && resp.StatusCode != http.StatusSwitchingProtocols
 	}
 	return res, whole && !resp.Close && c.r.Buffered() == 0
@@ -246,13 +246,13 @@
 	c.Conn.SetReadDeadline(time.Time{})
 	switch {
 	case abandoned:
-		return result{ending: hollyspur.Withdrawn}, false
+		return result{ending: balancer.Withdrawn}, false
 	case err != nil:
 		return result{ending: endingOf(ctx)}, false
 	case begun:
-		return result{ending: hollyspur.Success}, true
+		return result{ending: balancer.Success}, true
 	}
-	return result{hollyspur.Success, d.held, d.contentType}, true
+	return result{balancer.Success, d.held, d.contentType}, true
 }
 
 // stallReader reads a server's body for as long as the server does not stand still.
@@ -316,14 +316,14 @@
 }
 
 // unsentEnding tells how an attempt ended whose last byte was not written, so that it can't have run.
-func unsentEnding(ctx context.Context, resp *http.Response, out call) hollyspur.Ending {
+func unsentEnding(ctx context.Context, resp *http.Response, out call) balancer.Ending {
 	switch {
 	case ctx.Err() != nil || out.rest.broken():
-		return hollyspur.Void // not the server's doing
+		return balancer.Void // not the server's doing
 	case resp != nil:
-		return hollyspur.Overloaded // it did not want all of it
+		return balancer.Overloaded // it did not want all of it
 	}
-	return hollyspur.Unreachable
+	return balancer.Unreachable
 }
 
 // readResponse skips interim answers. Nobody asked to switch protocols, so 101 is final and means nothing.
@@ -337,14 +337,14 @@
 }
 
 // endingOf tells how an attempt ended that was written and got no whole answer.
-func endingOf(ctx context.Context) hollyspur.Ending {
+func endingOf(ctx context.Context) balancer.Ending {
 	switch context.Cause(ctx) {
 	case nil:
-		return hollyspur.Broken
+		return balancer.Broken
 	case errTimedOut:
-		return hollyspur.TimedOut
+		return balancer.TimedOut
 	}
-	return hollyspur.Withdrawn
+	return balancer.Withdrawn
 }
 
 var errNoRoom = errors.New("no descriptor left for another connection")
@@ -417,9 +417,9 @@
 func (u *upstream) learn(c *conn, res result) {
 	switch {
 	case c.idled == 0:
-	case res.ending == hollyspur.Unreachable || res.ending == hollyspur.Broken && c.limit.N == maxAnswer:
+	case res.ending == balancer.Unreachable || res.ending == balancer.Broken && c.limit.N == maxAnswer:
 		u.distrust(c.idled) // not a byte came back
-	case res.ending == hollyspur.Success:
+	case res.ending == balancer.Success:
 		u.mu.Lock()
 		if c.idled > u.trusted/2 {
 			u.trusted = min(u.idleFor, u.trusted+u.trusted/50+1)
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 func newTestUpstream(most int) *upstream {
@@ -65,39 +65,39 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		answer string
-		ending hollyspur.Ending
+		ending balancer.Ending
 		kept   bool
 	}{
-		"served":            {ok, hollyspur.Success, true},
-		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + ok, hollyspur.Success, true},
-		"chunked":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", hollyspur.Success, true},
-		"empty":             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", hollyspur.Success, true},
-		"closes":            {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", hollyspur.Success, false},
-		"leftover bytes":    {ok + "HTTP/1.1 200 OK", hollyspur.Success, false},
-		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", hollyspur.Failure, true},
-		"turned away":       {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Overloaded, true},
-		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Overloaded, true},
-		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"nothing":           {"", hollyspur.Broken, false},
-		"no HTTP":           {"hello\r\n\r\n", hollyspur.Broken, false},
-		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", hollyspur.Broken, false},
-		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Broken, false},
-		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", hollyspur.Broken, false},
-		"unframed body":     {"HTTP/1.1 200 OK\r\n\r\nall of it", hollyspur.Success, false},
-		"body over 64 KiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), hollyspur.Success, true},
-		"body over 32 MiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 33554433), hollyspur.Broken, false},
-		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", 65537), hollyspur.Broken, false},
-		"long chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537) + "\r\n0\r\nTrailer: x\r\n\r\n", hollyspur.Success, true},
-		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), hollyspur.Success, true},
-		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Failure, false},
-		"half turned away":  {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Overloaded, false},
-		"unframed and 1.0":  {"HTTP/1.0 200 OK\r\n\r\nall of it", hollyspur.Success, false},
-		"other protocol":    {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", hollyspur.Failure, false},
-		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", hollyspur.Success, false},
+		"served":            {ok, balancer.Success, true},
+		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + ok, balancer.Success, true},
+		"chunked":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Success, true},
+		"empty":             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", balancer.Success, true},
+		"closes":            {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
+		"leftover bytes":    {ok + "HTTP/1.1 200 OK", balancer.Success, false},
+		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
+		"turned away":       {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"nothing":           {"", balancer.Broken, false},
+		"no HTTP":           {"hello\r\n\r\n", balancer.Broken, false},
+		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Broken, false},
+		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
+		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Broken, false},
+		"unframed body":     {"HTTP/1.1 200 OK\r\n\r\nall of it", balancer.Success, false},
+		"body over 64 KiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), balancer.Success, true},
+		"body over 32 MiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 33554433), balancer.Broken, false},
+		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", 65537), balancer.Broken, false},
+		"long chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537) + "\r\n0\r\nTrailer: x\r\n\r\n", balancer.Success, true},
+		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), balancer.Success, true},
+		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", balancer.Failure, false},
+		"half turned away":  {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", balancer.Overloaded, false},
+		"unframed and 1.0":  {"HTTP/1.0 200 OK\r\n\r\nall of it", balancer.Success, false},
+		"other protocol":    {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", balancer.Failure, false},
+		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
 	} {
 		release := make(chan struct{})
 		addr := listen(t, func(conn net.Conn, r *bufio.Reader) {
@@ -145,10 +145,10 @@
 		}
 	})
 	u, s := newTestUpstream(10), newServer(addr)
-	if res := try(t, u, s); res.ending != hollyspur.Success {
+	if res := try(t, u, s); res.ending != balancer.Success {
 		t.Fatalf("first: %d", res.ending)
 	}
-	if res := try(t, u, s); res.ending != hollyspur.Broken {
+	if res := try(t, u, s); res.ending != balancer.Broken {
 		t.Errorf("second: ending %d, want Broken", res.ending)
 	}
 	if n := seen.Load(); n != 2 {
@@ -164,7 +164,7 @@
 	}
 	l.Close()
 	u := newTestUpstream(10)
-	if res := try(t, u, newServer(l.Addr().String())); res.ending != hollyspur.Unreachable {
+	if res := try(t, u, newServer(l.Addr().String())); res.ending != balancer.Unreachable {
 		t.Errorf("ending %d", res.ending)
 	}
 	if open, _ := u.counts(); open != 0 {
@@ -186,7 +186,7 @@
 	})
 	u, s := newTestUpstream(10), newServer(addr)
 	for range 2 {
-		if res := try(t, u, s); res.ending != hollyspur.Success {
+		if res := try(t, u, s); res.ending != balancer.Success {
 			t.Fatalf("ending %d", res.ending)
 		}
 		wait(t, closed)
@@ -278,21 +278,21 @@
 	})
 	u, s := newTestUpstream(10), newServer(addr)
 	ctx := context.Background()
-	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: func() bool { return false }}}); res.ending != hollyspur.Void {
+	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: func() bool { return false }}}); res.ending != balancer.Void {
 		t.Errorf("request finished: ending %d, want Void", res.ending)
 	}
 	if _, idle := u.counts(); idle != 1 {
 		t.Error("the new connection was not kept for the next attempt")
 	}
 	gone := func() bool { s.usable.Store(false); return true }
-	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: gone}}); res.ending != hollyspur.Unreachable {
+	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: gone}}); res.ending != balancer.Unreachable {
 		t.Errorf("server gone: ending %d, want Unreachable", res.ending)
 	}
 	wait(t, eof)
 	s.usable.Store(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(errWithdrawn)
-	if res := u.attempt(ctx, s, call{request: keyed(t), clear: free}); res.ending != hollyspur.Void {
+	if res := u.attempt(ctx, s, call{request: keyed(t), clear: free}); res.ending != balancer.Void {
 		t.Errorf("cancelled: ending %d, want Void", res.ending)
 	}
 	if n := bytes.Load(); n > 0 {
@@ -313,8 +313,8 @@
 		}
 	})
 	u, s := newTestUpstream(10), newServer(addr)
-	for cause, want := range map[error]hollyspur.Ending{
-		errTimedOut: hollyspur.TimedOut, errWithdrawn: hollyspur.Withdrawn} {
+	for cause, want := range map[error]balancer.Ending{
+		errTimedOut: balancer.TimedOut, errWithdrawn: balancer.Withdrawn} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			<-began
@@ -339,7 +339,7 @@
 	b, _ := stub(t, ok, false)
 	u, sa, sb := newTestUpstream(1), newServer(a), newServer(b)
 	for _, s := range []*server{sa, sb} {
-		if res := try(t, u, s); res.ending != hollyspur.Success {
+		if res := try(t, u, s); res.ending != balancer.Success {
 			t.Fatalf("ending %d", res.ending)
 		}
 	}
@@ -347,11 +347,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res := try(t, u, sa); res.ending != hollyspur.Unreachable {
+	if res := try(t, u, sa); res.ending != balancer.Unreachable {
 		t.Errorf("over the budget: ending %d, want Unreachable", res.ending)
 	}
 	u.close(c)
-	if res := try(t, u, sa); res.ending != hollyspur.Success {
+	if res := try(t, u, sa); res.ending != balancer.Success {
 		t.Errorf("with room again: ending %d", res.ending)
 	}
 }
@@ -433,7 +433,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res := u.attempt(context.Background(), s, call{request: r, clear: free}); res.ending != hollyspur.Success {
+		if res := u.attempt(context.Background(), s, call{request: r, clear: free}); res.ending != balancer.Success {
 			t.Fatalf("%s ended with %d", method, res.ending)
 		}
 	}
@@ -442,16 +442,16 @@
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections while idle ones are trusted", n)
 	}
-	u.learn(&conn{idled: time.Hour, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: hollyspur.Broken})
+	u.learn(&conn{idled: time.Hour, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
 	if u.trust() != u.idleFor {
 		t.Errorf("a drop after an hour left %v of %v", u.trust(), u.idleFor)
 	}
-	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer - 1}}, result{ending: hollyspur.Broken})
-	u.learn(&conn{limit: &io.LimitedReader{N: maxAnswer}}, result{ending: hollyspur.Broken})
+	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer - 1}}, result{ending: balancer.Broken})
+	u.learn(&conn{limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
 	if u.trust() != u.idleFor {
 		t.Errorf("an answer cut short, or a new connection's reset, left %v", u.trust())
 	}
-	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: hollyspur.Broken})
+	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
 	if u.trust() != 2*time.Second {
 		t.Errorf("a drop after 4 s left %v", u.trust())
 	}
@@ -468,7 +468,7 @@
 		t.Errorf("a drop after next to no time left %v", u.trust())
 	}
 	for range 1000 {
-		u.learn(&conn{idled: u.idleFor}, result{ending: hollyspur.Success})
+		u.learn(&conn{idled: u.idleFor}, result{ending: balancer.Success})
 	}
 	if u.trust() != u.idleFor {
 		t.Errorf("answers brought trust back to %v only", u.trust())
--- a/internal/procs/launch.go
+++ b/internal/process/launch.go
@@ -1,6 +1,6 @@
-// Package procs starts processes that die with this one, however that ends, and plays with them what befalls processes. Its
+// Package process starts processes that die with this one, however that ends, and plays with them what befalls processes. Its
 // package relay does so with their links. Trials of all kinds stand on both.
-package procs
+package process
 
 import (
 	"os/exec"
--- a/internal/procs/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-package procs
+package process
 
 import (
 	"os"
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -21,9 +21,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // Options say how large.
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"hollyspur/internal/registry/replica"
+	"umberbank/internal/registry/replica"
 )
 
 // The test binary is the replicas too.
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
 )
 
 // Permits is what decisions about permits cost.
@@ -35,7 +35,7 @@
 func (m *measurement) permits(ctx context.Context, p *Permits, rate int, lasts time.Duration) error {
 	m.step("permits")
 	whole := 0.5
-	if _, err := m.w.Write(ctx, state.Op{Kind: state.SetLimits, Limits: &budget.Limits{Tiers: []budget.Limit{{Tier: benchTier, Whole: &whole, Zone: &whole}}, LapseMS: 60_000}}); err != nil {
+	if _, err := m.w.Write(ctx, state.Op{Kind: state.SetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: benchTier, Whole: &whole, Zone: &whole}}, LapseMS: 60_000}}); err != nil {
 		return err
 	}
 	var agreed state.Agreed
--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/agreed.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // answerWithin is how long an answer to a call that waits may take beyond its wait.
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -6,7 +6,7 @@
 	"errors"
 	"time"
 
-	"hollyspur/internal/durable"
+	"umberbank/internal/durable"
 )
 
 // cache keeps a Reader's list in a folder: a snapshot of it, and a log of the changes since, so that what a change
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -25,7 +25,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // Update is news from the registry: the whole list, or the entries that have changed, Deleted ones among them.
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -16,8 +16,8 @@
 
 	"go.uber.org/goleak"
 
-	"hollyspur/internal/durable"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/durable"
+	"umberbank/internal/registry/state"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -14,22 +14,22 @@
 
 	"github.com/google/renameio/v2"
 
-	"hollyspur/internal/procs"
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/replica"
+	"umberbank/internal/process"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/replica"
 )
 
 // Cluster is the processes, and the relays from each to each.
 type Cluster struct {
 	dir    string
-	launch *procs.Launcher
+	launch *process.Launcher
 	nodes  []*member
 	links  map[[2]int]*relay.Relay
 }
 
 type member struct {
-	procs.Process
+	process.Process
 	id, raft, address, config string
 }
 
@@ -54,7 +54,7 @@
 	if len(command) == 0 {
 		return nil, errors.New("no command of a replica")
 	}
-	c = &Cluster{launch: procs.New(), links: map[[2]int]*relay.Relay{}}
+	c = &Cluster{launch: process.New(), links: map[[2]int]*relay.Relay{}}
 	defer func() {
 		if err != nil {
 			c.Close()
--- a/internal/registry/trial/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // The leader's disk is full: its files cannot grow beyond a bound. The others go on without it, nothing that was answered
--- a/internal/registry/trial/judge.go
+++ b/internal/registry/faulttest/judge.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // history is what users saw. Any goroutine may add to it.
--- a/internal/registry/trial/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/replica"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
 )
 
 // A replica is replaced while others write: the new one is taken in and catches up, the old one goes out and dies, and
--- a/internal/registry/trial/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // limit is how long anything may take that has to happen.
@@ -75,12 +75,12 @@
 	}
 }
 
-// startNode runs bin/cranegrade's program with the keys that say whom it follows, and gives where it listens.
+// startNode runs bin/umberbank-node's program with the keys that say whom it follows, and gives where it listens.
 func startNode(t *testing.T, follow map[string]any) string {
 	t.Helper()
 	dir := t.TempDir()
-	bin := filepath.Join(dir, "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", bin, "hollyspur/cmd/cranegrade").CombinedOutput(); err != nil {
+	bin := filepath.Join(dir, "umberbank-node")
+	if out, err := exec.Command("go", "build", "-o", bin, "umberbank/cmd/umberbank-node").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	listen, err := cluster.Free()
--- a/internal/registry/trial/trial.go
+++ b/internal/registry/faulttest/trial.go
@@ -1,6 +1,6 @@
-// Package trial plays faults on a registry of real processes while writers and readers use it, and judges what they
+// Package faulttest plays faults on a registry of real processes while writers and readers use it, and judges what they
 // saw: writes and consistent reads by porcupine, for linearizability; watches by a check of its own.
-package trial
+package faulttest
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/procs/relay"
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
 )
 
 // Options say what is played.
--- a/internal/registry/trial/trial_test.go
+++ b/internal/registry/faulttest/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bytes"
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/cluster"
-	"hollyspur/internal/registry/replica"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/replica"
 )
 
 // The test binary is the replicas too.
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -15,7 +15,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // Bounds of calls.
--- a/internal/registry/replica/config.go
+++ b/internal/registry/replica/config.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/strict"
+	"umberbank/internal/stricttoml"
 )
 
 //go:embed registry.toml
@@ -66,17 +66,17 @@
 		name = path
 	}
 	var f file
-	if err := strict.Decode(name, builtIn, &f); err != nil {
+	if err := stricttoml.Decode(name, builtIn, &f); err != nil {
 		return Config{}, err
 	}
 	if path != "" {
 		f.Peers = nil
-		if err := strict.Decode(name, text, &f); err != nil {
+		if err := stricttoml.Decode(name, text, &f); err != nil {
 			return Config{}, err
 		}
 	}
 	bad := func(key, reason string, args ...any) error {
-		return &strict.Error{File: name, Key: key, Reason: fmt.Sprintf(reason, args...)}
+		return &stricttoml.Error{File: name, Key: key, Reason: fmt.Sprintf(reason, args...)}
 	}
 	c := Config{ID: f.ID, Dir: f.Dir, Raft: f.Raft, Address: f.Address, Peers: f.Peers, SyncWait: f.Wait,
 		Guard: Guard{Share: f.Guard.Share, Least: f.Guard.Least}}
--- a/internal/registry/replica/disk_test.go
+++ b/internal/registry/replica/disk_test.go
@@ -19,8 +19,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hollyspur/internal/registry/client"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
 )
 
 // limit is how long anything may take that has to happen.
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"hollyspur/internal/interleave/isync"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/modelcheck/isync"
+	"umberbank/internal/registry/state"
 )
 
 // command is one entry of the log: writes that stand together.
--- a/internal/registry/replica/hub.go
+++ b/internal/registry/replica/hub.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 
-	"hollyspur/internal/interleave/isync"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/modelcheck/isync"
+	"umberbank/internal/registry/state"
 )
 
 // message is what readers get: the whole list, or what has changed, in discovery's form.
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/hashicorp/raft"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/interleave"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/modelcheck"
+	"umberbank/internal/registry/state"
 )
 
 // apply applies writes as raft does: on one goroutine at a time, in the order of the log.
-func apply(f *fsm, order *interleave.Mutex, ops ...state.Op) []state.Answer {
+func apply(f *fsm, order *modelcheck.Mutex, ops ...state.Op) []state.Answer {
 	text, err := json.Marshal(command{Ops: ops})
 	if err != nil {
 		panic(err)
@@ -38,13 +38,13 @@
 			lines, rev, whole, wake, err := f.hub.after(since)
 			switch {
 			case err != nil:
-				interleave.Failf("%v", err)
+				modelcheck.Failf("%v", err)
 			case whole:
 				if _, rev, err = f.hub.wholeList(func() (rev int64, l []*state.Entry) {
 					f.read(func(s *state.State) { rev, l = s.Rev(), s.Entries() })
 					return rev, l
 				}); err != nil {
-					interleave.Failf("%v", err)
+					modelcheck.Failf("%v", err)
 				}
 				since = rev
 			case len(lines) > 0:
@@ -55,13 +55,13 @@
 					wake = f.hub.wake
 					f.hub.mu.Unlock()
 				}
-				interleave.Wait(wake)
+				modelcheck.Wait(wake)
 			}
 		}
 	}
-	body := func(restore, wakeAfter bool) func(x *interleave.Exec) {
-		return func(x *interleave.Exec) {
-			f, order := newFSM(), &interleave.Mutex{}
+	body := func(restore, wakeAfter bool) func(x *modelcheck.Exec) {
+		return func(x *modelcheck.Exec) {
+			f, order := newFSM(), &modelcheck.Mutex{}
 			want := int64(1)<<40 + 2
 			if restore {
 				want = int64(2)<<40 + 1
@@ -80,16 +80,16 @@
 			x.Go("reader", func() { follow(f, func() int64 { return want }, wakeAfter) })
 		}
 	}
-	interleave.Check(t, interleave.Options{}, body(false, false))
-	interleave.Check(t, interleave.Options{}, body(true, false))
-	interleave.Finds(t, interleave.Options{}, "nobody can go on: reader at wait for", body(false, true))
+	modelcheck.Check(t, modelcheck.Options{}, body(false, false))
+	modelcheck.Check(t, modelcheck.Options{}, body(true, false))
+	modelcheck.Finds(t, modelcheck.Options{}, "nobody can go on: reader at wait for", body(false, true))
 }
 
 // A whole list and the revision that it is given at belong together, while entries come.
 func TestInterleaveWholeList(t *testing.T) {
-	body := func(twice bool) func(x *interleave.Exec) {
-		return func(x *interleave.Exec) {
-			f, order := newFSM(), &interleave.Mutex{}
+	body := func(twice bool) func(x *modelcheck.Exec) {
+		return func(x *modelcheck.Exec) {
+			f, order := newFSM(), &modelcheck.Mutex{}
 			x.Go("writer", func() { apply(f, order, enter("a")); apply(f, order, enter("b")) })
 			for i := range 2 {
 				x.Go(fmt.Sprint("reader ", i), func() {
@@ -102,30 +102,30 @@
 					})
 					var m message
 					if err != nil || json.Unmarshal(text, &m) != nil || int64(len(m.Targets)) != rev-1<<40 || m.Rev != rev {
-						interleave.Failf("%d entries at revision %d", len(m.Targets), rev-1<<40)
+						modelcheck.Failf("%d entries at revision %d", len(m.Targets), rev-1<<40)
 					}
 				})
 			}
 		}
 	}
-	interleave.Check(t, interleave.Options{}, body(false))
-	interleave.Finds(t, interleave.Options{}, "entries at revision", body(true))
+	modelcheck.Check(t, modelcheck.Options{}, body(false))
+	modelcheck.Finds(t, modelcheck.Options{}, "entries at revision", body(true))
 }
 
 // An agent begins its permit and acts, while the permit lapses, staff halt the release, and somebody else wants to
 // take another unit out, where one of two may be. Never do both act, and the agent never acts on a permit that it began after
 // the halt.
 func TestInterleavePermit(t *testing.T) {
-	body := func(looks bool) func(x *interleave.Exec) {
-		return func(x *interleave.Exec) {
-			f, order := newFSM(), &interleave.Mutex{}
+	body := func(looks bool) func(x *modelcheck.Exec) {
+		return func(x *modelcheck.Exec) {
+			f, order := newFSM(), &modelcheck.Mutex{}
 			half := 0.5
-			apply(f, order, state.Op{Kind: state.SetLimits, Limits: &budget.Limits{Tiers: []budget.Limit{{Tier: "web", Whole: &half}}}})
+			apply(f, order, state.Op{Kind: state.SetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Whole: &half}}}})
 			apply(f, order, enter("a"), enter("b"))
 			permit := apply(f, order, state.Op{Kind: state.Permit, UID: "a", Start: f.state.Get("a").Token, Holder: "c", Plan: "p", To: "v2"})[0]
 			acted := map[string]bool{}
 			act := func(uid string) {
-				interleave.Step(&acted, "act")
+				modelcheck.Step(&acted, "act")
 				acted[uid] = true
 			}
 			x.Go("agent", func() {
@@ -153,13 +153,13 @@
 			})
 			x.Finally(func() {
 				if acted["a"] && acted["b"] {
-					interleave.Failf("both are out")
+					modelcheck.Failf("both are out")
 				}
 			})
 		}
 	}
-	interleave.Check(t, interleave.Options{}, body(false))
-	interleave.Finds(t, interleave.Options{}, "both are out", body(true))
+	modelcheck.Check(t, modelcheck.Options{}, body(false))
+	modelcheck.Finds(t, modelcheck.Options{}, "both are out", body(true))
 }
 
 // Two nodes look at a version and acknowledge it, one restarts, staff take it back, and a controller tells it. No node runs
@@ -169,9 +169,9 @@
 	node := func(uid string, boot float64) state.Op {
 		return state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.Node, Tier: "front", Zone: "a", Capacity: 1, BootMS: boot}}
 	}
-	body := func(eager bool) func(x *interleave.Exec) {
-		return func(x *interleave.Exec) {
-			f, order := newFSM(), &interleave.Mutex{}
+	body := func(eager bool) func(x *modelcheck.Exec) {
+		return func(x *modelcheck.Exec) {
+			f, order := newFSM(), &modelcheck.Mutex{}
 			starts := map[string]int64{}
 			for i, a := range apply(f, order, node("n0", 1), node("n1", 1)) {
 				starts[fmt.Sprint("n", i)] = a.Token
@@ -188,9 +188,9 @@
 					told := int64(0)
 					f.read(func(s *state.State) { told = s.Book().Nodes[uid].Told })
 					if told == v || eager { // the planted fault: it runs what it has acknowledged
-						interleave.Step(&runs, "run")
+						modelcheck.Step(&runs, "run")
 						if withdrawn {
-							interleave.Failf("%s runs what was taken back", uid)
+							modelcheck.Failf("%s runs what was taken back", uid)
 						}
 						runs[uid] = true
 					}
@@ -199,7 +199,7 @@
 			x.Go("restart", func() { apply(f, order, node("n1", 2)) })
 			x.Go("staff", func() {
 				if apply(f, order, state.Op{Kind: state.Withdraw, Number: v})[0].Fault == "" {
-					interleave.Step(&runs, "taken back")
+					modelcheck.Step(&runs, "taken back")
 					withdrawn = true
 				}
 			})
@@ -209,23 +209,23 @@
 				}
 				f.read(func(s *state.State) {
 					if s.Book().Committed.Number != v {
-						interleave.Failf("told, and not in force")
+						modelcheck.Failf("told, and not in force")
 					}
 				})
 			})
 			x.Finally(func() {
 				b := f.state.Book()
 				if b.Committed.Number == v && withdrawn {
-					interleave.Failf("it is in force and taken back")
+					modelcheck.Failf("it is in force and taken back")
 				}
 				if b.Committed.Number != v && len(runs) > 0 {
-					interleave.Failf("%v run what nobody was told", runs)
+					modelcheck.Failf("%v run what nobody was told", runs)
 				}
 			})
 		}
 	}
-	interleave.Check(t, interleave.Options{}, body(false))
-	interleave.Finds(t, interleave.Options{}, "run", body(true))
+	modelcheck.Check(t, modelcheck.Options{}, body(false))
+	modelcheck.Finds(t, modelcheck.Options{}, "run", body(true))
 }
 
 // Version 1 is in force. The leader writes that n2's lease has ended, n2 comes back by the same start or by a fresh one and catches up,
@@ -240,9 +240,9 @@
 	propose := func(n int64) state.Op {
 		return state.Op{Kind: state.Propose, Value: content(n), Replaces: n - 1, Stages: []float64{1}}
 	}
-	body := func(zone string, boot float64, early bool) func(x *interleave.Exec) {
-		return func(x *interleave.Exec) {
-			f, order := newFSM(), &interleave.Mutex{}
+	body := func(zone string, boot float64, early bool) func(x *modelcheck.Exec) {
+		return func(x *modelcheck.Exec) {
+			f, order := newFSM(), &modelcheck.Mutex{}
 			starts, runs := map[string]int64{}, map[string]int64{}
 			say := func(kind string, n int64, uids ...string) (l []state.Op) {
 				for _, uid := range uids {
@@ -262,7 +262,7 @@
 				runs[uid] = 1
 			}
 			run := func(uid string, n int64) {
-				interleave.Step(&runs, "run")
+				modelcheck.Step(&runs, "run")
 				runs[uid] = n
 			}
 			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.Expire, UID: "n2", Token: starts["n2"]}) })
@@ -281,12 +281,12 @@
 				ops := append([]state.Op{propose(2)}, say(state.Ack, 2, others...)...)
 				for _, a := range apply(f, order, ops...) {
 					if a.Fault != "" {
-						interleave.Failf("n0 and n1 are held up: %+v", a)
+						modelcheck.Failf("n0 and n1 are held up: %+v", a)
 					}
 				}
 				if a := apply(f, order, state.Op{Kind: state.Commit, Number: 2})[0]; a.Fault != "" {
 					if zone == "a" {
-						interleave.Failf("held up: %+v", a)
+						modelcheck.Failf("held up: %+v", a)
 					}
 					return // it waits for the zone's quorum
 				}
@@ -294,12 +294,12 @@
 				run("n1", 2)
 				apply(f, order, say(state.Report, 2, others...)...)
 				// One step, in which nothing is between what the book says and what nodes run.
-				interleave.Step(&runs, "look")
+				modelcheck.Step(&runs, "look")
 				if a := apply(f, order, propose(3))[0]; a.Fault == "" {
 					f.read(func(s *state.State) {
 						for uid, n := range s.Book().Nodes {
 							if n.InTouch() && runs[uid] != 2 {
-								interleave.Failf("%s is in touch and runs version %d", uid, runs[uid])
+								modelcheck.Failf("%s is in touch and runs version %d", uid, runs[uid])
 							}
 						}
 					})
@@ -309,12 +309,12 @@
 				b := f.state.Book()
 				n := b.Nodes["n2"]
 				if n.Told < b.Committed.Number || n.InTouch() && n.Running < 1 {
-					interleave.Failf("in force %d: %+v", b.Committed.Number, n)
+					modelcheck.Failf("in force %d: %+v", b.Committed.Number, n)
 				}
 				if v := b.Pending; v != nil && v.Number == 2 {
 					apply(f, order, state.Op{Kind: state.Ack, UID: "n2", Token: n.Start, Number: 2, Hash: v.Hash})
 					if a := apply(f, order, state.Op{Kind: state.Commit, Number: 2})[0]; a.Fault != "" {
-						interleave.Failf("held up in the end: %+v", a)
+						modelcheck.Failf("held up in the end: %+v", a)
 					}
 				}
 			})
@@ -322,8 +322,8 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		for _, boot := range []float64{1, 2} { // the same start, or a fresh one
-			interleave.Check(t, interleave.Options{}, body(zone, boot, false))
+			modelcheck.Check(t, modelcheck.Options{}, body(zone, boot, false))
 		}
 	}
-	interleave.Finds(t, interleave.Options{}, "is in touch and runs version 1", body("a", 1, true))
+	modelcheck.Finds(t, modelcheck.Options{}, "is in touch and runs version 1", body("a", 1, true))
 }
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
 )
 
 // Guard says when ended leases are not believed.
@@ -122,7 +122,7 @@
 const defaultLapse = 2 * time.Second
 
 // lapses ends the permits that have not begun in time. held are those that have not begun.
-func (l *leases) lapses(held []*budget.Permit, now time.Duration) (ops []state.Op) {
+func (l *leases) lapses(held []*disruption.Permit, now time.Duration) (ops []state.Op) {
 	still := map[string]waiting{}
 	for _, p := range held {
 		w, known := l.permits[p.Unit]
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // meters are a replica's figures, in a registry of their own: several replicas may run in one process.
--- a/internal/registry/replica/metrics_test.go
+++ b/internal/registry/replica/metrics_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // The figures tell what has happened, and a write of a kind that nobody knows makes none of its own.
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -24,8 +24,8 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
 )
 
 // Peer is a replica as a cluster begins.
@@ -351,7 +351,7 @@
 }
 
 // agreed tells the leases of the limits, and gives the permits that have not begun.
-func (r *Replica) agreed(kept *leases) (held []*budget.Permit) {
+func (r *Replica) agreed(kept *leases) (held []*disruption.Permit) {
 	r.fsm.read(func(s *state.State) {
 		limits := s.Limits()
 		if limits == nil {
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/registry/state"
+	"umberbank/internal/registry/state"
 )
 
 // Whatever a reader holds, and however many changes it missed, it comes to what the State holds: by the changes since,
--- a/internal/registry/state/agree.go
+++ b/internal/registry/state/agree.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/agree/rollout"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/coordination/rollout"
 )
 
 // What processes of a site have agreed on beside the list: limits of what may be out, permits, and records. It is
@@ -72,8 +72,8 @@
 
 // agreed is that part of a State.
 type agreed struct {
-	limits  *budget.Limits // nil: none, and nobody counts
-	ledger  *budget.Ledger
+	limits  *disruption.Limits // nil: none, and nobody counts
+	ledger  *disruption.Ledger
 	missing map[string]*Entry // that nobody hears from, or that took themselves out: out until back or declared gone
 	records map[string]*Record
 	avoids  map[string][]string // by node
@@ -84,15 +84,15 @@
 }
 
 func newAgreed() agreed {
-	return agreed{ledger: budget.New(), missing: map[string]*Entry{}, records: map[string]*Record{},
+	return agreed{ledger: disruption.New(), missing: map[string]*Entry{}, records: map[string]*Record{},
 		avoids: map[string][]string{}, avoided: map[string]int{}, nodes: map[string]int{}, book: rollout.New(), configs: map[int64]json.RawMessage{}}
 }
 
 // Ledger is what may be out and what is. It must not be changed.
-func (s *State) Ledger() *budget.Ledger { return s.ledger }
+func (s *State) Ledger() *disruption.Ledger { return s.ledger }
 
 // Limits are those in force; nil: none.
-func (s *State) Limits() *budget.Limits { return s.limits }
+func (s *State) Limits() *disruption.Limits { return s.limits }
 
 // Record gives a record, or nil.
 func (s *State) Record(key string) *Record { return s.records[key] }
@@ -233,7 +233,7 @@
 
 func (s *State) permit(op Op) Answer {
 	had := s.ledger.Permit(op.UID)
-	p, err := s.ledger.Grant(budget.Permit{Unit: op.UID, Start: op.Start, Token: s.rev + 1, Holder: op.Holder, Plan: op.Plan, To: op.To}, op.Over)
+	p, err := s.ledger.Grant(disruption.Permit{Unit: op.UID, Start: op.Start, Token: s.rev + 1, Holder: op.Holder, Plan: op.Plan, To: op.To}, op.Over)
 	if err != nil {
 		return Answer{Fault: OverBudget, Why: err.Error()}
 	}
@@ -253,7 +253,7 @@
 	begun := p != nil && p.Begun
 	p, err := s.ledger.Begin(op.UID, op.Token)
 	switch {
-	case errors.Is(err, budget.ErrStart):
+	case errors.Is(err, disruption.ErrStart):
 		return Answer{Fault: Fenced, Why: err.Error()}, nil
 	case err != nil:
 		return Answer{Fault: NoPermit, Why: err.Error()}, nil
@@ -335,10 +335,10 @@
 		// Nobody has to be dead for the book: a lease that has ended is enough, believed or not.
 		s.book.SetNode(e.UID, e.Zone, e.Token, e.Suspect || s.missing[e.UID] != nil, rollout.Moment{Rev: s.rev, WallMS: s.wall})
 	}
-	u := budget.Unit{ID: e.UID, Start: e.Token, Boot: e.BootMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack, Capacity: e.Capacity}
+	u := disruption.Unit{ID: e.UID, Start: e.Token, Boot: e.BootMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack, Capacity: e.Capacity}
 	switch {
 	case s.missing[e.UID] != nil:
-		u.Out, u.Why = 1, budget.Missing
+		u.Out, u.Why = 1, disruption.Missing
 	case e.Suspect:
 		u.Out, u.Why = 1, "suspect"
 	case e.State == Draining:
@@ -429,11 +429,11 @@
 
 // agreedImage is that part of a State as it is kept.
 type agreedImage struct {
-	Limits  *budget.Limits      `json:"limits,omitempty"`
-	Permits []*budget.Permit    `json:"permits,omitempty"`
-	Missing []*Entry            `json:"missing,omitempty"`
-	Records []*Record           `json:"records,omitempty"`
-	Avoids  map[string][]string `json:"avoids,omitempty"`
+	Limits  *disruption.Limits   `json:"limits,omitempty"`
+	Permits []*disruption.Permit `json:"permits,omitempty"`
+	Missing []*Entry             `json:"missing,omitempty"`
+	Records []*Record            `json:"records,omitempty"`
+	Avoids  map[string][]string  `json:"avoids,omitempty"`
 
 	Book    *rollout.Book             `json:"book,omitempty"`
 	Configs map[int64]json.RawMessage `json:"configs,omitempty"`
@@ -501,7 +501,7 @@
 			m.Missing = append(m.Missing, e)
 		}
 	}
-	m.Permits = slices.DeleteFunc(m.Permits, func(p *budget.Permit) bool {
+	m.Permits = slices.DeleteFunc(m.Permits, func(p *disruption.Permit) bool {
 		return running.entries[p.Unit] != nil || running.missing[p.Unit] != nil
 	})
 	for _, p := range running.ledger.Permits() {
--- a/internal/registry/state/agree_test.go
+++ b/internal/registry/state/agree_test.go
@@ -10,12 +10,12 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/agree/budget"
+	"umberbank/internal/coordination/disruption"
 )
 
-func half() *budget.Limits {
+func half() *disruption.Limits {
 	v := 0.5
-	return &budget.Limits{Tiers: []budget.Limit{{Tier: "web", Whole: &v}}, ColdFrom: 0.4, WarmMS: 1000}
+	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Whole: &v}}, ColdFrom: 0.4, WarmMS: 1000}
 }
 
 // site is a State with limits and so many units of capacity 1, s0 and on, all warm.
--- a/internal/registry/state/agreed.go
+++ b/internal/registry/state/agreed.go
@@ -4,22 +4,22 @@
 	"cmp"
 	"encoding/json"
 
-	"hollyspur/internal/agree/budget"
-	"hollyspur/internal/agree/rollout"
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/coordination/rollout"
 )
 
 // Agreed is what a site has agreed on, as of a revision, or a part of it.
 type Agreed struct {
-	Rev     int64            `json:"rev"`
-	Limits  *budget.Limits   `json:"limits,omitempty"`
-	Uses    []budget.Use     `json:"uses,omitempty"`
-	Outs    []budget.Out     `json:"outs,omitempty"`
-	Permits []*budget.Permit `json:"permits"`
-	Records []*Record        `json:"records"`
-	Units   []*Entry         `json:"units,omitempty"` // nodes and servers that count, the missing with them
-	Lead    *Entry           `json:"lead,omitempty"`  // who acts, where a lead is asked for
-	Book    *rollout.Book    `json:"book,omitempty"`  // of the versions of nodes' settings
-	Config  *NodeConfig      `json:"config,omitempty"`
+	Rev     int64                `json:"rev"`
+	Limits  *disruption.Limits   `json:"limits,omitempty"`
+	Uses    []disruption.Use     `json:"uses,omitempty"`
+	Outs    []disruption.Out     `json:"outs,omitempty"`
+	Permits []*disruption.Permit `json:"permits"`
+	Records []*Record            `json:"records"`
+	Units   []*Entry             `json:"units,omitempty"` // nodes and servers that count, the missing with them
+	Lead    *Entry               `json:"lead,omitempty"`  // who acts, where a lead is asked for
+	Book    *rollout.Book        `json:"book,omitempty"`  // of the versions of nodes' settings
+	Config  *NodeConfig          `json:"config,omitempty"`
 }
 
 // NodeConfig is what one node is to know of the versions of its settings.
@@ -51,7 +51,7 @@
 
 // AgreedOfUnit is what concerns one unit.
 func (s *State) AgreedOfUnit(uid string) Agreed {
-	a := Agreed{Rev: s.rev, Permits: []*budget.Permit{}, Records: []*Record{}}
+	a := Agreed{Rev: s.rev, Permits: []*disruption.Permit{}, Records: []*Record{}}
 	if e := cmp.Or(s.entries[uid], s.missing[uid]); e != nil {
 		a.Units = append(a.Units, e)
 	}
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -10,7 +10,7 @@
 	"maps"
 	"slices"
 
-	"hollyspur/internal/agree/budget"
+	"umberbank/internal/coordination/disruption"
 )
 
 // Server states, in discovery's words.
@@ -72,15 +72,15 @@
 	// What Member sets; an empty address takes the replica out.
 	Address string `json:"address,omitempty"`
 	// What the writes of agree.go set; UID names the unit.
-	Limits *budget.Limits `json:"limits,omitempty"`
-	Start  int64          `json:"start,omitempty"` // token of the unit's start
-	Holder string         `json:"holder,omitempty"`
-	Plan   string         `json:"plan,omitempty"`
-	To     string         `json:"to,omitempty"`
-	Over   string         `json:"over,omitempty"` // the plan whose begun permit this one takes the place of
-	Cold   *float64       `json:"cold,omitempty"`
-	Avoids []string       `json:"avoids,omitempty"`
-	Key    string         `json:"key,omitempty"`
+	Limits *disruption.Limits `json:"limits,omitempty"`
+	Start  int64              `json:"start,omitempty"` // token of the unit's start
+	Holder string             `json:"holder,omitempty"`
+	Plan   string             `json:"plan,omitempty"`
+	To     string             `json:"to,omitempty"`
+	Over   string             `json:"over,omitempty"` // the plan whose begun permit this one takes the place of
+	Cold   *float64           `json:"cold,omitempty"`
+	Avoids []string           `json:"avoids,omitempty"`
+	Key    string             `json:"key,omitempty"`
 	// What writes about versions of nodes' settings set; Token is a node's start, Value the content.
 	Number   int64           `json:"number,omitempty"`
 	Hash     string          `json:"hash,omitempty"`
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads batches of events from the simulator's text protocol and writes replies.
+// Package simwire reads batches of events from the simulator's text protocol and writes replies.
 // It makes no decisions.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"hollyspur"
+	"umberbank/balancer"
 )
 
 // Kind tells what a Message carries.
@@ -34,8 +34,8 @@
 	Instance int
 	Now      time.Duration
 	Seed     uint64
-	Settings hollyspur.Settings
-	Event    hollyspur.Event
+	Settings balancer.Settings
+	Event    balancer.Event
 }
 
 // Decoder reads messages one at a time.
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]hollyspur.Server
+	lists    [16][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,28 +142,28 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = hollyspur.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = balancer.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
 		case 3:
-			m.Event = hollyspur.ListFailed{}
+			m.Event = balancer.ListFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
-		r := hollyspur.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
+		r := balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
 			Repeat: f.optNum(4)&2 != 0}
 		if f.optNum(4)&1 != 0 {
 			r.Cost = f.optMS(6)
 		}
 		m.Event = r
 	case "ring":
-		m.Event = hollyspur.Timer{Token: f.text(0)}
+		m.Event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		m.Event = hollyspur.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
+		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
 			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = hollyspur.ClientGone{ID: f.text(0)}
+		m.Event = balancer.ClientGone{ID: f.text(0)}
 	case "flowing":
-		m.Event = hollyspur.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -182,7 +182,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []hollyspur.Server
+	var servers []balancer.Server
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -193,15 +193,15 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := hollyspur.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
+		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
 			Boot: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
-			sv.State = hollyspur.Ready
+			sv.State = balancer.Ready
 		case 0:
-			sv.State = hollyspur.Draining
+			sv.State = balancer.Draining
 		case 1:
-			sv.State = hollyspur.Gone
+			sv.State = balancer.Gone
 		default:
 			g.fail(4, "is no state")
 		}
@@ -296,14 +296,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]hollyspur.Ending{
-	"success": hollyspur.Success, "failure": hollyspur.Failure,
-	"overloaded": hollyspur.Overloaded, "timed_out": hollyspur.TimedOut,
-	"unreachable": hollyspur.Unreachable, "broken": hollyspur.Broken,
-	"withdrawn": hollyspur.Withdrawn, "void": hollyspur.Void,
+var endings = map[string]balancer.Ending{
+	"success": balancer.Success, "failure": balancer.Failure,
+	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
+	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
+	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
 }
 
-func (f *fields) ending(i int) hollyspur.Ending {
+func (f *fields) ending(i int) balancer.Ending {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -312,12 +312,12 @@
 }
 
 // load reads name:value pairs; names it does not know are ignored.
-func (f *fields) load(i int) *hollyspur.Load {
+func (f *fields) load(i int) *balancer.Load {
 	s := f.opt(i)
 	if s == "" {
 		return nil
 	}
-	l := &hollyspur.Load{Busy: -1, Service: -1}
+	l := &balancer.Load{Busy: -1, Service: -1}
 	for _, pair := range strings.Split(s, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
@@ -385,16 +385,16 @@
 	Sizes string  `json:"weights"`
 }
 
-var scopes = map[string]hollyspur.Scope{
-	"all": hollyspur.ScopeAll, "zone": hollyspur.ScopeZone, "cell": hollyspur.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-var sizes = map[string]hollyspur.Sizes{
-	"nominal": hollyspur.SizesNominal, "rough": hollyspur.SizesRough, "live": hollyspur.SizesLive,
+var sizes = map[string]balancer.Sizes{
+	"nominal": balancer.SizesNominal, "rough": balancer.SizesRough, "live": balancer.SizesLive,
 }
 
-var effects = map[string]hollyspur.Effect{
-	"read_like": hollyspur.Safe, "idempotency_key": hollyspur.Keyed,
+var effects = map[string]balancer.Effect{
+	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
 }
 
 // Connections holds the settings of connections to servers. On the wire the simulator keeps to them;
@@ -406,12 +406,12 @@
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
 // not know is Unsafe and a scope it does not know is the narrowest.
-func ParseSettings(text []byte) (hollyspur.Settings, Connections, error) {
+func ParseSettings(text []byte) (balancer.Settings, Connections, error) {
 	var p profile
 	if err := json.Unmarshal(text, &p); err != nil {
-		return hollyspur.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := hollyspur.Settings{
+	s := balancer.Settings{
 		Balancers: p.Balancers, Index: p.Me, Tier: p.Tier,
 		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
 		MaxAttempts: p.Limits.MaxAttempts, SecondCopies: p.Limits.SecondCopies,
@@ -424,7 +424,7 @@
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, hollyspur.Class{Name: l.Name, Effect: effects[l.Effect],
+		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
 			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
 			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream})
 	}
@@ -448,23 +448,23 @@
 }
 
 // Action adds one action of an instance to the reply.
-func (e *Encoder) Action(instance int, a hollyspur.Action) {
+func (e *Encoder) Action(instance int, a balancer.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.w, "instance\t%d\n", instance)
 		e.instance = instance
 	}
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
-	case hollyspur.Fail:
+	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case hollyspur.Wake:
+	case balancer.Wake:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
-	case hollyspur.Subscribe:
+	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
 }
--- a/internal/strict/strict.go
+++ b/internal/stricttoml/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which nothing may stand that is not known, and words their faults on one line.
-package strict
+// Package stricttoml reads TOML files in which nothing may stand that is not known, and words their faults on one line.
+package stricttoml
 
 import (
 	"bytes"
