--- /dev/null
+++ b/internal/coordination/host/golden_test.go
@@ -0,0 +1,29 @@
+package host
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"umberbank/internal/golden"
+)
+
+// The file was written by the build of revision f63bdca.
+func TestGoldenEvent(t *testing.T) {
+	e := golden.RoundTripFull[Event](t, "testdata/event-full.json")
+	path := filepath.Join(t.TempDir(), "events")
+	j, err := OpenJournal(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := j.note(e); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := string(golden.Read(t, "testdata/event-full.json")) + "\n"; string(text) != want {
+		t.Errorf("the line of a journal is %q, want %q", text, want)
+	}
+}
--- /dev/null
+++ b/internal/coordination/release/golden_test.go
@@ -0,0 +1,83 @@
+package release
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/golden"
+	"umberbank/internal/registry/state"
+)
+
+// The files were written by the build of revision f63bdca: plan.json is the plan of plan.toml for units.json, and
+// looks.jsonl what a Machine saw and ordered at three looks, one second apart.
+
+func goldenUnits(t *testing.T) []*state.Entry {
+	t.Helper()
+	return golden.RoundTrip[[]*state.Entry](t, "testdata/units.json")
+}
+
+func TestGoldenPlan(t *testing.T) {
+	plan, file, err := Parse("plan.toml", golden.Read(t, "testdata/plan.toml"), goldenUnits(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Encodes(t, plan, golden.Read(t, "testdata/plan.json"))
+	golden.Encodes(t, file.Needs, golden.Read(t, "testdata/needs.json"))
+	golden.RoundTrip[Plan](t, "testdata/plan.json")
+	if plan.AtOnce != 3 || plan.BakeMS != 5000 || plan.BackWithinMS != 60000 || len(plan.Stages) != 3 {
+		t.Errorf("%+v", plan)
+	}
+	progress := golden.RoundTrip[Progress](t, "testdata/progress.json")
+	golden.Encodes(t, Back(plan, progress), golden.Read(t, "testdata/back.json"))
+	golden.Encodes(t, HaltOp(plan.Name, "by staff"), golden.Read(t, "testdata/halt.json"))
+}
+
+func TestGoldenForms(t *testing.T) {
+	golden.RoundTripFull[Plan](t, "testdata/plan-full.json")
+	golden.RoundTripFull[Progress](t, "testdata/progress-full.json")
+	if PlanPrefix != "plan/" || ProgressPrefix != "release/" || state.HaltPrefix != "halt/" {
+		t.Error("a key of the records has changed")
+	}
+	halt := golden.Decode[state.Op](t, golden.Read(t, "testdata/halt.json"))
+	if why := Halt(View{Records: []*state.Record{{Key: halt.Key, Value: halt.Value}}}, "web-v2"); why != "by staff" {
+		t.Errorf("halted: %q", why)
+	}
+}
+
+// goldenLook is what a Machine saw at one look, and what it ordered.
+type goldenLook struct {
+	Units   []*state.Entry       `json:"units"`
+	Outs    []disruption.Out     `json:"outs"`
+	Permits []*disruption.Permit `json:"permits"`
+	Records []*state.Record      `json:"records"`
+	Orders  []goldenOrder        `json:"orders"`
+}
+
+type goldenOrder struct {
+	Op      json.RawMessage `json:"op"`
+	Why     string          `json:"why"`
+	Granted bool            `json:"granted"` // the registry let it through
+}
+
+func TestGoldenOrders(t *testing.T) {
+	m := &Machine{Holder: "c0"}
+	for i, line := range golden.Lines(t, "testdata/looks.jsonl") {
+		look := golden.Decode[goldenLook](t, line)
+		view := View{Units: look.Units, Outs: look.Outs, Permits: look.Permits, Records: look.Records}
+		orders := m.Next(view, time.Duration(i)*time.Second)
+		if len(orders) != len(look.Orders) {
+			t.Fatalf("look %d: %d orders, want %d", i, len(orders), len(look.Orders))
+		}
+		for k, want := range look.Orders {
+			golden.Encodes(t, orders[k].Op, want.Op)
+			if orders[k].Why != want.Why {
+				t.Errorf("look %d: why %q, want %q", i, orders[k].Why, want.Why)
+			}
+			if want.Granted {
+				m.Granted(orders[k])
+			}
+		}
+	}
+}
--- a/internal/coordination/release/machine.go
+++ b/internal/coordination/release/machine.go
@@ -73,7 +73,9 @@
 
 // Halt is why a release is halted; "": it is not.
 func Halt(v View, name string) string {
-	var h struct{ Why string }
+	var h struct {
+		Why string `json:"why"`
+	}
 	if _, is := record(v, state.HaltPrefix+name, &h); is {
 		if h.Why == "" {
 			return "halted"
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,108 @@
+// Package golden compares the encoded form of types with files under testdata, for tests of what is stored and what
+// travels between processes. A golden file that an earlier build wrote must decode without an unknown key, and encode
+// to the same bytes again.
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// Read returns the bytes of a golden file, without the newline at its end.
+func Read(t testing.TB, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.TrimSuffix(text, []byte("\n"))
+}
+
+// Lines returns the lines of a golden file.
+func Lines(t testing.TB, path string) [][]byte {
+	t.Helper()
+	return bytes.Split(Read(t, path), []byte("\n"))
+}
+
+// Decode decodes JSON into a T and fails the test on a key that T does not have.
+func Decode[T any](t testing.TB, text []byte) T {
+	t.Helper()
+	var v T
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&v); err != nil {
+		t.Fatalf("%v in %s", err, text)
+	}
+	return v
+}
+
+// Encodes fails the test unless v encodes to exactly want.
+func Encodes(t testing.TB, v any, want []byte) {
+	t.Helper()
+	got, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("the encoded form has changed\n got %s\nwant %s", got, want)
+	}
+}
+
+// RoundTrip decodes a golden file into a T and fails the test unless T encodes to the same bytes.
+func RoundTrip[T any](t testing.TB, path string) T {
+	t.Helper()
+	text := Read(t, path)
+	v := Decode[T](t, text)
+	Encodes(t, v, text)
+	return v
+}
+
+// RoundTripFull is RoundTrip for a file in which every field of T has a value, T's own structs included. A field that
+// the file does not set, and a field without an explicit name in its json tag, fail the test.
+func RoundTripFull[T any](t testing.TB, path string) T {
+	t.Helper()
+	v := RoundTrip[T](t, path)
+	requireFull(t, reflect.TypeFor[T]().Name(), reflect.ValueOf(v))
+	return v
+}
+
+// requireFull walks a decoded value and reports fields that are zero or have no json name.
+func requireFull(t testing.TB, name string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			requireFull(t, name, v.Elem())
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if !field.IsExported() {
+				continue
+			}
+			fieldName := name + "." + field.Name
+			if tag, _, _ := strings.Cut(field.Tag.Get("json"), ","); tag == "" {
+				t.Errorf("%s has no explicit json name", fieldName)
+			}
+			if v.Field(i).IsZero() {
+				t.Errorf("%s is not set in the golden file", fieldName)
+			}
+			requireFull(t, fieldName, v.Field(i))
+		}
+	case reflect.Slice:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			return
+		}
+		for i := range v.Len() {
+			requireFull(t, name, v.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			requireFull(t, name, v.MapIndex(key))
+		}
+	}
+}
