--- /dev/null
+++ b/cmd/umberbank/interface_test.go
@@ -0,0 +1,266 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/alecthomas/kong"
+	"github.com/pelletier/go-toml/v2"
+
+	"umberbank/internal/coordination/disruption"
+	fleettrial "umberbank/internal/coordination/faulttest"
+	"umberbank/internal/coordination/release"
+	"umberbank/internal/coordination/rollout"
+	"umberbank/internal/lab"
+	"umberbank/internal/lab/cost"
+	"umberbank/internal/lab/scale"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/registry/bench"
+	registrytrial "umberbank/internal/registry/faulttest"
+	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/state"
+)
+
+// The files under testdata were written by an earlier release. They pin what scripts rely on: commands and flags, exit codes,
+// the keys of --json and of the files that commands read.
+var update = flag.Bool("update", false, "write the files under testdata anew")
+
+// golden compares a text with a file under testdata.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: the form has changed; got\n%s", path, got)
+	}
+}
+
+// commandLine lists every command and flag under each name that it answers to, with what it takes.
+func commandLine(t *testing.T) []string {
+	t.Helper()
+	parser, err := kong.New(&cli{}, kong.Name("umberbank"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	var walk func(path string, n *kong.Node)
+	walk = func(path string, n *kong.Node) {
+		for _, f := range n.Flags {
+			for _, name := range append([]string{f.Name}, f.Aliases...) {
+				lines = append(lines, fmt.Sprintf("%s --%s %s", path, name, valueForm(f.Value)+hidden(f.Hidden)))
+			}
+		}
+		for i, p := range n.Positional {
+			lines = append(lines, fmt.Sprintf("%s argument %d %s", path, i, valueForm(p)))
+		}
+		for _, c := range n.Children {
+			for _, name := range append([]string{c.Name}, c.Aliases...) {
+				lines = append(lines, path+" "+name+hidden(c.Hidden))
+				walk(path+" "+name, c)
+			}
+		}
+	}
+	walk("umberbank", parser.Model.Node)
+	slices.Sort(lines)
+	return lines
+}
+
+func hidden(is bool) string {
+	if is {
+		return " hidden"
+	}
+	return ""
+}
+
+// valueForm describes what a flag or an argument takes.
+func valueForm(v *kong.Value) string {
+	form := fmt.Sprintf("%s default=%q enum=%q", v.Target.Type(), v.Default, v.Enum)
+	if v.Required {
+		form += " required"
+	}
+	if v.Passthrough {
+		form += " passthrough"
+	}
+	if v.IsSlice() {
+		form += fmt.Sprintf(" separator=%d", v.Tag.Sep)
+	}
+	return form
+}
+
+func TestCommandLine(t *testing.T) {
+	golden(t, "commands.golden", strings.Join(commandLine(t), "\n")+"\n")
+}
+
+func TestExitCodeValues(t *testing.T) {
+	good := write(t, "good.toml", tiny)
+	missed := write(t, "missed.toml", tiny+"[expect]\np99 = \"1ms\"\n")
+	for _, c := range []struct {
+		args []string
+		code int
+	}{
+		{[]string{"lab", "run", good, "--virtual"}, 0},
+		{[]string{"lab", "run", missed, "--virtual"}, 1},
+		{[]string{"lab", "run", filepath.Join(t.TempDir(), "none.toml")}, 2},
+		{[]string{"no-such-command"}, 2},
+		{[]string{"--help"}, 0},
+	} {
+		if code, _, _ := call(c.args...); code != c.code {
+			t.Errorf("%v: exit code %d, want %d", c.args, code, c.code)
+		}
+	}
+}
+
+// fill sets every exported field below v to a value other than zero.
+func fill(v reflect.Value, depth int) {
+	if depth > 8 {
+		return
+	}
+	switch v.Interface().(type) {
+	case time.Time:
+		v.Set(reflect.ValueOf(time.Unix(1_800_000_000, 0).UTC()))
+		return
+	case json.RawMessage:
+		v.SetBytes([]byte(`{"raw":1}`))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(7)
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(7)
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(0.5)
+	case reflect.String:
+		v.SetString("text")
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), depth+1)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0), depth+1)
+	case reflect.Array:
+		for i := range v.Len() {
+			fill(v.Index(i), depth+1)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, depth+1)
+		fill(value, depth+1)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				fill(v.Field(i), depth+1)
+			}
+		}
+	}
+}
+
+// encodings writes a zero value and a filled one of a type.
+func encodings[T any](t *testing.T, encode func(any) ([]byte, error)) string {
+	t.Helper()
+	var zero, filled T
+	fill(reflect.ValueOf(&filled).Elem(), 0)
+	var b strings.Builder
+	for _, v := range []*T{&zero, &filled} {
+		text, err := encode(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Write(bytes.TrimSpace(text))
+		b.WriteString("\n")
+	}
+	return b.String()
+}
+
+func indented(v any) ([]byte, error) { return json.MarshalIndent(v, "", "  ") }
+
+// What --json prints, command by command.
+func TestJSONForms(t *testing.T) {
+	for name, got := range map[string]string{
+		"lab-run.json":            encodings[lab.Result](t, indented),
+		"lab-compare.json":        encodings[comparison](t, indented),
+		"lab-cost.json":           encodings[cost.Result](t, indented),
+		"lab-scale.json":          encodings[scale.Result](t, indented),
+		"registry-status.json":    encodings[replica.Status](t, indented),
+		"registry-get.json":       encodings[instances](t, indented),
+		"registry-bench.json":     encodings[bench.Result](t, indented),
+		"registry-permits.json":   encodings[bench.Permits](t, indented),
+		"registry-trial.json":     encodings[registrytrial.Result](t, indented),
+		"registry-put.json":       encodings[state.Entry](t, indented),
+		"fleet-status.json":       encodings[state.Agreed](t, indented),
+		"fleet-config.json":       encodings[rollout.Book](t, indented),
+		"fleet-trial.json":        encodings[fleettrial.Result](t, indented),
+		"fleet-trial-sum.json":    encodings[fleetTrialSum](t, indented),
+		"fleet-trial-config.json": encodings[fleettrial.ConfigResult](t, indented),
+		"fleet-config-sum.json":   encodings[fleetConfigSum](t, indented),
+		"release-plan.json":       encodings[release.Plan](t, indented),
+		"release-progress.json":   encodings[release.Progress](t, indented),
+		"state-inspect.json":      encodings[stateFile](t, indented),
+	} {
+		t.Run(name, func(t *testing.T) { golden(t, filepath.Join("json", name), got) })
+	}
+}
+
+// The keys of the files that commands read.
+func TestTOMLForms(t *testing.T) {
+	for name, got := range map[string]string{
+		"limits.toml":   encodings[disruption.Limits](t, toml.Marshal),
+		"release.toml":  encodings[release.File](t, toml.Marshal),
+		"scenario.toml": encodings[scenario.Scenario](t, toml.Marshal),
+	} {
+		t.Run(name, func(t *testing.T) { golden(t, filepath.Join("toml", name), got) })
+	}
+}
+
+// A run on the virtual clock is the same to the last digit, and what was kept of one is still read.
+func TestVirtualRunIsTheSame(t *testing.T) {
+	text := tiny + "[[fault]]\nkind = \"kill\"\ncount = 1\nat = \"500ms\"\nfor = \"500ms\"\n"
+	code, out, errs := call("lab", "run", write(t, "tiny.toml", text), "--virtual", "--seed", "3", "--json")
+	if code != 0 {
+		t.Fatalf("exit code %d: %s", code, errs)
+	}
+	golden(t, "lab-result.json", out)
+	code, out, errs = call("lab", "report", "--json", filepath.Join("testdata", "lab-result.json"))
+	if code != 0 {
+		t.Fatalf("exit code %d: %s", code, errs)
+	}
+	golden(t, "lab-result.json", out)
+}
+
+// Files that a node has written, a whole one and a damaged one.
+func TestStateCommandForms(t *testing.T) {
+	whole, damaged := "testdata/state/node-0000000000000001.state", "testdata/state/node-0000000000000002.state"
+	var b strings.Builder
+	for _, args := range [][]string{
+		{"state", "inspect", whole},
+		{"state", "inspect", "--json", whole},
+		{"state", "inspect", damaged},
+		{"state", "verify", "testdata/state"},
+		{"state", "verify", "--json", "testdata/state"},
+	} {
+		code, out, errs := call(args...)
+		fmt.Fprintf(&b, "$ umberbank %s\n%s%sexit code %d\n", strings.Join(args, " "), out, errs, code)
+	}
+	golden(t, "state-commands.golden", b.String())
+}
