--- a/cmd/umberbank/compare.go
+++ b/cmd/umberbank/compare.go
@@ -55,16 +55,16 @@
 }
 
 type labCompareCmd struct {
-	A        string        `arg:"" help:"One way of playing: words for a file, keys, clock=virtual, node=COMMAND (its parts joined by commas). \"\": the default scenario."`
-	B        string        `arg:"" help:"The other."`
-	More     []string      `arg:"" optional:"" help:"Further ones, each compared with the first."`
-	Seeds    int           `help:"How many seeds both are played on." default:"10"`
-	Seed     uint64        `help:"The first seed." default:"1"`
-	Virtual  bool          `help:"Play on the virtual clock where a side does not say."`
-	Duration time.Duration `help:"Win over the files' duration."`
-	Within   float64       `help:"Exit 1 if the mean served share of both differs by more than this." placeholder:"SHARE"`
-	Plot     string        `help:"Draw what each side serves, second by second, mean of the seeds (SVG)." placeholder:"FILE"`
-	JSON     bool          `help:"Print one JSON object for each side after the first."`
+	A        string        `name:"a" arg:"" help:"One way of playing: words for a file, keys, clock=virtual, node=COMMAND (its parts joined by commas). \"\": the default scenario."`
+	B        string        `name:"b" arg:"" help:"The other."`
+	More     []string      `name:"more" arg:"" optional:"" help:"Further ones, each compared with the first."`
+	Seeds    int           `name:"seeds" help:"How many seeds both are played on." default:"10"`
+	Seed     uint64        `name:"seed" help:"The first seed." default:"1"`
+	Virtual  bool          `name:"virtual" help:"Play on the virtual clock where a side does not say."`
+	Duration time.Duration `name:"duration" help:"Win over the files' duration."`
+	Within   float64       `name:"within" help:"Exit 1 if the mean served share of both differs by more than this." placeholder:"SHARE"`
+	Plot     string        `name:"plot" help:"Draw what each side serves, second by second, mean of the seeds (SVG)." placeholder:"FILE"`
+	JSON     bool          `name:"json" help:"Print one JSON object for each side after the first."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/cost.go
+++ b/cmd/umberbank/cost.go
@@ -12,12 +12,12 @@
 )
 
 type labCostCmd struct {
-	For  time.Duration `help:"How long each measurement lasts." default:"3s"`
-	Node string        `help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
-	Rate float64       `help:"Requests a second at which latencies are measured; 0: half of what the slower one holds." default:"0"`
+	For  time.Duration `name:"for" help:"How long each measurement lasts." default:"3s"`
+	Node string        `name:"node" help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
+	Rate float64       `name:"rate" help:"Requests a second at which latencies are measured; 0: half of what the slower one holds." default:"0"`
 	// One measurement after the other, each on processes of its own.
-	Servers []int `help:"Servers in the list; several: a measurement of each." default:"8" placeholder:"N,N,..."`
-	JSON    bool  `help:"Print one JSON object for each measurement."`
+	Servers []int `name:"servers" help:"Servers in the list; several: a measurement of each." default:"8" placeholder:"N,N,..."`
+	JSON    bool  `name:"json" help:"Print one JSON object for each measurement."`
 }
 
 // Help is shown by --help.
@@ -97,9 +97,9 @@
 
 // labBareRelayCmd is what lab cost measures beside the node.
 type labBareRelayCmd struct {
-	Listen string   `required:"" help:"Where it listens."`
-	To     []string `required:"" help:"Servers, asked in turn."`
-	Stats  string   `hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
+	Listen string   `name:"listen" required:"" help:"Where it listens."`
+	To     []string `name:"to" required:"" help:"Servers, asked in turn."`
+	Stats  string   `name:"stats" hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
 }
 
 func (c *labBareRelayCmd) Run(a *app) error {
--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -18,19 +18,19 @@
 )
 
 type fleetCmd struct {
-	Budget  fleetBudgetCmd  `cmd:"" help:"Say how much of each tier may be out at once."`
-	Status  fleetStatusCmd  `cmd:"" help:"Show what is out, what may be, who holds permits, and how releases stand."`
-	Drain   fleetDrainCmd   `cmd:"" help:"Take servers out, if the budget allows it."`
-	Undrain fleetUndrainCmd `cmd:"" help:"Let drained servers serve again."`
-	Gone    fleetGoneCmd    `cmd:"" help:"Declare units gone: they count no more."`
-	Release fleetReleaseCmd `cmd:"" help:"Change the version of units, in the stages of a plan."`
-	Halt    fleetHaltCmd    `cmd:"" help:"Let nothing of a release begin any more."`
-	Resume  fleetResumeCmd  `cmd:"" help:"Lift a halt."`
-	Back    fleetBackCmd    `cmd:"" help:"Halt a release and undo it, newest change first."`
-	Config  fleetConfigCmd  `cmd:"" help:"Versions of nodes' settings, committed by a quorum of them."`
-	Control fleetControlCmd `cmd:"" help:"Run a controller; of any number one acts."`
-	Agent   fleetAgentCmd   `cmd:"" help:"Run a unit: start its process, hold its lease, and change its version by permit."`
-	Trial   fleetTrialCmd   `cmd:"" help:"Play faults on releases of real processes, and judge what they did."`
+	Budget  fleetBudgetCmd  `name:"budget" cmd:"" help:"Say how much of each tier may be out at once."`
+	Status  fleetStatusCmd  `name:"status" cmd:"" help:"Show what is out, what may be, who holds permits, and how releases stand."`
+	Drain   fleetDrainCmd   `name:"drain" cmd:"" help:"Take servers out, if the budget allows it."`
+	Undrain fleetUndrainCmd `name:"undrain" cmd:"" help:"Let drained servers serve again."`
+	Gone    fleetGoneCmd    `name:"gone" cmd:"" help:"Declare units gone: they count no more."`
+	Release fleetReleaseCmd `name:"release" cmd:"" help:"Change the version of units, in the stages of a plan."`
+	Halt    fleetHaltCmd    `name:"halt" cmd:"" help:"Let nothing of a release begin any more."`
+	Resume  fleetResumeCmd  `name:"resume" cmd:"" help:"Lift a halt."`
+	Back    fleetBackCmd    `name:"back" cmd:"" help:"Halt a release and undo it, newest change first."`
+	Config  fleetConfigCmd  `name:"config" cmd:"" help:"Versions of nodes' settings, committed by a quorum of them."`
+	Control fleetControlCmd `name:"control" cmd:"" help:"Run a controller; of any number one acts."`
+	Agent   fleetAgentCmd   `name:"agent" cmd:"" help:"Run a unit: start its process, hold its lease, and change its version by permit."`
+	Trial   fleetTrialCmd   `name:"trial" cmd:"" help:"Play faults on releases of real processes, and judge what they did."`
 }
 
 // agreed asks for all that is agreed.
@@ -80,7 +80,7 @@
 
 type fleetBudgetCmd struct {
 	registryAt
-	File string `arg:"" help:"Limits (TOML)."`
+	File string `name:"file" arg:"" help:"Limits (TOML)."`
 }
 
 // Help is shown by --help.
@@ -120,7 +120,7 @@
 
 type fleetStatusCmd struct {
 	registryAt
-	JSON bool `help:"Print one JSON object."`
+	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
 func (c *fleetStatusCmd) Run(a *app) error {
@@ -199,7 +199,7 @@
 type fleetDrainCmd struct {
 	registryAt
 	UIDs   []string `arg:"" name:"uid" help:"The servers, in this order; one that does not fit leaves those before it drained."`
-	Holder string   `help:"Who asks." default:"staff"`
+	Holder string   `name:"holder" help:"Who asks." default:"staff"`
 }
 
 func (c *fleetDrainCmd) Run(a *app) error {
@@ -252,8 +252,8 @@
 
 type fleetReleaseCmd struct {
 	registryAt
-	Plan  string `arg:"" help:"The plan (TOML)."`
-	Check bool   `help:"Only say whether it could be carried out."`
+	Plan  string `name:"plan" arg:"" help:"The plan (TOML)."`
+	Check bool   `name:"check" help:"Only say whether it could be carried out."`
 }
 
 // Help is shown by --help.
@@ -327,8 +327,8 @@
 
 type fleetHaltCmd struct {
 	registryAt
-	Name string `arg:"" help:"The release."`
-	Why  string `help:"What others are to read." default:"by staff"`
+	Name string `name:"name" arg:"" help:"The release."`
+	Why  string `name:"why" help:"What others are to read." default:"by staff"`
 }
 
 // find gives a release by its name.
@@ -364,7 +364,7 @@
 
 type fleetResumeCmd struct {
 	registryAt
-	Name string `arg:"" help:"The release."`
+	Name string `name:"name" arg:"" help:"The release."`
 }
 
 func (c *fleetResumeCmd) Run(a *app) error {
@@ -378,7 +378,7 @@
 
 type fleetBackCmd struct {
 	registryAt
-	Name string `arg:"" help:"The release."`
+	Name string `name:"name" arg:"" help:"The release."`
 }
 
 func (c *fleetBackCmd) Run(a *app) error {
@@ -402,9 +402,9 @@
 
 type fleetControlCmd struct {
 	registryAt
-	Name    string        `help:"Which controller this is; none: this machine and process." default:""`
-	TTL     time.Duration `help:"Of the lead's lease: another takes over so long after this one was last heard of." default:"1s"`
-	Journal string        `help:"Write what it did to this file." placeholder:"FILE"`
+	Name    string        `name:"name" help:"Which controller this is; none: this machine and process." default:""`
+	TTL     time.Duration `name:"ttl" help:"Of the lead's lease: another takes over so long after this one was last heard of." default:"1s"`
+	Journal string        `name:"journal" help:"Write what it did to this file." placeholder:"FILE"`
 }
 
 func (c *fleetControlCmd) Run(a *app) error {
@@ -432,24 +432,24 @@
 
 type fleetAgentCmd struct {
 	registryAt
-	UID      string        `help:"The unit." required:""`
-	Endpoint string        `help:"Where it serves, host:port." required:""`
-	Tier     string        `help:"Whose budget it counts in." required:""`
-	Zone     string        `help:"Its zone."`
-	Region   string        `help:"Its region."`
-	Rack     int           `help:"Its rack."`
-	Kind     string        `help:"Its machine's kind; of a node the tier that it sends to."`
-	Node     bool          `help:"The unit is a node, not a server: it stays out of the list that nodes read."`
-	Capacity float64       `help:"What it can do, in the list's units." default:"1"`
-	Version  string        `help:"What it runs now." required:""`
-	TTL      time.Duration `help:"Of its lease." default:"2s"`
-	Ready    string        `help:"A URL that answers 200 once the process serves; none: it has run for half a second."`
-	Drain    time.Duration `help:"From when nodes are told that it drains until its process is asked to end." default:"1s"`
-	Grace    time.Duration `help:"From then until the process is killed." default:"10s"`
-	Journal  string        `help:"Write what it did to this file." placeholder:"FILE"`
-	Keep     string        `help:"Remember the version in this file over the agent's own restarts; none: --version holds at each." placeholder:"FILE"`
-	Skew     time.Duration `hidden:"" help:"Have this clock differ from the machine's."`
-	Command  []string      `arg:"" optional:"" passthrough:"" help:"The unit's process, after --; {version} stands for its version."`
+	UID      string        `name:"uid" help:"The unit." required:""`
+	Endpoint string        `name:"endpoint" help:"Where it serves, host:port." required:""`
+	Tier     string        `name:"tier" help:"Whose budget it counts in." required:""`
+	Zone     string        `name:"zone" help:"Its zone."`
+	Region   string        `name:"region" help:"Its region."`
+	Rack     int           `name:"rack" help:"Its rack."`
+	Kind     string        `name:"kind" help:"Its machine's kind; of a node the tier that it sends to."`
+	Node     bool          `name:"node" help:"The unit is a node, not a server: it stays out of the list that nodes read."`
+	Capacity float64       `name:"capacity" help:"What it can do, in the list's units." default:"1"`
+	Version  string        `name:"version" help:"What it runs now." required:""`
+	TTL      time.Duration `name:"ttl" help:"Of its lease." default:"2s"`
+	Ready    string        `name:"ready" help:"A URL that answers 200 once the process serves; none: it has run for half a second."`
+	Drain    time.Duration `name:"drain" help:"From when nodes are told that it drains until its process is asked to end." default:"1s"`
+	Grace    time.Duration `name:"grace" help:"From then until the process is killed." default:"10s"`
+	Journal  string        `name:"journal" help:"Write what it did to this file." placeholder:"FILE"`
+	Keep     string        `name:"keep" help:"Remember the version in this file over the agent's own restarts; none: --version holds at each." placeholder:"FILE"`
+	Skew     time.Duration `name:"skew" hidden:"" help:"Have this clock differ from the machine's."`
+	Command  []string      `name:"command" arg:"" optional:"" passthrough:"" help:"The unit's process, after --; {version} stands for its version."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/fleetconfig.go
+++ b/cmd/umberbank/fleetconfig.go
@@ -18,19 +18,19 @@
 )
 
 type fleetConfigCmd struct {
-	Push     fleetConfigPushCmd     `cmd:"" help:"Propose a version; controllers bring it to nodes stage by stage."`
-	Status   fleetConfigStatusCmd   `cmd:"" help:"Show which version is in force, which is under way, and what each node runs."`
-	Halt     fleetConfigHaltCmd     `cmd:"" help:"Let the version under way go no further."`
-	Withdraw fleetConfigWithdrawCmd `cmd:"" help:"Take a version back that no node was told to run."`
-	Back     fleetConfigBackCmd     `cmd:"" help:"Propose the old content anew, for a version that some nodes run."`
+	Push     fleetConfigPushCmd     `name:"push" cmd:"" help:"Propose a version; controllers bring it to nodes stage by stage."`
+	Status   fleetConfigStatusCmd   `name:"status" cmd:"" help:"Show which version is in force, which is under way, and what each node runs."`
+	Halt     fleetConfigHaltCmd     `name:"halt" cmd:"" help:"Let the version under way go no further."`
+	Withdraw fleetConfigWithdrawCmd `name:"withdraw" cmd:"" help:"Take a version back that no node was told to run."`
+	Back     fleetConfigBackCmd     `name:"back" cmd:"" help:"Propose the old content anew, for a version that some nodes run."`
 }
 
 type fleetConfigPushCmd struct {
 	registryAt
-	File     string        `arg:"" help:"The settings, as in a node's configuration (JSON)."`
-	Stages   []float64     `help:"Shares of all nodes, one after the other." default:"0.1,1"`
-	Bake     time.Duration `help:"A stage must stand so long before the next." default:"5s"`
-	Replaces int64         `help:"The version that it replaces; -1: the one in force." default:"-1"`
+	File     string        `name:"file" arg:"" help:"The settings, as in a node's configuration (JSON)."`
+	Stages   []float64     `name:"stages" help:"Shares of all nodes, one after the other." default:"0.1,1"`
+	Bake     time.Duration `name:"bake" help:"A stage must stand so long before the next." default:"5s"`
+	Replaces int64         `name:"replaces" help:"The version that it replaces; -1: the one in force." default:"-1"`
 }
 
 // Help is shown by --help.
@@ -81,7 +81,7 @@
 
 type fleetConfigStatusCmd struct {
 	registryAt
-	JSON bool `help:"Print one JSON object."`
+	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
 func (c *fleetConfigStatusCmd) Run(a *app) error {
@@ -155,7 +155,7 @@
 
 type fleetConfigHaltCmd struct {
 	registryAt
-	Why string `help:"What others are to read." default:"by staff"`
+	Why string `name:"why" help:"What others are to read." default:"by staff"`
 }
 
 func (c *fleetConfigHaltCmd) Run(a *app) error {
--- a/cmd/umberbank/fleettrial.go
+++ b/cmd/umberbank/fleettrial.go
@@ -13,13 +13,13 @@
 )
 
 type fleetTrialCmd struct {
-	Runs     int    `help:"How many runs, each with a seed of its own." default:"10"`
-	Seed     uint64 `help:"The first seed." default:"1"`
-	Parallel int    `help:"How many runs at once; each is some twenty processes." default:"2"`
-	Calm     bool   `help:"Play no faults."`
-	Config   bool   `help:"Versions of settings, on real nodes, in place of releases and drains."`
-	Nodes    int    `help:"With --config: how many; from 9 on one is killed for good in each run." default:"9"`
-	JSON     bool   `help:"Print one JSON object for each run, and one for all at the end."`
+	Runs     int    `name:"runs" help:"How many runs, each with a seed of its own." default:"10"`
+	Seed     uint64 `name:"seed" help:"The first seed." default:"1"`
+	Parallel int    `name:"parallel" help:"How many runs at once; each is some twenty processes." default:"2"`
+	Calm     bool   `name:"calm" help:"Play no faults."`
+	Config   bool   `name:"config" help:"Versions of settings, on real nodes, in place of releases and drains."`
+	Nodes    int    `name:"nodes" help:"With --config: how many; from 9 on one is killed for good in each run." default:"9"`
+	JSON     bool   `name:"json" help:"Print one JSON object for each run, and one for all at the end."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/lab.go
+++ b/cmd/umberbank/lab.go
@@ -19,20 +19,20 @@
 )
 
 type labCmd struct {
-	Run     labRunCmd     `cmd:"" help:"Play one scenario."`
-	Compare labCompareCmd `cmd:"" help:"Play two ways on the same seeds and tell the differences."`
-	Cost    labCostCmd    `cmd:"" help:"Measure what one node costs, beside a bare relay."`
-	Scale   labScaleCmd   `cmd:"" help:"Measure how the control plane bears a number of nodes."`
-	Report  labReportCmd  `cmd:"" help:"Draw a run."`
-	Check   labCheckCmd   `cmd:"" help:"Check scenario files without playing them."`
-
-	BareRelay labBareRelayCmd `cmd:"" hidden:"" help:"The relay that lab cost measures beside the node."`
+	Run     labRunCmd     `name:"run" cmd:"" help:"Play one scenario."`
+	Compare labCompareCmd `name:"compare" cmd:"" help:"Play two ways on the same seeds and tell the differences."`
+	Cost    labCostCmd    `name:"cost" cmd:"" help:"Measure what one node costs, beside a bare relay."`
+	Scale   labScaleCmd   `name:"scale" cmd:"" help:"Measure how the control plane bears a number of nodes."`
+	Report  labReportCmd  `name:"report" cmd:"" help:"Draw a run."`
+	Check   labCheckCmd   `name:"check" cmd:"" help:"Check scenario files without playing them."`
+
+	BareRelay labBareRelayCmd `name:"bare-relay" cmd:"" hidden:"" help:"The relay that lab cost measures beside the node."`
 }
 
 // scenarioFlags say what is played.
 type scenarioFlags struct {
-	Set      []string      `help:"Win over a key of the file, as --set load.rate=200." placeholder:"KEY=VALUE" sep:"none"`
-	Duration time.Duration `help:"Win over the file's duration; faults at later times are left out."`
+	Set      []string      `name:"set" help:"Win over a key of the file, as --set load.rate=200." placeholder:"KEY=VALUE" sep:"none"`
+	Duration time.Duration `name:"duration" help:"Win over the file's duration; faults at later times are left out."`
 }
 
 // load reads a scenario; no file: the default one.
@@ -63,13 +63,13 @@
 
 type labRunCmd struct {
 	scenarioFlags
-	File    string `arg:"" optional:"" help:"The scenario (TOML); none: the default one, which is built in."`
-	Seed    uint64 `help:"Draws all that the file leaves to chance." default:"1"`
-	Virtual bool   `help:"Play on the virtual clock, with the decision module in place of processes."`
-	Node    string `help:"Command of the node to try, such as an earlier build; none: this program's own." placeholder:"COMMAND"`
-	Tries   int    `help:"Play again, up to so many times in all, while the run is not valid." default:"1"`
-	JSON    bool   `help:"Print one JSON object."`
-	Out     string `help:"Keep the result in this file, for lab report." placeholder:"FILE"`
+	File    string `name:"file" arg:"" optional:"" help:"The scenario (TOML); none: the default one, which is built in."`
+	Seed    uint64 `name:"seed" help:"Draws all that the file leaves to chance." default:"1"`
+	Virtual bool   `name:"virtual" help:"Play on the virtual clock, with the decision module in place of processes."`
+	Node    string `name:"node" help:"Command of the node to try, such as an earlier build; none: this program's own." placeholder:"COMMAND"`
+	Tries   int    `name:"tries" help:"Play again, up to so many times in all, while the run is not valid." default:"1"`
+	JSON    bool   `name:"json" help:"Print one JSON object."`
+	Out     string `name:"out" help:"Keep the result in this file, for lab report." placeholder:"FILE"`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/main.go
+++ b/cmd/umberbank/main.go
@@ -31,16 +31,16 @@
 
 // cli is the command line.
 type cli struct {
-	LogLevel  slog.Level `help:"Least level of what is logged: debug, info, warn or error." default:"warn"`
-	LogFormat string     `help:"Form of the log, on standard error." enum:"text,json" default:"text"`
-
-	Node     nodeCmd     `cmd:"" help:"Run one node, as bin/umberbank-node does."`
-	Lab      labCmd      `cmd:"" help:"Play scenarios on fleets of nodes, with faults."`
-	Registry registryCmd `cmd:"" help:"Run, read and change the registry of servers."`
-	Fleet    fleetCmd    `cmd:"" help:"Take units out and change their version, by agreement."`
-	Config   configCmd   `cmd:"" help:"Look at a node's configuration."`
-	State    stateCmd    `cmd:"" help:"Look at what processes have kept on disk."`
-	Version  versionCmd  `cmd:"" help:"Say which version this is."`
+	LogLevel  slog.Level `name:"log-level" help:"Least level of what is logged: debug, info, warn or error." default:"warn"`
+	LogFormat string     `name:"log-format" help:"Form of the log, on standard error." enum:"text,json" default:"text"`
+
+	Node     nodeCmd     `name:"node" cmd:"" help:"Run one node, as bin/umberbank-node does."`
+	Lab      labCmd      `name:"lab" cmd:"" help:"Play scenarios on fleets of nodes, with faults."`
+	Registry registryCmd `name:"registry" cmd:"" help:"Run, read and change the registry of servers."`
+	Fleet    fleetCmd    `name:"fleet" cmd:"" help:"Take units out and change their version, by agreement."`
+	Config   configCmd   `name:"config" cmd:"" help:"Look at a node's configuration."`
+	State    stateCmd    `name:"state" cmd:"" help:"Look at what processes have kept on disk."`
+	Version  versionCmd  `name:"version" cmd:"" help:"Say which version this is."`
 }
 
 // app is what commands work with.
@@ -113,7 +113,7 @@
 }
 
 type nodeCmd struct {
-	Stats string `hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
+	Stats string `name:"stats" hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
 }
 
 // Help is shown by --help.
@@ -136,7 +136,7 @@
 }
 
 type configCmd struct {
-	Check configCheckCmd `cmd:"" help:"Check configurations without starting anything."`
+	Check configCheckCmd `name:"check" cmd:"" help:"Check configurations without starting anything."`
 }
 
 type configCheckCmd struct {
--- a/cmd/umberbank/regbench.go
+++ b/cmd/umberbank/regbench.go
@@ -12,12 +12,12 @@
 )
 
 type registryBenchCmd struct {
-	Instances int    `help:"Servers in the list." default:"10000"`
-	Watches   int    `help:"Watchers of it." default:"2000"`
-	Lengths   []int  `help:"Only what a change costs, over lists of these lengths." placeholder:"N,N,..."`
-	Plot      string `help:"With --lengths: draw it (SVG)." placeholder:"FILE"`
-	Permits   int    `help:"Only decisions about permits, so many a second, for 10 s." placeholder:"N"`
-	JSON      bool   `help:"Print one JSON object; one a length with --lengths."`
+	Instances int    `name:"instances" help:"Servers in the list." default:"10000"`
+	Watches   int    `name:"watches" help:"Watchers of it." default:"2000"`
+	Lengths   []int  `name:"lengths" help:"Only what a change costs, over lists of these lengths." placeholder:"N,N,..."`
+	Plot      string `name:"plot" help:"With --lengths: draw it (SVG)." placeholder:"FILE"`
+	Permits   int    `name:"permits" help:"Only decisions about permits, so many a second, for 10 s." placeholder:"N"`
+	JSON      bool   `name:"json" help:"Print one JSON object; one a length with --lengths."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/registry.go
+++ b/cmd/umberbank/registry.go
@@ -17,22 +17,22 @@
 )
 
 type registryCmd struct {
-	Serve   registryServeCmd   `cmd:"" help:"Run one replica; alone it is a whole registry."`
-	Status  registryStatusCmd  `cmd:"" help:"Show what each replica says of itself."`
-	Get     registryGetCmd     `cmd:"" help:"Show entries."`
-	Watch   registryWatchCmd   `cmd:"" help:"Show changes as they come."`
-	Put     registryPutCmd     `cmd:"" help:"Enter servers, from a file of JSON."`
-	Drain   registryDrainCmd   `cmd:"" help:"Tell nodes to send servers nothing new."`
-	Restore registryRestoreCmd `cmd:"" help:"Put a backup in the place of what the registry holds, in a new epoch."`
-	Backup  registryBackupCmd  `cmd:"" help:"Write all that the registry holds to a file."`
-	Remove  registryRemoveCmd  `cmd:"" help:"Take servers out."`
-	Members registryMembersCmd `cmd:"" help:"Show the replicas, take one in or out."`
-	Bench   registryBenchCmd   `cmd:"" help:"Measure a registry of three processes."`
-	Trial   registryTrialCmd   `cmd:"" help:"Play faults on registries of real processes, and judge what their users saw."`
+	Serve   registryServeCmd   `name:"serve" cmd:"" help:"Run one replica; alone it is a whole registry."`
+	Status  registryStatusCmd  `name:"status" cmd:"" help:"Show what each replica says of itself."`
+	Get     registryGetCmd     `name:"get" cmd:"" help:"Show entries."`
+	Watch   registryWatchCmd   `name:"watch" cmd:"" help:"Show changes as they come."`
+	Put     registryPutCmd     `name:"put" cmd:"" help:"Enter servers, from a file of JSON."`
+	Drain   registryDrainCmd   `name:"drain" cmd:"" help:"Tell nodes to send servers nothing new."`
+	Restore registryRestoreCmd `name:"restore" cmd:"" help:"Put a backup in the place of what the registry holds, in a new epoch."`
+	Backup  registryBackupCmd  `name:"backup" cmd:"" help:"Write all that the registry holds to a file."`
+	Remove  registryRemoveCmd  `name:"remove" cmd:"" help:"Take servers out."`
+	Members registryMembersCmd `name:"members" cmd:"" help:"Show the replicas, take one in or out."`
+	Bench   registryBenchCmd   `name:"bench" cmd:"" help:"Measure a registry of three processes."`
+	Trial   registryTrialCmd   `name:"trial" cmd:"" help:"Play faults on registries of real processes, and judge what their users saw."`
 }
 
 type registryServeCmd struct {
-	Config string `help:"The replica's configuration (TOML); none: a whole registry on this machine's loopback, data in ./umberbank-registry." placeholder:"FILE"`
+	Config string `name:"config" help:"The replica's configuration (TOML); none: a whole registry on this machine's loopback, data in ./umberbank-registry." placeholder:"FILE"`
 }
 
 // Help is shown by --help.
@@ -51,8 +51,8 @@
 
 // registryAt says which registry a command is for.
 type registryAt struct {
-	At     []string      `help:"Replicas, as host:port; any that answers will do." default:"127.0.0.1:7400"`
-	Within time.Duration `help:"How long to try." default:"5s"`
+	At     []string      `name:"at" help:"Replicas, as host:port; any that answers will do." default:"127.0.0.1:7400"`
+	Within time.Duration `name:"within" help:"How long to try." default:"5s"`
 }
 
 func (r registryAt) writer() (*client.Writer, error) {
@@ -103,7 +103,7 @@
 
 type registryStatusCmd struct {
 	registryAt
-	JSON bool `help:"Print one JSON object for each replica."`
+	JSON bool `name:"json" help:"Print one JSON object for each replica."`
 }
 
 func (c *registryStatusCmd) Run(a *app) error {
@@ -141,9 +141,9 @@
 type registryGetCmd struct {
 	registryAt
 	UIDs       []string `arg:"" optional:"" name:"uid" help:"Only these."`
-	Consistent bool     `help:"All that was written before this call, by way of the leader; else a replica's list may be late."`
-	AtLeast    int64    `help:"Wait for this revision." placeholder:"REV"`
-	JSON       bool     `help:"Print one JSON object."`
+	Consistent bool     `name:"consistent" help:"All that was written before this call, by way of the leader; else a replica's list may be late."`
+	AtLeast    int64    `name:"at-least" help:"Wait for this revision." placeholder:"REV"`
+	JSON       bool     `name:"json" help:"Print one JSON object."`
 }
 
 func (c *registryGetCmd) Run(a *app) error {
@@ -185,7 +185,7 @@
 
 type registryWatchCmd struct {
 	registryAt
-	Count int `help:"End after so many changes; 0: never." default:"0"`
+	Count int `name:"count" help:"End after so many changes; 0: never." default:"0"`
 }
 
 func (c *registryWatchCmd) Run(a *app) error {
@@ -211,7 +211,7 @@
 
 type registryPutCmd struct {
 	registryAt
-	File string `arg:"" help:"Entries as JSON, one or a list: uid, endpoint, az, model, pod_group, state, capacity_hint, boot_ms. Without ttl_ms they stay until they are removed."`
+	File string `name:"file" arg:"" help:"Entries as JSON, one or a list: uid, endpoint, az, model, pod_group, state, capacity_hint, boot_ms. Without ttl_ms they stay until they are removed."`
 }
 
 // Help is shown by --help.
@@ -247,7 +247,7 @@
 type registryDrainCmd struct {
 	registryAt
 	UIDs []string `arg:"" name:"uid" help:"The servers."`
-	Off  bool     `help:"Let them serve again."`
+	Off  bool     `name:"off" help:"Let them serve again."`
 }
 
 func (c *registryDrainCmd) Run(a *app) error {
@@ -277,8 +277,8 @@
 
 type registryMembersCmd struct {
 	registryAt
-	Add    string `help:"Take a replica in: ID,RAFT,ADDRESS." placeholder:"ID,RAFT,ADDRESS"`
-	Remove string `help:"Take a replica out." placeholder:"ID"`
+	Add    string `name:"add" help:"Take a replica in: ID,RAFT,ADDRESS." placeholder:"ID,RAFT,ADDRESS"`
+	Remove string `name:"remove" help:"Take a replica out." placeholder:"ID"`
 }
 
 // Help is shown by --help.
@@ -327,7 +327,7 @@
 
 type registryBackupCmd struct {
 	registryAt
-	File string `arg:"" help:"Where to."`
+	File string `name:"file" arg:"" help:"Where to."`
 }
 
 func (c *registryBackupCmd) Run(a *app) error {
@@ -340,7 +340,7 @@
 
 type registryRestoreCmd struct {
 	registryAt
-	File string `arg:"" help:"A backup."`
+	File string `name:"file" arg:"" help:"A backup."`
 }
 
 func (c *registryRestoreCmd) Run(a *app) error {
--- a/cmd/umberbank/report.go
+++ b/cmd/umberbank/report.go
@@ -11,9 +11,9 @@
 )
 
 type labReportCmd struct {
-	Result string `arg:"" help:"A result, as lab run --out keeps it."`
-	Out    string `help:"The page; none: the result's name with .html." placeholder:"FILE"`
-	JSON   bool   `help:"Print the result as JSON instead of drawing it."`
+	Result string `name:"result" arg:"" help:"A result, as lab run --out keeps it."`
+	Out    string `name:"out" help:"The page; none: the result's name with .html." placeholder:"FILE"`
+	JSON   bool   `name:"json" help:"Print the result as JSON instead of drawing it."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/scale.go
+++ b/cmd/umberbank/scale.go
@@ -10,11 +10,11 @@
 )
 
 type labScaleCmd struct {
-	Nodes []int  `help:"Sizes, rising." default:"115,230,460,920" placeholder:"N,N,..."`
-	Plays int    `help:"Plays of each size." default:"3"`
-	Plot  string `help:"Draw times over sizes (SVG)." placeholder:"FILE"`
-	Check string `help:"Run nothing: say whether this page's figures follow from its own slopes, as those of docs/CAPACITY.md are to." placeholder:"FILE"`
-	JSON  bool   `help:"Print one JSON object: the largest size's figures at its top, all sizes, slopes and plays below."`
+	Nodes []int  `name:"nodes" help:"Sizes, rising." default:"115,230,460,920" placeholder:"N,N,..."`
+	Plays int    `name:"plays" help:"Plays of each size." default:"3"`
+	Plot  string `name:"plot" help:"Draw times over sizes (SVG)." placeholder:"FILE"`
+	Check string `name:"check" help:"Run nothing: say whether this page's figures follow from its own slopes, as those of docs/CAPACITY.md are to." placeholder:"FILE"`
+	JSON  bool   `name:"json" help:"Print one JSON object: the largest size's figures at its top, all sizes, slopes and plays below."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -15,9 +15,9 @@
 )
 
 type stateCmd struct {
-	Inspect stateInspectCmd `cmd:"" help:"Show what a file of state holds."`
-	Verify  stateVerifyCmd  `cmd:"" help:"Say which files of state are whole."`
-	Repair  stateRepairCmd  `cmd:"" help:"Move damaged files out of a folder of state; nothing is deleted."`
+	Inspect stateInspectCmd `name:"inspect" cmd:"" help:"Show what a file of state holds."`
+	Verify  stateVerifyCmd  `name:"verify" cmd:"" help:"Say which files of state are whole."`
+	Repair  stateRepairCmd  `name:"repair" cmd:"" help:"Move damaged files out of a folder of state; nothing is deleted."`
 }
 
 // stateFile is what is said of one file.
@@ -53,8 +53,8 @@
 }
 
 type stateInspectCmd struct {
-	File string `arg:"" help:"A file of state, such as node-0000000000000007.state or the cache of a registry's list."`
-	JSON bool   `help:"Print one JSON object."`
+	File string `name:"file" arg:"" help:"A file of state, such as node-0000000000000007.state or the cache of a registry's list."`
+	JSON bool   `name:"json" help:"Print one JSON object."`
 }
 
 // Help is shown by --help.
@@ -77,7 +77,7 @@
 
 type stateVerifyCmd struct {
 	Paths []string `arg:"" name:"path" help:"Files of state, or folders of them."`
-	JSON  bool     `help:"Print one JSON object for each file."`
+	JSON  bool     `name:"json" help:"Print one JSON object for each file."`
 }
 
 // Help is shown by --help.
@@ -126,7 +126,7 @@
 }
 
 type stateRepairCmd struct {
-	Dir string `arg:"" help:"A folder of state whose process does not run."`
+	Dir string `name:"dir" arg:"" help:"A folder of state whose process does not run."`
 }
 
 // Help is shown by --help.
--- a/cmd/umberbank/trial.go
+++ b/cmd/umberbank/trial.go
@@ -14,11 +14,11 @@
 )
 
 type registryTrialCmd struct {
-	Runs     int    `help:"How many runs, each with a seed of its own." default:"20"`
-	Seed     uint64 `help:"The first seed." default:"1"`
-	Replicas int    `help:"Replicas of each; 0: three and five in turn." default:"0" enum:"0,1,3,5"`
-	Parallel int    `help:"How many runs at once." default:"4"`
-	JSON     bool   `help:"Print one JSON object for each run."`
+	Runs     int    `name:"runs" help:"How many runs, each with a seed of its own." default:"20"`
+	Seed     uint64 `name:"seed" help:"The first seed." default:"1"`
+	Replicas int    `name:"replicas" help:"Replicas of each; 0: three and five in turn." default:"0" enum:"0,1,3,5"`
+	Parallel int    `name:"parallel" help:"How many runs at once." default:"4"`
+	JSON     bool   `name:"json" help:"Print one JSON object for each run."`
 }
 
 // Help is shown by --help.
