--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,60 +20,60 @@
 
 // The zero Effect is the careful one.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // the servers of one scope discard repeats for a while
-	Safe                 // may run any number of times
+	NonIdempotent      Effect = iota // must never run twice
+	WithIdempotencyKey               // the servers of one scope discard repeats for a while
+	Idempotent                       // may run any number of times
 )
 
-// Scope names the servers that discard the repeats of a keyed request.
-type Scope int
+// IdempotencyScope names the servers that discard the repeats of a keyed request.
+type IdempotencyScope int
 
 // Scopes, from the narrowest.
 const (
-	ScopeCell Scope = iota
+	ScopeCell IdempotencyScope = iota
 	ScopeZone
 	ScopeAll
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are discarded, from the first send
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	LateShare float64       // share of the worth that an answer after the aim earns
-	Worth     float64
-	Stream    bool
+	Name              string
+	Effect            Effect
+	IdempotencyScope  IdempotencyScope // for Keyed
+	IdempotencyWindow time.Duration    // for Keyed: how long repeats are discarded, from the first send
+	LatencyObjective  time.Duration    // answers within it earn full worth
+	Deadline          time.Duration    // how long a client waits over all its tries
+	LateCredit        float64          // share of the worth that an answer after the aim earns
+	PriorityWeight    float64
+	Streaming         bool
 }
 
-// Sizes says what Server.Size means.
-type Sizes int
+// WeightKind says what Server.Size means.
+type WeightKind int
 
 // Meanings of Server.Size.
 const (
-	SizesUnknown Sizes = iota // nothing
-	SizesNominal              // the registered capacity
-	SizesRough                // about the capacity
-	SizesLive                 // the capacity over the load of a while ago
+	WeightUnknown     WeightKind = iota // nothing
+	WeightNominal                       // the registered capacity
+	WeightApproximate                   // about the capacity
+	WeightLive                          // the capacity over the load of a while ago
 )
 
 // Settings hold for a Balancer until Retuned brings others.
 type Settings struct {
-	Classes     []Class
-	Balancers   int     // copies that place calls on this tier
-	Index       int     // of this copy among them, from 0
-	Tier        int     // the tier sent to, 0 being the clients' first
-	WholeWeight float64 // how much the whole of the worth counts when shedding
-	ClassWeight float64 // how much the worst-served class counts when shedding
+	Classes          []Class
+	Replicas         int     // copies that place calls on this tier
+	ReplicaIndex     int     // of this copy among them, from 0
+	Tier             int     // the tier sent to, 0 being the clients' first
+	TotalValueWeight float64 // how much the whole of the worth counts when shedding
+	WorstClassWeight float64 // how much the worst-served class counts when shedding
 
 	MaxAttempts   int
-	SecondCopies  bool // two attempts of a request may be out at once
-	MayCancel     bool
-	Sizes         Sizes
-	AskDiscovery  bool          // the list follows only a Subscribe
-	AskWithin     time.Duration // an unsubscribed copy must ask at least this often
+	Hedging       bool // two attempts of a request may be out at once
+	Cancellation  bool
+	WeightKind    WeightKind
+	PollDiscovery bool          // the list follows only a Subscribe
+	PollInterval  time.Duration // an unsubscribed copy must ask at least this often
 	Tick          time.Duration // events come no more often than this
 	MaxRetryAfter time.Duration // longest advice that clients heed
 
@@ -82,7 +82,7 @@
 	FallMultiple float64       // a fresh server sent more than this times its capacity
 	FallFor      time.Duration // for this long falls over
 
-	Remember time.Duration // what was learned so long ago counts for nothing; 0: nothing is taken over
+	SnapshotMaxAge time.Duration // what was learned so long ago counts for nothing; 0: nothing is taken over
 }
 
 // Validate returns an error that names the setting at fault, or nil.
@@ -92,18 +92,18 @@
 		ok   bool
 	}
 	checks := []check{
-		{"Classes", len(s.Classes) > 0}, {"Balancers", s.Balancers >= 0}, {"Index", s.Index >= 0},
-		{"Tier", s.Tier >= 0}, {"MaxAttempts", s.MaxAttempts >= 0}, {"AskWithin", s.AskWithin >= 0},
+		{"Classes", len(s.Classes) > 0}, {"Balancers", s.Replicas >= 0}, {"Index", s.ReplicaIndex >= 0},
+		{"Tier", s.Tier >= 0}, {"MaxAttempts", s.MaxAttempts >= 0}, {"AskWithin", s.PollInterval >= 0},
 		{"Tick", s.Tick >= 0}, {"MaxRetryAfter", s.MaxRetryAfter >= 0},
 		{"ColdFrom", s.ColdFrom >= 0 && s.ColdFrom <= 1}, {"WarmAfter", s.WarmAfter >= 0},
-		{"FallMultiple", s.FallMultiple >= 0}, {"FallFor", s.FallFor >= 0}, {"Remember", s.Remember >= 0},
+		{"FallMultiple", s.FallMultiple >= 0}, {"FallFor", s.FallFor >= 0}, {"Remember", s.SnapshotMaxAge >= 0},
 	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d]", i)
-		checks = append(checks, check{at + ".Name", c.Name != ""}, check{at + ".Aim", c.Aim > 0},
-			check{at + ".Deadline", c.Deadline > 0}, check{at + ".Window", c.Window >= 0},
-			check{at + ".Worth", c.Worth >= 0},
-			check{at + ".LateShare", c.LateShare >= 0 && c.LateShare <= 1})
+		checks = append(checks, check{at + ".Name", c.Name != ""}, check{at + ".Aim", c.LatencyObjective > 0},
+			check{at + ".Deadline", c.Deadline > 0}, check{at + ".Window", c.IdempotencyWindow >= 0},
+			check{at + ".Worth", c.PriorityWeight >= 0},
+			check{at + ".LateShare", c.LateCredit >= 0 && c.LateCredit <= 1})
 	}
 	for _, c := range checks {
 		if !c.ok {
@@ -113,115 +113,115 @@
 	return nil
 }
 
-// ServerState is what discovery says of a server.
-type ServerState int
+// EndpointState is what discovery says of a server.
+type EndpointState int
 
-// Server states.
+// Endpoint states.
 const (
-	Ready ServerState = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Server is an entry of the discovery list.
-type Server struct {
-	ID    string
-	Zone  string
-	Cell  int
-	State ServerState
-	Size  float64       // as registered, against other servers'; see Settings.Sizes. 0: as 1
-	Boot  time.Duration // clock time of its last start; 0: long ago
+// Endpoint is an entry of the discovery list.
+type Endpoint struct {
+	ID        string
+	Zone      string
+	Cell      int
+	State     EndpointState
+	Weight    float64       // as registered, against other servers'; see Settings.Sizes. 0: as 1
+	StartTime time.Duration // clock time of its last start; 0: long ago
 }
 
-// Ending says how an attempt ended.
-type Ending int
+// Result says how an attempt ended.
+type Result int
 
 // Endings. Overloaded, Unreachable and Void prove that the attempt never ran.
 const (
-	Success Ending = iota
+	Success Result = iota
 	Failure
 	Overloaded
 	TimedOut
 	Unreachable
-	Broken
-	Withdrawn
-	Void
+	ConnectionLost
+	Cancelled
+	NotSent
 )
 
-// Load is a server's own report, late and noisy. Absent values are negative.
-type Load struct {
-	Busy    float64       // requests it holds
-	Service time.Duration // recent service time without waiting
+// LoadReport is a server's own report, late and noisy. Absent values are negative.
+type LoadReport struct {
+	ActiveRequests float64       // requests it holds
+	ServiceTime    time.Duration // recent service time without waiting
 }
 
 // Event is something that happened: one of the types below.
 type Event interface{ event() }
 
 type (
-	// ServerList brings news from discovery. Full: the complete list, absent servers are gone.
+	// EndpointUpdate brings news from discovery. Full: the complete list, absent servers are gone.
 	// Otherwise only changed entries. Asked marks an answer to Subscribe.
-	ServerList struct {
-		Full    bool
-		Cached  bool // last held before a restart, possibly out of date
-		Servers []Server
+	EndpointUpdate struct {
+		Full      bool
+		Cached    bool // last held before a restart, possibly out of date
+		Endpoints []Endpoint
 	}
-	// ListFailed says that a Subscribe failed or that the subscription broke.
-	ListFailed struct{}
+	// SubscriptionFailed says that a Subscribe failed or that the subscription broke.
+	SubscriptionFailed struct{}
 	// Request is a client's request; the Balancer owes it one final answer by Deadline.
 	Request struct {
-		ID       string
-		Class    string
-		Deadline time.Duration // clock time
-		Repeat   bool          // the client marked it as a repeat
-		Cost     time.Duration // hint of its work, as time on a standard core; 0: no hint
-		Long     bool          // its body is passed on as it comes; its time begins when it is Taken
+		ID            string
+		Class         string
+		Deadline      time.Duration // clock time
+		ClientRetry   bool          // the client marked it as a repeat
+		CostHint      time.Duration // hint of its work, as time on a standard core; 0: no hint
+		StreamingBody bool          // its body is passed on as it comes; its time begins when it is Taken
 	}
 	// Outcome ends one attempt. Ended: the request has its final answer.
 	Outcome struct {
-		ID      string
-		Attempt int
-		Server  string
-		Ending  Ending
-		Latency time.Duration
-		Ended   bool
-		Spent   bool // a Long request's body cannot be sent again
-		Load    *Load
+		ID           string
+		Attempt      int
+		Endpoint     string
+		Result       Result
+		Latency      time.Duration
+		RequestDone  bool
+		BodyConsumed bool // a Long request's body cannot be sent again
+		Load         *LoadReport
 	}
-	// Taken says that the last byte of a Long request has gone out, and when it is to be answered by.
-	Taken struct {
+	// RequestBodySent says that the last byte of a Long request has gone out, and when it is to be answered by.
+	RequestBodySent struct {
 		ID       string
 		Attempt  int
 		Deadline time.Duration // clock time
 	}
-	// Started says that a streamed or long answer has begun: the attempt is the client's from here on.
-	Started struct {
+	// ResponseStarted says that a streamed or long answer has begun: the attempt is the client's from here on.
+	ResponseStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
-	ClientGone struct{ ID string }
-	// Timer is a Wake come due.
-	Timer struct{ Token string }
-	// Retuned brings other settings, for requests that come from now on.
-	Retuned struct{ Settings Settings }
-	// Recalled brings what an earlier process had Learned, Age ago, to one that has heard of no server yet. Settings.Remember
+	// ClientDisconnected says that the client left; nothing more is owed.
+	ClientDisconnected struct{ ID string }
+	// TimerFired is a Wake come due.
+	TimerFired struct{ Token string }
+	// Reconfigure brings other settings, for requests that come from now on.
+	Reconfigure struct{ Settings Settings }
+	// Restore brings what an earlier process had Learned, Age ago, to one that has heard of no server yet. Settings.Remember
 	// bounds the age; what cannot be, or was learned under other settings, is passed over.
-	Recalled struct {
-		Memory Memory
-		Age    time.Duration
+	Restore struct {
+		Snapshot Snapshot
+		Age      time.Duration
 	}
 )
 
-func (ServerList) event() {}
-func (ListFailed) event() {}
-func (Request) event()    {}
-func (Outcome) event()    {}
-func (Taken) event()      {}
-func (Started) event()    {}
-func (ClientGone) event() {}
-func (Timer) event()      {}
-func (Retuned) event()    {}
-func (Recalled) event()   {}
+func (EndpointUpdate) event()     {}
+func (SubscriptionFailed) event() {}
+func (Request) event()            {}
+func (Outcome) event()            {}
+func (RequestBodySent) event()    {}
+func (ResponseStarted) event()    {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (Reconfigure) event()        {}
+func (Restore) event()            {}
 
 // Action is something the host must do, in the order given: one of the types below.
 type Action interface{ action() }
@@ -229,23 +229,23 @@
 type (
 	// Send starts the next attempt of a request (numbered from 0); it times out after Timeout.
 	Send struct {
-		ID, Server string
-		Timeout    time.Duration
+		ID, Endpoint string
+		Timeout      time.Duration
 	}
 	// Cancel stops waiting for an attempt; its Outcome still comes.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// Refuse is a final answer that promises that a retry does no harm.
-	Refuse struct {
+	// Reject is a final answer that promises that a retry does no harm.
+	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct{ ID string }
-	// Wake asks for a Timer with this token at the clock time At.
-	Wake struct {
+	// SetTimer asks for a Timer with this token at the clock time At.
+	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
@@ -255,7 +255,7 @@
 
 func (Send) action()      {}
 func (Cancel) action()    {}
-func (Refuse) action()    {}
+func (Reject) action()    {}
 func (Fail) action()      {}
-func (Wake) action()      {}
+func (SetTimer) action()  {}
 func (Subscribe) action() {}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -11,16 +11,16 @@
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, IdempotencyScope: balancer.ScopeAll,
+			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
 		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
+	b.Handle(0, balancer.EndpointUpdate{Full: true, Endpoints: []balancer.Endpoint{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
 	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
@@ -28,14 +28,14 @@
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
+		Result: balancer.Unreachable, Latency: 3 * time.Millisecond})
 	second := acts[0].(balancer.Send)
-	fmt.Println("sent again to another server:", second.Server != first.Server)
+	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
+		Result: balancer.Success, Latency: 20 * time.Millisecond, RequestDone: true})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 1s
@@ -45,22 +45,22 @@
 
 func BenchmarkHandle(bench *testing.B) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
 	}
-	var list []balancer.Server
+	var list []balancer.Endpoint
 	for i := range 50 {
-		list = append(list, balancer.Server{ID: fmt.Sprint("s", i)})
+		list = append(list, balancer.Endpoint{ID: fmt.Sprint("s", i)})
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	b.Handle(0, balancer.EndpointUpdate{Full: true, Endpoints: list})
 	bench.ReportAllocs()
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
 		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
-		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+		b.Handle(now, balancer.Outcome{ID: id, Endpoint: s.Endpoint, Result: balancer.Success, RequestDone: true})
 	}
 }
--- a/balancer/memory_test.go
+++ b/balancer/memory_test.go
@@ -13,26 +13,26 @@
 
 const minute = time.Minute
 
-func remembering(s *Settings) { s.Remember = minute }
+func remembering(s *Settings) { s.SnapshotMaxAge = minute }
 
 // learned is a Balancer that has served for a while: s00 is slow, s01 fails, the window has grown.
 func learned(t testing.TB) (*Balancer, time.Duration) {
 	b := newBalancer(t, remembering)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
 	now := time.Duration(0)
 	for i := range 4000 {
 		now += msec
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*msec})) {
 			took, ending := 30*msec, Success
-			switch s.Server {
+			switch s.Endpoint {
 			case "s00":
 				took = 90 * msec
 			case "s01":
 				ending = Failure
 			}
 			now += msec
-			b.Handle(now+took, Outcome{ID: s.ID, Attempt: 0, Server: s.Server, Ending: ending, Latency: took, Ended: true})
+			b.Handle(now+took, Outcome{ID: s.ID, Attempt: 0, Endpoint: s.Endpoint, Result: ending, Latency: took, RequestDone: true})
 		}
 	}
 	b.window = 100
@@ -40,23 +40,23 @@
 }
 
 // fresh is a Balancer that has heard of what another had learned, and then of a list.
-func fresh(t testing.TB, m Memory, age time.Duration, list []Server, change func(*Settings)) *Balancer {
+func fresh(t testing.TB, m Snapshot, age time.Duration, list []Endpoint, change func(*Settings)) *Balancer {
 	b := newBalancer(t, func(s *Settings) {
 		remembering(s)
 		if change != nil {
 			change(s)
 		}
 	})
-	b.Handle(0, Recalled{m, age})
-	b.Handle(0, ServerList{Full: true, Cached: true, Servers: list})
+	b.Handle(0, Restore{m, age})
+	b.Handle(0, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
 	return b
 }
 
 // What is remembered counts by its age: all of it at once, nothing from Settings.Remember on, nothing where that is 0.
 func TestMemoryCountsByAge(t *testing.T) {
 	was, now := learned(t)
-	m := was.Learned(now)
-	if len(m.Servers) < 2 || m.Window != 20 {
+	m := was.Snapshot(now)
+	if len(m.Endpoints) < 2 || m.LimitPerEndpoint != 20 {
 		t.Fatalf("%+v", m)
 	}
 	new := newBalancer(t, nil)
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	if b := fresh(t, m, 0, servers(10), func(s *Settings) { s.Remember = 0 }); b.window != windowStart*5 {
+	if b := fresh(t, m, 0, servers(10), func(s *Settings) { s.SnapshotMaxAge = 0 }); b.window != windowStart*5 {
 		t.Errorf("not asked to remember: a window of %v", b.window)
 	}
 }
@@ -93,10 +93,10 @@
 // What the settings or the list say otherwise wins, and a memory that cannot be is passed over whole.
 func TestMemoryGivesWay(t *testing.T) {
 	was, now := learned(t)
-	m := was.Learned(now)
+	m := was.Snapshot(now)
 	floor := windowStart * 5
 	restarted := servers(10)
-	restarted[0].Boot = 5 * msec
+	restarted[0].StartTime = 5 * msec
 	b := fresh(t, m, 0, restarted, nil)
 	if s := b.servers["s00"]; s.samples != 0 || s.slow != 0 {
 		t.Errorf("a server that was started again: %+v", s)
@@ -104,8 +104,8 @@
 	if b.servers["s01"].level == 0 {
 		t.Error("another's ejection is forgotten")
 	}
-	b = fresh(t, m, 0, servers(10), func(s *Settings) { s.Classes[0].Aim *= 2 })
-	if b.window != floor || b.classes["get"].mean != float64(b.classes["get"].Aim)/4 || b.classes["pay"].mean != was.classes["pay"].mean {
+	b = fresh(t, m, 0, servers(10), func(s *Settings) { s.Classes[0].LatencyObjective *= 2 })
+	if b.window != floor || b.classes["get"].mean != float64(b.classes["get"].LatencyObjective)/4 || b.classes["pay"].mean != was.classes["pay"].mean {
 		t.Errorf("another aim: window %v, means %v %v", b.window, b.classes["get"].mean, b.classes["pay"].mean)
 	}
 	if b := fresh(t, m, 0, servers(20), nil); b.window != 200 {
@@ -114,17 +114,17 @@
 	if b := fresh(t, m, -1, servers(10), nil); b.window != floor {
 		t.Errorf("from the future: a window of %v", b.window)
 	}
-	for name, spoil := range map[string]func(*Memory){
-		"window":       func(m *Memory) { m.Window = math.NaN() },
-		"fill":         func(m *Memory) { m.Fill = 3 },
-		"tokens":       func(m *Memory) { m.Tokens = math.Inf(1) },
-		"mean":         func(m *Memory) { m.Classes[0].Mean = -1 },
-		"slow":         func(m *Memory) { m.Servers[0].Slow = math.NaN() },
-		"level":        func(m *Memory) { m.Servers[0].Level = 1 << 40 },
-		"another tier": func(m *Memory) { m.Tier = 2 },
+	for name, spoil := range map[string]func(*Snapshot){
+		"window":       func(m *Snapshot) { m.LimitPerEndpoint = math.NaN() },
+		"fill":         func(m *Snapshot) { m.Utilization = 3 },
+		"tokens":       func(m *Snapshot) { m.RetryTokens = math.Inf(1) },
+		"mean":         func(m *Snapshot) { m.Classes[0].MeanLatency = -1 },
+		"slow":         func(m *Snapshot) { m.Endpoints[0].Slowness = math.NaN() },
+		"level":        func(m *Snapshot) { m.Endpoints[0].EjectionLevel = 1 << 40 },
+		"another tier": func(m *Snapshot) { m.Tier = 2 },
 	} {
 		bad := m
-		bad.Classes, bad.Servers = slices.Clone(m.Classes), slices.Clone(m.Servers)
+		bad.Classes, bad.Endpoints = slices.Clone(m.Classes), slices.Clone(m.Endpoints)
 		spoil(&bad)
 		if b := fresh(t, bad, 0, servers(10), nil); b.window != floor || b.recalled != nil {
 			t.Errorf("%s: a window of %v", name, b.window)
@@ -135,8 +135,8 @@
 // A window from before the start that is far too large shrinks to twice what is out at the first sign of a crowd.
 func TestRememberedWindowGivesWay(t *testing.T) {
 	was, now := learned(t)
-	m := was.Learned(now)
-	m.Window = 1e12
+	m := was.Snapshot(now)
+	m.LimitPerEndpoint = 1e12
 	b := fresh(t, m, 0, servers(10), nil)
 	at := time.Duration(0)
 	var out []Send
@@ -149,7 +149,7 @@
 	}
 	at += 600 * msec
 	for i := 0; i < len(out) && b.window > 1e6; i++ { // one late answer after another
-		b.Handle(at, Outcome{ID: out[i].ID, Server: out[i].Server, Ending: Success, Latency: 600 * msec, Ended: true})
+		b.Handle(at, Outcome{ID: out[i].ID, Endpoint: out[i].Endpoint, Result: Success, Latency: 600 * msec, RequestDone: true})
 	}
 	if b.window > 600 {
 		t.Errorf("a window of %v", b.window)
@@ -160,20 +160,20 @@
 // at once changes nothing but levels, which stay.
 func TestMemoryIsHandedOnWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, err := New(func() Settings { s := testSettings(); s.Remember = minute; return s }(), 3)
+		b, err := New(func() Settings { s := testSettings(); s.SnapshotMaxAge = minute; return s }(), 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, ServerList{Full: true, Servers: servers(rapid.IntRange(1, 30).Draw(t, "servers"))})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(rapid.IntRange(1, 30).Draw(t, "servers"))})
 		now := time.Duration(0)
 		for i := range rapid.IntRange(0, 200).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * msec
 			for _, s := range sends(b.Handle(now, Request{ID: time.Duration(i).String(), Class: "get", Deadline: now + 1500*msec})) {
 				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * msec
-				b.Handle(now, Outcome{ID: s.ID, Server: s.Server, Ending: Ending(rapid.IntRange(0, 7).Draw(t, "ending")), Ended: true})
+				b.Handle(now, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Result(rapid.IntRange(0, 7).Draw(t, "ending")), RequestDone: true})
 			}
 		}
-		m := b.Learned(now)
+		m := b.Snapshot(now)
 		if err := m.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -181,30 +181,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read Memory
+		var read Snapshot
 		if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(m, read) {
 			t.Fatalf("%v: %+v is read as %+v", err, m, read)
 		}
 		for i := range m.Classes { // what is blended is rounded
 			c := &m.Classes[i]
-			c.Mean, c.Dev = math.Round(c.Mean), math.Round(c.Dev)
+			c.MeanLatency, c.LatencyDeviation = math.Round(c.MeanLatency), math.Round(c.LatencyDeviation)
 		}
 		next, err := New(b.set, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Handle(now, Recalled{Memory: read})
-		var list []Server
+		next.Handle(now, Restore{Snapshot: read})
+		var list []Endpoint
 		for _, s := range b.ready {
-			list = append(list, s.Server)
+			list = append(list, s.Endpoint)
 		}
-		next.Handle(now, ServerList{Full: true, Cached: true, Servers: list})
-		again := next.Learned(now)
+		next.Handle(now, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
+		again := next.Snapshot(now)
 		for i := range again.Classes {
 			c := &again.Classes[i]
-			c.Mean, c.Dev = math.Round(c.Mean), math.Round(c.Dev)
+			c.MeanLatency, c.LatencyDeviation = math.Round(c.MeanLatency), math.Round(c.LatencyDeviation)
 		}
-		if !reflect.DeepEqual(m.Servers, again.Servers) || again.Window < m.Window-1e-9 || !reflect.DeepEqual(m.Classes, again.Classes) {
+		if !reflect.DeepEqual(m.Endpoints, again.Endpoints) || again.LimitPerEndpoint < m.LimitPerEndpoint-1e-9 || !reflect.DeepEqual(m.Classes, again.Classes) {
 			t.Fatalf("%+v is handed on as %+v", m, again)
 		}
 	})
@@ -215,23 +215,23 @@
 	from, list := wide(b)
 	b.ResetTimer()
 	for range b.N {
-		from.Learned(minute)
+		from.Snapshot(minute)
 	}
 	_ = list
 }
 
 func BenchmarkRecalled(b *testing.B) {
 	from, list := wide(b)
-	text, err := json.Marshal(from.Learned(minute))
+	text, err := json.Marshal(from.Snapshot(minute))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(len(text))/float64(len(list)), "bytes/server")
 	set := testSettings()
-	set.Remember = minute
+	set.SnapshotMaxAge = minute
 	b.ResetTimer()
 	for range b.N {
-		var m Memory
+		var m Snapshot
 		if err := json.Unmarshal(text, &m); err != nil {
 			b.Fatal(err)
 		}
@@ -239,16 +239,16 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		next.Handle(minute, Recalled{Memory: m})
-		next.Handle(minute, ServerList{Full: true, Cached: true, Servers: list})
+		next.Handle(minute, Restore{Snapshot: m})
+		next.Handle(minute, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
 	}
 }
 
 // wide is a Balancer that knows something of each of 10,000 servers.
-func wide(b *testing.B) (*Balancer, []Server) {
+func wide(b *testing.B) (*Balancer, []Endpoint) {
 	from := newBalancer(b, remembering)
 	list := servers(10_000)
-	from.Handle(0, ServerList{Full: true, Servers: list})
+	from.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	for i, s := range from.ready {
 		s.samples, s.slow = 3, 0.1+float64(i)/1e5
 	}
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -51,28 +51,28 @@
 	b.now = max(b.now, now)
 	b.out = nil
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointUpdate:
 		b.takeList(e)
-	case ListFailed:
+	case SubscriptionFailed:
 		b.subFails++
 		b.askAgain()
 	case Request:
 		b.accept(e)
 	case Outcome:
 		b.takeOutcome(e)
-	case Taken:
+	case RequestBodySent:
 		b.takeTaken(e)
-	case Started:
+	case ResponseStarted:
 		b.takeStarted(e)
-	case ClientGone:
+	case ClientDisconnected:
 		if r := b.requests[e.ID]; r != nil {
 			b.close(r)
 		}
-	case Timer:
+	case TimerFired:
 		b.takeTimer(e)
-	case Retuned:
+	case Reconfigure:
 		b.retune(e.Settings)
-	case Recalled:
+	case Restore:
 		b.recall(e)
 	}
 	return b.out
@@ -80,7 +80,7 @@
 
 func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
 
-func (b *Balancer) takeTimer(e Timer) {
+func (b *Balancer) takeTimer(e TimerFired) {
 	if e.Token == "list" {
 		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
 			b.subWanted = 0
@@ -108,30 +108,30 @@
 		return
 	}
 	r.wake = at
-	b.do(Wake{At: at, Token: "r:" + r.id})
+	b.do(SetTimer{At: at, Token: "r:" + r.id})
 }
 
 // ---- Discovery ----
 
 // takeList applies news of the servers. A new boot time resets what is known of a server.
-func (b *Balancer) takeList(e ServerList) {
+func (b *Balancer) takeList(e EndpointUpdate) {
 	if e.Full {
 		for _, s := range b.servers {
 			s.listed = false
 		}
 	}
 	var news []*server
-	for _, n := range e.Servers {
+	for _, n := range e.Endpoints {
 		s := b.servers[n.ID]
 		fresh := s == nil
 		if fresh {
 			s = &server{}
 			b.servers[n.ID] = s
-		} else if s.Boot != n.Boot {
+		} else if s.StartTime != n.StartTime {
 			*s = server{calls: s.calls, open: s.open, watched: s.watched}
 		}
-		s.Server = n
-		s.listed = n.State != Gone
+		s.Endpoint = n
+		s.listed = n.State != Removed
 		if fresh {
 			b.remind(s)
 		}
@@ -219,7 +219,7 @@
 func (b *Balancer) takeSubset() []*server {
 	n := len(b.ready)
 	size := max(subsetLeast, int(math.Ceil(subsetShare*b.fairServers())))
-	if size >= n || b.set.Balancers <= 1 {
+	if size >= n || b.set.Replicas <= 1 {
 		return b.ready
 	}
 	var l []*server
@@ -227,8 +227,8 @@
 	for i := range size {
 		// Each block of the order has its own turn of the copies, lest fixed cliques share servers;
 		// a step that divides their number would leave some servers with more of them.
-		turn := (float64(b.set.Index*step%b.set.Balancers) + 0.5) / float64(b.set.Balancers)
-		for step++; gcd(step, b.set.Balancers) > 1; step++ {
+		turn := (float64(b.set.ReplicaIndex*step%b.set.Replicas) + 0.5) / float64(b.set.Replicas)
+		for step++; gcd(step, b.set.Replicas) > 1; step++ {
 		}
 		l = append(l, b.ready[int((float64(i)+turn)*float64(n)/float64(size))])
 	}
@@ -246,13 +246,13 @@
 // lose their subscription, together from swamping discovery; the wait doubles with each failure
 // but leaves time for two tries before the copy counts as told what it never heard.
 func (b *Balancer) askAgain() {
-	if !b.set.AskDiscovery {
+	if !b.set.PollDiscovery {
 		return
 	}
-	most := b.set.AskWithin / 4
+	most := b.set.PollInterval / 4
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	b.do(SetTimer{At: b.subWanted, Token: "list"})
 }
 
 // ---- Requests ----
@@ -265,8 +265,8 @@
 	if c == nil {
 		c = b.order[len(b.order)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, came: b.now, arrived: b.now, deadline: e.Deadline, repeat: e.Repeat,
-		cost: float64(e.Cost), most: max(1, b.set.MaxAttempts), long: e.Long}
+	r := &request{id: e.ID, class: c, came: b.now, arrived: b.now, deadline: e.Deadline, repeat: e.ClientRetry,
+		cost: float64(e.CostHint), most: max(1, b.set.MaxAttempts), long: e.StreamingBody}
 	b.requests[e.ID] = r
 	b.backdate(r)
 	for _, k := range b.order {
@@ -317,7 +317,7 @@
 		b.count(a)
 	}
 	b.owe(r.class, r.class.mean)
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(r.deadline-b.now, b.set.Tick)})
+	b.do(Send{ID: r.id, Endpoint: s.ID, Timeout: max(r.deadline-b.now, b.set.Tick)})
 }
 
 // count counts a call as one that the tiers below work on.
@@ -341,7 +341,7 @@
 		}
 	}
 	b.judge(a, e)
-	if e.Ending == Success && !a.req.answered && b.now <= a.req.arrived+a.req.class.Aim {
+	if e.Result == Success && !a.req.answered && b.now <= a.req.arrived+a.req.class.LatencyObjective {
 		a.req.class.serve++
 	}
 }
@@ -407,7 +407,7 @@
 	if len(b.ready) == 0 {
 		return last
 	}
-	aim := r.class.Aim
+	aim := r.class.LatencyObjective
 	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
 	return min(last, r.arrived+hold)
 }
@@ -430,7 +430,7 @@
 }
 
 // takeTaken starts the time of a long request.
-func (b *Balancer) takeTaken(e Taken) {
+func (b *Balancer) takeTaken(e RequestBodySent) {
 	if a := b.attempt(e.ID, e.Attempt); a != nil && a.req.long {
 		a.req.arrived += e.Deadline - a.req.deadline
 		a.req.long, a.req.deadline, a.sent = false, e.Deadline, b.now
@@ -439,12 +439,12 @@
 }
 
 // takeStarted settles a call by its first bytes: how long the rest takes is its reader's affair.
-func (b *Balancer) takeStarted(e Started) {
+func (b *Balancer) takeStarted(e ResponseStarted) {
 	a := b.attempt(e.ID, e.Attempt)
 	if a == nil || a.begun {
 		return
 	}
-	b.settle(a, Outcome{Attempt: a.n, Ending: Success})
+	b.settle(a, Outcome{Attempt: a.n, Result: Success})
 	a.begun, a.req.streaming = true, true
 	for _, o := range a.req.attempts {
 		if o != a {
@@ -464,7 +464,7 @@
 }
 
 func (b *Balancer) cancel(a *attempt) {
-	if !a.ended && b.set.MayCancel {
+	if !a.ended && b.set.Cancellation {
 		b.do(Cancel{ID: a.req.id, Attempt: a.n})
 	}
 }
@@ -476,22 +476,22 @@
 	}
 	r := a.req
 	a.ended = true
-	a.unsent = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
-	if e.Spent {
+	a.unsent = e.Result == Overloaded || e.Result == Unreachable || e.Result == NotSent
+	if e.BodyConsumed {
 		r.most = 0
 	}
 	r.out--
 	a.srv.calls--
 	if !a.begun {
 		b.settle(a, e)
-	} else if e.Ending == Failure || e.Ending == Broken {
+	} else if e.Result == Failure || e.Result == ConnectionLost {
 		b.judge(a, e)
 	}
 	if !a.srv.listed && a.srv.calls == 0 && b.servers[a.srv.ID] == a.srv {
 		delete(b.servers, a.srv.ID)
 	}
 	switch {
-	case e.Ended:
+	case e.RequestDone:
 		b.close(r)
 	case !r.answered && r.out == 0:
 		b.further(r)
@@ -670,17 +670,17 @@
 
 // inScope keeps a keyed request that may have run to the servers that discard its repeats.
 func (b *Balancer) inScope(r *request, s *server) bool {
-	if r.class.Effect != Keyed {
+	if r.class.Effect != WithIdempotencyKey {
 		return true
 	}
 	for _, a := range r.attempts {
 		if a.unsent {
 			continue
 		}
-		if r.class.Scope == ScopeZone && a.zone != s.Zone {
+		if r.class.IdempotencyScope == ScopeZone && a.zone != s.Zone {
 			return false
 		}
-		if r.class.Scope == ScopeCell && (a.cell != s.Cell || a.zone != s.Zone) {
+		if r.class.IdempotencyScope == ScopeCell && (a.cell != s.Cell || a.zone != s.Zone) {
 			return false
 		}
 	}
@@ -696,7 +696,7 @@
 	}
 	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
 	// cannot be repeated, nor many at once.
-	return s.level > 0 && s.goods == 0 && (r.class.Effect == Unsafe || s.calls > 0)
+	return s.level > 0 && s.goods == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
 }
 
 // ailing says that a server is out for its health, whatever the request.
@@ -718,7 +718,7 @@
 	s, c := a.srv, a.req.class
 	took := float64(b.now - a.sent)
 	bad := 0.0
-	switch e.Ending {
+	switch e.Result {
 	case Success:
 		b.tokens = min(retryPurse, b.tokens+retryEarn)
 		b.lastOK, s.lastOK = b.now, b.now
@@ -738,12 +738,12 @@
 		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.refusals
 		s.refusals = min(s.refusals+1, maxLevel)
 		return
-	case Failure, Broken, TimedOut:
+	case Failure, ConnectionLost, TimedOut:
 		bad = 1
-		if e.Ending == TimedOut {
+		if e.Result == TimedOut {
 			b.owe(c, took) // a server may work on for nobody
 		}
-	case Withdrawn:
+	case Cancelled:
 		if took > c.mean+tailSpread*c.dev {
 			b.judgeSpeed(s, a.req, took)
 		}
@@ -754,7 +754,7 @@
 	if bad > 0 {
 		s.streak++
 		s.goods = 0
-		// Errors that strike everywhere come from the tier below; ejecting on them would leave
+		// ErrorRate that strike everywhere come from the tier below; ejecting on them would leave
 		// nobody. A run counts only if the peers' error share makes it unlikely.
 		if math.Pow(b.errors, float64(s.streak)) < chance {
 			b.eject(s, c)
@@ -796,8 +796,8 @@
 
 // size is a server's registered capacity against others', where the list tells it.
 func (b *Balancer) size(s *server) float64 {
-	if s.Size > 0 && (b.set.Sizes == SizesNominal || b.set.Sizes == SizesRough) {
-		return s.Size
+	if s.Weight > 0 && (b.set.WeightKind == WeightNominal || b.set.WeightKind == WeightApproximate) {
+		return s.Weight
 	}
 	return 1
 }
@@ -810,8 +810,8 @@
 
 // warmth is the share of its capacity that a server surely has.
 func (b *Balancer) warmth(s *server) float64 {
-	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.set.WarmAfter {
+	age := b.now - s.StartTime
+	if s.StartTime <= 0 || age >= b.set.WarmAfter {
 		return 1
 	}
 	grown := max(0, float64(age)/float64(b.set.WarmAfter))
@@ -864,7 +864,7 @@
 func (b *Balancer) affordable(s *server, c *class) bool {
 	if b.now >= s.drawn {
 		capacity := max(b.pace/max(b.span, float64(b.set.FallFor)), // in calls an ns
-			1/(max(1, c.mean)*float64(max(1, b.set.Balancers))))
+			1/(max(1, c.mean)*float64(max(1, b.set.Replicas))))
 		part := float64(len(b.subset)) / float64(len(b.ready))
 		n := b.set.FallMultiple * b.warmth(s) * capacity / part * float64(b.set.FallFor)
 		s.allowed, s.drawn = int(coldSpent*n+b.rng.Float64()), b.now+b.set.FallFor
@@ -883,8 +883,8 @@
 		if a.unsent {
 			continue
 		}
-		last := a.sent + r.class.Window - 2*b.set.Tick
-		if r.class.Effect == Unsafe || r.class.Effect == Keyed && b.now >= last {
+		last := a.sent + r.class.IdempotencyWindow - 2*b.set.Tick
+		if r.class.Effect == NonIdempotent || r.class.Effect == WithIdempotencyKey && b.now >= last {
 			return false
 		}
 	}
@@ -942,22 +942,22 @@
 
 // fairServers is how many servers there are for each copy of this tier.
 func (b *Balancer) fairServers() float64 {
-	return float64(len(b.ready)) / float64(max(1, b.set.Balancers))
+	return float64(len(b.ready)) / float64(max(1, b.set.Replicas))
 }
 
 // steer moves the window so that the mean latency stays at a set part of the aim: crowded servers
 // choke and stay slow, so the crowd must wait or be refused here. The nearer to a crowd, the slower it grows:
 // one let in a moment ago shows only when its answers come.
 func (b *Balancer) steer(r *request, e Outcome) {
-	switch e.Ending {
-	case Withdrawn, Void, Failure, Broken: // they tell of other things than a crowd
+	switch e.Result {
+	case Cancelled, NotSent, Failure, ConnectionLost: // they tell of other things than a crowd
 		return
 	}
 	if b.set.Tier > 0 {
 		return
 	}
-	over := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
-	if e.Ending != Success {
+	over := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.LatencyObjective)
+	if e.Result != Success {
 		over = max(over, 1)
 	}
 	answers := b.window + 16 // that come while one is out, and some against noise
@@ -1001,17 +1001,17 @@
 	var total float64
 	worst := c
 	for _, k := range b.order {
-		total += k.Worth * k.arrive
+		total += k.PriorityWeight * k.arrive
 		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
 			worst = k
 		}
 	}
-	v := b.set.WholeWeight * c.Worth / max(total, 1e-9)
+	v := b.set.TotalValueWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.set.ClassWeight / max(c.arrive, 1e-9)
+		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
 	}
 	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateShare
+		v *= c.LateCredit
 	}
 	return v / c.mean
 }
@@ -1026,7 +1026,7 @@
 	}
 	harmless := true
 	for _, a := range r.attempts {
-		if !a.unsent && (r.class.Effect == Unsafe || r.class.Effect == Keyed && r.class.Scope != ScopeAll) {
+		if !a.unsent && (r.class.Effect == NonIdempotent || r.class.Effect == WithIdempotencyKey && r.class.IdempotencyScope != ScopeAll) {
 			harmless = false
 		}
 	}
@@ -1036,7 +1036,7 @@
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Refuse{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
 	} else {
 		b.do(Fail{ID: r.id})
 	}
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -19,14 +19,14 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "get", Effect: Idempotent, IdempotencyScope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Effect: WithIdempotencyKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
-		MaxAttempts: 5, SecondCopies: true, MayCancel: true, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		Replicas: 2, Tier: 0, TotalValueWeight: 0.6, WorstClassWeight: 0.3,
+		MaxAttempts: 5, Hedging: true, Cancellation: true, Tick: 2 * msec,
+		PollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
 		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
 	}
 }
@@ -44,10 +44,10 @@
 	return b
 }
 
-func servers(n int) []Server {
-	var l []Server
+func servers(n int) []Endpoint {
+	var l []Endpoint
 	for i := range n {
-		l = append(l, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
 	return l
 }
@@ -67,7 +67,7 @@
 	mk := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
 		}
 		return l
 	}
@@ -120,9 +120,9 @@
 func TestCopiesShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
-	a.Handle(0, ServerList{Full: true, Servers: l})
+	a.Handle(0, EndpointUpdate{Full: true, Endpoints: l})
 	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, ServerList{Servers: l[i : i+1]})
+		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
 	}
 	for i := range l {
 		if a.ready[i].ID != b.ready[i].ID {
@@ -136,12 +136,12 @@
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
-		var next Wake
+		var next SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -149,30 +149,30 @@
 			t.Fatalf("at %v neither an answer nor a timer", now)
 		}
 		now = max(now+2*msec, next.At-500) // half a microsecond early
-		acts = b.Handle(now, Timer{Token: next.Token})
+		acts = b.Handle(now, TimerFired{Token: next.Token})
 	}
 	t.Fatal("no final answer in time")
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
-	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
+func settle(b *Balancer, now time.Duration, id string, s Send, e Result) []Action {
+	return b.Handle(now, Outcome{ID: id, Endpoint: s.Endpoint, Result: e, RequestDone: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
+func traffic(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
 			if i >= n/2 {
-				got[s.Server]++
+				got[s.Endpoint]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				e := fate(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, RequestDone: e == Success}))
 				if len(again) == 0 {
 					break
 				}
@@ -185,10 +185,10 @@
 
 // A server that errs at once drains its count; without ejection it would win every draw.
 func TestFastErrorsAreEjected(t *testing.T) {
-	for _, e := range []Ending{Failure, Unreachable, Broken} {
+	for _, e := range []Result{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-		got := traffic(b, 600, "get", func(s string) Ending {
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
+		got := traffic(b, 600, "get", func(s string) Result {
 			if s == "s03" {
 				return e
 			}
@@ -203,8 +203,8 @@
 // When every server fails alike the trouble is below them: nobody may be starved of calls.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-	got := traffic(b, 800, "get", func(string) Ending { return Failure })
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
+	got := traffic(b, 800, "get", func(string) Result { return Failure })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
@@ -213,13 +213,13 @@
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
 	stuck, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		now += 20 * msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
-			if s.Server == "s03" {
+			if s.Endpoint == "s03" {
 				stuck++
 			} else {
 				settle(b, now+10*msec, id, s, Success)
@@ -234,14 +234,14 @@
 // After an ejection the first trial must not be a request that cannot be repeated.
 func TestTrialIsNeverUnsafe(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
 	s := b.servers["s03"]
 	s.level, s.until = 1, 0
 	b.watch(s)
-	if got := traffic(b, 400, "pay", func(string) Ending { return Success }); got["s03"] != 0 {
+	if got := traffic(b, 400, "pay", func(string) Result { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) Ending { return Success }); got["s03"] == 0 {
+	if got := traffic(b, 400, "get", func(string) Result { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
@@ -256,8 +256,8 @@
 	}
 	drawn := map[string]int{}
 	for me := range copies {
-		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, me })
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = copies, me })
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 		right, cells := 0, map[int]int{}
 		for _, s := range b.subset {
 			drawn[s.ID]++
@@ -281,8 +281,8 @@
 			t.Errorf("server %s is drawn from by %.0f copies, mean %.0f", s.ID, n, mean)
 		}
 	}
-	b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, 7 })
-	b.Handle(0, ServerList{Full: true, Servers: list[:subsetLeast]})
+	b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = copies, 7 })
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: list[:subsetLeast]})
 	if len(b.subset) != subsetLeast {
 		t.Errorf("a list of a subset's length is cut to %d", len(b.subset))
 	}
@@ -291,14 +291,14 @@
 // Where the list tells sizes, a server is drawn in proportion; where it does not, or tells a load of
 // a while ago, all alike.
 func TestDrawsFollowRegisteredSizes(t *testing.T) {
-	for kind, want := range map[Sizes]float64{SizesNominal: 3, SizesRough: 3, SizesUnknown: 1, SizesLive: 1} {
-		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
+	for kind, want := range map[WeightKind]float64{WeightNominal: 3, WeightApproximate: 3, WeightUnknown: 1, WeightLive: 1} {
+		b := newBalancer(t, func(s *Settings) { s.WeightKind = kind })
 		list := servers(8)
 		for i := range list {
-			list[i].Size = []float64{1, 3}[i%2]
+			list[i].Weight = []float64{1, 3}[i%2]
 		}
-		b.Handle(0, ServerList{Full: true, Servers: list})
-		got, large, small := traffic(b, 8000, "get", func(string) Ending { return Success }), 0, 0
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
+		got, large, small := traffic(b, 8000, "get", func(string) Result { return Success }), 0, 0
 		for i, s := range list {
 			if i%2 == 1 {
 				large += got[s.ID]
@@ -317,7 +317,7 @@
 func TestDrawsFollowMeasuredSpeed(t *testing.T) {
 	for _, heavy := range []time.Duration{0, 16} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
 		got, n, now := 0, 0, time.Duration(0)
 		for i := range 4000 {
 			id, cost := fmt.Sprint(i), 10*msec
@@ -325,12 +325,12 @@
 				cost *= heavy
 			}
 			now += time.Second
-			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, Cost: cost})) {
+			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, CostHint: cost})) {
 				took := 100 * msec
-				if s.Server == "s03" && (heavy == 0 || cost > 10*msec) {
+				if s.Endpoint == "s03" && (heavy == 0 || cost > 10*msec) {
 					took *= 2
 				}
-				if n++; s.Server == "s03" {
+				if n++; s.Endpoint == "s03" {
 					got++
 				}
 				settle(b, now+took, id, s, Success)
@@ -345,17 +345,17 @@
 
 // A small machine is slower by nature: that is no sign of trouble, and no reason to thin its draw twice.
 func TestSmallMachinesAreNotTakenForSlow(t *testing.T) {
-	for kind, slow := range map[Sizes]bool{SizesNominal: false, SizesUnknown: true} {
-		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
+	for kind, slow := range map[WeightKind]bool{WeightNominal: false, WeightUnknown: true} {
+		b := newBalancer(t, func(s *Settings) { s.WeightKind = kind })
 		list := servers(4)
 		for i := range list {
-			list[i].Size = []float64{1, 3}[i/2]
+			list[i].Weight = []float64{1, 3}[i/2]
 		}
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 		for i := range 400 {
 			now, id := time.Duration(i)*time.Second, fmt.Sprint(i)
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-				settle(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
+				settle(b, now+time.Duration(120/b.servers[s.Endpoint].Weight)*msec, id, s, Success)
 			}
 		}
 		if got := max(b.servers["s00"].slow, b.servers["s01"].slow); got > 0.3 != slow {
@@ -367,23 +367,23 @@
 // A deploy can leave a copy with cold servers only in its subset: while there are warm ones in the list
 // it must go there, or all copies that share the cold ones push them over.
 func TestWarmStrangersBeforeColdFriends(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers, s.ColdFrom = 100, 0 })
+	b := newBalancer(t, func(s *Settings) { s.Replicas, s.ColdFrom = 100, 0 })
 	list := servers(40)
-	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
+	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: list})
 	cold := map[string]bool{}
 	for _, s := range b.subset {
 		cold[s.ID] = true
 	}
 	for i := range list {
 		if cold[list[i].ID] {
-			list[i].Boot = time.Minute
+			list[i].StartTime = time.Minute
 		}
 	}
-	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
+	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: list})
 	for i := range 20 {
 		for _, s := range sends(b.Handle(time.Minute+time.Duration(i)*msec, Request{ID: fmt.Sprint(i), Class: "get",
 			Deadline: 2 * time.Minute})) {
-			if cold[s.Server] {
+			if cold[s.Endpoint] {
 				t.Fatalf("request %d went to a server that started %d ms ago", i, i)
 			}
 		}
@@ -394,7 +394,7 @@
 // others are not; one call never rules a server out, for the comparison is the pick's.
 func TestCrowdedServersArePassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(6)})
 	for _, tc := range []struct{ calls, ok [6]int }{
 		{[6]int{2, 1, 0, 0, 1, 0}, [6]int{0, 1, 1, 1, 1, 1}},
 		{[6]int{3, 2, 2, 1, 2, 3}, [6]int{0, 1, 1, 1, 1, 0}},
@@ -423,14 +423,14 @@
 // up is bounded.
 func TestRetriesKeepWithinTheirBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	traffic(b, 2000, "get", func(string) Ending { return Success })
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
+	traffic(b, 2000, "get", func(string) Result { return Success })
 	again := 0
 	for i := range 200 {
 		now, id := b.now+20*msec, fmt.Sprint("bad", i)
 		l := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))
 		for k := 0; len(l) > 0; k++ {
-			l = sends(b.Handle(now+msec, Outcome{ID: id, Attempt: k, Server: l[0].Server, Ending: Failure}))
+			l = sends(b.Handle(now+msec, Outcome{ID: id, Attempt: k, Endpoint: l[0].Endpoint, Result: Failure}))
 			again += len(l)
 		}
 	}
@@ -446,7 +446,7 @@
 		want int
 	}{{300 * msec, 1}, {899 * msec, 0}, {1000 * msec, 0}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(8)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(8)})
 		s := sends(b.Handle(0, Request{ID: "k", Class: "post", Deadline: 1500 * msec}))[0]
 		if got := len(sends(settle(b, tc.at, "k", s, Failure))); got != tc.want {
 			t.Errorf("failed after %v: sent again %d times, want %d", tc.at, got, tc.want)
@@ -457,16 +457,16 @@
 // An unanswered call is a sign of silence once calls sent later were answered elsewhere, not before.
 func TestSilenceNeedsAnswersElsewhere(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	stuck := b.servers[sends(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0].Server]
-	b.Handle(5*time.Second, Timer{Token: "x"})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
+	stuck := b.servers[sends(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0].Endpoint]
+	b.Handle(5*time.Second, TimerFired{Token: "x"})
 	if b.silent(stuck) {
 		t.Error("silent although nothing was answered anywhere")
 	}
 	now := 5 * time.Second
 	s := sends(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
 	settle(b, now+10*msec, "new", s, Success)
-	if s.Server != stuck.ID && !b.unfit(stuck, &request{class: b.classes["get"]}) || b.silent(b.servers[s.Server]) && s.Server != stuck.ID {
+	if s.Endpoint != stuck.ID && !b.unfit(stuck, &request{class: b.classes["get"]}) || b.silent(b.servers[s.Endpoint]) && s.Endpoint != stuck.ID {
 		t.Error("the wrong server is taken for silent")
 	}
 }
@@ -475,11 +475,11 @@
 func TestRestartForgetsTheServersRecord(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := servers(4)
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	s := b.servers["s01"]
 	s.until, s.level, s.slow = time.Hour, 3, 1
-	list[1].Boot = time.Second
-	b.Handle(2*time.Second, ServerList{Servers: list[1:2]})
+	list[1].StartTime = time.Second
+	b.Handle(2*time.Second, EndpointUpdate{Endpoints: list[1:2]})
 	if s := b.servers["s01"]; s.until != 0 || s.level != 0 || s.slow != 0 {
 		t.Errorf("after its restart: %+v", s)
 	}
@@ -492,7 +492,7 @@
 		grow bool
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
 		start, now := b.window, time.Duration(0)
 		var open []Send
 		for i := range 3000 {
@@ -517,7 +517,7 @@
 func TestWindowJudgesLatencyByQuietTimes(t *testing.T) {
 	window := func(before, after time.Duration) float64 {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(4)})
 		b.window = 40
 		r := &request{class: b.classes["get"], attempts: []*attempt{{}}}
 		for i := range 400 {
@@ -525,7 +525,7 @@
 			if i >= 300 {
 				b.now, b.inFlight = after, 40
 			}
-			if b.steer(r, Outcome{Ending: Success}); i == 300 {
+			if b.steer(r, Outcome{Result: Success}); i == 300 {
 				b.window = 40
 			}
 		}
@@ -540,9 +540,9 @@
 // what a copy has out stays under one on the average, though two may go at once after a rest. A call
 // that timed out is held against it as well, for the server may still work on it.
 func TestManyCopiesKeepUnderOneCallEach(t *testing.T) {
-	for _, end := range []Ending{Success, TimedOut} {
-		b := newBalancer(t, func(s *Settings) { s.Balancers, s.MaxAttempts = 100, 1 })
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	for _, end := range []Result{Success, TimedOut} {
+		b := newBalancer(t, func(s *Settings) { s.Replicas, s.MaxAttempts = 100, 1 })
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
 		const took, gap, n = 300 * msec, 25 * msec, 1200
 		type call struct {
 			Send
@@ -577,7 +577,7 @@
 // copies of incident i587823 refused nearly all for five seconds.
 func TestNothingIsOwedFromAWideWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(1)})
 	for i := range 400 {
 		now := time.Duration(i) * 5 * msec
 		b.window = 3
@@ -596,14 +596,14 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes":              func(s *Settings) { s.Classes = nil },
 		"Classes[0].Name":      func(s *Settings) { s.Classes[0].Name = "" },
-		"Classes[2].Aim":       func(s *Settings) { s.Classes[2].Aim = 0 },
+		"Classes[2].Aim":       func(s *Settings) { s.Classes[2].LatencyObjective = 0 },
 		"Classes[1].Deadline":  func(s *Settings) { s.Classes[1].Deadline = -1 },
-		"Classes[1].Window":    func(s *Settings) { s.Classes[1].Window = -1 },
-		"Classes[0].Worth":     func(s *Settings) { s.Classes[0].Worth = math.NaN() },
-		"Classes[0].LateShare": func(s *Settings) { s.Classes[0].LateShare = 2 },
+		"Classes[1].Window":    func(s *Settings) { s.Classes[1].IdempotencyWindow = -1 },
+		"Classes[0].Worth":     func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"Classes[0].LateShare": func(s *Settings) { s.Classes[0].LateCredit = 2 },
 		"ColdFrom":             func(s *Settings) { s.ColdFrom = 1.5 },
 		"WarmAfter":            func(s *Settings) { s.WarmAfter = -1 },
-		"Index":                func(s *Settings) { s.Index = -1 },
+		"Index":                func(s *Settings) { s.ReplicaIndex = -1 },
 		"FallMultiple":         func(s *Settings) { s.FallMultiple = math.NaN() },
 	} {
 		want := "setting " + want + " is"
@@ -618,12 +618,12 @@
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(1)})
 	b.window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
-	b.classes["get"].LateShare = 0.5
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
+	b.classes["get"].LateCredit = 0.5
 	b.inFlight = int(windowFloor*b.fairServers()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
@@ -654,7 +654,7 @@
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+		b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(20)})
 		for _, s := range b.ready[:10] {
 			s.until = time.Minute
 			b.watch(s)
@@ -671,7 +671,7 @@
 // calls than it had, however many others refuse too, and is tried again later.
 func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(10)})
 	now, id := msec, 0
 	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
 	refused := func(n int) (count int) {
@@ -681,13 +681,13 @@
 			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
 			for try := 0; len(todo) > 0; try++ {
 				end := Success
-				if full[todo[0].Server] {
+				if full[todo[0].Endpoint] {
 					end = Unreachable
 					count++
 				}
 				now += 2 * msec
-				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
+					Result: end, RequestDone: end == Success}))
 			}
 		}
 		return count
@@ -708,13 +708,13 @@
 // An answer that broke off says nothing of how crowded the servers are, however soon it came.
 func TestBrokenAnswersLeaveTheWindow(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(10)})
 	b.window = 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
 		b.now, b.inFlight = 200*msec, int(b.window)
 		before := b.fill
-		if b.steer(r, Outcome{Ending: Broken}); b.fill != before {
+		if b.steer(r, Outcome{Result: ConnectionLost}); b.fill != before {
 			t.Fatalf("a broken answer took fill from %.2f to %.2f", before, b.fill)
 		}
 	}
@@ -728,7 +728,7 @@
 func TestSheddingLeavesTheWindow(t *testing.T) {
 	window := func(shed, spread float64) float64 {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+		b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(10)})
 		b.window, b.fill = 100, 0.4
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 		for i := range 50 {
@@ -737,7 +737,7 @@
 				s.samples, s.slow = 5, spread*float64(k%2)
 			}
 			b.now, b.inFlight = 200*msec, int(b.window)
-			if b.steer(r, Outcome{Ending: Success}); b.fill < 0.39 {
+			if b.steer(r, Outcome{Result: Success}); b.fill < 0.39 {
 				t.Fatalf("fill fell to %.2f at answer %d", b.fill, i)
 			}
 		}
@@ -754,14 +754,14 @@
 // or a steady mean looks like a crowd half of the time and holds the window at its floor.
 func TestWindowBearsUnevenWork(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(4)})
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	start := b.window
 	for range 2000 {
 		b.now = time.Duration(math.Exp(rng.NormFloat64()) * float64(60*msec))
 		b.inFlight = int(b.window)
-		b.steer(r, Outcome{Ending: Success})
+		b.steer(r, Outcome{Result: Success})
 	}
 	if b.window < 4*start {
 		t.Errorf("steady uneven work took the window from %.1f to %.1f", start, b.window)
@@ -772,7 +772,7 @@
 func TestHeldForLessThanHalf(t *testing.T) {
 	for _, n := range []int{0, 2} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(n)})
+		b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(n)})
 		b.window, b.inFlight = 1, windowLeast
 		const came, left = 2 * msec, 400 * msec
 		var refused time.Duration
@@ -781,9 +781,9 @@
 			a := acts[0]
 			acts = acts[1:]
 			switch a := a.(type) {
-			case Wake:
-				acts = append(acts, b.Handle(a.At, Timer{Token: a.Token})...)
-			case Refuse, Fail:
+			case SetTimer:
+				acts = append(acts, b.Handle(a.At, TimerFired{Token: a.Token})...)
+			case Reject, Fail:
 				refused = b.now
 			}
 		}
@@ -796,13 +796,13 @@
 // A refused client is not sent away for long: it would come back when its aim is mostly over.
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(msec, EndpointUpdate{Full: true, Endpoints: servers(2)})
 	b.window, b.inFlight = 1, windowLeast
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
-	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit {
+	for _, a := range b.Handle(600*msec, TimerFired{Token: "r:a"}) {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -814,17 +814,17 @@
 // Operators see how many servers are kept out for their health, and no more than are.
 func TestAvoidedCountsTheServersKeptOut(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-	if n := b.Avoided(0); n != 0 {
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(10)})
+	if n := b.EjectedCount(0); n != 0 {
 		t.Errorf("%d avoided at the start", n)
 	}
 	for i, s := range b.ready[:4] {
 		b.eject(s, b.classes["get"])
-		if n := b.Avoided(0); n != min(i+1, 2) {
+		if n := b.EjectedCount(0); n != min(i+1, 2) {
 			t.Errorf("%d ejected, %d avoided; 2 of 10 may be", i+1, n)
 		}
 	}
-	if n := b.Avoided(time.Hour); n != 0 {
+	if n := b.EjectedCount(time.Hour); n != 0 {
 		t.Errorf("%d avoided when every ejection is over", n)
 	}
 }
@@ -833,19 +833,19 @@
 // what was learned stays.
 func TestNewSettingsBindNewRequests(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(8)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(8)})
 	b.classes["get"].mean, b.window = float64(77*msec), 33
 	b.ready[0].slow = 0.5
 	sent := sends(b.Handle(0, Request{ID: "old", Class: "get", Deadline: 1500 * msec}))[0]
 	next := testSettings()
 	next.MaxAttempts = 1
-	next.Classes[0].Effect = Unsafe
-	next.Classes[2] = Class{Name: "put", Effect: Safe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1}
-	b.Handle(msec, Retuned{Settings: next})
+	next.Classes[0].Effect = NonIdempotent
+	next.Classes[2] = Class{Name: "put", Effect: Idempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1}
+	b.Handle(msec, Reconfigure{Settings: next})
 	if b.classes["get"].mean != float64(77*msec) || b.window != 33 || b.ready[0].slow != 0.5 {
 		t.Error("what was learned is lost")
 	}
-	if again := sends(b.Handle(2*msec, Outcome{ID: "old", Server: sent.Server, Ending: Failure})); len(again) != 1 {
+	if again := sends(b.Handle(2*msec, Outcome{ID: "old", Endpoint: sent.Endpoint, Result: Failure})); len(again) != 1 {
 		t.Errorf("the request in hand, safe when it came, got %d more attempts", len(again))
 	}
 	for id, class := range map[string]string{"now unsafe": "get", "new": "put"} {
@@ -853,11 +853,11 @@
 		if len(s) != 1 {
 			t.Fatalf("%s: %d sends", id, len(s))
 		}
-		if again := sends(b.Handle(4*msec, Outcome{ID: id, Server: s[0].Server, Ending: Failure})); len(again) > 0 {
+		if again := sends(b.Handle(4*msec, Outcome{ID: id, Endpoint: s[0].Endpoint, Result: Failure})); len(again) > 0 {
 			t.Errorf("%s: a second attempt, of 1", id)
 		}
 	}
-	b.Handle(5*msec, Retuned{})
+	b.Handle(5*msec, Reconfigure{})
 	if b.set.MaxAttempts != 1 || b.classes["put"] == nil {
 		t.Error("settings that make no sense were taken")
 	}
@@ -866,17 +866,17 @@
 // A long answer is judged by its first bytes, and no longer holds the window; what breaks later counts
 // against the server, what its reader breaks off does not.
 func TestLongAnswerIsJudgedByItsFirstBytes(t *testing.T) {
-	for ending, bad := range map[Ending]int{Success: 0, Withdrawn: 0, Broken: 1} {
+	for ending, bad := range map[Result]int{Success: 0, Cancelled: 0, ConnectionLost: 1} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
 		s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
-		srv := b.servers[s.Server]
-		b.Handle(100*msec, Started{ID: "a"})
+		srv := b.servers[s.Endpoint]
+		b.Handle(100*msec, ResponseStarted{ID: "a"})
 		if b.inFlight != 0 || srv.calls != 1 || srv.lastOK != 100*msec || b.classes["get"].serve != 1 {
 			t.Errorf("begun: %d in flight, %d calls, last good at %v", b.inFlight, srv.calls, srv.lastOK)
 		}
 		mean := b.classes["get"].mean
-		acts := b.Handle(time.Hour, Outcome{ID: "a", Server: s.Server, Ending: ending, Ended: true})
+		acts := b.Handle(time.Hour, Outcome{ID: "a", Endpoint: s.Endpoint, Result: ending, RequestDone: true})
 		if len(acts) > 0 || srv.calls != 0 || srv.streak != bad || b.inFlight != 0 || len(b.requests) > 0 {
 			t.Errorf("ending %d: %v, %d calls, streak %d", ending, acts, srv.calls, srv.streak)
 		}
@@ -890,9 +890,9 @@
 // window nothing to hold; what cannot be sent again is not.
 func TestLongRequestCountsFromItsLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec, Long: true}))[0]
-	srv := b.servers[s.Server]
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
+	s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec, StreamingBody: true}))[0]
+	srv := b.servers[s.Endpoint]
 	if b.inFlight != 0 || srv.calls != 1 {
 		t.Errorf("before its last byte: %d in flight, %d calls", b.inFlight, srv.calls)
 	}
@@ -901,22 +901,22 @@
 	if b.silent(srv) {
 		t.Error("a server is silent before it has the request")
 	}
-	b.Handle(5000*msec, Taken{ID: "a", Deadline: 6500 * msec})
+	b.Handle(5000*msec, RequestBodySent{ID: "a", Deadline: 6500 * msec})
 	if r := b.requests["a"]; r.deadline != 6500*msec || r.arrived != 5000*msec || b.inFlight != 1 {
 		t.Errorf("taken: deadline %v, arrived %v, %d in flight", r.deadline, r.arrived, b.inFlight)
 	}
 	mean := b.classes["get"].mean
-	b.Handle(5100*msec, Outcome{ID: "a", Server: s.Server, Ending: Success, Ended: true})
+	b.Handle(5100*msec, Outcome{ID: "a", Endpoint: s.Endpoint, Result: Success, RequestDone: true})
 	if m := b.classes["get"].mean; m >= mean || b.inFlight != 0 {
 		t.Errorf("the time of the body counts as the server's: mean %v after %v", m, mean)
 	}
 
-	b.Handle(6000*msec, Request{ID: "b", Class: "get", Deadline: 7500 * msec, Long: true})
-	acts := b.Handle(6010*msec, Outcome{ID: "b", Ending: Unreachable, Spent: true})
+	b.Handle(6000*msec, Request{ID: "b", Class: "get", Deadline: 7500 * msec, StreamingBody: true})
+	acts := b.Handle(6010*msec, Outcome{ID: "b", Result: Unreachable, BodyConsumed: true})
 	if len(acts) != 1 {
 		t.Fatalf("a spent body: %v", acts)
 	}
-	if _, refused := acts[0].(Refuse); !refused {
+	if _, refused := acts[0].(Reject); !refused {
 		t.Errorf("a spent body that never ran: %v", acts[0])
 	}
 }
@@ -929,7 +929,7 @@
 		want    int
 	}{{4, 0, 1}, {3, 0.4, 1}, {2, 0, 0}, {1, 0, 0}, {4, 0.6, 0}, {10, 0, 2}, {9, 0, 1}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(c.servers)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(c.servers)})
 		b.shed = c.shed
 		for _, s := range b.ready {
 			b.eject(s, b.classes["get"])
@@ -949,7 +949,7 @@
 			t.Fatal(err)
 		}
 		list := servers(rapid.IntRange(1, 12).Draw(t, "servers"))
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 		type call struct {
 			id string
 			Send
@@ -971,13 +971,13 @@
 				k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 				c := out[k]
 				out = append(out[:k:k], out[k+1:]...)
-				e := rapid.SampledFrom([]Ending{Success, Failure, TimedOut, Broken, Overloaded}).Draw(t, "ending")
-				did = b.Handle(now, Outcome{ID: c.id, Attempt: c.n, Server: c.Server, Ending: e, Ended: e == Success})
+				e := rapid.SampledFrom([]Result{Success, Failure, TimedOut, ConnectionLost, Overloaded}).Draw(t, "ending")
+				did = b.Handle(now, Outcome{ID: c.id, Attempt: c.n, Endpoint: c.Endpoint, Result: e, RequestDone: e == Success})
 			case 5:
 				k := rapid.IntRange(0, len(list)-1).Draw(t, "server")
-				list[k].State = ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
-				list[k].Boot += time.Duration(rapid.IntRange(0, 1).Draw(t, "boot"))
-				did = b.Handle(now, ServerList{Servers: list[k : k+1]})
+				list[k].State = EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
+				list[k].StartTime += time.Duration(rapid.IntRange(0, 1).Draw(t, "boot"))
+				did = b.Handle(now, EndpointUpdate{Endpoints: list[k : k+1]})
 			}
 			for _, a := range did {
 				if s, is := a.(Send); is {
@@ -1025,8 +1025,8 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		start := func() *Balancer {
-			bal := newBalancer(b, func(s *Settings) { s.Balancers = max(2, n/10) })
-			bal.Handle(0, ServerList{Full: true, Servers: servers(n)})
+			bal := newBalancer(b, func(s *Settings) { s.Replicas = max(2, n/10) })
+			bal.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(n)})
 			return bal
 		}
 		b.Run(fmt.Sprintf("request/%d", n), func(b *testing.B) {
@@ -1043,8 +1043,8 @@
 			bal, now, list := start(), time.Duration(0), servers(n)
 			for i := 0; b.Loop(); i++ {
 				now += msec
-				list[0].State = ServerState(i % 2)
-				bal.Handle(now, ServerList{Servers: list[:1]})
+				list[0].State = EndpointState(i % 2)
+				bal.Handle(now, EndpointUpdate{Endpoints: list[:1]})
 			}
 		})
 	}
@@ -1056,17 +1056,17 @@
 	for _, copies := range []int{3, 30, 300} {
 		rng := rand.New(rand.NewPCG(uint64(copies), 1))
 		set := testSettings()
-		set.Balancers = copies
+		set.Replicas = copies
 		const listed, left, rate = 20, 2, 200.0 // requests a second
 		all := servers(listed)
 		var bs []*Balancer
 		for i := range copies {
-			set.Index = i
+			set.ReplicaIndex = i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: all})
+			b.Handle(0, EndpointUpdate{Full: true, Endpoints: all})
 			bs = append(bs, b)
 		}
 		type end struct {
@@ -1079,9 +1079,9 @@
 		shrink, over := 10*time.Second, 19*time.Second // by then they are warm
 		do := func(b *Balancer, now time.Duration, acts []Action) {
 			for _, s := range sends(acts) {
-				ends = append(ends, end{now + 100*msec, b, Outcome{ID: s.ID, Server: s.Server, Ending: Success, Ended: true}})
+				ends = append(ends, end{now + 100*msec, b, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Success, RequestDone: true}})
 				if now >= shrink {
-					sent[s.Server] = append(sent[s.Server], now)
+					sent[s.Endpoint] = append(sent[s.Endpoint], now)
 				}
 			}
 		}
@@ -1095,9 +1095,9 @@
 				for _, b := range bs {
 					cold := slices.Clone(all[:left])
 					for i := range cold {
-						cold[i].Boot = shrink - time.Second
+						cold[i].StartTime = shrink - time.Second
 					}
-					do(b, now, b.Handle(now, ServerList{Full: true, Servers: cold}))
+					do(b, now, b.Handle(now, EndpointUpdate{Full: true, Endpoints: cold}))
 				}
 				n = -1 << 30
 			}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -13,7 +13,7 @@
 type checker struct {
 	set    Settings
 	slack  time.Duration
-	state  map[string]ServerState
+	state  map[string]EndpointState
 	cells  map[string]int
 	zones  map[string]string
 	reqs   map[string]*tracked
@@ -31,11 +31,11 @@
 	server string
 	at     time.Duration
 	over   bool
-	ending Ending
+	ending Result
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+	return &checker{set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
 		zones: map[string]string{}, reqs: map[string]*tracked{}}
 }
 
@@ -44,23 +44,23 @@
 }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotSent)
 }
 
 func (c *checker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointUpdate:
 		if e.Full {
 			for id := range c.state {
-				c.state[id] = Gone
+				c.state[id] = Removed
 			}
 		}
-		for _, s := range e.Servers {
+		for _, s := range e.Endpoints {
 			c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: Unsafe}
+			cl := Class{Effect: NonIdempotent}
 			for _, k := range c.set.Classes {
 				if k.Name == e.Class {
 					cl = k
@@ -72,11 +72,11 @@
 		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
 			t := r.tries[e.Attempt]
 			if !t.over {
-				t.over, t.ending = true, e.Ending
-				r.ended = r.ended || e.Ended
+				t.over, t.ending = true, e.Result
+				r.ended = r.ended || e.RequestDone
 			}
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := c.reqs[e.ID]; r != nil {
 			r.ended = true
 		}
@@ -94,10 +94,10 @@
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.tries {
-					loose := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+					loose := r.class.Effect == Idempotent || r.class.Effect == WithIdempotencyKey && r.class.IdempotencyScope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
 					}
@@ -109,7 +109,7 @@
 			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
 				c.fault("cancel of an attempt never made")
 			}
-			if !c.set.MayCancel {
+			if !c.set.Cancellation {
 				c.fault("cancel is not allowed")
 			}
 		}
@@ -132,54 +132,54 @@
 		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Server]
+	state, known := c.state[a.Endpoint]
 	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Endpoint)
 	}
 	if len(r.tries) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
 	}
 	for _, t := range r.tries {
-		if !t.over && !c.set.SecondCopies {
+		if !t.over && !c.set.Hedging {
 			c.fault("second copy of %s", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
 		}
 		switch r.class.Effect {
-		case Unsafe:
+		case NonIdempotent:
 			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case Keyed:
-			if now > t.at+r.class.Window {
+		case WithIdempotencyKey:
+			if now > t.at+r.class.IdempotencyWindow {
 				c.fault("rule 2: %s sent again outside its window", a.ID)
 			}
-			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
-				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+			if r.class.IdempotencyScope != ScopeAll && c.zones[t.server] != c.zones[a.Endpoint] ||
+				r.class.IdempotencyScope == ScopeCell && c.cells[t.server] != c.cells[a.Endpoint] {
 				c.fault("rule 2: %s sent again outside its scope", a.ID)
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.tries = append(r.tries, &tracking{server: a.Endpoint, at: now})
 }
 
 // TestCheckerCanFail gives the checker a trace that breaks each rule.
 func TestCheckerCanFail(t *testing.T) {
-	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
+	list := EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
-	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
+	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
-		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
-			Send{ID: "r", Server: "a"}}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
-		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
+		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, TimerFired{}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Endpoint: "a"}}},
+		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "a"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Reject{ID: "r"}}},
+		{"outside its window", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, 950 * msec, timedOut,
+			Send{ID: "r", Endpoint: "a"}}},
+		{"outside its scope", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "b"}}},
+		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
 		c := newChecker(testSettings())
@@ -215,7 +215,7 @@
 		timeout bool
 	}
 	var out []pending
-	var timers []Wake
+	var timers []SetTimer
 	var ids []string
 	fleet := servers(8)
 	now := time.Duration(0)
@@ -241,17 +241,17 @@
 					n = len(r.attempts) - 1
 				}
 				took := time.Duration(rng.ExpFloat64() * float64(120*msec))
-				p := pending{a.ID, n, a.Server, now + took, false}
+				p := pending{a.ID, n, a.Endpoint, now + took, false}
 				if rng.IntN(8) == 0 || took > a.Timeout {
 					p.due, p.timeout = now+a.Timeout, true
 				}
 				out = append(out, p)
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 	}
-	give(ServerList{Full: true, Cached: true, Servers: fleet})
+	give(EndpointUpdate{Full: true, Cached: true, Endpoints: fleet})
 	ended := map[string]bool{}
 	for i := range steps {
 		now += 2 * msec
@@ -259,9 +259,9 @@
 			if w := timers[k]; w.At <= now {
 				timers = append(timers[:k], timers[k+1:]...)
 				k--
-				give(Timer{Token: w.Token})
+				give(TimerFired{Token: w.Token})
 				if rng.IntN(20) == 0 {
-					give(Timer{Token: w.Token})
+					give(TimerFired{Token: w.Token})
 				}
 			}
 		}
@@ -272,23 +272,23 @@
 			}
 			out = append(out[:k], out[k+1:]...)
 			k--
-			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Ending: Success}
+			e := Outcome{ID: p.id, Attempt: p.n, Endpoint: p.server, Result: Success}
 			switch {
 			case p.timeout:
-				e.Ending = TimedOut
+				e.Result = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Result = Result(1 + rng.IntN(int(NotSent)))
 			}
-			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
+			if r := b.requests[p.id]; e.Result == Success || r == nil || r.answered {
 				ended[p.id] = true
 			}
-			e.Ended = ended[p.id]
+			e.RequestDone = ended[p.id]
 			give(e)
 			if rng.IntN(10) == 0 {
 				give(e)
 			}
 			if rng.IntN(30) == 0 {
-				give(ClientGone{ID: p.id})
+				give(ClientDisconnected{ID: p.id})
 				ended[p.id] = true
 			}
 		}
@@ -300,35 +300,35 @@
 		}
 		if rng.IntN(60) == 0 {
 			s := &fleet[rng.IntN(len(fleet))]
-			s.State = ServerState(rng.IntN(3))
+			s.State = EndpointState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.State, s.Boot = Ready, now
+				s.State, s.StartTime = Ready, now
 			}
 			switch rng.IntN(4) {
 			case 0:
-				var l []Server
+				var l []Endpoint
 				for _, s := range fleet {
-					if s.State != Gone {
+					if s.State != Removed {
 						l = append(l, s)
 					}
 				}
-				give(ServerList{Full: true, Servers: l})
+				give(EndpointUpdate{Full: true, Endpoints: l})
 			case 1:
-				give(ListFailed{})
-				give(ServerList{Servers: []Server{*s}})
+				give(SubscriptionFailed{})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			default:
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			}
 		}
 		if rng.IntN(40) == 0 {
-			give(Outcome{ID: "nobody", Attempt: 3, Ending: Success})
-			give(Timer{Token: "r:nobody"})
-			give(Timer{Token: "x"})
-			give(ClientGone{ID: "nobody"})
+			give(Outcome{ID: "nobody", Attempt: 3, Result: Success})
+			give(TimerFired{Token: "r:nobody"})
+			give(TimerFired{Token: "x"})
+			give(ClientDisconnected{ID: "nobody"})
 		}
 		if rng.IntN(50) == 0 && len(ids) > 0 {
 			id := ids[rng.IntN(len(ids))]
-			give(ClientGone{ID: id})
+			give(ClientDisconnected{ID: id})
 			ended[id] = true
 		}
 	}
@@ -339,8 +339,8 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := testSettings()
 		set.Tier = int(seed % 2)
-		set.SecondCopies = seed%3 != 0
-		set.AskDiscovery = seed%4 == 0
+		set.Hedging = seed%3 != 0
+		set.PollDiscovery = seed%4 == 0
 		c := newChecker(set)
 		log, b := run(t, set, seed, 6000, c)
 		for i, s := range c.broken {
@@ -366,7 +366,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, _ := run(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
-	other.Handle(0, ServerList{Full: true, Servers: servers(3)})
+	other.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(3)})
 	b, _ := run(t, testSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
@@ -383,14 +383,14 @@
 	set.Tier = 1
 	const copies, capacity = 12, 50.0 // a warm server's calls a second
 	list := servers(6)
-	list[2].Boot = time.Second
+	list[2].StartTime = time.Second
 	var bs []*Balancer
 	for i := range copies {
 		b, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
 		bs = append(bs, b)
 	}
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -399,10 +399,10 @@
 		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
 		b, id := bs[rng.IntN(copies)], fmt.Sprint(i)
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-			if s.Server == list[2].ID {
+			if s.Endpoint == list[2].ID {
 				cold = append(cold, now)
 			}
-			b.Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+			b.Handle(now+20*msec, Outcome{ID: id, Endpoint: s.Endpoint, Result: Success, RequestDone: true})
 		}
 	}
 	if len(cold) < 20 {
@@ -437,18 +437,18 @@
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = ServerState(x % 3)
-				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
+				fleet[int(x/7)%4].State = EndpointState(x % 3)
+				b.Handle(now, EndpointUpdate{Full: x%2 == 0, Endpoints: fleet[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
+				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Result: Result(x % 9), RequestDone: x%2 == 0})
 			case 4:
-				b.Handle(now, Timer{Token: "r:" + id})
+				b.Handle(now, TimerFired{Token: "r:" + id})
 			case 5:
-				b.Handle(now, ClientGone{ID: id})
+				b.Handle(now, ClientDisconnected{ID: id})
 			case 6:
-				b.Handle(now, Started{ID: id, Attempt: i % 3})
+				b.Handle(now, ResponseStarted{ID: id, Attempt: i % 3})
 			}
 			now += time.Duration(x) * msec / 4
 		}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -10,27 +10,27 @@
 
 // deployments differ wherever an assumption of one could hide: their settings, with times at the scale 1.
 func deployments() map[string]Settings {
-	class := func(name string, e Effect, scope Scope, aim, deadline, window time.Duration, worth, late float64) Class {
-		return Class{Name: name, Effect: e, Scope: scope, Aim: aim, Deadline: deadline, Window: window, Worth: worth, LateShare: late}
+	class := func(name string, e Effect, scope IdempotencyScope, aim, deadline, window time.Duration, worth, late float64) Class {
+		return Class{Name: name, Effect: e, IdempotencyScope: scope, LatencyObjective: aim, Deadline: deadline, IdempotencyWindow: window, PriorityWeight: worth, LateCredit: late}
 	}
 	base := testSettings()
 	seven := base // like deploy/sites/mombasa-freight.toml
-	seven.Classes = []Class{class("track", Safe, ScopeAll, 700*msec, 1500*msec, 0, 2, 0.2),
-		class("track-fleet", Safe, ScopeAll, 4*time.Second, 15*time.Second, 0, 4, 0.1),
-		class("book", Keyed, ScopeZone, 2200*msec, 6*time.Second, 5*time.Second, 6, 0),
-		class("booking", Unsafe, ScopeAll, 2*time.Second, 5*time.Second, 0, 5, 0),
-		class("pay", Unsafe, ScopeAll, 2500*msec, 6*time.Second, 0, 12, 0),
-		class("quote", Safe, ScopeAll, 1200*msec, 3*time.Second, 0, 3, 0.3),
-		class("seal", Keyed, ScopeCell, 2600*msec, 7*time.Second, 40*msec, 7, 0)} // a window shorter than its work
-	seven.AskDiscovery, seven.AskWithin, seven.MaxAttempts, seven.SecondCopies = true, 8*time.Second, 3, false
-	seven.WarmAfter, seven.FallMultiple, seven.FallFor, seven.Balancers = 14*time.Second, 2.5, 1500*msec, 5
+	seven.Classes = []Class{class("track", Idempotent, ScopeAll, 700*msec, 1500*msec, 0, 2, 0.2),
+		class("track-fleet", Idempotent, ScopeAll, 4*time.Second, 15*time.Second, 0, 4, 0.1),
+		class("book", WithIdempotencyKey, ScopeZone, 2200*msec, 6*time.Second, 5*time.Second, 6, 0),
+		class("booking", NonIdempotent, ScopeAll, 2*time.Second, 5*time.Second, 0, 5, 0),
+		class("pay", NonIdempotent, ScopeAll, 2500*msec, 6*time.Second, 0, 12, 0),
+		class("quote", Idempotent, ScopeAll, 1200*msec, 3*time.Second, 0, 3, 0.3),
+		class("seal", WithIdempotencyKey, ScopeCell, 2600*msec, 7*time.Second, 40*msec, 7, 0)} // a window shorter than its work
+	seven.PollDiscovery, seven.PollInterval, seven.MaxAttempts, seven.Hedging = true, 8*time.Second, 3, false
+	seven.WarmAfter, seven.FallMultiple, seven.FallFor, seven.Replicas = 14*time.Second, 2.5, 1500*msec, 5
 	one := base // like deploy/sites/tromso-meter.toml
-	one.Classes = []Class{class("reading", Unsafe, ScopeAll, 900*msec, 2500*msec, 0, 1, 0.5)}
-	one.MayCancel, one.MaxAttempts, one.WarmAfter, one.FallMultiple, one.FallFor = false, 2, 3*time.Second, 4, 3*time.Second
-	one.Balancers = 1
+	one.Classes = []Class{class("reading", NonIdempotent, ScopeAll, 900*msec, 2500*msec, 0, 1, 0.5)}
+	one.Cancellation, one.MaxAttempts, one.WarmAfter, one.FallMultiple, one.FallFor = false, 2, 3*time.Second, 4, 3*time.Second
+	one.Replicas = 1
 	deep := base
-	deep.Tier, deep.Balancers, deep.Sizes, deep.MaxAttempts = 2, 40, SizesRough, 1
-	bare := Settings{Classes: []Class{class("x", Keyed, ScopeAll, 50*msec, 60*msec, 20*msec, 0, 1)}, Tick: msec}
+	deep.Tier, deep.Replicas, deep.WeightKind, deep.MaxAttempts = 2, 40, WeightApproximate, 1
+	bare := Settings{Classes: []Class{class("x", WithIdempotencyKey, ScopeAll, 50*msec, 60*msec, 20*msec, 0, 1)}, Tick: msec}
 	return map[string]Settings{"as in the other tests": base, "seven classes": seven, "one class": one, "a deeper tier": deep,
 		"next to nothing": bare}
 }
@@ -41,11 +41,11 @@
 	s.Classes = append([]Class(nil), s.Classes...)
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		t(&c.Window)
-		t(&c.Aim)
+		t(&c.IdempotencyWindow)
+		t(&c.LatencyObjective)
 		t(&c.Deadline)
 	}
-	for _, d := range []*time.Duration{&s.AskWithin, &s.Tick, &s.MaxRetryAfter, &s.WarmAfter, &s.FallFor, &s.Remember} {
+	for _, d := range []*time.Duration{&s.PollInterval, &s.Tick, &s.MaxRetryAfter, &s.WarmAfter, &s.FallFor, &s.SnapshotMaxAge} {
 		t(d)
 	}
 	return s
@@ -88,9 +88,9 @@
 // scale 1. It fails the test for what leaves the settings' bounds.
 func replay(t *testing.T, set Settings, k int64) []decision {
 	t.Helper()
-	longest, shortest := set.Classes[0].Deadline, set.Classes[0].Aim
+	longest, shortest := set.Classes[0].Deadline, set.Classes[0].LatencyObjective
 	for _, c := range set.Classes {
-		longest, shortest = max(longest, c.Deadline), min(shortest, c.Aim)
+		longest, shortest = max(longest, c.Deadline), min(shortest, c.LatencyObjective)
 	}
 	set = set.scaled(k)
 	b, err := New(set, 11)
@@ -106,15 +106,15 @@
 		heap.Push(events, due{at.Truncate(unit) * time.Duration(k), planned, e})
 	}
 	list := servers(9)
-	push(0, ServerList{Full: true, Cached: true, Servers: list})
-	push(longest/8, ServerList{Full: true, Servers: list})
-	push(longest/4, ListFailed{})
-	changed := append([]Server(nil), list...)
-	changed[0].State, changed[1].State = Draining, Gone
+	push(0, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
+	push(longest/8, EndpointUpdate{Full: true, Endpoints: list})
+	push(longest/4, SubscriptionFailed{})
+	changed := append([]Endpoint(nil), list...)
+	changed[0].State, changed[1].State = Draining, Removed
 	for i := 2; i < 5; i++ {
-		changed[i].Boot = (longest / 2).Truncate(unit) * time.Duration(k)
+		changed[i].StartTime = (longest / 2).Truncate(unit) * time.Duration(k)
 	}
-	push(longest/2, ServerList{Servers: changed})
+	push(longest/2, EndpointUpdate{Endpoints: changed})
 	type state struct {
 		class    Class
 		deadline time.Duration
@@ -140,7 +140,7 @@
 	for events.Len() > 0 {
 		d := heap.Pop(events).(due)
 		now := d.at
-		if o, is := d.e.(Outcome); is && o.Ended {
+		if o, is := d.e.(Outcome); is && o.RequestDone {
 			requests[o.ID].answered = true
 		}
 		for _, a := range b.Handle(now, d.e) {
@@ -148,7 +148,7 @@
 			switch a := a.(type) {
 			case Send:
 				r := requests[a.ID]
-				said(one(now), "send %s to %s", a.ID, a.Server)
+				said(one(now), "send %s to %s", a.ID, a.Endpoint)
 				r.attempts++
 				switch {
 				case r.answered:
@@ -157,27 +157,27 @@
 					t.Errorf("%s: attempt %d of %d", a.ID, r.attempts, set.MaxAttempts)
 				case a.Timeout > max(r.deadline-now, tick):
 					t.Errorf("%s: waits %v with %v left", a.ID, a.Timeout, r.deadline-now)
-				case r.ran >= 0 && (r.class.Effect == Unsafe || r.class.Effect == Keyed && now >= r.ran+r.class.Window):
+				case r.ran >= 0 && (r.class.Effect == NonIdempotent || r.class.Effect == WithIdempotencyKey && now >= r.ran+r.class.IdempotencyWindow):
 					t.Errorf("%s of %s is sent again %v after it may have run", a.ID, r.class.Name, now-r.ran)
 				}
 				took := time.Duration(rng.ExpFloat64() * float64(shortest) / 6)
 				ending := Success
 				if rng.IntN(4) == 0 {
-					ending = []Ending{Failure, Overloaded, Unreachable, Broken, TimedOut, Void}[rng.IntN(6)]
+					ending = []Result{Failure, Overloaded, Unreachable, ConnectionLost, TimedOut, NotSent}[rng.IntN(6)]
 				}
 				if wait := one(a.Timeout); took > wait { // the host gives it up
 					took, ending = wait, TimedOut
 				}
-				if ending != Overloaded && ending != Unreachable && ending != Void && r.ran < 0 {
+				if ending != Overloaded && ending != Unreachable && ending != NotSent && r.ran < 0 {
 					r.ran = now
 				}
-				push(one(now)+took, Outcome{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Ending: ending, Ended: ending == Success})
-			case Refuse, Fail:
+				push(one(now)+took, Outcome{ID: a.ID, Attempt: r.attempts - 1, Endpoint: a.Endpoint, Result: ending, RequestDone: ending == Success})
+			case Reject, Fail:
 				id, after := "", time.Duration(0)
 				if f, is := a.(Fail); is {
 					id = f.ID
 				} else {
-					id, after = a.(Refuse).ID, a.(Refuse).RetryAfter
+					id, after = a.(Reject).ID, a.(Reject).RetryAfter
 				}
 				r := requests[id]
 				said(one(now), "%T %s", a, id)
@@ -185,11 +185,11 @@
 					t.Errorf("%s: %T at %v, due %v, come back %v", id, a, now, r.deadline, after)
 				}
 				r.answered = true
-			case Wake:
+			case SetTimer:
 				if a.At <= now {
 					t.Errorf("a wake at %v, asked for at %v", a.At, now)
 				}
-				push((one(a.At) + unit).Truncate(unit), Timer{Token: a.Token})
+				push((one(a.At) + unit).Truncate(unit), TimerFired{Token: a.Token})
 			case Subscribe:
 				said(one(now), "subscribe")
 			}
@@ -228,16 +228,16 @@
 // parts of an aim holds for the aim that is in force.
 func TestRetunedSettingsTakeTheirTracesAlong(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		s := sends(b.Handle(time.Duration(i)*msec, Request{ID: id, Class: "get", Deadline: time.Duration(i)*msec + 1500*msec}))
-		b.Handle(time.Duration(i)*msec+100*msec, Outcome{ID: id, Server: s[0].Server, Ending: Success, Ended: true})
+		b.Handle(time.Duration(i)*msec+100*msec, Outcome{ID: id, Endpoint: s[0].Endpoint, Result: Success, RequestDone: true})
 	}
 	fill := b.fill
 	next := testSettings()
-	next.Classes[0].Aim, next.Classes[0].Deadline = 250*msec, 600*msec
-	b.Handle(200*msec, Retuned{Settings: next})
+	next.Classes[0].LatencyObjective, next.Classes[0].Deadline = 250*msec, 600*msec
+	b.Handle(200*msec, Reconfigure{Settings: next})
 	if got := b.fill / fill; got < 1.99 || got > 2.01 {
 		t.Errorf("half the aim: a fill of %.3f became %.3f", fill, b.fill)
 	}
@@ -252,7 +252,7 @@
 	set := deployments()["seven classes"]
 	next := set.scaled(3)
 	for i := range next.Classes {
-		next.Classes[i].Aim /= time.Duration(i + 1)
+		next.Classes[i].LatencyObjective /= time.Duration(i + 1)
 	}
 	fills := map[float64]bool{}
 	for range 100 {
@@ -260,12 +260,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: servers(4)})
 		for i := range 50 {
 			c := set.Classes[i%len(set.Classes)]
 			b.Handle(time.Duration(i)*msec, Request{ID: fmt.Sprint(i), Class: c.Name, Deadline: c.Deadline})
 		}
-		b.Handle(time.Second, Retuned{Settings: next})
+		b.Handle(time.Second, Reconfigure{Settings: next})
 		fills[b.fill] = true
 	}
 	if len(fills) != 1 {
--- a/balancer/snapshot_form_test.go
+++ b/balancer/snapshot_form_test.go
@@ -18,14 +18,14 @@
 		t.Fatal(err)
 	}
 	was, now := learned(t)
-	text, err := json.MarshalIndent(was.Learned(now), "", "  ")
+	text, err := json.MarshalIndent(was.Snapshot(now), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if text = append(text, '\n'); !bytes.Equal(text, stored) {
 		t.Errorf("the same events give another snapshot:\n%s", text)
 	}
-	var m Memory
+	var m Snapshot
 	d := json.NewDecoder(bytes.NewReader(stored))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&m); err != nil {
@@ -53,10 +53,10 @@
 	const stored = `{"tier":1,"errors":0.1,"tokens":2,"window":3,"fill":0.4,"calm":0.5,"bare":0.6,` +
 		`"classes":[{"name":"c","aim":7,"deadline":80,"mean":9,"dev":10,"cost":11,"longest_try":12}],` +
 		`"servers":[{"id":"s","boot":13,"slow":1.4,"samples":15,"level":4,"left":17}]}`
-	want := Memory{
-		Tier: 1, Errors: 0.1, Tokens: 2, Window: 3, Fill: 0.4, Calm: 0.5, Bare: 0.6,
-		Classes: []ClassMemory{{Name: "c", Aim: 7, Deadline: 80, Mean: 9, Dev: 10, Cost: 11, LongestTry: 12}},
-		Servers: []ServerMemory{{ID: "s", Boot: 13, Slow: 1.4, Samples: 15, Level: 4, Left: 17 * time.Nanosecond}},
+	want := Snapshot{
+		Tier: 1, ErrorRate: 0.1, RetryTokens: 2, LimitPerEndpoint: 3, Utilization: 0.4, SlowUtilization: 0.5, BaselineUtilization: 0.6,
+		Classes:   []ClassSnapshot{{Name: "c", LatencyObjective: 7, Deadline: 80, MeanLatency: 9, LatencyDeviation: 10, MeanCost: 11, LongestTimeout: 12}},
+		Endpoints: []EndpointSnapshot{{ID: "s", StartTime: 13, Slowness: 1.4, LatencySamples: 15, EjectionLevel: 4, EjectionRemaining: 17 * time.Nanosecond}},
 	}
 	text, err := json.Marshal(want)
 	if err != nil || string(text) != stored {
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -69,11 +69,11 @@
 			longest = c
 		}
 	}
-	b.addClass(Class{Aim: longest.Aim, Deadline: longest.Deadline, Worth: longest.Worth})
+	b.addClass(Class{LatencyObjective: longest.LatencyObjective, Deadline: longest.Deadline, PriorityWeight: longest.PriorityWeight})
 }
 
 func (b *Balancer) addClass(c Class) {
-	k := &class{Class: c, mean: float64(c.Aim) / 4, dev: float64(c.Aim) / 8}
+	k := &class{Class: c, mean: float64(c.LatencyObjective) / 4, dev: float64(c.LatencyObjective) / 8}
 	b.classes[c.Name] = k
 	b.order = append(b.order, k)
 }
@@ -98,7 +98,7 @@
 				k.longestTry = 0
 			}
 			calls += was.arrive
-			parts += was.arrive * float64(was.Aim) / float64(c.Aim)
+			parts += was.arrive * float64(was.LatencyObjective) / float64(c.LatencyObjective)
 		}
 	}
 	if calls > 0 {
@@ -121,7 +121,7 @@
 
 // server is a listed server, or one that left with calls of ours still out.
 type server struct {
-	Server
+	Endpoint
 	listed bool
 	right  bool       // of the two groups
 	place  int        // in the shared order
@@ -176,8 +176,8 @@
 	unsent bool // proven never to have run
 }
 
-// Avoided returns how many ready servers are kept out for their health at the clock time now.
-func (b *Balancer) Avoided(now time.Duration) int {
+// EjectedCount returns how many ready servers are kept out for their health at the clock time now.
+func (b *Balancer) EjectedCount(now time.Duration) int {
 	b.now = max(b.now, now)
 	n := 0
 	for _, s := range b.ready {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -465,9 +465,9 @@
 			}
 			parsed[n.Tier] = s
 		}
-		s.Index = n.Index
+		s.ReplicaIndex = n.Index
 		if r.site.State.Keep {
-			s.Remember = r.site.State.Age.D()
+			s.SnapshotMaxAge = r.site.State.Age.D()
 		}
 		return s
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -22,7 +22,7 @@
 // Module decides for one node; balancer.Balancer does.
 type Module interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
-	Learned(now time.Duration) balancer.Memory
+	Snapshot(now time.Duration) balancer.Snapshot
 }
 
 // ownDelay is what a node leaves of a caller's time for the way back.
@@ -51,9 +51,9 @@
 	f       *Fleet
 	index   int
 	module  Module
-	kept    balancer.Memory // what its disk has of an earlier process, where there is a disk
-	keptAt  time.Duration   // by the node's clock; 0: nothing
-	life    int             // counts starts, so that what belongs to an earlier process is known
+	kept    balancer.Snapshot // what its disk has of an earlier process, where there is a disk
+	keptAt  time.Duration     // by the node's clock; 0: nothing
+	life    int               // counts starts, so that what belongs to an earlier process is known
 	up      bool
 	paused  bool
 	held    []func() // what waits for a paused process
@@ -107,7 +107,7 @@
 // StartAll starts every node at once, ready to serve. The nodes of a tier hold the same list, and what a module makes of
 // it depends on nothing else, so they take it side by side; what they do then comes in their order.
 func (f *Fleet) StartAll() {
-	lists := map[int]balancer.ServerList{}
+	lists := map[int]balancer.EndpointUpdate{}
 	var work errgroup.Group
 	work.SetLimit(runtime.GOMAXPROCS(0))
 	did := make([][]balancer.Action, len(f.nodes))
@@ -368,7 +368,7 @@
 	n.life++
 	if w.Site.State.Keep {
 		if n.keptAt > 0 {
-			m.Handle(n.clock(), balancer.Recalled{Memory: n.kept, Age: n.clock() - n.keptAt})
+			m.Handle(n.clock(), balancer.Restore{Snapshot: n.kept, Age: n.clock() - n.keptAt})
 		}
 		n.keep(n.life)
 	}
@@ -382,7 +382,7 @@
 		if n.life != life {
 			return
 		}
-		n.run(func() { n.kept, n.keptAt = n.module.Learned(n.clock()), n.clock() })
+		n.run(func() { n.kept, n.keptAt = n.module.Snapshot(n.clock()), n.clock() })
 		n.keep(life)
 	})
 }
@@ -469,18 +469,18 @@
 		n.send(a)
 	case balancer.Cancel:
 		if c := n.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
-			n.end(c.attempts[a.Attempt], balancer.Withdrawn, true, "")
+			n.end(c.attempts[a.Attempt], balancer.Cancelled, true, "")
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		n.finish(a.ID, model.Answer{Reply: model.Refused, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		n.finish(a.ID, model.Answer{Reply: model.Failed})
-	case balancer.Wake:
+	case balancer.SetTimer:
 		life := n.life
 		n.f.w.Loop.At(a.At-epoch, func() {
 			n.run(func() {
 				if n.life == life {
-					n.handle(balancer.Timer{Token: a.Token})
+					n.handle(balancer.TimerFired{Token: a.Token})
 				}
 			})
 		})
@@ -494,7 +494,7 @@
 	own := min(ownDelay, c.Left/4)
 	k := &call{Call: c, id: strconv.FormatUint(n.nextID, 10), num: n.nextID, done: done, deadline: w.Loop.Now() + c.Left - own}
 	n.calls[k.id] = k
-	n.handle(balancer.Request{ID: k.id, Class: w.Site.Classes[c.Class].Name, Deadline: epoch + k.deadline, Repeat: c.Repeat})
+	n.handle(balancer.Request{ID: k.id, Class: w.Site.Classes[c.Class].Name, Deadline: epoch + k.deadline, ClientRetry: c.Repeat})
 	return k
 }
 
@@ -502,7 +502,7 @@
 func (n *node) left(c *call) {
 	if n.calls[c.id] == c && !c.finished {
 		c.finished = true
-		n.handle(balancer.ClientGone{ID: c.id})
+		n.handle(balancer.ClientDisconnected{ID: c.id})
 		n.forget(c)
 	}
 }
@@ -531,7 +531,7 @@
 		return
 	}
 	f, loop := n.f, n.f.w.Loop
-	server, known := f.names[s.Server]
+	server, known := f.names[s.Endpoint]
 	a := &attempt{c: c, n: len(c.attempts), server: server, sent: loop.Now()}
 	c.attempts = append(c.attempts, a)
 	c.out++
@@ -540,7 +540,7 @@
 		timeout = min(timeout, s.Timeout)
 	}
 	if !known || c.finished || timeout <= 0 || n.barred[server] || a.n >= f.w.Site.Limits.MaxAttempts {
-		n.end(a, balancer.Void, false, "")
+		n.end(a, balancer.NotSent, false, "")
 		return
 	}
 	a.timer = loop.After(timeout, func() { n.run(func() { n.end(a, balancer.TimedOut, true, "") }) })
@@ -606,7 +606,7 @@
 	}
 	if f.down[a.server] {
 		a.kept = false
-		n.later(a, l.back, func() { n.end(a, balancer.Broken, true, "") })
+		n.later(a, l.back, func() { n.end(a, balancer.ConnectionLost, true, "") })
 		return
 	}
 	at := a.at
@@ -622,13 +622,13 @@
 	})
 }
 
-var endings = map[model.Outcome]balancer.Ending{
+var endings = map[model.Outcome]balancer.Result{
 	model.Done: balancer.Success, model.Errored: balancer.Failure, model.TurnedAway: balancer.Overloaded,
-	model.Reset: balancer.Broken, model.Dropped: balancer.Withdrawn,
+	model.Reset: balancer.ConnectionLost, model.Dropped: balancer.Cancelled,
 }
 
 // end notes that an attempt has ended. cut: its connection is of no more use.
-func (n *node) end(a *attempt, e balancer.Ending, cut bool, body string) {
+func (n *node) end(a *attempt, e balancer.Result, cut bool, body string) {
 	if a.over {
 		return
 	}
@@ -644,8 +644,8 @@
 		n.finish(c.id, model.Answer{Reply: model.Served, Body: body})
 	}
 	n.forget(c)
-	n.handle(balancer.Outcome{ID: c.id, Attempt: a.n, Server: n.f.w.Site.Servers[a.server].Name, Ending: e,
-		Latency: n.f.w.Loop.Now() - a.sent, Ended: c.finished})
+	n.handle(balancer.Outcome{ID: c.id, Attempt: a.n, Endpoint: n.f.w.Site.Servers[a.server].Name, Result: e,
+		Latency: n.f.w.Loop.Now() - a.sent, RequestDone: c.finished})
 }
 
 // drop stops waiting for an attempt; its server learns by the closed connection.
@@ -686,26 +686,26 @@
 	for _, c := range n.open() {
 		for _, a := range c.attempts {
 			if !a.over && a.server == server && a.at != nil {
-				n.end(a, balancer.Broken, true, "")
+				n.end(a, balancer.ConnectionLost, true, "")
 			}
 		}
 	}
 }
 
-var states = map[model.State]balancer.ServerState{
-	model.Serving: balancer.Ready, model.Draining: balancer.Draining, model.Deleted: balancer.Gone,
+var states = map[model.State]balancer.EndpointState{
+	model.Serving: balancer.Ready, model.Draining: balancer.Draining, model.Deleted: balancer.Removed,
 }
 
 // list words a list for the module.
-func (f *Fleet) list(l model.List, cached bool) balancer.ServerList {
-	e := balancer.ServerList{Full: l.All, Cached: cached, Servers: make([]balancer.Server, 0, len(l.Entries))}
+func (f *Fleet) list(l model.List, cached bool) balancer.EndpointUpdate {
+	e := balancer.EndpointUpdate{Full: l.All, Cached: cached, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
 	for _, t := range l.Entries {
 		sv := &f.w.Site.Servers[t.Server]
-		s := balancer.Server{ID: sv.Name, Zone: f.w.Site.Zones[sv.Zone].Name, Cell: sv.Rack, State: states[t.State], Size: sv.Size()}
+		s := balancer.Endpoint{ID: sv.Name, Zone: f.w.Site.Zones[sv.Zone].Name, Cell: sv.Rack, State: states[t.State], Weight: sv.Size()}
 		if t.Boot >= 0 {
-			s.Boot = epoch + t.Boot
+			s.StartTime = epoch + t.Boot
 		}
-		e.Servers = append(e.Servers, s)
+		e.Endpoints = append(e.Endpoints, s)
 	}
 	return e
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -122,7 +122,7 @@
 	if c.State, err = parseState(raw.State); err != nil {
 		return Config{}, err
 	}
-	c.Settings.Remember = c.State.Age
+	c.Settings.SnapshotMaxAge = c.State.Age
 	if c.Conns.Idle <= 0 {
 		c.Conns.Idle = defaultConnIdle
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -35,8 +35,8 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-var states = map[string]balancer.ServerState{
-	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
 }
 
 // parseList reads one message. A message with any bad entry is bad as a whole: half a list would
@@ -67,9 +67,9 @@
 
 // server is the entry in the module's form. The node's clock is Unix time, so boot times need no
 // conversion but of their unit.
-func (t Target) server() balancer.Server {
-	return balancer.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
-		Size: t.Size, Boot: time.Duration(t.BootMS * float64(time.Millisecond))}
+func (t Target) server() balancer.Endpoint {
+	return balancer.Endpoint{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
+		Weight: t.Size, StartTime: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
 // silence is how long an open watch may say nothing: one heartbeat, every 2 s, and some for a busy core. A
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -73,22 +73,22 @@
 		moduleFunc(func(e balancer.Event) []balancer.Action {
 			events <- e
 			switch e := e.(type) {
-			case balancer.ServerList:
+			case balancer.EndpointUpdate:
 				if e.Cached {
 					return []balancer.Action{balancer.Subscribe{}}
 				}
-			case balancer.ListFailed:
+			case balancer.SubscriptionFailed:
 				return []balancer.Action{balancer.Subscribe{}}
 			}
 			return nil
 		}))
 	list := func(full, cached bool, ids ...string) {
 		t.Helper()
-		l, is := wait(t, events).(balancer.ServerList)
-		if !is || l.Full != full || l.Cached != cached || len(l.Servers) != len(ids) {
+		l, is := wait(t, events).(balancer.EndpointUpdate)
+		if !is || l.Full != full || l.Cached != cached || len(l.Endpoints) != len(ids) {
 			t.Fatalf("event %+v", l)
 		}
-		for i, s := range l.Servers {
+		for i, s := range l.Endpoints {
 			if s.ID != ids[i] {
 				t.Errorf("server %+v, want %s", s, ids[i])
 			}
@@ -96,7 +96,7 @@
 	}
 	failed := func() {
 		t.Helper()
-		if e, is := wait(t, events).(balancer.ListFailed); !is {
+		if e, is := wait(t, events).(balancer.SubscriptionFailed); !is {
 			t.Fatalf("event %+v, want ListFailed", e)
 		}
 	}
@@ -242,11 +242,11 @@
 			}))
 			t.Cleanup(s.CloseClientConnections)
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
-			cfg.Settings.AskDiscovery = c.ask
+			cfg.Settings.PollDiscovery = c.ask
 			news := make(chan time.Time, 10)
 			started := time.Now()
 			startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-				if l, is := e.(balancer.ServerList); is && !l.Cached {
+				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 					news <- time.Now()
 				} else if is && c.ask {
 					return []balancer.Action{balancer.Subscribe{}}
@@ -292,10 +292,10 @@
 			}))
 			t.Cleanup(s.CloseClientConnections)
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
-			cfg.Settings.AskDiscovery = false
-			lists := make(chan balancer.ServerList, 10)
+			cfg.Settings.PollDiscovery = false
+			lists := make(chan balancer.EndpointUpdate, 10)
 			n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-				if l, is := e.(balancer.ServerList); is && !l.Cached {
+				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 					lists <- l
 				}
 				return nil
@@ -303,7 +303,7 @@
 			if late {
 				n.loop.post(n.loop.ask) // while the watch speaks
 			}
-			if l := wait(t, lists); l.Servers[0].State != balancer.Draining {
+			if l := wait(t, lists); l.Endpoints[0].State != balancer.Draining {
 				t.Fatalf("first %+v", l)
 			}
 			start := onLoop(t, n, func() time.Duration { return n.loop.proven })
@@ -338,10 +338,10 @@
 	before := agent(message(8, true, entry("a", "SERVING"))+"\n", "")
 	after := agent("", message(9, true, entry("a", "DRAINING")))
 	cfg := testConfig(before)
-	cfg.Settings.AskDiscovery = false
+	cfg.Settings.PollDiscovery = false
 	news := make(chan struct{}, 10)
 	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-		if l, is := e.(balancer.ServerList); is && !l.Cached {
+		if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 			news <- struct{}{}
 		}
 		return nil
@@ -376,10 +376,10 @@
 		}))
 		t.Cleanup(s.CloseClientConnections)
 		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
-		cfg.Settings.AskDiscovery = false
+		cfg.Settings.PollDiscovery = false
 		started := time.Now()
 		n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-			if l, is := e.(balancer.ServerList); is && !l.Cached {
+			if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 				close(told)
 			}
 			return nil
@@ -485,7 +485,7 @@
 	t.Parallel()
 	addr, lines, asked := registry(t)
 	cfg := testConfig(addr)
-	cfg.Settings.AskDiscovery = false
+	cfg.Settings.PollDiscovery = false
 	startNode(t, cfg, nil)
 	wait(t, asked)
 	lines <- "end"
@@ -498,10 +498,10 @@
 	before, lines, asked := registry(t)
 	after, newLines, newAsked := registry(t)
 	cfg := testConfig(before)
-	cfg.Settings.AskDiscovery = false
-	lists := make(chan balancer.ServerList, 10)
+	cfg.Settings.PollDiscovery = false
+	lists := make(chan balancer.EndpointUpdate, 10)
 	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-		if l, is := e.(balancer.ServerList); is {
+		if l, is := e.(balancer.EndpointUpdate); is {
 			lists <- l
 		}
 		return nil
@@ -516,7 +516,7 @@
 		t.Errorf("asked %s", got)
 	}
 	newLines <- message(10, false, entry("b", "SERVING"))
-	if l := wait(t, lists); l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "b" {
+	if l := wait(t, lists); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
 		t.Errorf("list %+v", l)
 	}
 }
@@ -526,11 +526,11 @@
 	c := clock{time.Now()}
 	boot := c.start.Add(-3 * time.Second) // before the node
 	s := Target{UID: "s", State: "SERVING", BootMS: float64(boot.UnixMilli())}.server()
-	if age := c.now() - s.Boot; age < 3*time.Second || age > 3*time.Second+limit {
+	if age := c.now() - s.StartTime; age < 3*time.Second || age > 3*time.Second+limit {
 		t.Errorf("age %v", age)
 	}
-	if s := (Target{}).server(); s.Boot != 0 {
-		t.Errorf("a boot long ago is %v", s.Boot)
+	if s := (Target{}).server(); s.StartTime != 0 {
+		t.Errorf("a boot long ago is %v", s.StartTime)
 	}
 }
 
@@ -594,10 +594,10 @@
 		}))
 		t.Cleanup(s.CloseClientConnections)
 		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
-		cfg.Settings.AskDiscovery = false
-		lists := make(chan balancer.ServerList, 10)
+		cfg.Settings.PollDiscovery = false
+		lists := make(chan balancer.EndpointUpdate, 10)
 		startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
-			if l, is := e.(balancer.ServerList); is {
+			if l, is := e.(balancer.EndpointUpdate); is {
 				lists <- l
 			}
 			return nil
@@ -605,7 +605,7 @@
 		if l := wait(t, lists); !l.Cached {
 			t.Fatalf("%s: %+v", name, l)
 		}
-		if l := wait(t, lists); !l.Full || len(l.Servers) != 2 {
+		if l := wait(t, lists); !l.Full || len(l.Endpoints) != 2 {
 			t.Errorf("%s: the first news is %+v", name, l)
 		}
 		if first, second := wait(t, asked), wait(t, asked); first != "7" || second != "7" {
@@ -663,16 +663,16 @@
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
-	cfg.Settings.AskDiscovery = true
-	lists := make(chan balancer.ServerList, 10)
+	cfg.Settings.PollDiscovery = true
+	lists := make(chan balancer.EndpointUpdate, 10)
 	startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case balancer.ServerList:
+		case balancer.EndpointUpdate:
 			if e.Cached {
 				return []balancer.Action{balancer.Subscribe{}}
 			}
 			lists <- e
-		case balancer.ListFailed:
+		case balancer.SubscriptionFailed:
 			return []balancer.Action{balancer.Subscribe{}}
 		}
 		return nil
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -78,7 +78,7 @@
 			switch e.(type) {
 			case balancer.Request:
 				close(taken)
-			case balancer.ClientGone:
+			case balancer.ClientDisconnected:
 				close(gone)
 			}
 			return nil
@@ -107,7 +107,7 @@
 				}()
 				return nil
 			}
-			return []balancer.Action{balancer.Refuse{ID: r.ID}}
+			return []balancer.Action{balancer.Reject{ID: r.ID}}
 		}
 		return nil
 	})
@@ -180,10 +180,10 @@
 			n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
-					return []balancer.Action{balancer.Send{ID: e.ID, Server: []string{"s", "away"}[first]}}
+					return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: []string{"s", "away"}[first]}}
 				case balancer.Outcome:
-					if outcomes <- e; e.Attempt < first && !e.Spent {
-						return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+					if outcomes <- e; e.Attempt < first && !e.BodyConsumed {
+						return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 					}
 				}
 				return nil
@@ -444,7 +444,7 @@
 			c, err := connect(ctx, addr, within)
 			return readTeller{c, sync.OnceFunc(func() { close(read) })}, err
 		}
-		if res := try(t, u, newServer(addr)); res.ending != balancer.Broken {
+		if res := try(t, u, newServer(addr)); res.ending != balancer.ConnectionLost {
 			t.Errorf("after %q: ending %d", said, res.ending)
 		}
 	}
@@ -487,17 +487,17 @@
 	cfg := testConfig("127.0.0.1:1", serving("a", failing), serving("b", other))
 	const window = 50 * time.Millisecond
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Window = window
+		cfg.Settings.Classes[i].IdempotencyWindow = window
 	}
 	n := newNodeFor(t, cfg)
 	outcomes := make(chan balancer.Outcome, 2)
 	n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "a"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "a"}}
 		case balancer.Outcome:
 			if outcomes <- e; e.Attempt == 0 {
-				return []balancer.Action{balancer.Send{ID: e.ID, Server: "b"}}
+				return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "b"}}
 			}
 			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
@@ -516,7 +516,7 @@
 	if resp, _ := do(t, r); resp.StatusCode != 502 {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	if a, b := wait(t, outcomes), wait(t, outcomes); a.Ending != balancer.Failure || b.Ending != balancer.Void || len(got) > 0 {
+	if a, b := wait(t, outcomes), wait(t, outcomes); a.Result != balancer.Failure || b.Result != balancer.NotSent || len(got) > 0 {
 		t.Errorf("outcomes %+v, %+v, %d sent on", a, b, len(got))
 	}
 }
@@ -531,10 +531,10 @@
 	n.loop.module = moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 		case balancer.Outcome:
 			if e.Attempt == 0 {
-				return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+				return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 			}
 			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
--- a/internal/node/keep.go
+++ b/internal/node/keep.go
@@ -82,28 +82,28 @@
 }
 
 // recall is what an earlier process had learned; false: nothing that can be used. A bad file is said, and no more.
-func (k *keeper) recall(now time.Time) (e balancer.Recalled, ok bool) {
+func (k *keeper) recall(now time.Time) (e balancer.Restore, ok bool) {
 	found, thrown := durable.Load(k.opt, func(s durable.Snapshot) error {
-		e = balancer.Recalled{Age: now.Sub(s.Taken)}
-		if err := json.Unmarshal(s.Payload, &e.Memory); err != nil {
+		e = balancer.Restore{Age: now.Sub(s.Taken)}
+		if err := json.Unmarshal(s.Payload, &e.Snapshot); err != nil {
 			return err
 		}
 		if e.Age < 0 {
 			return fmt.Errorf("taken %v from now: the clock has gone back", -e.Age)
 		}
-		return e.Memory.Validate()
+		return e.Snapshot.Validate()
 	})
 	for _, t := range thrown {
 		log.Printf("state: passed over: %v", t)
 	}
 	if found != nil {
-		log.Printf("state: snapshot %d, %v old, knows %d servers", found.Seq, e.Age.Round(time.Millisecond), len(e.Memory.Servers))
+		log.Printf("state: snapshot %d, %v old, knows %d servers", found.Seq, e.Age.Round(time.Millisecond), len(e.Snapshot.Endpoints))
 	}
 	return e, found != nil
 }
 
 // run saves what learned gives until ctx ends.
-func (k *keeper) run(ctx context.Context, learned func() (balancer.Memory, bool)) {
+func (k *keeper) run(ctx context.Context, learned func() (balancer.Snapshot, bool)) {
 	defer func() {
 		if k.store != nil {
 			k.store.Close()
@@ -127,7 +127,7 @@
 }
 
 // save saves once, and returns how long the work took that is no waiting for the disk.
-func (k *keeper) save(learned func() (balancer.Memory, bool)) (took time.Duration, err error) {
+func (k *keeper) save(learned func() (balancer.Snapshot, bool)) (took time.Duration, err error) {
 	if k.store == nil {
 		if k.store, err = durable.Open(k.opt); err != nil {
 			k.store = nil // a predecessor that still ends, or the disk: it is tried again
@@ -148,9 +148,9 @@
 }
 
 // learned asks the loop for what the module has learned; false: the loop has ended.
-func (l *loop) learned() (m balancer.Memory, ok bool) {
-	got := make(chan balancer.Memory, 1)
-	l.post(func() { got <- l.module.Learned(l.clock.now()) })
+func (l *loop) learned() (m balancer.Snapshot, ok bool) {
+	got := make(chan balancer.Snapshot, 1)
+	l.post(func() { got <- l.module.Snapshot(l.clock.now()) })
 	select {
 	case m = <-got:
 		return m, true
@@ -164,7 +164,7 @@
 	if s.Kind != StateKind || s.Schema > stateSchema {
 		return nil, errors.New("no state of a node that this version knows")
 	}
-	var m balancer.Memory
+	var m balancer.Snapshot
 	if err := json.Unmarshal(s.Payload, &m); err != nil {
 		return nil, err
 	}
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -35,14 +35,14 @@
 
 // What one snapshot of 10,000 servers costs beside the loop; the node rests for keepShare times as long after it.
 func BenchmarkSave(b *testing.B) {
-	m := balancer.Memory{Window: 4}
+	m := balancer.Snapshot{LimitPerEndpoint: 4}
 	for i := range 10_000 {
-		m.Servers = append(m.Servers, balancer.ServerMemory{ID: fmt.Sprintf("s-%08x", i*7919), Slow: 0.1 + float64(i)/1e5, Samples: 3})
+		m.Endpoints = append(m.Endpoints, balancer.EndpointSnapshot{ID: fmt.Sprintf("s-%08x", i*7919), Slowness: 0.1 + float64(i)/1e5, LatencySamples: 3})
 	}
 	k := &keeper{opt: durable.Options{Dir: b.TempDir(), Kind: StateKind, Schema: stateSchema, Most: maxState}}
 	var took time.Duration
 	for range b.N {
-		d, err := k.save(func() (balancer.Memory, bool) { return m, true })
+		d, err := k.save(func() (balancer.Snapshot, bool) { return m, true })
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/node/lastlook.go
+++ b/internal/node/lastlook.go
@@ -20,19 +20,19 @@
 // lastLook is asked right before an attempt's first byte, first or further, over a new connection or a used one, and
 // nothing else comes between. Not ok: the attempt has ended so, without a byte. Whatever else has to hold at that instant
 // belongs here.
-func (out *call) lastLook(ctx context.Context, s *server) (why balancer.Ending, ok bool) {
+func (out *call) lastLook(ctx context.Context, s *server) (why balancer.Result, ok bool) {
 	now := out.clear.clock.now()
 	switch {
 	case ctx.Err() != nil, !out.clear.wanted():
-		return balancer.Void, false
+		return balancer.NotSent, false
 	case out.clear.window != 0 && now >= out.clear.window:
-		return balancer.Void, false // it would run twice
+		return balancer.NotSent, false // it would run twice
 	case out.clear.until != 0 && now >= out.clear.until:
-		return balancer.Void, false
+		return balancer.NotSent, false
 	case !s.usable.Load():
 		return balancer.Unreachable, false // the list has named it draining or gone since
 	case out.rest != nil && !out.rest.spent.CompareAndSwap(false, true):
-		return balancer.Void, false // its caller's last byte could never follow
+		return balancer.NotSent, false // its caller's last byte could never follow
 	case out.clear.until != 0:
 		out.request.Header.Set("X-Time-Left", timeLeft(out.clear.until-now))
 	}
--- a/internal/node/long_test.go
+++ b/internal/node/long_test.go
@@ -137,12 +137,12 @@
 			close(closed)
 		}
 	})
-	outcomes, started := make(chan balancer.Outcome, 1), make(chan balancer.Started, 1)
+	outcomes, started := make(chan balancer.Outcome, 1), make(chan balancer.ResponseStarted, 1)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
-		case balancer.Started:
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
+		case balancer.ResponseStarted:
 			started <- e
 		case balancer.Outcome:
 			outcomes <- e
@@ -154,7 +154,7 @@
 	wait(t, started)
 	c.Close()
 	wait(t, closed)
-	if o := wait(t, outcomes); o.Ending != balancer.Withdrawn || !o.Ended {
+	if o := wait(t, outcomes); o.Result != balancer.Cancelled || !o.RequestDone {
 		t.Errorf("outcome %+v", o)
 	}
 }
@@ -281,15 +281,15 @@
 	return func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			if !e.Long {
+			if !e.StreamingBody {
 				return []balancer.Action{balancer.Fail{ID: e.ID}}
 			}
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "first"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "first"}}
 		case balancer.Outcome:
-			if e.Ended || e.Spent {
-				return []balancer.Action{balancer.Refuse{ID: e.ID}}
+			if e.RequestDone || e.BodyConsumed {
+				return []balancer.Action{balancer.Reject{ID: e.ID}}
 			}
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "second"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "second"}}
 		}
 		return nil
 	}
@@ -299,12 +299,12 @@
 func TestLongRequestIsTaken(t *testing.T) {
 	t.Parallel()
 	addr, _ := sink(t)
-	taken := make(chan balancer.Taken, 1)
+	taken := make(chan balancer.RequestBodySent, 1)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
-		case balancer.Taken:
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
+		case balancer.RequestBodySent:
 			taken <- e
 		}
 		return nil
@@ -384,10 +384,10 @@
 	addr, got := stub(t, ok, false)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), moduleFunc(func(e balancer.Event) []balancer.Action {
 		if e, is := e.(balancer.Request); is {
-			if e.Long {
-				return []balancer.Action{balancer.Refuse{ID: e.ID}}
+			if e.StreamingBody {
+				return []balancer.Action{balancer.Reject{ID: e.ID}}
 			}
-			return []balancer.Action{balancer.Send{ID: e.ID, Server: "s"}}
+			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 		}
 		return nil
 	}))
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -73,8 +73,8 @@
 // module decides; balancer.Balancer is the one in service.
 type module interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
-	Avoided(now time.Duration) int
-	Learned(now time.Duration) balancer.Memory
+	EjectedCount(now time.Duration) int
+	Snapshot(now time.Duration) balancer.Snapshot
 }
 
 // loop owns the module. All its methods but post run on the one goroutine of run; I/O happens on
@@ -114,7 +114,7 @@
 
 func newLoop(cfg Config, m module, up *upstream, disc *discovery, counts *metrics) *loop {
 	l := &loop{clock: clock{time.Now()}, module: m, upstream: up, discovery: disc, metrics: counts,
-		maxAttempts: cfg.Settings.MaxAttempts, pushed: !cfg.Settings.AskDiscovery,
+		maxAttempts: cfg.Settings.MaxAttempts, pushed: !cfg.Settings.PollDiscovery,
 		events: make(chan func(), 1024), done: make(chan struct{}),
 		requests: map[string]*request{}, servers: map[string]*server{},
 		stopWatch: func() {}, told: make(chan struct{})}
@@ -125,9 +125,9 @@
 // retune takes over new settings and discovery's address, in one step.
 func (l *loop) retune(cfg Config) {
 	l.takeClasses(cfg.Settings)
-	l.maxAttempts, l.pushed = cfg.Settings.MaxAttempts, !cfg.Settings.AskDiscovery
+	l.maxAttempts, l.pushed = cfg.Settings.MaxAttempts, !cfg.Settings.PollDiscovery
 	l.upstream.retune(cfg.Conns)
-	l.handle(balancer.Retuned{Settings: cfg.Settings})
+	l.handle(balancer.Reconfigure{Settings: cfg.Settings})
 	if cfg.Discovery != l.discovery.addr {
 		l.moveDiscovery(newDiscovery(cfg.Discovery))
 	} else if l.pushed && !l.watching {
@@ -162,7 +162,7 @@
 		case <-sweep.C:
 			go l.upstream.sweepStale()
 		case <-ask.C:
-			l.metrics.ejected.Store(int64(l.module.Avoided(l.clock.now())))
+			l.metrics.ejected.Store(int64(l.module.EjectedCount(l.clock.now())))
 		case <-ctx.Done():
 			return
 		}
@@ -202,12 +202,12 @@
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt].cancel(errWithdrawn)
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case balancer.Fail:
 		l.finish(a.ID, answer{status: http.StatusBadGateway})
-	case balancer.Wake:
-		l.after(a.At-l.clock.now(), func() { l.handle(balancer.Timer{Token: a.Token}) })
+	case balancer.SetTimer:
+		l.after(a.At-l.clock.now(), func() { l.handle(balancer.TimerFired{Token: a.Token}) })
 	case balancer.Subscribe:
 		l.subscribe()
 	}
@@ -235,8 +235,8 @@
 	l.requests[r.id] = r
 	l.metrics.outstanding.Add(1)
 	l.awaitLastCall(r)
-	l.handle(balancer.Request{ID: r.id, Class: r.class, Deadline: r.deadline, Repeat: r.repeat,
-		Cost: r.cost, Long: r.rest != nil})
+	l.handle(balancer.Request{ID: r.id, Class: r.class, Deadline: r.deadline, ClientRetry: r.repeat,
+		CostHint: r.cost, StreamingBody: r.rest != nil})
 }
 
 // awaitLastCall sees to it that, should the module ever say nothing, the caller still gets an answer in
@@ -260,7 +260,7 @@
 // abandon fails a request without the module, which is told that nothing is owed any more.
 func (l *loop) abandon(r *request) {
 	l.finish(r.id, answer{status: http.StatusBadGateway})
-	l.handle(balancer.ClientGone{ID: r.id})
+	l.handle(balancer.ClientDisconnected{ID: r.id})
 }
 
 // abandonAll fails whatever is unanswered, and refuses whatever comes from now on.
@@ -277,7 +277,7 @@
 func (l *loop) gone(r *request) {
 	if r.lastCall != nil && l.close(r) { // else it was never accepted
 		l.metrics.outstanding.Add(-1)
-		l.handle(balancer.ClientGone{ID: r.id})
+		l.handle(balancer.ClientDisconnected{ID: r.id})
 		l.forget(r)
 	}
 }
@@ -320,12 +320,12 @@
 		timeout = min(timeout, a.Timeout)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	at := &attempt{req: r, n: len(r.attempts), server: a.Server, sent: now, cancel: cancel}
+	at := &attempt{req: r, n: len(r.attempts), server: a.Endpoint, sent: now, cancel: cancel}
 	r.attempts = append(r.attempts, at)
 	r.out++
-	s := l.servers[a.Server]
+	s := l.servers[a.Endpoint]
 	if r.finished.Load() || r.departed.Load() || timeout <= 0 && r.rest == nil || s == nil || r.maxAttempts > 0 && at.n >= r.maxAttempts {
-		l.queue = append(l.queue, l.end(at, result{ending: balancer.Void}))
+		l.queue = append(l.queue, l.end(at, result{ending: balancer.NotSent}))
 		return
 	}
 	out := call{request: r.forward.Clone(ctx), rest: r.rest,
@@ -354,10 +354,10 @@
 // sendBy is the clock time from which on the servers may run a repeat of the request anew, less the time on the way; 0:
 // there is none. A connection that comes up late must not carry it past that.
 func (r *request) sendBy() time.Duration {
-	if r.kind.Effect != balancer.Keyed || r.ran == 0 {
+	if r.kind.Effect != balancer.WithIdempotencyKey || r.ran == 0 {
 		return 0
 	}
-	return r.ran + r.kind.Window - min(ownDelay, r.kind.Window/4)
+	return r.ran + r.kind.IdempotencyWindow - min(ownDelay, r.kind.IdempotencyWindow/4)
 }
 
 // taken notes that the last byte of a long request was written: its time begins.
@@ -370,7 +370,7 @@
 	l.startTime(r)
 	at.timer.Reset(r.deadline - l.clock.now())
 	l.awaitLastCall(r)
-	l.handle(balancer.Taken{ID: r.id, Attempt: at.n, Deadline: r.deadline})
+	l.handle(balancer.RequestBodySent{ID: r.id, Attempt: at.n, Deadline: r.deadline})
 }
 
 // started makes an answer that begins the final one of its request, unless there is one already.
@@ -384,7 +384,7 @@
 	at.begun = true
 	at.stop()
 	at.req.answer <- answer{status: http.StatusOK, contentType: d.contentType, stream: d}
-	l.handle(balancer.Started{ID: at.req.id, Attempt: at.n})
+	l.handle(balancer.ResponseStarted{ID: at.req.id, Attempt: at.n})
 }
 
 // stop ends an attempt's timer, if it has one.
@@ -408,7 +408,7 @@
 		l.metrics.outstanding.Add(-1)
 	}
 	switch res.ending {
-	case balancer.Overloaded, balancer.Unreachable, balancer.Void: // it never ran
+	case balancer.Overloaded, balancer.Unreachable, balancer.NotSent: // it never ran
 	default:
 		if r.ran == 0 || at.sent < r.ran {
 			r.ran = at.sent
@@ -418,8 +418,8 @@
 		l.finish(r.id, answer{status: http.StatusOK, body: res.body, contentType: res.contentType})
 	}
 	l.forget(r)
-	return balancer.Outcome{ID: r.id, Attempt: at.n, Server: at.server, Ending: res.ending,
-		Latency: l.clock.now() - at.sent, Ended: r.finished.Load(), Spent: r.rest != nil && r.rest.spent.Load()}
+	return balancer.Outcome{ID: r.id, Attempt: at.n, Endpoint: at.server, Result: res.ending,
+		Latency: l.clock.now() - at.sent, RequestDone: r.finished.Load(), BodyConsumed: r.rest != nil && r.rest.spent.Load()}
 }
 
 // ---- Discovery ----
@@ -431,23 +431,23 @@
 		l.hear()
 	}
 	listed := map[string]bool{}
-	e := balancer.ServerList{Full: list.All, Cached: cached}
+	e := balancer.EndpointUpdate{Full: list.All, Cached: cached}
 	for _, t := range list.Targets {
 		sv := t.server()
-		e.Servers = append(e.Servers, sv)
-		listed[t.UID] = sv.State != balancer.Gone
+		e.Endpoints = append(e.Endpoints, sv)
+		listed[t.UID] = sv.State != balancer.Removed
 		s := l.servers[t.UID]
-		if s == nil || s.addr != t.Endpoint || s.boot != sv.Boot {
+		if s == nil || s.addr != t.Endpoint || s.boot != sv.StartTime {
 			// Connections to an earlier process or address are of no use.
 			l.removeServer(t.UID)
-			s = &server{id: t.UID, addr: t.Endpoint, boot: sv.Boot}
+			s = &server{id: t.UID, addr: t.Endpoint, boot: sv.StartTime}
 			l.servers[t.UID] = s
 		}
 		s.usable.Store(sv.State == balancer.Ready)
 		if sv.State != balancer.Ready {
 			l.upstream.dropIdle(s)
 		}
-		if sv.State == balancer.Gone {
+		if sv.State == balancer.Removed {
 			l.removeServer(t.UID)
 		}
 	}
@@ -606,7 +606,7 @@
 				// When to ask is the module's to say where lists are asked for; a watch fallen silent is broken
 				// and is opened anew in any case.
 				if !l.pushed && err != errSilent {
-					l.handle(balancer.ListFailed{})
+					l.handle(balancer.SubscriptionFailed{})
 				} else {
 					l.after(l.restAfter(l.clock.now()-begun), func() {
 						if ctx.Err() == nil { // else another was opened meanwhile
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 			n.control.serve()
 		}()
 	}
-	var recalled balancer.Recalled
+	var recalled balancer.Restore
 	known := false
 	if n.keeper != nil {
 		recalled, known = n.keeper.recall(time.Now())
@@ -214,7 +214,7 @@
 		defer n.turn.close()
 		go n.awaitTurn(running)
 	}
-	if !n.cfg.Settings.AskDiscovery && n.registry == nil {
+	if !n.cfg.Settings.PollDiscovery && n.registry == nil {
 		n.awaitNews(ctx)
 	}
 	if !n.awaitCaughtUp(ctx) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -25,16 +25,16 @@
 
 func testConfig(discovery string, targets ...Target) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, Window: 10 * time.Second,
-			Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
+		return balancer.Class{Name: name, Effect: e, IdempotencyScope: balancer.ScopeAll, IdempotencyWindow: 10 * time.Second,
+			LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}
 	}
 	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
 		Known: List{Rev: 7, All: true, Targets: targets},
 		Settings: balancer.Settings{
-			Classes: []balancer.Class{class("read", balancer.Safe), class("send", balancer.Keyed),
-				class("order", balancer.Unsafe)},
-			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
-			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
+			Classes: []balancer.Class{class("read", balancer.Idempotent), class("send", balancer.WithIdempotencyKey),
+				class("order", balancer.NonIdempotent)},
+			Replicas: 1, MaxAttempts: 6, Cancellation: true, PollDiscovery: true,
+			PollInterval: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
 		Conns: simwire.Connections{Idle: time.Minute, ConnectWithin: limit}}
 }
 
@@ -90,8 +90,8 @@
 
 func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-func (moduleFunc) Avoided(time.Duration) int             { return 0 }
-func (moduleFunc) Learned(time.Duration) balancer.Memory { return balancer.Memory{} }
+func (moduleFunc) EjectedCount(time.Duration) int           { return 0 }
+func (moduleFunc) Snapshot(time.Duration) balancer.Snapshot { return balancer.Snapshot{} }
 
 // listen serves each connection of a stub with serve.
 func listen(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (addr string) {
@@ -435,8 +435,8 @@
 	costs := make(chan time.Duration, 1)
 	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
 		if r, is := e.(balancer.Request); is {
-			costs <- r.Cost
-			return []balancer.Action{balancer.Refuse{ID: r.ID}}
+			costs <- r.CostHint
+			return []balancer.Action{balancer.Reject{ID: r.ID}}
 		}
 		return nil
 	}))
@@ -457,7 +457,7 @@
 	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
-			return []balancer.Action{balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
+			return []balancer.Action{balancer.Reject{ID: r.ID, RetryAfter: 250 * time.Millisecond},
 				balancer.Fail{ID: r.ID}} // the second is ignored
 		case "order":
 			return []balancer.Action{balancer.Fail{ID: r.ID}}
@@ -476,9 +476,9 @@
 // Whatever the module forgets, the caller has an answer before its time is out.
 func TestSilentModule(t *testing.T) {
 	t.Parallel()
-	gone := make(chan balancer.ClientGone, 1)
+	gone := make(chan balancer.ClientDisconnected, 1)
 	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
-		if e, is := e.(balancer.ClientGone); is {
+		if e, is := e.(balancer.ClientDisconnected); is {
 			gone <- e
 		}
 		return nil
@@ -561,7 +561,7 @@
 	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
-			send := func(to string) balancer.Action { return balancer.Send{ID: e.ID, Server: to} }
+			send := func(to string) balancer.Action { return balancer.Send{ID: e.ID, Endpoint: to} }
 			if e.Class == "read" {
 				return []balancer.Action{send("nowhere"), send("nowhere"), send("s"), balancer.Fail{ID: e.ID}}
 			}
@@ -574,7 +574,7 @@
 	}))
 	do(t, newRequest(t, n, "GET", "/read/1", ""))
 	for i := range 3 {
-		if o := wait(t, outcomes); o.Ending != balancer.Void || o.Attempt != i {
+		if o := wait(t, outcomes); o.Result != balancer.NotSent || o.Attempt != i {
 			t.Errorf("outcome %+v", o)
 		}
 	}
@@ -600,7 +600,7 @@
 		moduleFunc(func(e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
-				return []balancer.Action{balancer.Send{ID: e.ID, Server: "slow"}, balancer.Send{ID: e.ID, Server: "fast"}}
+				return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "slow"}, balancer.Send{ID: e.ID, Endpoint: "fast"}}
 			case balancer.Outcome:
 				outcomes <- e
 			}
@@ -609,11 +609,11 @@
 	if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != 200 || body != "hi" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
-	if o := wait(t, outcomes); o.Server != "fast" || o.Attempt != 1 || !o.Ended || o.Ending != balancer.Success {
+	if o := wait(t, outcomes); o.Endpoint != "fast" || o.Attempt != 1 || !o.RequestDone || o.Result != balancer.Success {
 		t.Errorf("first outcome %+v", o)
 	}
 	close(release)
-	if o := wait(t, outcomes); o.Server != "slow" || o.Attempt != 0 || !o.Ended {
+	if o := wait(t, outcomes); o.Endpoint != "slow" || o.Attempt != 0 || !o.RequestDone {
 		t.Errorf("late outcome %+v", o)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -34,7 +34,7 @@
 	switch {
 	case !known:
 		return fmt.Errorf("the class %q: %w", class, errUnknownClass)
-	case k.Effect == balancer.Keyed && h.Get("Idempotency-Key") == "":
+	case k.Effect == balancer.WithIdempotencyKey && h.Get("Idempotency-Key") == "":
 		// Without its key the servers would run every repeat.
 		return errors.New("Idempotency-Key is missing")
 	}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -44,7 +44,7 @@
 
 // result is how an attempt ended; body and contentType belong to a Success whose answer was short.
 type result struct {
-	ending      balancer.Ending
+	ending      balancer.Result
 	body        []byte
 	contentType string
 }
@@ -145,7 +145,7 @@
 	if err != nil && ctx.Err() == nil {
 		return result{ending: balancer.Unreachable}
 	} else if err != nil {
-		return result{ending: balancer.Void} // the dial took the attempt's time or its reason away
+		return result{ending: balancer.NotSent} // the dial took the attempt's time or its reason away
 	}
 	if why, ok := out.lastLook(ctx, s); !ok {
 		u.put(s, c) // not a byte was written
@@ -173,12 +173,12 @@
 func (u *upstream) exchange(ctx context.Context, c *conn, out call) (res result, keep bool) {
 	var message bytes.Buffer
 	if err := out.request.Write(&message); err != nil {
-		return result{ending: balancer.Void}, false
+		return result{ending: balancer.NotSent}, false
 	}
 	if _, err := c.Write(message.Bytes()); err != nil {
 		// Not all of it was written, so it can't have run.
 		if ctx.Err() != nil {
-			return result{ending: balancer.Void}, false
+			return result{ending: balancer.NotSent}, false
 		}
 		return result{ending: balancer.Unreachable}, false
 	}
@@ -246,7 +246,7 @@
 	c.Conn.SetReadDeadline(time.Time{})
 	switch {
 	case abandoned:
-		return result{ending: balancer.Withdrawn}, false
+		return result{ending: balancer.Cancelled}, false
 	case err != nil:
 		return result{ending: endingOf(ctx)}, false
 	case begun:
@@ -316,10 +316,10 @@
 }
 
 // unsentEnding tells how an attempt ended whose last byte was not written, so that it can't have run.
-func unsentEnding(ctx context.Context, resp *http.Response, out call) balancer.Ending {
+func unsentEnding(ctx context.Context, resp *http.Response, out call) balancer.Result {
 	switch {
 	case ctx.Err() != nil || out.rest.broken():
-		return balancer.Void // not the server's doing
+		return balancer.NotSent // not the server's doing
 	case resp != nil:
 		return balancer.Overloaded // it did not want all of it
 	}
@@ -337,14 +337,14 @@
 }
 
 // endingOf tells how an attempt ended that was written and got no whole answer.
-func endingOf(ctx context.Context) balancer.Ending {
+func endingOf(ctx context.Context) balancer.Result {
 	switch context.Cause(ctx) {
 	case nil:
-		return balancer.Broken
+		return balancer.ConnectionLost
 	case errTimedOut:
 		return balancer.TimedOut
 	}
-	return balancer.Withdrawn
+	return balancer.Cancelled
 }
 
 var errNoRoom = errors.New("no descriptor left for another connection")
@@ -417,7 +417,7 @@
 func (u *upstream) learn(c *conn, res result) {
 	switch {
 	case c.idled == 0:
-	case res.ending == balancer.Unreachable || res.ending == balancer.Broken && c.limit.N == maxAnswer:
+	case res.ending == balancer.Unreachable || res.ending == balancer.ConnectionLost && c.limit.N == maxAnswer:
 		u.distrust(c.idled) // not a byte came back
 	case res.ending == balancer.Success:
 		u.mu.Lock()
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -65,7 +65,7 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		answer string
-		ending balancer.Ending
+		ending balancer.Result
 		kept   bool
 	}{
 		"served":            {ok, balancer.Success, true},
@@ -82,15 +82,15 @@
 		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"nothing":           {"", balancer.Broken, false},
-		"no HTTP":           {"hello\r\n\r\n", balancer.Broken, false},
-		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Broken, false},
-		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
-		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Broken, false},
+		"nothing":           {"", balancer.ConnectionLost, false},
+		"no HTTP":           {"hello\r\n\r\n", balancer.ConnectionLost, false},
+		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", balancer.ConnectionLost, false},
+		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.ConnectionLost, false},
+		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.ConnectionLost, false},
 		"unframed body":     {"HTTP/1.1 200 OK\r\n\r\nall of it", balancer.Success, false},
 		"body over 64 KiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), balancer.Success, true},
-		"body over 32 MiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 33554433), balancer.Broken, false},
-		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", 65537), balancer.Broken, false},
+		"body over 32 MiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 33554433), balancer.ConnectionLost, false},
+		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", 65537), balancer.ConnectionLost, false},
 		"long chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537) + "\r\n0\r\nTrailer: x\r\n\r\n", balancer.Success, true},
 		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), balancer.Success, true},
 		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", balancer.Failure, false},
@@ -148,7 +148,7 @@
 	if res := try(t, u, s); res.ending != balancer.Success {
 		t.Fatalf("first: %d", res.ending)
 	}
-	if res := try(t, u, s); res.ending != balancer.Broken {
+	if res := try(t, u, s); res.ending != balancer.ConnectionLost {
 		t.Errorf("second: ending %d, want Broken", res.ending)
 	}
 	if n := seen.Load(); n != 2 {
@@ -278,7 +278,7 @@
 	})
 	u, s := newTestUpstream(10), newServer(addr)
 	ctx := context.Background()
-	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: func() bool { return false }}}); res.ending != balancer.Void {
+	if res := u.attempt(ctx, s, call{request: keyed(t), clear: clearance{wanted: func() bool { return false }}}); res.ending != balancer.NotSent {
 		t.Errorf("request finished: ending %d, want Void", res.ending)
 	}
 	if _, idle := u.counts(); idle != 1 {
@@ -292,7 +292,7 @@
 	s.usable.Store(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(errWithdrawn)
-	if res := u.attempt(ctx, s, call{request: keyed(t), clear: free}); res.ending != balancer.Void {
+	if res := u.attempt(ctx, s, call{request: keyed(t), clear: free}); res.ending != balancer.NotSent {
 		t.Errorf("cancelled: ending %d, want Void", res.ending)
 	}
 	if n := bytes.Load(); n > 0 {
@@ -313,8 +313,8 @@
 		}
 	})
 	u, s := newTestUpstream(10), newServer(addr)
-	for cause, want := range map[error]balancer.Ending{
-		errTimedOut: balancer.TimedOut, errWithdrawn: balancer.Withdrawn} {
+	for cause, want := range map[error]balancer.Result{
+		errTimedOut: balancer.TimedOut, errWithdrawn: balancer.Cancelled} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			<-began
@@ -442,16 +442,16 @@
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections while idle ones are trusted", n)
 	}
-	u.learn(&conn{idled: time.Hour, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
+	u.learn(&conn{idled: time.Hour, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.ConnectionLost})
 	if u.trust() != u.idleFor {
 		t.Errorf("a drop after an hour left %v of %v", u.trust(), u.idleFor)
 	}
-	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer - 1}}, result{ending: balancer.Broken})
-	u.learn(&conn{limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
+	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer - 1}}, result{ending: balancer.ConnectionLost})
+	u.learn(&conn{limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.ConnectionLost})
 	if u.trust() != u.idleFor {
 		t.Errorf("an answer cut short, or a new connection's reset, left %v", u.trust())
 	}
-	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.Broken})
+	u.learn(&conn{idled: 4 * time.Second, limit: &io.LimitedReader{N: maxAnswer}}, result{ending: balancer.ConnectionLost})
 	if u.trust() != 2*time.Second {
 		t.Errorf("a drop after 4 s left %v", u.trust())
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]balancer.Server
+	lists    [16][]balancer.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,28 +142,28 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = balancer.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = balancer.EndpointUpdate{Full: mode != 0, Cached: mode == 2, Endpoints: d.lists[n]}
 		case 3:
-			m.Event = balancer.ListFailed{}
+			m.Event = balancer.SubscriptionFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
 		r := balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
-			Repeat: f.optNum(4)&2 != 0}
+			ClientRetry: f.optNum(4)&2 != 0}
 		if f.optNum(4)&1 != 0 {
-			r.Cost = f.optMS(6)
+			r.CostHint = f.optMS(6)
 		}
 		m.Event = r
 	case "ring":
-		m.Event = balancer.Timer{Token: f.text(0)}
+		m.Event = balancer.TimerFired{Token: f.text(0)}
 	case "outcome":
-		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
-			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
+		m.Event = balancer.Outcome{ID: f.text(0), Endpoint: f.text(1), Latency: f.ms(2),
+			RequestDone: f.text(3) == "1", Attempt: f.num(4), Result: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = balancer.ClientGone{ID: f.text(0)}
+		m.Event = balancer.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
-		m.Event = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = balancer.ResponseStarted{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -182,7 +182,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []balancer.Server
+	var servers []balancer.Endpoint
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -193,15 +193,15 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
-			Boot: g.optMS(6)}
+		sv := balancer.Endpoint{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Weight: g.optFloat(5),
+			StartTime: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
 			sv.State = balancer.Ready
 		case 0:
 			sv.State = balancer.Draining
 		case 1:
-			sv.State = balancer.Gone
+			sv.State = balancer.Removed
 		default:
 			g.fail(4, "is no state")
 		}
@@ -296,14 +296,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]balancer.Ending{
+var endings = map[string]balancer.Result{
 	"success": balancer.Success, "failure": balancer.Failure,
 	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
-	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
-	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
+	"unreachable": balancer.Unreachable, "broken": balancer.ConnectionLost,
+	"withdrawn": balancer.Cancelled, "void": balancer.NotSent,
 }
 
-func (f *fields) ending(i int) balancer.Ending {
+func (f *fields) ending(i int) balancer.Result {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -312,12 +312,12 @@
 }
 
 // load reads name:value pairs; names it does not know are ignored.
-func (f *fields) load(i int) *balancer.Load {
+func (f *fields) load(i int) *balancer.LoadReport {
 	s := f.opt(i)
 	if s == "" {
 		return nil
 	}
-	l := &balancer.Load{Busy: -1, Service: -1}
+	l := &balancer.LoadReport{ActiveRequests: -1, ServiceTime: -1}
 	for _, pair := range strings.Split(s, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
@@ -327,9 +327,9 @@
 		}
 		switch name {
 		case "busy_reqs":
-			l.Busy = v
+			l.ActiveRequests = v
 		case "svc_ms":
-			l.Service = fromMS(v)
+			l.ServiceTime = fromMS(v)
 		}
 	}
 	return l
@@ -385,16 +385,16 @@
 	Sizes string  `json:"weights"`
 }
 
-var scopes = map[string]balancer.Scope{
+var scopes = map[string]balancer.IdempotencyScope{
 	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-var sizes = map[string]balancer.Sizes{
-	"nominal": balancer.SizesNominal, "rough": balancer.SizesRough, "live": balancer.SizesLive,
+var sizes = map[string]balancer.WeightKind{
+	"nominal": balancer.WeightNominal, "rough": balancer.WeightApproximate, "live": balancer.WeightLive,
 }
 
 var effects = map[string]balancer.Effect{
-	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
+	"read_like": balancer.Idempotent, "idempotency_key": balancer.WithIdempotencyKey,
 }
 
 // Connections holds the settings of connections to servers. On the wire the simulator keeps to them;
@@ -412,11 +412,11 @@
 		return balancer.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
 	s := balancer.Settings{
-		Balancers: p.Balancers, Index: p.Me, Tier: p.Tier,
-		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
-		MaxAttempts: p.Limits.MaxAttempts, SecondCopies: p.Limits.SecondCopies,
-		MayCancel: p.Limits.Cancelling, Sizes: sizes[p.Sizes],
-		AskDiscovery: p.Registry == "on_request", AskWithin: fromMS(p.Rules.AskWithin),
+		Replicas: p.Balancers, ReplicaIndex: p.Me, Tier: p.Tier,
+		TotalValueWeight: p.Blend.Whole, WorstClassWeight: p.Blend.WorstClass,
+		MaxAttempts: p.Limits.MaxAttempts, Hedging: p.Limits.SecondCopies,
+		Cancellation: p.Limits.Cancelling, WeightKind: sizes[p.Sizes],
+		PollDiscovery: p.Registry == "on_request", PollInterval: fromMS(p.Rules.AskWithin),
 		Tick: fromMS(p.Tick), ColdFrom: p.Rules.ColdFrom, WarmAfter: fromMS(p.Rules.WarmAfter),
 		FallMultiple: p.Rules.FallMultiple, FallFor: fromMS(p.Rules.FallFor),
 	}
@@ -425,8 +425,8 @@
 	}
 	for _, l := range p.Lanes {
 		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
-			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
-			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream})
+			IdempotencyScope: scopes[l.Scope], IdempotencyWindow: fromMS(l.Window), LatencyObjective: fromMS(l.Target),
+			Deadline: fromMS(l.Deadline), LateCredit: l.LateShare, PriorityWeight: l.Worth, Streaming: l.Stream})
 	}
 	c := Connections{Idle: fromMS(p.Limits.ConnIdle), ConnectWithin: fromMS(p.Limits.ConnectWithin)}
 	return s, c, nil
@@ -455,14 +455,14 @@
 	}
 	switch a := a.(type) {
 	case balancer.Send:
-		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
+		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Endpoint, ms(a.Timeout))
 	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
-	case balancer.Refuse:
+	case balancer.Reject:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
 	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case balancer.Wake:
+	case balancer.SetTimer:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
 	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -37,12 +37,12 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
-			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true, Cost: 12 * time.Millisecond,
+		{Kind: Event, Instance: 3, Event: balancer.EndpointUpdate{Full: true, Cached: true,
+			Endpoints: []balancer.Endpoint{{ID: "s:1", Zone: "z", Cell: 4, Weight: 1.5, StartTime: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true, CostHint: 12 * time.Millisecond,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
+		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Endpoint: "s:1", RequestDone: true,
+			Latency: 18500 * time.Microsecond, Load: &balancer.LoadReport{ActiveRequests: 3, ServiceTime: -1}}},
 		{Kind: End, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
@@ -71,7 +71,7 @@
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
+	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -79,9 +79,9 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(3, balancer.Send{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
 	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, balancer.Refuse{ID: "b"})
+	e.Action(5, balancer.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
