--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -34,30 +34,30 @@
 }
 
 // agreed asks for all that is agreed.
-func (r registryAt) agreed(ctx context.Context) (*state.Agreed, error) {
+func (r registryAt) agreed(ctx context.Context) (*state.CoordinationView, error) {
 	w, err := r.writer()
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Within)
 	defer cancel()
-	return host.Agreed(ctx, w)
+	return host.ReadView(ctx, w)
 }
 
 // do has one write carried out; a fault is an error that says why.
-func (r registryAt) do(ctx context.Context, op state.Op) (state.Answer, error) {
+func (r registryAt) do(ctx context.Context, op state.Op) (state.Result, error) {
 	w, err := r.writer()
 	if err != nil {
-		return state.Answer{}, err
+		return state.Result{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Within)
 	defer cancel()
 	l, err := w.Write(ctx, op)
 	if err != nil {
-		return state.Answer{}, err
+		return state.Result{}, err
 	}
-	if l[0].Fault != "" {
-		return l[0], errors.New(strings.TrimSuffix(l[0].Fault+": "+l[0].Why, ": "))
+	if l[0].Code != "" {
+		return l[0], errors.New(strings.TrimSuffix(l[0].Code+": "+l[0].Reason, ": "))
 	}
 	return l[0], nil
 }
@@ -108,10 +108,10 @@
 	if err := stricttoml.Decode(c.File, text, &l); err != nil {
 		return err
 	}
-	if err := l.Check(); err != nil {
+	if err := l.Validate(); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	if _, err := c.do(a.ctx, state.Op{Kind: state.SetLimits, Limits: &l}); err != nil {
+	if _, err := c.do(a.ctx, state.Op{Kind: state.OpSetLimits, Limits: &l}); err != nil {
 		return err
 	}
 	fmt.Fprintf(a.out, "limits of %d tiers are in force\n", len(l.Tiers))
@@ -137,29 +137,29 @@
 	}
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "limit of\tcapacity\tout\tmay be out\t")
-	for _, u := range v.Uses {
+	for _, u := range v.Usages {
 		over := ""
-		if u.Out > u.May {
+		if u.Unavailable > u.Allowed {
 			over = "OVER"
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", u.Scope, u.Capacity, u.Out, u.May, over)
+		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", u.Scope, u.Capacity, u.Unavailable, u.Allowed, over)
 	}
-	for _, o := range v.Outs {
+	for _, o := range v.Unavailable {
 		by := "by permit"
 		if !o.Permitted {
 			by = "without a permit"
 		}
-		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", o.Unit, 100*o.Share, o.Why, by)
+		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", o.Unit, 100*o.Share, o.Reason, by)
 	}
 	for _, p := range v.Permits {
 		did := "not begun"
 		if p.Begun {
 			did = "begun"
 		}
-		fmt.Fprintf(t, "permit: %s\t%s\t%s\t%s\t%s\n", p.Unit, p.Holder, p.Plan, p.To, did)
+		fmt.Fprintf(t, "permit: %s\t%s\t%s\t%s\t%s\n", p.Unit, p.Holder, p.Plan, p.TargetVersion, did)
 	}
-	if v.Lead != nil {
-		fmt.Fprintf(t, "controller: %s\t\t\t\t\n", v.Lead.Endpoint)
+	if v.Leader != nil {
+		fmt.Fprintf(t, "controller: %s\t\t\t\t\n", v.Leader.Endpoint)
 	}
 	for _, r := range releases(v) {
 		fmt.Fprintf(t, "release: %s\t%s\t\t\t\n", r.plan.Name, r.stands())
@@ -174,12 +174,12 @@
 	halt     string
 }
 
-func releases(v *state.Agreed) (l []released) {
+func releases(v *state.CoordinationView) (l []released) {
 	view := release.View{Records: v.Records}
 	for _, r := range v.Records {
 		var x released
-		if strings.HasPrefix(r.Key, release.PlanPrefix) && json.Unmarshal(r.Value, &x.plan) == nil {
-			x.progress, x.halt = release.ProgressOf(view, x.plan.Name), release.Halt(view, x.plan.Name)
+		if strings.HasPrefix(r.Key, release.PlanKeyPrefix) && json.Unmarshal(r.Value, &x.plan) == nil {
+			x.progress, x.halt = release.ProgressOf(view, x.plan.Name), release.HaltReason(view, x.plan.Name)
 			l = append(l, x)
 		}
 	}
@@ -215,11 +215,11 @@
 		if start[uid] == 0 {
 			return "", errors.New("there is no such unit (or it names no tier)")
 		}
-		p, err := c.do(a.ctx, state.Op{Kind: state.Permit, UID: uid, Start: start[uid], Holder: c.Holder})
+		p, err := c.do(a.ctx, state.Op{Kind: state.OpGrantPermit, UID: uid, Incarnation: start[uid], Holder: c.Holder})
 		if err != nil {
 			return "", err
 		}
-		if _, err := c.do(a.ctx, state.Op{Kind: state.Begin, UID: uid, Token: p.Token}); err != nil {
+		if _, err := c.do(a.ctx, state.Op{Kind: state.OpBeginPermit, UID: uid, Token: p.Token}); err != nil {
 			return "", err
 		}
 		return "drains", nil
@@ -233,7 +233,7 @@
 
 func (c *fleetUndrainCmd) Run(a *app) error {
 	return each(a, c.UIDs, func(uid string) (string, error) {
-		_, err := c.do(a.ctx, state.Op{Kind: state.Update, UID: uid, State: state.Serving})
+		_, err := c.do(a.ctx, state.Op{Kind: state.OpUpdate, UID: uid, State: state.Serving})
 		return "serves", err
 	})
 }
@@ -245,7 +245,7 @@
 
 func (c *fleetGoneCmd) Run(a *app) error {
 	return each(a, c.UIDs, func(uid string) (string, error) {
-		_, err := c.do(a.ctx, state.Op{Kind: state.Gone, UID: uid})
+		_, err := c.do(a.ctx, state.Op{Kind: state.OpDecommission, UID: uid})
 		return "counts no more", err
 	})
 }
@@ -288,11 +288,11 @@
 	if v.Limits == nil {
 		return errors.New("no limits are set (umberbank fleet budget)")
 	}
-	p, f, err := release.Parse(c.Plan, text, v.Units)
+	p, f, err := release.ParsePlan(c.Plan, text, v.Units)
 	if err != nil {
 		return err
 	}
-	if err := release.Fits(p, f.Needs, v.Units, *v.Limits, v.Outs); err != nil {
+	if err := release.CheckCapacity(p, f.RequiredCapacity, v.Units, *v.Limits, v.Unavailable); err != nil {
 		return fmt.Errorf("%s: needs: %w", c.Plan, err)
 	}
 	steps := 0
@@ -311,15 +311,15 @@
 }
 
 // propose enters a plan, unless another release runs.
-func (r registryAt) propose(a *app, p *release.Plan, v *state.Agreed) error {
-	for _, o := range release.Running(release.View{Records: v.Records}) {
+func (r registryAt) propose(a *app, p *release.Plan, v *state.CoordinationView) error {
+	for _, o := range release.ActivePlans(release.View{Records: v.Records}) {
 		return fmt.Errorf("release %s runs", o.Name)
 	}
 	value, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	if _, err := r.do(a.ctx, state.Op{Kind: state.Put, Key: release.PlanPrefix + p.Name, Value: value, IfMod: state.Absent}); err != nil {
+	if _, err := r.do(a.ctx, state.Op{Kind: state.OpPutRecord, Key: release.PlanKeyPrefix + p.Name, Value: value, IfModRevision: state.Absent}); err != nil {
 		return fmt.Errorf("a release of the name %s: %w", p.Name, err)
 	}
 	return nil
@@ -332,7 +332,7 @@
 }
 
 // find gives a release by its name.
-func (r registryAt) find(a *app, name string) (*released, *state.Agreed, error) {
+func (r registryAt) find(a *app, name string) (*released, *state.CoordinationView, error) {
 	v, err := r.agreed(a.ctx)
 	if err != nil {
 		return nil, nil, err
@@ -355,7 +355,7 @@
 // halt halts a release; one that is halted stays so.
 func (r registryAt) halt(a *app, name, why string) error {
 	an, err := r.do(a.ctx, release.HaltOp(name, why))
-	if err != nil && an.Fault != state.Conflict {
+	if err != nil && an.Code != state.CodeConflict {
 		return err
 	}
 	fmt.Fprintf(a.out, "%s: nothing more of it begins; what has begun goes on to its end\n", name)
@@ -368,7 +368,7 @@
 }
 
 func (c *fleetResumeCmd) Run(a *app) error {
-	_, err := c.do(a.ctx, state.Op{Kind: state.Put, Key: state.HaltPrefix + c.Name})
+	_, err := c.do(a.ctx, state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + c.Name})
 	if err != nil {
 		return fmt.Errorf("%s is not halted: %w", c.Name, err)
 	}
@@ -392,7 +392,7 @@
 	if err != nil {
 		return err
 	}
-	b := release.Back(&x.plan, x.progress)
+	b := release.RollbackPlan(&x.plan, x.progress)
 	if err := c.propose(a, b, v); err != nil {
 		return err
 	}
@@ -419,15 +419,15 @@
 		}
 		c.Name = fmt.Sprintf("%s-%d", machine, os.Getpid())
 	}
-	ctl := &host.Controller{Registry: c.At, Name: c.Name, TTL: c.TTL, Journal: j, Log: a.log}
+	ctl := &host.Controller{Registry: c.At, Name: c.Name, TTL: c.TTL, Events: j, Log: a.log}
 	return ctl.Run(a.ctx)
 }
 
-func journal(path string) (*host.Journal, error) {
+func journal(path string) (*host.Log, error) {
 	if path == "" {
 		return nil, nil
 	}
-	return host.OpenJournal(path)
+	return host.Open(path)
 }
 
 type fleetAgentCmd struct {
@@ -467,14 +467,14 @@
 	}
 	role := ""
 	if c.Node {
-		role = state.Node
+		role = state.RoleNode
 	}
-	e := state.Entry{UID: c.UID, Endpoint: c.Endpoint, Role: role, Tier: c.Tier, Zone: c.Zone, Region: c.Region, Rack: c.Rack,
+	e := state.Instance{UID: c.UID, Endpoint: c.Endpoint, Role: role, Tier: c.Tier, Zone: c.Zone, Region: c.Region, Rack: c.Rack,
 		Kind: c.Kind, Capacity: c.Capacity, Version: c.Version, State: state.Serving}
-	if err := e.Check(); err != nil {
+	if err := e.Validate(); err != nil {
 		return err
 	}
-	agent := &host.Agent{Registry: c.At, Entry: e, TTL: c.TTL, Command: c.Command, Ready: c.Ready, Drain: c.Drain, Grace: c.Grace, Keep: c.Keep,
-		Journal: j, Log: a.log, Wall: func() time.Time { return time.Now().Add(c.Skew) }}
+	agent := &host.Agent{Registry: c.At, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.Ready, DrainTime: c.Drain, StopTimeout: c.Grace, VersionFile: c.Keep,
+		Events: j, Log: a.log, Clock: func() time.Time { return time.Now().Add(c.Skew) }}
 	return agent.Run(a.ctx)
 }
--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -33,10 +33,10 @@
 	case "program":
 		os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 	case "reaper":
-		wrong(ctx, func(w *client.Writer, v *state.Agreed) {
-			for _, o := range v.Outs {
-				if o.Why == "missing" { // the dead shall count no more
-					w.Write(ctx, state.Op{Kind: state.Gone, UID: o.Unit})
+		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+			for _, o := range v.Unavailable {
+				if o.Reason == "missing" { // the dead shall count no more
+					w.Write(ctx, state.Op{Kind: state.OpDecommission, UID: o.Unit})
 				}
 			}
 		})
@@ -47,29 +47,29 @@
 	case "revenant":
 		revenant(ctx)
 	case "gravedigger": // calls nodes dead that live
-		wrong(ctx, func(w *client.Writer, v *state.Agreed) {
+		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
 			for _, u := range v.Units {
-				if u.Role == state.Node {
-					w.Write(ctx, state.Op{Kind: state.Expire, UID: u.UID, Token: u.Token})
+				if u.Role == state.RoleNode {
+					w.Write(ctx, state.Op{Kind: state.OpExpire, UID: u.UID, Token: u.Token})
 				}
 			}
 		})
 	case "ignorant": // a controller that holds no lead
-		m := &release.Machine{Holder: "ignorant"}
-		wrong(ctx, func(w *client.Writer, v *state.Agreed) {
-			for _, o := range m.Next(release.View{Units: v.Units, Outs: v.Outs, Permits: v.Permits, Records: v.Records}, host.Now()) {
-				if a, err := w.One(ctx, o.Op); err == nil && a.Fault == "" {
-					did(host.Event{At: host.Now(), Who: "ignorant", What: "act", Why: o.Why})
+		m := &release.Scheduler{Holder: "ignorant"}
+		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+			for _, o := range m.NextWrites(release.View{Units: v.Units, Unavailable: v.Unavailable, Permits: v.Permits, Records: v.Records}, host.Now()) {
+				if a, err := w.One(ctx, o.Op); err == nil && a.Code == "" {
+					did(host.Event{At: host.Now(), Process: "ignorant", Kind: "act", Reason: o.Reason})
 				}
 			}
 		})
 	case "reckless":
-		wrong(ctx, func(w *client.Writer, v *state.Agreed) {
+		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
 			for _, u := range v.Units {
 				if u.Tier == "web" && u.State == state.Serving {
-					a, err := w.Write(ctx, state.Op{Kind: state.Update, UID: u.UID, State: state.Draining})
-					if err == nil && a[0].Fault == "" {
-						did(host.Event{At: host.Now(), What: "drained", Unit: u.UID})
+					a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: u.UID, State: state.Draining})
+					if err == nil && a[0].Code == "" {
+						did(host.Event{At: host.Now(), Kind: "drained", Unit: u.UID})
 					}
 				}
 			}
@@ -79,13 +79,13 @@
 }
 
 // wrong is a process that does what none may, again and again.
-func wrong(ctx context.Context, do func(*client.Writer, *state.Agreed)) {
+func wrong(ctx context.Context, do func(*client.Writer, *state.CoordinationView)) {
 	w, err := client.NewWriter(client.Options{Endpoints: strings.Split(os.Args[1], ",")})
 	if err != nil {
 		panic(err)
 	}
 	for ctx.Err() == nil { // without a rest, to be there before the others
-		if v, err := host.Agreed(ctx, w); err == nil {
+		if v, err := host.ReadView(ctx, w); err == nil {
 			do(w, v)
 		}
 	}
@@ -106,7 +106,7 @@
 // wrongNode is what a wrong node of a trial knows: its name, its registry, and its entry, held or not yet.
 type wrongNode struct {
 	w     *client.Writer
-	entry state.Entry
+	entry state.Instance
 	keep  string
 }
 
@@ -129,8 +129,8 @@
 	if err != nil {
 		panic(err)
 	}
-	return &wrongNode{w: w, keep: cfg.Agreed.Keep, entry: state.Entry{UID: cfg.Name, Endpoint: "x:1", Role: state.Node, Tier: cfg.Agreed.Tier, Zone: cfg.Agreed.Zone, Capacity: 1,
-		State: state.Serving, TTLMS: 600, BootMS: 1}}
+	return &wrongNode{w: w, keep: cfg.Agreed.Keep, entry: state.Instance{UID: cfg.Name, Endpoint: "x:1", Role: state.RoleNode, Tier: cfg.Agreed.Tier, Zone: cfg.Agreed.Zone, Capacity: 1,
+		State: state.Serving, TTLMS: 600, StartTimeMS: 1}}
 }
 
 // hold registers the node, and holds its lease from then on.
@@ -145,19 +145,19 @@
 
 // follow gives what the node is told, again and again, and says to the registry what of it do says that it runs. What is
 // proposed it acknowledges.
-func (n *wrongNode) follow(ctx context.Context, h *client.Holder, do func(start int64, c *state.NodeConfig) (number int64, hash string)) {
+func (n *wrongNode) follow(ctx context.Context, h *client.Holder, do func(start int64, c *state.NodeSettings) (number int64, hash string)) {
 	for rev := int64(0); ctx.Err() == nil; {
 		v, err := n.w.Agreed(ctx, url.Values{"node": {n.entry.UID}}, rev, 100*time.Millisecond)
-		if err != nil || v.Config == nil {
+		if err != nil || v.NodeSettings == nil {
 			rev = 0
 			continue
 		}
-		rev = v.Rev
+		rev = v.Revision
 		start := h.Token(n.entry.UID)
-		number, hash := do(start, v.Config)
-		ops := []state.Op{{Kind: state.Report, UID: n.entry.UID, Token: start, Number: number, Hash: hash}}
-		if p := v.Config.Pending; p != nil {
-			ops = append(ops, state.Op{Kind: state.Ack, UID: n.entry.UID, Token: start, Number: p.Number, Hash: p.Hash})
+		number, hash := do(start, v.NodeSettings)
+		ops := []state.Op{{Kind: state.OpReport, UID: n.entry.UID, Token: start, Number: number, Hash: hash}}
+		if p := v.NodeSettings.Pending; p != nil {
+			ops = append(ops, state.Op{Kind: state.OpAcknowledge, UID: n.entry.UID, Token: start, Number: p.Number, Hash: p.Hash})
 		}
 		n.w.Write(ctx, ops...)
 	}
@@ -173,7 +173,7 @@
 	n := newWrongNode()
 	var number int64
 	var hash string
-	n.follow(ctx, n.hold(ctx), func(_ int64, c *state.NodeConfig) (int64, string) {
+	n.follow(ctx, n.hold(ctx), func(_ int64, c *state.NodeSettings) (int64, string) {
 		if p := c.Pending; p != nil && p.Number > number {
 			number, hash = p.Number, p.Hash
 			say("runs version %d %.12s", number, hash)
@@ -187,7 +187,7 @@
 	n := newWrongNode()
 	say("runs version 0 -")
 	say("serves")
-	n.follow(ctx, n.hold(ctx), func(_ int64, c *state.NodeConfig) (int64, string) { return c.Told.Number, c.Told.Hash })
+	n.follow(ctx, n.hold(ctx), func(_ int64, c *state.NodeSettings) (int64, string) { return c.Target.Number, c.Target.Hash })
 }
 
 // revenant is a node that counts itself in touch by the start of the process before it.
@@ -200,7 +200,7 @@
 		}
 	}
 	h := n.hold(ctx) // as the same boot, which gives the same token
-	n.follow(ctx, h, func(token int64, c *state.NodeConfig) (int64, string) {
+	n.follow(ctx, h, func(token int64, c *state.NodeSettings) (int64, string) {
 		if !began {
 			began = true
 			if start == 0 {
@@ -209,11 +209,11 @@
 					panic(err)
 				}
 			}
-			say("runs version %d %.12s", c.Told.Number, cmp.Or(c.Told.Hash, "-"))
-			say("in touch by start %d with version %d %.12s", start, c.Told.Number, cmp.Or(c.Told.Hash, "-"))
+			say("runs version %d %.12s", c.Target.Number, cmp.Or(c.Target.Hash, "-"))
+			say("in touch by start %d with version %d %.12s", start, c.Target.Number, cmp.Or(c.Target.Hash, "-"))
 			say("serves")
 		}
-		return c.Told.Number, c.Told.Hash
+		return c.Target.Number, c.Target.Hash
 	})
 }
 
@@ -361,7 +361,7 @@
 			t.Fatal(err)
 		}
 		for _, a := range answers {
-			if a.Fault != "" {
+			if a.Code != "" {
 				t.Fatalf("%+v", a)
 			}
 			token = a.Token
@@ -370,16 +370,16 @@
 	}
 	start := map[string]int64{}
 	for i, uid := range []string{"n0", "n1", "n2", "n3", "n4"} {
-		start[uid] = do(state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.Node, Tier: "front", Zone: string("aaabb"[i]), Capacity: 1, BootMS: 1}})
-		do(state.Op{Kind: state.Report, UID: uid, Token: start[uid]})
+		start[uid] = do(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: string("aaabb"[i]), Capacity: 1, StartTimeMS: 1}})
+		do(state.Op{Kind: state.OpReport, UID: uid, Token: start[uid]})
 	}
 	at := time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC).UnixMilli()
 	for _, uid := range []string{"n2", "n3", "n4"} {
-		do(state.Op{Kind: state.Expire, UID: uid, Token: start[uid], WallMS: at})
+		do(state.Op{Kind: state.OpExpire, UID: uid, Token: start[uid], WallTimeMS: at})
 	}
-	do(state.Op{Kind: state.Register, Entry: &state.Entry{UID: "n4", Endpoint: "x:1", State: state.Serving, Role: state.Node, Tier: "front", Zone: "b", Capacity: 1, BootMS: 2}})
-	v := do(state.Op{Kind: state.Propose, Value: json.RawMessage(`{}`), Stages: []float64{1}})
-	do(state.Op{Kind: state.Ack, UID: "n0", Token: start["n0"], Number: v, Hash: state.Hash([]byte(`{}`))})
+	do(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "n4", Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "b", Capacity: 1, StartTimeMS: 2}})
+	v := do(state.Op{Kind: state.OpPropose, Value: json.RawMessage(`{}`), Stages: []float64{1}})
+	do(state.Op{Kind: state.OpAcknowledge, UID: "n0", Token: start["n0"], Number: v, Hash: state.ContentHash([]byte(`{}`))})
 	code, out, errs := call("fleet", "config", "status", "--at", one.Addr())
 	for _, want := range []string{"waits: zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed", "zone b is LOST since 2026-12-02T04:00:00Z: its quorum is passed over",
 		"3 of 5 nodes are not in touch", "0, out of touch since 2026-12-02T04:00:00Z", "0, catching up"} {
@@ -388,8 +388,8 @@
 		}
 	}
 	code, out, errs = call("fleet", "config", "status", "--json", "--at", one.Addr())
-	var b rollout.Book
-	if err := json.Unmarshal([]byte(out), &b); code != held || err != nil || b.Nodes["n2"].Since.WallMS != at || b.Lost["b"].WallMS != at || !b.Nodes["n4"].CatchingUp {
+	var b rollout.State
+	if err := json.Unmarshal([]byte(out), &b); code != held || err != nil || b.Nodes["n2"].OutOfSyncSince.UnixMS != at || b.LostZones["b"].UnixMS != at || !b.Nodes["n4"].Syncing {
 		t.Errorf("%d %v: %s%s", code, err, out, errs)
 	}
 }
--- a/cmd/umberbank/fleetconfig.go
+++ b/cmd/umberbank/fleetconfig.go
@@ -65,13 +65,13 @@
 	if err != nil {
 		return err
 	}
-	if v.Book == nil {
+	if v.Rollout == nil {
 		return errNoBook
 	}
 	if c.Replaces < 0 {
-		c.Replaces = v.Book.Committed.Number
+		c.Replaces = v.Rollout.Committed.Number
 	}
-	an, err := c.do(a.ctx, state.Op{Kind: state.Propose, Value: text, Replaces: c.Replaces, Stages: c.Stages, BakeMS: c.Bake.Milliseconds()})
+	an, err := c.do(a.ctx, state.Op{Kind: state.OpPropose, Value: text, Replaces: c.Replaces, Stages: c.Stages, BakeMS: c.Bake.Milliseconds()})
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	b := v.Book
+	b := v.Rollout
 	if b == nil {
 		return errNoBook
 	}
@@ -99,24 +99,24 @@
 	fmt.Fprintf(a.out, "in force: version %d %.12s\n", b.Committed.Number, b.Committed.Hash)
 	if p := b.Pending; p != nil {
 		stands := "is told on"
-		if b.Halted != "" {
-			stands = "HALTED: " + b.Halted
-		} else if err := b.Ready(); err != nil {
+		if b.HaltReason != "" {
+			stands = "HALTED: " + b.HaltReason
+		} else if err := b.CheckReady(); err != nil {
 			stands = "waits: " + err.Error()
 		}
 		fmt.Fprintf(a.out, "under way: version %d %.12s, %d of %d stages told; %s\n", p.Number, p.Hash, b.Stage, len(p.Stages), stands)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(b.Lost)) {
-		fmt.Fprintf(a.out, "zone %s is LOST since %s: its quorum is passed over\n", zone, since(b.Lost[zone]))
+	for _, zone := range slices.Sorted(maps.Keys(b.LostZones)) {
+		fmt.Fprintf(a.out, "zone %s is LOST since %s: its quorum is passed over\n", zone, since(b.LostZones[zone]))
 	}
-	if l := b.OutOfTouch(); len(l) > 0 {
+	if l := b.OutOfSync(); len(l) > 0 {
 		fmt.Fprintf(a.out, "%d of %d nodes are not in touch: nothing waits for them, and they take what is in force before they count\n", len(l), len(b.Nodes))
 	}
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "node\tzone\truns\ttold\tacknowledged\t")
 	for _, id := range slices.Sorted(maps.Keys(b.Nodes)) {
 		n := b.Nodes[id]
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", id, n.Zone, runsNow(n), n.Told, n.Acked, strings.TrimSpace(n.Fault+" "+n.Refused))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", id, n.Zone, runsNow(n), n.TargetVersion, n.Acknowledged, strings.TrimSpace(n.Violation+" "+n.RejectReason))
 	}
 	return t.Flush()
 }
@@ -124,33 +124,33 @@
 // runsNow says what is known of what a node runs.
 func runsNow(n *rollout.Node) string {
 	switch {
-	case n.InTouch():
-		return fmt.Sprint(n.Running)
-	case n.Missing:
-		return fmt.Sprintf("%s, out of touch since %s", mayRun(n), since(*cmp.Or(n.Since, &rollout.Moment{})))
-	case n.Known:
-		return fmt.Sprintf("%d, catching up", n.Running)
+	case n.InSync():
+		return fmt.Sprint(n.RunningVersion)
+	case n.Unreachable:
+		return fmt.Sprintf("%s, out of touch since %s", mayRun(n), since(*cmp.Or(n.OutOfSyncSince, &rollout.Timestamp{})))
+	case n.Reported:
+		return fmt.Sprintf("%d, catching up", n.RunningVersion)
 	}
 	return mayRun(n) + ", catching up"
 }
 
 // mayRun is what a node may run that is not in touch.
 func mayRun(n *rollout.Node) string {
-	if n.MayRun <= n.Running {
-		return fmt.Sprint(n.Running)
+	if n.HighestPossible <= n.RunningVersion {
+		return fmt.Sprint(n.RunningVersion)
 	}
-	return fmt.Sprintf("%d to %d", n.Running, n.MayRun)
+	return fmt.Sprintf("%d to %d", n.RunningVersion, n.HighestPossible)
 }
 
 // since is when something was written, for people: by the leader's clock, or where that is not said by the revision.
-func since(m rollout.Moment) string {
+func since(m rollout.Timestamp) string {
 	switch {
-	case m.WallMS > 0:
-		return time.UnixMilli(m.WallMS).UTC().Format(time.RFC3339)
-	case m.Rev == 0:
+	case m.UnixMS > 0:
+		return time.UnixMilli(m.UnixMS).UTC().Format(time.RFC3339)
+	case m.Revision == 0:
 		return "an unknown time"
 	}
-	return fmt.Sprintf("revision %d", m.Rev)
+	return fmt.Sprintf("revision %d", m.Revision)
 }
 
 type fleetConfigHaltCmd struct {
@@ -159,7 +159,7 @@
 }
 
 func (c *fleetConfigHaltCmd) Run(a *app) error {
-	if _, err := c.do(a.ctx, state.Op{Kind: state.Halt, Holder: c.Why}); err != nil {
+	if _, err := c.do(a.ctx, state.Op{Kind: state.OpHalt, Holder: c.Why}); err != nil {
 		return err
 	}
 	fmt.Fprintln(a.out, "the version under way goes no further: withdraw it, or go back")
@@ -173,20 +173,20 @@
 	switch {
 	case err != nil:
 		return err
-	case v.Book == nil || v.Book.Pending == nil:
+	case v.Rollout == nil || v.Rollout.Pending == nil:
 		return errors.New("no version is under way")
 	}
-	if _, err := c.do(a.ctx, state.Op{Kind: state.Withdraw, Number: v.Book.Pending.Number}); err != nil {
+	if _, err := c.do(a.ctx, state.Op{Kind: state.OpWithdraw, Number: v.Rollout.Pending.Number}); err != nil {
 		return err
 	}
-	fmt.Fprintf(a.out, "version %d is withdrawn\n", v.Book.Pending.Number)
+	fmt.Fprintf(a.out, "version %d is withdrawn\n", v.Rollout.Pending.Number)
 	return nil
 }
 
 type fleetConfigBackCmd struct{ registryAt }
 
 func (c *fleetConfigBackCmd) Run(a *app) error {
-	an, err := c.do(a.ctx, state.Op{Kind: state.GoBack})
+	an, err := c.do(a.ctx, state.Op{Kind: state.OpRollback})
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -207,9 +207,9 @@
 		"registry-bench.json":     encodings[bench.Result](t, indented),
 		"registry-permits.json":   encodings[bench.Permits](t, indented),
 		"registry-trial.json":     encodings[registrytrial.Result](t, indented),
-		"registry-put.json":       encodings[state.Entry](t, indented),
-		"fleet-status.json":       encodings[state.Agreed](t, indented),
-		"fleet-config.json":       encodings[rollout.Book](t, indented),
+		"registry-put.json":       encodings[state.Instance](t, indented),
+		"fleet-status.json":       encodings[state.CoordinationView](t, indented),
+		"fleet-config.json":       encodings[rollout.State](t, indented),
 		"fleet-trial.json":        encodings[fleettrial.Result](t, indented),
 		"fleet-trial-sum.json":    encodings[fleetTrialSum](t, indented),
 		"fleet-trial-config.json": encodings[fleettrial.ConfigResult](t, indented),
@@ -226,7 +226,7 @@
 func TestTOMLForms(t *testing.T) {
 	for name, got := range map[string]string{
 		"limits.toml":   encodings[disruption.Limits](t, toml.Marshal),
-		"release.toml":  encodings[release.File](t, toml.Marshal),
+		"release.toml":  encodings[release.PlanFile](t, toml.Marshal),
 		"scenario.toml": encodings[scenario.Scenario](t, toml.Marshal),
 	} {
 		t.Run(name, func(t *testing.T) { golden(t, filepath.Join("toml", name), got) })
--- a/cmd/umberbank/registry.go
+++ b/cmd/umberbank/registry.go
@@ -85,14 +85,14 @@
 	failed := false
 	for i, an := range answers {
 		uid := ops[i].UID
-		if ops[i].Entry != nil {
-			uid = ops[i].Entry.UID
+		if ops[i].Instance != nil {
+			uid = ops[i].Instance.UID
 		}
-		if an.Fault != "" {
+		if an.Code != "" {
 			failed = true
-			fmt.Fprintf(a.out, "%s: %s\n", uid, an.Fault)
+			fmt.Fprintf(a.out, "%s: %s\n", uid, an.Code)
 		} else {
-			fmt.Fprintf(a.out, "%s: done at revision %d\n", uid, an.Rev)
+			fmt.Fprintf(a.out, "%s: done at revision %d\n", uid, an.Revision)
 		}
 	}
 	if failed {
@@ -133,9 +133,9 @@
 
 // instances is a list as the registry gives it.
 type instances struct {
-	Rev     int64          `json:"rev"`
-	All     bool           `json:"all"`
-	Targets []*state.Entry `json:"targets"`
+	Rev     int64             `json:"rev"`
+	All     bool              `json:"all"`
+	Targets []*state.Instance `json:"targets"`
 }
 
 type registryGetCmd struct {
@@ -159,7 +159,7 @@
 		return err
 	}
 	if len(c.UIDs) > 0 {
-		l.Targets = slices.DeleteFunc(l.Targets, func(e *state.Entry) bool { return !slices.Contains(c.UIDs, e.UID) })
+		l.Targets = slices.DeleteFunc(l.Targets, func(e *state.Instance) bool { return !slices.Contains(c.UIDs, e.UID) })
 		l.All = false
 	}
 	if c.JSON {
@@ -172,7 +172,7 @@
 		if e.Suspect {
 			st += " (suspect)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%.4g\t%d\t%d\t\n", e.UID, e.Endpoint, e.Zone, e.Rack, e.Kind, st, e.Capacity, e.TTLMS, e.Mod)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%.4g\t%d\t%d\t\n", e.UID, e.Endpoint, e.Zone, e.Rack, e.Kind, st, e.Capacity, e.TTLMS, e.ModRevision)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -224,11 +224,11 @@
 	if err != nil {
 		return err
 	}
-	var l []*state.Entry
+	var l []*state.Instance
 	if strings.HasPrefix(strings.TrimSpace(string(text)), "[") {
 		err = json.Unmarshal(text, &l)
 	} else {
-		l = []*state.Entry{{}}
+		l = []*state.Instance{{}}
 		err = json.Unmarshal(text, l[0])
 	}
 	if err != nil {
@@ -236,10 +236,10 @@
 	}
 	var ops []state.Op
 	for i, e := range l {
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			return fmt.Errorf("%s: entry %d: %w", c.File, i, err)
 		}
-		ops = append(ops, state.Op{Kind: state.Register, Entry: e})
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
 	}
 	return c.write(a, ops...)
 }
@@ -253,7 +253,7 @@
 func (c *registryDrainCmd) Run(a *app) error {
 	var ops []state.Op
 	for _, uid := range c.UIDs {
-		op := state.Op{Kind: state.Update, UID: uid, State: state.Draining}
+		op := state.Op{Kind: state.OpUpdate, UID: uid, State: state.Draining}
 		if c.Off {
 			op.State = state.Serving
 		}
@@ -270,7 +270,7 @@
 func (c *registryRemoveCmd) Run(a *app) error {
 	var ops []state.Op
 	for _, uid := range c.UIDs {
-		ops = append(ops, state.Op{Kind: state.Remove, UID: uid})
+		ops = append(ops, state.Op{Kind: state.OpRemove, UID: uid})
 	}
 	return c.write(a, ops...)
 }
--- a/internal/coordination/disruption/budget.go
+++ b/internal/coordination/disruption/budget.go
@@ -18,23 +18,23 @@
 
 // Unit is one thing that serves: a server, or a node's process.
 type Unit struct {
-	ID       string
-	Start    int64   // names its present start
-	Boot     float64 // when that was, by the unit's own word; a later start has a higher one
-	Tier     string
-	Zone     string
-	Region   string
-	Rack     int
-	Capacity float64 // above 0
-	Out      float64 // the share of its capacity that does not serve, from 0 to 1
-	Why      string  // it is out
+	ID               string
+	Incarnation      int64   // names its present start
+	StartTimeMS      float64 // when that was, by the unit's own word; a later start has a higher one
+	Tier             string
+	Zone             string
+	Region           string
+	Rack             int
+	Capacity         float64 // above 0
+	UnavailableShare float64 // the share of its capacity that does not serve, from 0 to 1
+	Reason           string  // it is out
 }
 
-// Limit is how much of a tier's capacity may be out at once, as shares from 0 to 1: of the whole tier, and within each
+// SetLimits is how much of a tier's capacity may be out at once, as shares from 0 to 1: of the whole tier, and within each
 // of its zones, regions and racks. 1 is no limit, nil means 1.
 type Limit struct {
 	Tier   string   `json:"tier" toml:"tier"`
-	Whole  *float64 `json:"whole,omitempty" toml:"whole"`
+	Total  *float64 `json:"whole,omitempty" toml:"whole"`
 	Zone   *float64 `json:"zone,omitempty" toml:"zone"`
 	Region *float64 `json:"region,omitempty" toml:"region"`
 	Rack   *float64 `json:"rack,omitempty" toml:"rack"`
@@ -43,14 +43,14 @@
 // Limits are all limits of a site, and how its units warm up. A tier without a limit gets no permits: what nobody has
 // thought about must not be taken out by a machine.
 type Limits struct {
-	Tiers    []Limit `json:"tiers" toml:"tier"`
-	ColdFrom float64 `json:"cold_from" toml:"cold_from"` // share of its capacity that a unit has when it starts
-	WarmMS   int64   `json:"warm_ms" toml:"warm_ms"`     // after its start it is warm, in milliseconds; 0: at once
-	LapseMS  int64   `json:"lapse_ms" toml:"lapse_ms"`   // a permit ends that has not begun by then, in milliseconds; 0: 2,000
+	Tiers          []Limit `json:"tiers" toml:"tier"`
+	InitialShare   float64 `json:"cold_from" toml:"cold_from"` // share of its capacity that a unit has when it starts
+	WarmUpMS       int64   `json:"warm_ms" toml:"warm_ms"`     // after its start it is warm, in milliseconds; 0: at once
+	PermitExpiryMS int64   `json:"lapse_ms" toml:"lapse_ms"`   // a permit ends that has not begun by then, in milliseconds; 0: 2,000
 }
 
-// Check says what is wrong with limits, by key.
-func (l *Limits) Check() error {
+// Validate says what is wrong with limits, by key.
+func (l *Limits) Validate() error {
 	seen := map[string]bool{}
 	for i, t := range l.Tiers {
 		if t.Tier == "" {
@@ -60,21 +60,21 @@
 			return fmt.Errorf("tier[%d].tier: %q stands twice", i, t.Tier)
 		}
 		seen[t.Tier] = true
-		for key, share := range map[string]*float64{"whole": t.Whole, "zone": t.Zone, "region": t.Region, "rack": t.Rack} {
+		for key, share := range map[string]*float64{"whole": t.Total, "zone": t.Zone, "region": t.Region, "rack": t.Rack} {
 			if share != nil && !(*share >= 0 && *share <= 1) {
 				return fmt.Errorf("tier[%d].%s: %v is no share from 0 to 1", i, key, *share)
 			}
 		}
-		if t.Whole == nil {
+		if t.Total == nil {
 			return fmt.Errorf("tier[%d].whole: missing: how much of %s may be out at once", i, t.Tier)
 		}
 	}
 	switch {
 	case len(l.Tiers) == 0:
 		return errors.New("tier: none is named")
-	case !(l.ColdFrom >= 0 && l.ColdFrom <= 1):
-		return fmt.Errorf("cold_from: %v is no share from 0 to 1", l.ColdFrom)
-	case l.WarmMS < 0 || l.LapseMS < 0:
+	case !(l.InitialShare >= 0 && l.InitialShare <= 1):
+		return fmt.Errorf("cold_from: %v is no share from 0 to 1", l.InitialShare)
+	case l.WarmUpMS < 0 || l.PermitExpiryMS < 0:
 		return errors.New("warm_ms, lapse_ms: a time cannot be negative")
 	}
 	return nil
@@ -82,15 +82,15 @@
 
 // Permit lets its holder take one start of one unit out.
 type Permit struct {
-	Unit    string  `json:"unit"`
-	Start   int64   `json:"start"`
-	Boot    float64 `json:"boot"`  // of that start
-	Token   int64   `json:"token"` // names this permit; later ones have higher ones
-	Holder  string  `json:"holder"`
-	Plan    string  `json:"plan,omitempty"` // the release that it belongs to
-	To      string  `json:"to,omitempty"`   // the version that the unit is to come back with
-	Begun   bool    `json:"begun"`          // its holder may have taken the unit out
-	SeenOut bool    `json:"seen_out"`       // and it was
+	Unit            string  `json:"unit"`
+	Incarnation     int64   `json:"start"`
+	StartTimeMS     float64 `json:"boot"`  // of that start
+	Token           int64   `json:"token"` // names this permit; later ones have higher ones
+	Holder          string  `json:"holder"`
+	Plan            string  `json:"plan,omitempty"` // the release that it belongs to
+	TargetVersion   string  `json:"to,omitempty"`   // the version that the unit is to come back with
+	Begun           bool    `json:"begun"`          // its holder may have taken the unit out
+	SeenUnavailable bool    `json:"seen_out"`       // and it was
 }
 
 // scope is a part of a fleet that a limit holds for.
@@ -117,21 +117,21 @@
 // may is what of a capacity may be out.
 func may(share float64, capacity int64) int64 { return int64(math.Round(share * float64(capacity))) }
 
-// Ledger holds all units, limits and permits.
-type Ledger struct {
+// Budget holds all units, limits and permits.
+type Budget struct {
 	limits  map[string]*Limit
 	units   map[string]*Unit
 	permits map[string]*Permit
 	sums    map[scope]*sum
 }
 
-// New returns an empty Ledger without limits.
-func New() *Ledger {
-	return &Ledger{limits: map[string]*Limit{}, units: map[string]*Unit{}, permits: map[string]*Permit{}, sums: map[scope]*sum{}}
+// NewBudget returns an empty Ledger without limits.
+func NewBudget() *Budget {
+	return &Budget{limits: map[string]*Limit{}, units: map[string]*Unit{}, permits: map[string]*Permit{}, sums: map[scope]*sum{}}
 }
 
-// Limit puts limits in place. What is out already stays out, whatever they say.
-func (l *Ledger) Limit(limits Limits) {
+// SetLimits puts limits in place. What is out already stays out, whatever they say.
+func (l *Budget) SetLimits(limits Limits) {
 	clear(l.limits)
 	for i := range limits.Tiers {
 		l.limits[limits.Tiers[i].Tier] = &limits.Tiers[i]
@@ -143,15 +143,15 @@
 }
 
 // outOf is how much of a unit's capacity counts as out.
-func (l *Ledger) outOf(u *Unit) int64 {
+func (l *Budget) outOf(u *Unit) int64 {
 	if l.permits[u.ID] != nil {
 		return millionths(u.Capacity)
 	}
-	return millionths(u.Capacity * u.Out)
+	return millionths(u.Capacity * u.UnavailableShare)
 }
 
 // count adds a unit to its scopes, or takes it out of them.
-func (l *Ledger) count(u *Unit, sign int) {
+func (l *Budget) count(u *Unit, sign int) {
 	for _, k := range scopes(u) {
 		s := l.sums[k]
 		if s == nil {
@@ -167,19 +167,19 @@
 	}
 }
 
-// Set notes a unit as it is now, and gives the permit that this ends, if any: its unit was seen out, or has started
+// SetUnit notes a unit as it is now, and gives the permit that this ends, if any: its unit was seen out, or has started
 // anew, and is whole again.
-func (l *Ledger) Set(u Unit) (freed *Permit) {
+func (l *Budget) SetUnit(u Unit) (freed *Permit) {
 	if old := l.units[u.ID]; old != nil {
 		l.count(old, -1)
 	}
-	u.Out = min(max(u.Out, 0), 1)
+	u.UnavailableShare = min(max(u.UnavailableShare, 0), 1)
 	if p := l.permits[u.ID]; p != nil {
-		moved := u.Boot > p.Boot // an earlier one is what a backup knows
-		if p.Begun && (u.Out > 0 || moved) {
-			p.SeenOut = true
+		moved := u.StartTimeMS > p.StartTimeMS // an earlier one is what a backup knows
+		if p.Begun && (u.UnavailableShare > 0 || moved) {
+			p.SeenUnavailable = true
 		}
-		if u.Out == 0 && (p.SeenOut || moved) {
+		if u.UnavailableShare == 0 && (p.SeenUnavailable || moved) {
 			freed = p
 			delete(l.permits, u.ID)
 		}
@@ -189,11 +189,11 @@
 	return freed
 }
 
-// Missing is why a unit is out that nobody hears from.
-const Missing = "missing"
+// ReasonUnreachable is why a unit is out that nobody hears from.
+const ReasonUnreachable = "missing"
 
-// Gone forgets a unit that is declared gone, and gives the permit that this ends, if any.
-func (l *Ledger) Gone(id string) (freed *Permit) {
+// Decommission forgets a unit that is declared gone, and gives the permit that this ends, if any.
+func (l *Budget) Decommission(id string) (freed *Permit) {
 	if u := l.units[id]; u != nil {
 		l.count(u, -1)
 		delete(l.units, id)
@@ -206,21 +206,21 @@
 // Grant gives a permit for one start of a unit, or says with the arithmetic why not. The same holder that asks for the
 // same start again gets the permit that it has. over names a plan whose permit this one may replace, once it has begun:
 // the unit is out already, and nothing more is taken.
-func (l *Ledger) Grant(p Permit, over string) (*Permit, error) {
+func (l *Budget) Grant(p Permit, over string) (*Permit, error) {
 	u := l.units[p.Unit]
 	if u == nil {
 		return nil, fmt.Errorf("no unit %q", p.Unit)
 	}
-	if u.Start != p.Start {
-		return nil, fmt.Errorf("%s: start %d is asked for, and start %d runs", p.Unit, p.Start, u.Start)
+	if u.Incarnation != p.Incarnation {
+		return nil, fmt.Errorf("%s: start %d is asked for, and start %d runs", p.Unit, p.Incarnation, u.Incarnation)
 	}
 	if has := l.permits[p.Unit]; has != nil {
 		if over != "" && has.Plan == over && has.Begun {
-			p.Boot, p.Begun, p.SeenOut = u.Boot, true, has.SeenOut
+			p.StartTimeMS, p.Begun, p.SeenUnavailable = u.StartTimeMS, true, has.SeenUnavailable
 			l.permits[p.Unit] = &p
 			return &p, nil
 		}
-		if has.Start == p.Start && has.Holder == p.Holder && has.Plan == p.Plan && has.To == p.To {
+		if has.Incarnation == p.Incarnation && has.Holder == p.Holder && has.Plan == p.Plan && has.TargetVersion == p.TargetVersion {
 			return has, nil
 		}
 		return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, has.Holder)
@@ -229,19 +229,19 @@
 		return nil, err
 	}
 	l.count(u, -1)
-	p.Boot, p.Begun, p.SeenOut = u.Boot, false, false
+	p.StartTimeMS, p.Begun, p.SeenUnavailable = u.StartTimeMS, false, false
 	l.permits[p.Unit] = &p
 	l.count(u, 1)
 	return &p, nil
 }
 
 // fits says why a unit cannot be taken out beside what is out already.
-func (l *Ledger) fits(u *Unit) error {
+func (l *Budget) fits(u *Unit) error {
 	limit := l.limits[u.Tier]
 	if limit == nil {
 		return fmt.Errorf("%s: no limit says how much of tier %q may be out", u.ID, u.Tier)
 	}
-	shares := [4]*float64{limit.Whole, limit.Zone, limit.Region, limit.Rack}
+	shares := [4]*float64{limit.Total, limit.Zone, limit.Region, limit.Rack}
 	more := millionths(u.Capacity) - l.outOf(u)
 	for i, k := range scopes(u) {
 		if shares[i] == nil {
@@ -258,29 +258,29 @@
 
 // Errors of Begin.
 var (
-	ErrNoPermit = errors.New("there is no such permit")
-	ErrStart    = errors.New("the unit has started anew since")
+	ErrPermitNotFound = errors.New("there is no such permit")
+	ErrUnitRestarted  = errors.New("the unit has started anew since")
 )
 
 // Begin marks a permit as begun: from now on its unit may be out. To begin again changes nothing.
-func (l *Ledger) Begin(unit string, token int64) (*Permit, error) {
+func (l *Budget) Begin(unit string, token int64) (*Permit, error) {
 	p := l.permits[unit]
 	if p == nil || p.Token != token {
-		return nil, fmt.Errorf("%s: %w", unit, ErrNoPermit)
+		return nil, fmt.Errorf("%s: %w", unit, ErrPermitNotFound)
 	}
 	u := l.units[unit]
-	if u == nil || u.Start != p.Start && !p.Begun {
-		return nil, fmt.Errorf("%s: %w", unit, ErrStart)
+	if u == nil || u.Incarnation != p.Incarnation && !p.Begun {
+		return nil, fmt.Errorf("%s: %w", unit, ErrUnitRestarted)
 	}
 	p.Begun = true
-	if u.Out > 0 {
-		p.SeenOut = true
+	if u.UnavailableShare > 0 {
+		p.SeenUnavailable = true
 	}
 	return p, nil
 }
 
 // Return ends a permit that has not begun; false: there is none.
-func (l *Ledger) Return(unit string, token int64) bool {
+func (l *Budget) Return(unit string, token int64) bool {
 	p := l.permits[unit]
 	if p == nil || p.Token != token || p.Begun {
 		return false
@@ -293,7 +293,7 @@
 }
 
 // Restore puts a permit in place as it was kept, beside its unit.
-func (l *Ledger) Restore(p Permit) {
+func (l *Budget) Restore(p Permit) {
 	u := l.units[p.Unit]
 	if u == nil {
 		return // declared gone
@@ -304,10 +304,10 @@
 }
 
 // Permit gives a unit's permit, or nil.
-func (l *Ledger) Permit(unit string) *Permit { return l.permits[unit] }
+func (l *Budget) Permit(unit string) *Permit { return l.permits[unit] }
 
 // Permits are all permits, by unit.
-func (l *Ledger) Permits() []*Permit {
+func (l *Budget) Permits() []*Permit {
 	out := make([]*Permit, 0, len(l.permits))
 	for _, id := range slices.Sorted(maps.Keys(l.permits)) {
 		out = append(out, l.permits[id])
@@ -315,50 +315,50 @@
 	return out
 }
 
-// Use is how much of a scope is out, and how much may be.
-type Use struct {
-	Scope    string  `json:"scope"`
-	Capacity float64 `json:"capacity"`
-	Out      float64 `json:"out"`
-	May      float64 `json:"may"`
+// Usage is how much of a scope is out, and how much may be.
+type Usage struct {
+	Scope       string  `json:"scope"`
+	Capacity    float64 `json:"capacity"`
+	Unavailable float64 `json:"out"`
+	Allowed     float64 `json:"may"`
 }
 
-// Uses are all limits that hold now, the fullest first.
-func (l *Ledger) Uses() []Use {
-	var out []Use
+// Usages are all limits that hold now, the fullest first.
+func (l *Budget) Usages() []Usage {
+	var out []Usage
 	for k, s := range l.sums {
 		limit := l.limits[k.tier]
 		if limit == nil {
 			continue
 		}
-		share := map[string]*float64{"": limit.Whole, "zone": limit.Zone, "region": limit.Region, "rack": limit.Rack}[k.by]
+		share := map[string]*float64{"": limit.Total, "zone": limit.Zone, "region": limit.Region, "rack": limit.Rack}[k.by]
 		if share != nil {
-			out = append(out, Use{k.String(), whole(s.capacity), whole(s.out), whole(may(*share, s.capacity))})
+			out = append(out, Usage{k.String(), whole(s.capacity), whole(s.out), whole(may(*share, s.capacity))})
 		}
 	}
-	slices.SortFunc(out, func(a, b Use) int {
-		return cmp.Or(cmp.Compare(b.Out-b.May, a.Out-a.May), cmp.Compare(a.Scope, b.Scope))
+	slices.SortFunc(out, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.Unavailable-b.Allowed, a.Unavailable-a.Allowed), cmp.Compare(a.Scope, b.Scope))
 	})
 	return out
 }
 
-// Out is a unit that does not serve fully.
-type Out struct {
+// UnavailableShare is a unit that does not serve fully.
+type UnavailableUnit struct {
 	Unit      string  `json:"unit"`
 	Share     float64 `json:"share"` // of its capacity
-	Why       string  `json:"why"`
+	Reason    string  `json:"why"`
 	Permitted bool    `json:"permitted"`
 }
 
-// Outs are all units that are out, or for which there is a permit.
-func (l *Ledger) Outs() []Out {
-	var out []Out
+// UnavailableUnits are all units that are out, or for which there is a permit.
+func (l *Budget) UnavailableUnits() []UnavailableUnit {
+	var out []UnavailableUnit
 	for _, id := range slices.Sorted(maps.Keys(l.units)) {
 		u, p := l.units[id], l.permits[id]
-		if u.Out > 0 || p != nil {
-			o := Out{id, u.Out, u.Why, p != nil}
-			if p != nil && u.Out == 0 {
-				o.Why = "permitted"
+		if u.UnavailableShare > 0 || p != nil {
+			o := UnavailableUnit{id, u.UnavailableShare, u.Reason, p != nil}
+			if p != nil && u.UnavailableShare == 0 {
+				o.Reason = "permitted"
 			}
 			out = append(out, o)
 		}
--- a/internal/coordination/disruption/budget_test.go
+++ b/internal/coordination/disruption/budget_test.go
@@ -13,11 +13,11 @@
 func share(v float64) *float64 { return &v }
 
 func limits(whole, zone float64) Limits {
-	return Limits{Tiers: []Limit{{Tier: "web", Whole: share(whole), Zone: share(zone)}}}
+	return Limits{Tiers: []Limit{{Tier: "web", Total: share(whole), Zone: share(zone)}}}
 }
 
 func unit(i int) Unit {
-	return Unit{ID: fmt.Sprint("s", i), Start: 1, Tier: "web", Zone: []string{"a", "b"}[i%2], Rack: i / 2, Capacity: 1}
+	return Unit{ID: fmt.Sprint("s", i), Incarnation: 1, Tier: "web", Zone: []string{"a", "b"}[i%2], Rack: i / 2, Capacity: 1}
 }
 
 // Units come, fail, warm up and start anew, permits are asked for, begun and returned in any order. No permit lets
@@ -25,14 +25,14 @@
 func TestNeverOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, zone := rapid.Float64Range(0, 1).Draw(t, "whole"), rapid.Float64Range(0, 1).Draw(t, "zone")
-		l := New()
-		l.Limit(limits(whole, zone))
+		l := NewBudget()
+		l.SetLimits(limits(whole, zone))
 		units := map[string]*Unit{}
 		for i := range rapid.IntRange(1, 8).Draw(t, "units") {
 			u := unit(i)
 			u.Capacity = rapid.Float64Range(0.1, 4).Draw(t, "capacity")
 			units[u.ID] = &u
-			l.Set(u)
+			l.SetUnit(u)
 		}
 		ids := make([]string, 0, len(units))
 		for id := range units {
@@ -50,7 +50,7 @@
 					if l.Permit(u.ID) != nil {
 						out += u.Capacity
 					} else {
-						out += u.Capacity * u.Out
+						out += u.Capacity * u.UnavailableShare
 					}
 				}
 				may := whole * all
@@ -66,20 +66,20 @@
 			had := l.Permit(u.ID)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				u.Out = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "out")
-				back := had != nil && (had.SeenOut || u.Boot > had.Boot) && u.Out == 0
-				if freed := l.Set(*u); (freed != nil) != back {
+				u.UnavailableShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "out")
+				back := had != nil && (had.SeenUnavailable || u.StartTimeMS > had.StartTimeMS) && u.UnavailableShare == 0
+				if freed := l.SetUnit(*u); (freed != nil) != back {
 					t.Fatalf("permit %+v freed: %v at %+v", had, freed != nil, u)
 				}
 			case 1:
-				u.Start++
-				u.Boot++
-				u.Out = 0.5
-				if freed := l.Set(*u); freed != nil {
+				u.Incarnation++
+				u.StartTimeMS++
+				u.UnavailableShare = 0.5
+				if freed := l.SetUnit(*u); freed != nil {
 					t.Fatalf("freed while cold: %+v", freed)
 				}
 			case 2, 3:
-				p, err := l.Grant(Permit{Unit: u.ID, Start: u.Start, Token: int64(step + 1), Holder: "me"}, "")
+				p, err := l.Grant(Permit{Unit: u.ID, Incarnation: u.Incarnation, Token: int64(step + 1), Holder: "me"}, "")
 				if err == nil && had == nil && over(u) > 1e-5 { // of rounding
 					t.Fatalf("%+v was granted and is over by %v", p, over(u))
 				}
@@ -108,13 +108,13 @@
 
 // The life of a permit, and what ends it.
 func TestPermit(t *testing.T) {
-	l := New()
-	l.Limit(limits(0.5, 1))
+	l := NewBudget()
+	l.SetLimits(limits(0.5, 1))
 	for i := range 4 {
-		l.Set(unit(i))
+		l.SetUnit(unit(i))
 	}
 	grant := func(i int, start int64, holder string) (*Permit, error) {
-		return l.Grant(Permit{Unit: fmt.Sprint("s", i), Start: start, Token: int64(10 + i), Holder: holder}, "")
+		return l.Grant(Permit{Unit: fmt.Sprint("s", i), Incarnation: start, Token: int64(10 + i), Holder: holder}, "")
 	}
 	must := func(what string, ok bool) {
 		t.Helper()
@@ -133,24 +133,24 @@
 	_, err = l.Begin("s0", 11)
 	must("nobody begins without it", err != nil)
 	dead := unit(1)
-	dead.Out, dead.Why = 1, Missing
-	l.Set(dead)
+	dead.UnavailableShare, dead.Reason = 1, ReasonUnreachable
+	l.SetUnit(dead)
 	_, err = grant(2, 1, "a")
 	must("what a fault took counts: "+fmt.Sprint(err), err != nil && strings.Contains(err.Error(), "2 of 4 out"))
 	_, err = l.Begin("s0", 10)
 	must("its holder begins", err == nil)
 	must("and cannot return it then", !l.Return("s0", 10))
-	must("seen as ever it stays", l.Set(unit(0)) == nil)
+	must("seen as ever it stays", l.SetUnit(unit(0)) == nil)
 	u := unit(0)
-	u.Start, u.Boot, u.Out = 2, 2, 0.6
-	must("cold it stays", l.Set(u) == nil)
-	u.Out = 0
-	must("back and warm it is free", l.Set(u) != nil)
+	u.Incarnation, u.StartTimeMS, u.UnavailableShare = 2, 2, 0.6
+	must("cold it stays", l.SetUnit(u) == nil)
+	u.UnavailableShare = 0
+	must("back and warm it is free", l.SetUnit(u) != nil)
 	_, err = grant(2, 1, "a")
 	must("and another fits", err == nil)
 	_, err = grant(3, 1, "a")
 	must("but no more", err != nil)
-	must("declared gone, the dead one counts no more", l.Gone("s1") == nil)
+	must("declared gone, the dead one counts no more", l.Decommission("s1") == nil)
 	// Three units are left and one is out, where one and a half may be.
 	_, err = grant(3, 1, "a")
 	must("which makes the rest smaller too", err != nil)
@@ -159,14 +159,14 @@
 func TestLimitsCheck(t *testing.T) {
 	for want, l := range map[string]Limits{
 		"tier: none":      {},
-		"tier[0].tier":    {Tiers: []Limit{{Whole: share(1)}}},
-		"tier[1].tier":    {Tiers: []Limit{{Tier: "a", Whole: share(1)}, {Tier: "a", Whole: share(1)}}},
+		"tier[0].tier":    {Tiers: []Limit{{Total: share(1)}}},
+		"tier[1].tier":    {Tiers: []Limit{{Tier: "a", Total: share(1)}, {Tier: "a", Total: share(1)}}},
 		"tier[0].whole":   {Tiers: []Limit{{Tier: "a"}}},
-		"tier[0].zone: 2": {Tiers: []Limit{{Tier: "a", Whole: share(1), Zone: share(2)}}},
-		"cold_from":       {Tiers: limits(1, 1).Tiers, ColdFrom: math.NaN()},
-		"warm_ms":         {Tiers: limits(1, 1).Tiers, WarmMS: -1},
+		"tier[0].zone: 2": {Tiers: []Limit{{Tier: "a", Total: share(1), Zone: share(2)}}},
+		"cold_from":       {Tiers: limits(1, 1).Tiers, InitialShare: math.NaN()},
+		"warm_ms":         {Tiers: limits(1, 1).Tiers, WarmUpMS: -1},
 	} {
-		if err := l.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := l.Validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
--- a/internal/coordination/disruption/golden_test.go
+++ b/internal/coordination/disruption/golden_test.go
@@ -11,10 +11,10 @@
 // The files were written by the build of revision f63bdca.
 func TestGoldenForms(t *testing.T) {
 	golden.RoundTripFull[Permit](t, "testdata/permit.json")
-	golden.RoundTripFull[Use](t, "testdata/use.json")
-	golden.RoundTripFull[Out](t, "testdata/out.json")
+	golden.RoundTripFull[Usage](t, "testdata/use.json")
+	golden.RoundTripFull[UnavailableUnit](t, "testdata/out.json")
 	fromJSON := golden.RoundTrip[Limits](t, "testdata/limits.json")
-	if err := fromJSON.Check(); err != nil {
+	if err := fromJSON.Validate(); err != nil {
 		t.Error(err)
 	}
 	var fromTOML Limits
@@ -24,7 +24,7 @@
 	if !reflect.DeepEqual(fromJSON, fromTOML) {
 		t.Errorf("limits as JSON %+v, and as TOML %+v", fromJSON, fromTOML)
 	}
-	if web := fromTOML.Tiers[0]; web.Tier != "web" || *web.Whole != 0.6 || *web.Zone != 1 || *web.Region != 0.9 || *web.Rack != 1 {
+	if web := fromTOML.Tiers[0]; web.Tier != "web" || *web.Total != 0.6 || *web.Zone != 1 || *web.Region != 0.9 || *web.Rack != 1 {
 		t.Errorf("%+v", web)
 	}
 }
--- a/internal/coordination/faulttest/config.go
+++ b/internal/coordination/faulttest/config.go
@@ -136,8 +136,8 @@
 	if err := s.controllers(); err != nil {
 		return err
 	}
-	return s.await(ctx, "all nodes are to say what they run", func(v *state.Agreed) bool {
-		return v.Book != nil && len(v.Book.Nodes) == nodes && v.Book.Settled() && v.Lead != nil
+	return s.await(ctx, "all nodes are to say what they run", func(v *state.CoordinationView) bool {
+		return v.Rollout != nil && len(v.Rollout.Nodes) == nodes && v.Rollout.Converged() && v.Leader != nil
 	})
 }
 
@@ -149,14 +149,14 @@
 	}
 	out, err := s.staff(ctx, "config", "push", "--stages", stages, "--bake", "200ms", file)
 	if err != nil {
-		s.record.note(host.Event{At: host.Now(), What: "turned down", Why: out})
+		s.record.note(host.Event{At: host.Now(), Kind: "turned down", Reason: out})
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	var version int64
 	if _, err := fmt.Sscanf(out, "version %d is proposed", &version); err != nil {
 		return fmt.Errorf("%q: %w", out, err)
 	}
-	s.record.note(host.Event{At: host.Now(), What: "pushed", Version: strconv.FormatInt(version, 10)})
+	s.record.note(host.Event{At: host.Now(), Kind: "pushed", Version: strconv.FormatInt(version, 10)})
 	return nil
 }
 
@@ -228,7 +228,7 @@
 	if err := s.heal(); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), What: "healed"})
+	s.record.note(host.Event{At: host.Now(), Kind: "healed"})
 	within := settleWithin
 	if s.opt.Node != nil || s.opt.Beside != nil {
 		within = wrongWithin
@@ -254,8 +254,8 @@
 		last = err.Error()
 		time.Sleep(300 * time.Millisecond) // between a person's tries
 	}
-	return s.await(ctx, "all nodes are to run the last version: "+last, func(v *state.Agreed) bool {
-		return v.Book != nil && len(v.Book.Nodes)-len(v.Book.OutOfTouch()) == nodes && v.Book.Settled() && v.Book.Committed.Hash == lastHash
+	return s.await(ctx, "all nodes are to run the last version: "+last, func(v *state.CoordinationView) bool {
+		return v.Rollout != nil && len(v.Rollout.Nodes)-len(v.Rollout.OutOfSync()) == nodes && v.Rollout.Converged() && v.Rollout.Committed.Hash == lastHash
 	})
 }
 
@@ -272,25 +272,25 @@
 	p.off, s.dead = true, p.name
 	s.res.Faults = append(s.res.Faults, "kill "+p.name+" for good")
 	s.opt.Log("kill %s for good", p.name)
-	s.record.note(host.Event{At: host.Now(), What: "fault", Unit: p.name})
-	s.record.note(host.Event{At: host.Now(), What: "killed", Unit: p.name})
+	s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
+	s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
 	p.Kill()
 }
 
 // again ends a node once the first version is in force, and starts it again.
 func (s *site) again(ctx context.Context, p *siteProcess) error {
-	if err := s.await(ctx, "the first version is to be in force", func(v *state.Agreed) bool {
-		return v.Book != nil && v.Book.Committed.Number > 0
+	if err := s.await(ctx, "the first version is to be in force", func(v *state.CoordinationView) bool {
+		return v.Rollout != nil && v.Rollout.Committed.Number > 0
 	}); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), What: "fault", Unit: p.name})
-	s.record.note(host.Event{At: host.Now(), What: "killed", Unit: p.name})
+	s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
+	s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
 	p.Kill()
 	if err := p.Start(); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), What: "fault over", Unit: p.name})
+	s.record.note(host.Event{At: host.Now(), Kind: "fault over", Unit: p.name})
 	return nil
 }
 
@@ -344,13 +344,13 @@
 				links = append(links, l)
 			}
 		})
-		s.record.note(host.Event{At: host.Now(), What: "registry"})
+		s.record.note(host.Event{At: host.Now(), Kind: "registry"})
 	}
 	for _, p := range there {
-		s.record.note(host.Event{At: host.Now(), What: "fault", Unit: p.name})
+		s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
 	}
 	for _, p := range killed {
-		s.record.note(host.Event{At: host.Now(), What: "killed", Unit: p.name})
+		s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
 		p.Kill()
 	}
 	for _, l := range links {
@@ -367,10 +367,10 @@
 			p.Start() // one that cannot start shows in what follows
 		}
 		for _, p := range there {
-			s.record.note(host.Event{At: host.Now(), What: "fault over", Unit: p.name})
+			s.record.note(host.Event{At: host.Now(), Kind: "fault over", Unit: p.name})
 		}
 		if kind == "apart" {
-			s.record.note(host.Event{At: host.Now(), What: "registry over"})
+			s.record.note(host.Event{At: host.Now(), Kind: "registry over"})
 		}
 	})
 	return nil
@@ -381,7 +381,7 @@
 	if err != nil {
 		panic(err) // it is JSON
 	}
-	return state.Hash(text)
+	return state.ContentHash(text)
 }()
 
 var said = regexp.MustCompile(`agreed: (?:(runs|could run|in touch|out of touch)(?: by start (\d+)(?:, renewed within (\d+) ms,)? with)? version (\d+) (\S+)|(serves)) at (\d+)`)
@@ -398,8 +398,8 @@
 				at, _ := strconv.ParseInt(m[7], 10, 64) // digits, as the next ones
 				start, _ := strconv.ParseInt(m[2], 10, 64)
 				span, _ := strconv.ParseInt(m[3], 10, 64)
-				r.events = append(r.events, host.Event{At: time.Duration(at), Who: p.name, Unit: p.name, What: m[1] + m[6], Version: m[4], Why: m[5], Token: start,
-					Span: time.Duration(span) * time.Millisecond})
+				r.events = append(r.events, host.Event{At: time.Duration(at), Process: p.name, Unit: p.name, Kind: m[1] + m[6], Version: m[4], Reason: m[5], Token: start,
+					MaxRenewalGap: time.Duration(span) * time.Millisecond})
 			}
 		}
 		f.Close()
@@ -461,8 +461,8 @@
 			if e.At > r.events[i].At+touchWithin {
 				break
 			}
-			if e.Who == who && (e.What == "out of touch" || e.What == "in touch") {
-				return e.What == "out of touch"
+			if e.Process == who && (e.Kind == "out of touch" || e.Kind == "in touch") {
+				return e.Kind == "out of touch"
 			}
 		}
 		return false
@@ -483,20 +483,20 @@
 			}
 		}
 		if len(run) > 2 {
-			broken(new(int), "%d contents run at once among nodes in touch, as %s runs version %s: %v", len(run), e.Who, e.Version, run)
+			broken(new(int), "%d contents run at once among nodes in touch, as %s runs version %s: %v", len(run), e.Process, e.Version, run)
 		}
 		res.AtOnceMost = max(res.AtOnceMost, len(run))
 	}
 	for i, e := range r.events {
-		n := nodes[cmp.Or(e.Unit, e.Who)]
-		switch e.What {
+		n := nodes[cmp.Or(e.Unit, e.Process)]
+		switch e.Kind {
 		case "asks":
 			told[e.Version] = e.At
 		case "could run":
 			if could[e.Version] == nil {
 				could[e.Version] = map[string]bool{}
 			}
-			could[e.Version][e.Who] = true
+			could[e.Version][e.Process] = true
 		case "fault":
 			faults = true
 			if n != nil {
@@ -526,11 +526,11 @@
 				n.running, n.began, n.least = true, e.At, inForce
 			}
 			if v < n.highest {
-				broken(&res.WentBack, "%s runs version %d after %d", e.Who, v, n.highest)
+				broken(&res.WentBack, "%s runs version %d after %d", e.Process, v, n.highest)
 			}
-			n.version, n.highest, n.content = v, v, e.Why
+			n.version, n.highest, n.content = v, v, e.Reason
 			if _, is := told[e.Version]; !is {
-				broken(&res.Uncommitted, "%s runs version %s, which no controller had told anybody", e.Who, e.Version)
+				broken(&res.Uncommitted, "%s runs version %s, which no controller had told anybody", e.Process, e.Version)
 			}
 			if !ran[e.Version] && v > 0 {
 				ran[e.Version] = true
@@ -538,29 +538,29 @@
 				r.judgeQuorum(res, broken, e, could[e.Version], zones, nodes)
 			}
 			contents(i)
-			if strings.HasPrefix(lastHash, e.Why) {
+			if strings.HasPrefix(lastHash, e.Reason) {
 				res.SpreadMS = (e.At - told[e.Version]).Seconds() * 1000
 			}
 		case "in touch":
 			if e.Token <= n.earlier {
-				broken(&res.OldStarts, "%s counts as in touch by the start %d of an earlier process", e.Who, e.Token)
+				broken(&res.OldStarts, "%s counts as in touch by the start %d of an earlier process", e.Process, e.Token)
 			}
 			if n.version < n.least {
-				broken(&res.ServedEarly, "%s counts as in touch with version %d, and %d was in force before", e.Who, n.version, n.least)
+				broken(&res.ServedEarly, "%s counts as in touch with version %d, and %d was in force before", e.Process, n.version, n.least)
 			}
 			n.inTouch, n.heard, n.start = n.faults == 0, true, e.Token
 			contents(i)
 		case "out of touch":
 			res.OutOfTouch++
-			if e.Span < surelyRenewed && n.faults == 0 && e.At-max(n.wellFrom, n.began) > known && disturbed == 0 && e.At-calm > known {
-				broken(&res.CalledDead, "%s was called out of touch while nothing befell it", e.Who)
+			if e.MaxRenewalGap < surelyRenewed && n.faults == 0 && e.At-max(n.wellFrom, n.began) > known && disturbed == 0 && e.At-calm > known {
+				broken(&res.CalledDead, "%s was called out of touch while nothing befell it", e.Process)
 			}
 			n.inTouch, n.least = false, inForce
 		case "serves":
 			if !n.heard {
-				broken(&res.ServedEarly, "%s serves before it is in touch, with version %d", e.Who, n.version)
+				broken(&res.ServedEarly, "%s serves before it is in touch, with version %d", e.Process, n.version)
 			} else if n.version < n.least {
-				broken(&res.ServedEarly, "%s serves with version %d, and %d was in force before", e.Who, n.version, n.least)
+				broken(&res.ServedEarly, "%s serves with version %d, and %d was in force before", e.Process, n.version, n.least)
 			}
 		case "pushed":
 			pushed[e.Version] = e.At
@@ -570,7 +570,7 @@
 		case "act":
 			res.Acts++
 			r.judgeAct(&lead, e, func(why string) { broken(&res.TwoActors, "%s", why) })
-			if v, _ := strconv.Atoi(e.Version); e.Why == "in force" && v > inForce {
+			if v, _ := strconv.Atoi(e.Version); e.Reason == "in force" && v > inForce {
 				inForce = v
 				if at, is := pushed[e.Version]; is && faults {
 					res.InForceMS = append(res.InForceMS, (e.At-at).Seconds()*1000)
@@ -602,9 +602,9 @@
 		switch {
 		case 2*acked[of] > all[of]:
 		case of == "":
-			broken(&res.Uncommitted, "%s runs version %s, which %d of %d nodes could run", e.Who, e.Version, acked[of], all[of])
+			broken(&res.Uncommitted, "%s runs version %s, which %d of %d nodes could run", e.Process, e.Version, acked[of], all[of])
 		case well[of]:
-			broken(&res.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s could run", e.Who, e.Version, acked[of], all[of], of)
+			broken(&res.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s could run", e.Process, e.Version, acked[of], all[of], of)
 		}
 	}
 }
--- a/internal/coordination/faulttest/judge.go
+++ b/internal/coordination/faulttest/judge.go
@@ -85,13 +85,13 @@
 	}
 	for _, e := range r.events {
 		l := lives[e.Unit]
-		switch e.What {
+		switch e.Kind {
 		case "up", "killed", "out", "drained", "undrained":
 			if l == nil {
 				continue // a controller was killed
 			}
 		}
-		switch e.What {
+		switch e.Kind {
 		case "up":
 			if l.up = 0; l.out {
 				l.up = e.At // its permit lasts until it is warm; a start that no permit led to is known later
@@ -102,8 +102,8 @@
 		case "out":
 			l.out = true
 			res.Permits++
-			if h, is := halts[e.Plan]; is && e.Sent > h+haltWithin {
-				broken(&res.LateBegins, "%s began %v after %s was halted", e.Unit, e.Sent-h, e.Plan)
+			if h, is := halts[e.Plan]; is && e.SentAt > h+haltWithin {
+				broken(&res.LateBegins, "%s began %v after %s was halted", e.Unit, e.SentAt-h, e.Plan)
 			}
 			overBudget(lives, e, calm, disturbed, func(why string) { broken(&res.OverBudget, "%s", why) })
 		case "drained":
@@ -133,9 +133,9 @@
 // judgeAct judges a controller's act by the one before with the highest lead.
 func (r *record) judgeAct(lead *host.Event, e host.Event, broken func(string)) {
 	if e.Token == 0 {
-		broken(e.Who + " acted without the lead")
-	} else if e.Token < lead.Token && e.Sent > lead.At {
-		broken(fmt.Sprintf("%s acted with the lead %d after %s had with %d", e.Who, e.Token, lead.Who, lead.Token))
+		broken(e.Process + " acted without the lead")
+	} else if e.Token < lead.Token && e.SentAt > lead.At {
+		broken(fmt.Sprintf("%s acted with the lead %d after %s had with %d", e.Process, e.Token, lead.Process, lead.Token))
 	}
 	if e.Token > lead.Token {
 		*lead = e
--- a/internal/coordination/faulttest/judge_test.go
+++ b/internal/coordination/faulttest/judge_test.go
@@ -11,11 +11,11 @@
 // What processes did, in seconds, and what the judge makes of it.
 func TestJudge(t *testing.T) {
 	at := func(s float64, what, unit string) host.Event {
-		return host.Event{At: time.Duration(s * float64(time.Second)), Sent: time.Duration(s * float64(time.Second)), What: what, Unit: unit, Plan: "next"}
+		return host.Event{At: time.Duration(s * float64(time.Second)), SentAt: time.Duration(s * float64(time.Second)), Kind: what, Unit: unit, Plan: "next"}
 	}
 	act := func(s, sent float64, who string, token int64) host.Event {
 		e := at(s, "act", "")
-		e.Who, e.Token, e.Sent = who, token, time.Duration(sent*float64(time.Second))
+		e.Process, e.Token, e.SentAt = who, token, time.Duration(sent*float64(time.Second))
 		return e
 	}
 	for name, c := range map[string]struct {
@@ -54,7 +54,7 @@
 // What nodes ran, in seconds, and what the judge makes of it.
 func TestJudgeConfig(t *testing.T) {
 	ev := func(s float64, who, what, version, content string) host.Event {
-		return host.Event{At: time.Duration(s * float64(time.Second)), Who: who, Unit: who, What: what, Version: version, Why: content}
+		return host.Event{At: time.Duration(s * float64(time.Second)), Process: who, Unit: who, Kind: what, Version: version, Reason: content}
 	}
 	zones := map[string]string{"n0": "a", "n1": "a", "n2": "b"}
 	touch := func(s float64, who string, start int64, version, content string) host.Event {
@@ -78,7 +78,7 @@
 	force := func(s float64, version string) host.Event { return ev(s, "", "act", version, "in force") }
 	act := func(l ...host.Event) []host.Event {
 		for i := range l {
-			if l[i].What == "act" {
+			if l[i].Kind == "act" {
 				l[i].Token = 1
 			}
 		}
@@ -117,7 +117,7 @@
 		"back with less than was in force": {events: join(agreed, act(ev(3, "n0", "runs", "1", "x"), ev(4, "n0", "fault", "", ""), force(5, "2"), ev(6, "n0", "fault over", "", ""),
 			ev(6.1, "n0", "out of touch", "1", "x"), touch(6.2, "n0", 10, "1", "x"))), early: 1},
 		"called dead and alive":           {events: join(agreed, []host.Event{ev(9, "n0", "out of touch", "0", "-"), touch(9.2, "n0", 10, "0", "-")}), out: 1},
-		"called dead and held up":         {events: join(agreed, []host.Event{{At: 9 * time.Second, Who: "n0", Unit: "n0", What: "out of touch", Version: "0", Span: 500 * time.Millisecond}})},
+		"called dead and held up":         {events: join(agreed, []host.Event{{At: 9 * time.Second, Process: "n0", Unit: "n0", Kind: "out of touch", Version: "0", MaxRenewalGap: 500 * time.Millisecond}})},
 		"called dead after a cut":         {events: join(agreed, []host.Event{ev(6, "n0", "fault", "", ""), ev(8, "n0", "fault over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
 		"called dead by a shaky registry": {events: join(agreed, []host.Event{ev(5, "", "registry", "", ""), ev(6, "", "registry over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
 	} {
--- a/internal/coordination/faulttest/trial.go
+++ b/internal/coordination/faulttest/trial.go
@@ -268,8 +268,8 @@
 	if err := s.controllers(); err != nil {
 		return err
 	}
-	return s.await(ctx, "all units are to be registered and warm", func(v *state.Agreed) bool {
-		return len(v.Units) == servers+nodes && len(v.Outs) == 0 && v.Lead != nil
+	return s.await(ctx, "all units are to be registered and warm", func(v *state.CoordinationView) bool {
+		return len(v.Units) == servers+nodes && len(v.Unavailable) == 0 && v.Leader != nil
 	})
 }
 
@@ -310,14 +310,14 @@
 }
 
 // await waits until what is agreed is so.
-func (s *site) await(ctx context.Context, what string, is func(*state.Agreed) bool) error {
+func (s *site) await(ctx context.Context, what string, is func(*state.CoordinationView) bool) error {
 	w, err := client.NewWriter(client.Options{Endpoints: s.cluster.Addresses(), RestMost: 100 * time.Millisecond})
 	if err != nil {
 		return err
 	}
-	var v *state.Agreed
+	var v *state.CoordinationView
 	for {
-		if now, err := host.Agreed(ctx, w); err == nil {
+		if now, err := host.ReadView(ctx, w); err == nil {
 			if v = now; is(v) {
 				return nil
 			}
@@ -335,7 +335,7 @@
 func (s *site) play(ctx context.Context) (back bool, err error) {
 	for _, p := range s.units {
 		if slices.Contains(s.opt.Dead, p.name) {
-			s.record.note(host.Event{At: host.Now(), What: "killed", Unit: p.name})
+			s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
 			p.Kill()
 		}
 	}
@@ -367,10 +367,10 @@
 		case n == 3 && !back:
 			halted = true
 			if _, err := s.staff(ctx, "halt", "next"); err == nil {
-				s.record.note(host.Event{At: host.Now(), What: "halt", Plan: "next"})
+				s.record.note(host.Event{At: host.Now(), Kind: "halt", Plan: "next"})
 			}
 		case n == 4 && halted && !back:
-			s.record.note(host.Event{At: host.Now(), What: "resume", Plan: "next"})
+			s.record.note(host.Event{At: host.Now(), Kind: "resume", Plan: "next"})
 			s.staff(ctx, "resume", "next") // that may fail, which is settled at the end
 		case n == 5 && !back:
 			back = true
@@ -394,10 +394,10 @@
 		id := units()[2*first+zone].id
 		s.undo.Go(func() {
 			if _, err := s.staff(ctx, "drain", id, "--holder", "zone "+string("ab"[zone])); err == nil {
-				s.record.note(host.Event{At: host.Now(), What: "drained", Unit: id})
+				s.record.note(host.Event{At: host.Now(), Kind: "drained", Unit: id})
 			}
 			time.Sleep(hold) // a person's
-			s.record.note(host.Event{At: host.Now(), What: "undrained", Unit: id})
+			s.record.note(host.Event{At: host.Now(), Kind: "undrained", Unit: id})
 			s.staff(ctx, "undrain", id) // that may fail, which is settled at the end
 		})
 	}
@@ -430,7 +430,7 @@
 			do()
 		})
 	}
-	note := func(what string) { s.record.note(host.Event{At: host.Now(), What: what, Unit: p.name}) }
+	note := func(what string) { s.record.note(host.Event{At: host.Now(), Kind: what, Unit: p.name}) }
 	afterFault := func(do func()) {
 		note("fault")
 		after(func() {
@@ -439,11 +439,11 @@
 		})
 	}
 	registry := func(do, undo func()) {
-		s.record.note(host.Event{At: host.Now(), What: "registry"})
+		s.record.note(host.Event{At: host.Now(), Kind: "registry"})
 		do()
 		after(func() {
 			undo()
-			s.record.note(host.Event{At: host.Now(), What: "registry over"})
+			s.record.note(host.Event{At: host.Now(), Kind: "registry over"})
 		})
 	}
 	switch kind {
@@ -530,19 +530,19 @@
 		version, s.res.Outcome = "v1", "taken back"
 		s.staff(ctx, "back", "next") // once more, should it not have gone through
 	} else {
-		s.record.note(host.Event{At: host.Now(), What: "resume", Plan: "next"})
+		s.record.note(host.Event{At: host.Now(), Kind: "resume", Plan: "next"})
 		s.staff(ctx, "resume", "next")
 	}
 	for _, u := range units()[:servers] {
 		s.undo.Go(func() { s.staff(ctx, "undrain", u.id) })
 	}
 	s.undo.Wait()
-	return s.await(ctx, "all units are to run "+version, func(v *state.Agreed) bool {
+	return s.await(ctx, "all units are to run "+version, func(v *state.CoordinationView) bool {
 		for _, u := range v.Units {
 			if u.Version != version {
 				return false
 			}
 		}
-		return len(v.Units) == servers+nodes && len(v.Outs) == 0 && len(v.Permits) == 0
+		return len(v.Units) == servers+nodes && len(v.Unavailable) == 0 && len(v.Permits) == 0
 	})
 }
--- a/internal/coordination/host/agent.go
+++ b/internal/coordination/host/agent.go
@@ -23,18 +23,18 @@
 // Agent stands beside one unit: it starts its process, holds its lease for as long as the process runs, and changes its
 // version when there is a permit for that.
 type Agent struct {
-	Registry []string
-	Entry    state.Entry // of the unit; its BootMS, and its Version after a change, are the agent's to say
-	TTL      time.Duration
-	Command  []string      // of the process, with {version} in place of its version; none: the agent is the unit itself
-	Ready    string        // a URL that answers 200 once the process serves; "": when it has run for half a second
-	Drain    time.Duration // from when nodes are told until the process is asked to end
-	Grace    time.Duration // from then until it is killed
-	Keep     string        // a file that remembers the version over the agent's own restarts; "": Entry.Version holds at each
-	Journal  *Journal
-	Log      *slog.Logger
-	Wall     func() time.Time // nil: the system's clock
-	Dial     client.Dial      // nil: the system's
+	Registry    []string
+	Instance    state.Instance // of the unit; its BootMS, and its Version after a change, are the agent's to say
+	TTL         time.Duration
+	Command     []string      // of the process, with {version} in place of its version; none: the agent is the unit itself
+	ReadyURL    string        // a URL that answers 200 once the process serves; "": when it has run for half a second
+	DrainTime   time.Duration // from when nodes are told until the process is asked to end
+	StopTimeout time.Duration // from then until it is killed
+	VersionFile string        // a file that remembers the version over the agent's own restarts; "": Entry.Version holds at each
+	Events      *Log
+	Log         *slog.Logger
+	Clock       func() time.Time // nil: the system's clock
+	Dial        client.Dial      // nil: the system's
 
 	writer *client.Writer
 	holder *client.Holder
@@ -54,18 +54,18 @@
 // Run keeps the unit running until ctx ends, and takes it out of the registry then. It ends with client.ErrFenced when
 // another agent has started the same unit.
 func (a *Agent) Run(ctx context.Context) (err error) {
-	if a.Wall == nil {
-		a.Wall = time.Now
+	if a.Clock == nil {
+		a.Clock = time.Now
 	}
 	if a.writer, err = client.NewWriter(client.Options{Endpoints: a.Registry, RestMost: 300 * time.Millisecond, Dial: a.Dial}); err != nil {
 		return err
 	}
-	a.Entry.TTLMS = a.TTL.Milliseconds()
-	if a.Keep != "" {
-		text, err := os.ReadFile(a.Keep)
+	a.Instance.TTLMS = a.TTL.Milliseconds()
+	if a.VersionFile != "" {
+		text, err := os.ReadFile(a.VersionFile)
 		switch {
 		case err == nil && len(text) > 0:
-			a.Entry.Version = string(text)
+			a.Instance.Version = string(text)
 		case err != nil && !errors.Is(err, os.ErrNotExist):
 			return err
 		}
@@ -73,18 +73,18 @@
 	defer a.end()
 	var rev int64
 	for ctx.Err() == nil {
-		if err := a.keep(ctx); errors.Is(err, client.ErrFenced) {
+		if err := a.ensureServing(ctx); errors.Is(err, client.ErrFenced) {
 			return err
 		} else if err != nil && ctx.Err() == nil {
-			a.Log.Warn("the unit does not serve", "unit", a.Entry.UID, "version", a.Entry.Version, "error", err)
+			a.Log.Warn("the unit does not serve", "unit", a.Instance.UID, "version", a.Instance.Version, "error", err)
 			pause(ctx, startRest)
 		}
-		seen, err := a.writer.Agreed(ctx, url.Values{"unit": {a.Entry.UID}}, rev, pollWait)
+		seen, err := a.writer.Agreed(ctx, url.Values{"unit": {a.Instance.UID}}, rev, pollWait)
 		if err != nil {
 			rev = 0
 			continue
 		}
-		rev = seen.Rev
+		rev = seen.Revision
 		if len(seen.Permits) == 1 && len(seen.Units) == 1 {
 			a.follow(ctx, seen.Permits[0], seen.Units[0])
 		}
@@ -94,16 +94,16 @@
 	}
 	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWithin)
 	defer cancel()
-	_, err = a.writer.Write(leaving, state.Op{Kind: state.Remove, UID: a.Entry.UID, Token: a.holder.Token(a.Entry.UID)})
+	_, err = a.writer.Write(leaving, state.Op{Kind: state.OpRemove, UID: a.Instance.UID, Token: a.holder.Token(a.Instance.UID)})
 	return err
 }
 
-// keep starts the process if it does not run, and registers the unit if it is not.
-func (a *Agent) keep(ctx context.Context) error {
+// ensureServing starts the process if it does not run, and registers the unit if it is not.
+func (a *Agent) ensureServing(ctx context.Context) error {
 	if a.up {
 		select {
 		case err := <-a.ended:
-			a.Log.Warn("the process has ended", "unit", a.Entry.UID, "error", err)
+			a.Log.Warn("the process has ended", "unit", a.Instance.UID, "error", err)
 			a.cmd = nil
 			a.end()
 		default:
@@ -117,7 +117,7 @@
 	if a.stop == nil {
 		return a.register(ctx)
 	}
-	if a.holder.Token(a.Entry.UID) == 0 {
+	if a.holder.Token(a.Instance.UID) == 0 {
 		return client.ErrFenced
 	}
 	return nil
@@ -132,30 +132,30 @@
 
 // follow changes the unit's version if a permit says so. The permit is begun by a write first: whoever is cut off, comes late,
 // or has been halted meanwhile changes nothing.
-func (a *Agent) follow(ctx context.Context, p *disruption.Permit, e *state.Entry) {
-	if p.To == a.Entry.Version && p.Begun && e.State == state.Draining && e.BootMS == a.Entry.BootMS && a.stop != nil {
+func (a *Agent) follow(ctx context.Context, p *disruption.Permit, e *state.Instance) {
+	if p.TargetVersion == a.Instance.Version && p.Begun && e.State == state.Draining && e.StartTimeMS == a.Instance.StartTimeMS && a.stop != nil {
 		// It was taken back before anything had changed. Another look tells what came of it.
-		a.writer.One(ctx, state.Op{Kind: state.Update, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
+		a.writer.One(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
 		return
 	}
-	if p.To == "" || p.To == a.Entry.Version {
+	if p.TargetVersion == "" || p.TargetVersion == a.Instance.Version {
 		return
 	}
 	sent := Now()
-	answer, err := a.writer.One(ctx, state.Op{Kind: state.Begin, UID: p.Unit, Token: p.Token})
-	if err != nil || answer.Fault != "" {
+	answer, err := a.writer.One(ctx, state.Op{Kind: state.OpBeginPermit, UID: p.Unit, Token: p.Token})
+	if err != nil || answer.Code != "" {
 		return // another look tells more
 	}
-	a.note(Event{What: "out", Plan: p.Plan, Token: p.Token, Version: p.To, Sent: sent})
-	a.Log.Info("changes version", "unit", a.Entry.UID, "from", a.Entry.Version, "to", p.To)
+	a.note(Event{Kind: "out", Plan: p.Plan, Token: p.Token, Version: p.TargetVersion, SentAt: sent})
+	a.Log.Info("changes version", "unit", a.Instance.UID, "from", a.Instance.Version, "to", p.TargetVersion)
 	if a.up {
-		pause(ctx, a.Drain)
+		pause(ctx, a.DrainTime)
 	}
 	a.end()
-	a.Entry.Version = p.To
-	if a.Keep != "" {
-		if err := renameio.WriteFile(a.Keep, []byte(p.To), 0o600); err != nil {
-			a.Log.Error("the version is not remembered", "unit", a.Entry.UID, "error", err)
+	a.Instance.Version = p.TargetVersion
+	if a.VersionFile != "" {
+		if err := renameio.WriteFile(a.VersionFile, []byte(p.TargetVersion), 0o600); err != nil {
+			a.Log.Error("the version is not remembered", "unit", a.Instance.UID, "error", err)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	if len(a.Command) > 0 {
 		args := make([]string, len(a.Command))
 		for i, arg := range a.Command {
-			args[i] = strings.ReplaceAll(arg, "{version}", a.Entry.Version)
+			args[i] = strings.ReplaceAll(arg, "{version}", a.Instance.Version)
 		}
 		cmd := exec.Command(args[0], args[1:]...)
 		cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
@@ -183,22 +183,22 @@
 		}
 	}
 	a.up = true
-	a.Entry.BootMS = 0
-	a.note(Event{What: "up", Version: a.Entry.Version})
+	a.Instance.StartTimeMS = 0
+	a.note(Event{Kind: "up", Version: a.Instance.Version})
 	return nil
 }
 
 // register enters the unit's start, and holds its lease from then on.
 func (a *Agent) register(ctx context.Context) error {
-	if a.Entry.BootMS == 0 {
-		boot, err := a.writer.NextBoot(ctx, a.Entry.UID, a.Wall())
+	if a.Instance.StartTimeMS == 0 {
+		boot, err := a.writer.NextBoot(ctx, a.Instance.UID, a.Clock())
 		if err != nil {
 			return err
 		}
-		a.Entry.BootMS = boot
+		a.Instance.StartTimeMS = boot
 	}
-	a.Entry.State = state.Serving
-	entry := a.Entry
+	a.Instance.State = state.Serving
+	entry := a.Instance
 	a.holder = client.NewHolder(a.writer)
 	holding, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
@@ -211,17 +211,17 @@
 	return nil
 }
 
-// note writes an event of this unit down.
+// Append writes an event of this unit down.
 func (a *Agent) note(e Event) {
-	e.Who, e.Unit = a.Entry.UID, a.Entry.UID
-	if err := a.Journal.note(e); err != nil {
+	e.Process, e.Unit = a.Instance.UID, a.Instance.UID
+	if err := a.Events.Append(e); err != nil {
 		a.Log.Error("journal", "error", err)
 	}
 }
 
 // ready waits until the process serves.
 func (a *Agent) ready(ctx context.Context) error {
-	if a.Ready == "" {
+	if a.ReadyURL == "" {
 		select {
 		case err := <-a.ended:
 			a.cmd = nil
@@ -233,7 +233,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, a.Ready, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, a.ReadyURL, nil)
 		if err != nil {
 			return err
 		}
@@ -249,7 +249,7 @@
 			a.cmd = nil
 			return fmt.Errorf("the process ended before it served: %v", err)
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not answer 200: %w", a.Ready, ctx.Err())
+			return fmt.Errorf("%s does not answer 200: %w", a.ReadyURL, ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -263,7 +263,7 @@
 	}
 	if a.up {
 		a.up = false
-		a.note(Event{What: "down", Version: a.Entry.Version})
+		a.note(Event{Kind: "down", Version: a.Instance.Version})
 	}
 	if a.cmd == nil {
 		return
@@ -271,7 +271,7 @@
 	a.cmd.Process.Signal(syscall.SIGTERM) // one that has ended needs none
 	select {
 	case <-a.ended:
-	case <-time.After(a.Grace):
+	case <-time.After(a.StopTimeout):
 		a.cmd.Process.Kill()
 		<-a.ended
 	}
--- a/internal/coordination/host/golden_test.go
+++ b/internal/coordination/host/golden_test.go
@@ -12,11 +12,11 @@
 func TestGoldenEvent(t *testing.T) {
 	e := golden.RoundTripFull[Event](t, "testdata/event-full.json")
 	path := filepath.Join(t.TempDir(), "events")
-	j, err := OpenJournal(path)
+	j, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.note(e); err != nil {
+	if err := j.Append(e); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
--- a/internal/coordination/host/host.go
+++ b/internal/coordination/host/host.go
@@ -17,10 +17,10 @@
 	"umberbank/internal/registry/state"
 )
 
-// Agreed asks for all that is agreed, with all units, as of when it was called.
-func Agreed(ctx context.Context, w *client.Writer) (*state.Agreed, error) {
-	var a state.Agreed
-	return &a, w.Call(ctx, "GET", "/registry/agreed?consistent=1&units=1&lead="+Lead, nil, &a)
+// ReadView asks for all that is agreed, with all units, as of when it was called.
+func ReadView(ctx context.Context, w *client.Writer) (*state.CoordinationView, error) {
+	var a state.CoordinationView
+	return &a, w.Call(ctx, "GET", "/registry/agreed?consistent=1&units=1&lead="+LeaderUID, nil, &a)
 }
 
 // leaveWithin is how long a process that ends tries to say so.
@@ -28,16 +28,16 @@
 
 // Event is something that a process did, as it says itself. An outside judge reads them.
 type Event struct {
-	At      time.Duration `json:"at_ns"` // on the machine's monotonic clock, the same for all its processes
-	Who     string        `json:"who"`
-	What    string        `json:"what"`
-	Unit    string        `json:"unit,omitempty"`
-	Version string        `json:"version,omitempty"`
-	Plan    string        `json:"plan,omitempty"`
-	Token   int64         `json:"token,omitempty"`
-	Sent    time.Duration `json:"sent_ns,omitempty"` // when the write was sent that allowed it
-	Why     string        `json:"why,omitempty"`
-	Span    time.Duration `json:"span_ns,omitempty"` // the longest between renewals of a lease, as far as that matters
+	At            time.Duration `json:"at_ns"` // on the machine's monotonic clock, the same for all its processes
+	Process       string        `json:"who"`
+	Kind          string        `json:"what"`
+	Unit          string        `json:"unit,omitempty"`
+	Version       string        `json:"version,omitempty"`
+	Plan          string        `json:"plan,omitempty"`
+	Token         int64         `json:"token,omitempty"`
+	SentAt        time.Duration `json:"sent_ns,omitempty"` // when the write was sent that allowed it
+	Reason        string        `json:"why,omitempty"`
+	MaxRenewalGap time.Duration `json:"span_ns,omitempty"` // the longest between renewals of a lease, as far as that matters
 }
 
 // Now is the machine's monotonic clock.
@@ -49,22 +49,22 @@
 	return time.Duration(t.Nano())
 }
 
-// Journal appends events to a file, a line each; nil: nowhere.
-type Journal struct {
+// Events appends events to a file, a line each; nil: nowhere.
+type Log struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// OpenJournal opens a file to append to.
-func OpenJournal(path string) (*Journal, error) {
+// Open opens a file to append to.
+func Open(path string) (*Log, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return &Journal{file: f}, nil
+	return &Log{file: f}, nil
 }
 
-func (j *Journal) note(e Event) error {
+func (j *Log) Append(e Event) error {
 	if j == nil {
 		return nil
 	}
--- a/internal/coordination/release/golden_test.go
+++ b/internal/coordination/release/golden_test.go
@@ -13,46 +13,46 @@
 // The files were written by the build of revision f63bdca: plan.json is the plan of plan.toml for units.json, and
 // looks.jsonl what a Machine saw and ordered at three looks, one second apart.
 
-func goldenUnits(t *testing.T) []*state.Entry {
+func goldenUnits(t *testing.T) []*state.Instance {
 	t.Helper()
-	return golden.RoundTrip[[]*state.Entry](t, "testdata/units.json")
+	return golden.RoundTrip[[]*state.Instance](t, "testdata/units.json")
 }
 
 func TestGoldenPlan(t *testing.T) {
-	plan, file, err := Parse("plan.toml", golden.Read(t, "testdata/plan.toml"), goldenUnits(t))
+	plan, file, err := ParsePlan("plan.toml", golden.Read(t, "testdata/plan.toml"), goldenUnits(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Encodes(t, plan, golden.Read(t, "testdata/plan.json"))
-	golden.Encodes(t, file.Needs, golden.Read(t, "testdata/needs.json"))
+	golden.Encodes(t, file.RequiredCapacity, golden.Read(t, "testdata/needs.json"))
 	golden.RoundTrip[Plan](t, "testdata/plan.json")
-	if plan.AtOnce != 3 || plan.BakeMS != 5000 || plan.BackWithinMS != 60000 || len(plan.Stages) != 3 {
+	if plan.MaxConcurrent != 3 || plan.BakeMS != 5000 || plan.RecoveryTimeoutMS != 60000 || len(plan.Stages) != 3 {
 		t.Errorf("%+v", plan)
 	}
 	progress := golden.RoundTrip[Progress](t, "testdata/progress.json")
-	golden.Encodes(t, Back(plan, progress), golden.Read(t, "testdata/back.json"))
+	golden.Encodes(t, RollbackPlan(plan, progress), golden.Read(t, "testdata/back.json"))
 	golden.Encodes(t, HaltOp(plan.Name, "by staff"), golden.Read(t, "testdata/halt.json"))
 }
 
 func TestGoldenForms(t *testing.T) {
 	golden.RoundTripFull[Plan](t, "testdata/plan-full.json")
 	golden.RoundTripFull[Progress](t, "testdata/progress-full.json")
-	if PlanPrefix != "plan/" || ProgressPrefix != "release/" || state.HaltPrefix != "halt/" {
+	if PlanKeyPrefix != "plan/" || ProgressKeyPrefix != "release/" || state.HaltKeyPrefix != "halt/" {
 		t.Error("a key of the records has changed")
 	}
 	halt := golden.Decode[state.Op](t, golden.Read(t, "testdata/halt.json"))
-	if why := Halt(View{Records: []*state.Record{{Key: halt.Key, Value: halt.Value}}}, "web-v2"); why != "by staff" {
+	if why := HaltReason(View{Records: []*state.Record{{Key: halt.Key, Value: halt.Value}}}, "web-v2"); why != "by staff" {
 		t.Errorf("halted: %q", why)
 	}
 }
 
 // goldenLook is what a Machine saw at one look, and what it ordered.
 type goldenLook struct {
-	Units   []*state.Entry       `json:"units"`
-	Outs    []disruption.Out     `json:"outs"`
-	Permits []*disruption.Permit `json:"permits"`
-	Records []*state.Record      `json:"records"`
-	Orders  []goldenOrder        `json:"orders"`
+	Units   []*state.Instance            `json:"units"`
+	Outs    []disruption.UnavailableUnit `json:"outs"`
+	Permits []*disruption.Permit         `json:"permits"`
+	Records []*state.Record              `json:"records"`
+	Orders  []goldenOrder                `json:"orders"`
 }
 
 type goldenOrder struct {
@@ -62,21 +62,21 @@
 }
 
 func TestGoldenOrders(t *testing.T) {
-	m := &Machine{Holder: "c0"}
+	m := &Scheduler{Holder: "c0"}
 	for i, line := range golden.Lines(t, "testdata/looks.jsonl") {
 		look := golden.Decode[goldenLook](t, line)
-		view := View{Units: look.Units, Outs: look.Outs, Permits: look.Permits, Records: look.Records}
-		orders := m.Next(view, time.Duration(i)*time.Second)
+		view := View{Units: look.Units, Unavailable: look.Outs, Permits: look.Permits, Records: look.Records}
+		orders := m.NextWrites(view, time.Duration(i)*time.Second)
 		if len(orders) != len(look.Orders) {
 			t.Fatalf("look %d: %d orders, want %d", i, len(orders), len(look.Orders))
 		}
 		for k, want := range look.Orders {
 			golden.Encodes(t, orders[k].Op, want.Op)
-			if orders[k].Why != want.Why {
-				t.Errorf("look %d: why %q, want %q", i, orders[k].Why, want.Why)
+			if orders[k].Reason != want.Why {
+				t.Errorf("look %d: why %q, want %q", i, orders[k].Reason, want.Why)
 			}
 			if want.Granted {
-				m.Granted(orders[k])
+				m.PermitGranted(orders[k])
 			}
 		}
 	}
--- a/internal/coordination/release/machine.go
+++ b/internal/coordination/release/machine.go
@@ -13,20 +13,20 @@
 
 // View is what a controller knows, as of one revision.
 type View struct {
-	Units   []*state.Entry
-	Outs    []disruption.Out
-	Permits []*disruption.Permit
-	Records []*state.Record
+	Units       []*state.Instance
+	Unavailable []disruption.UnavailableUnit
+	Permits     []*disruption.Permit
+	Records     []*state.Record
 }
 
-// Order is a write that a Machine wants.
-type Order struct {
+// Write is a write that a Machine wants.
+type Write struct {
 	state.Op
-	Why string // for who reads the log
+	Reason string // for who reads the log
 }
 
-// Machine is one controller's memory. All that it forgets with its process only makes the next one wait longer.
-type Machine struct {
+// Scheduler is one controller's memory. All that it forgets with its process only makes the next one wait longer.
+type Scheduler struct {
 	Holder string
 
 	seen  map[string]time.Duration // since when a unit is in hand, or a stage stands
@@ -41,29 +41,29 @@
 
 func try(plan, unit string, start int64) string { return fmt.Sprintf("%s %s %d", plan, unit, start) }
 
-// Granted notes that an order for a permit was followed.
-func (m *Machine) Granted(o Order) { m.tries[try(o.Plan, o.UID, o.Start)]++ }
+// PermitGranted notes that an order for a permit was followed.
+func (m *Scheduler) PermitGranted(o Write) { m.tries[try(o.Plan, o.UID, o.Incarnation)]++ }
 
 // record reads a record's value; false: there is none.
 func record(v View, key string, into any) (mod int64, found bool) {
 	for _, r := range v.Records {
 		if r.Key == key {
-			return r.Mod, json.Unmarshal(r.Value, into) == nil
+			return r.ModRevision, json.Unmarshal(r.Value, into) == nil
 		}
 	}
 	return 0, false
 }
 
-// Running are the releases that are neither done nor halted, by name.
-func Running(v View) []*Plan {
+// ActivePlans are the releases that are neither done nor halted, by name.
+func ActivePlans(v View) []*Plan {
 	var l []*Plan
 	for _, r := range v.Records {
 		var p Plan
 		var pr Progress
-		if len(r.Key) <= len(PlanPrefix) || r.Key[:len(PlanPrefix)] != PlanPrefix || json.Unmarshal(r.Value, &p) != nil {
+		if len(r.Key) <= len(PlanKeyPrefix) || r.Key[:len(PlanKeyPrefix)] != PlanKeyPrefix || json.Unmarshal(r.Value, &p) != nil {
 			continue
 		}
-		if _, begun := record(v, ProgressPrefix+p.Name, &pr); begun && pr.Done || Halt(v, p.Name) != "" {
+		if _, begun := record(v, ProgressKeyPrefix+p.Name, &pr); begun && pr.Done || HaltReason(v, p.Name) != "" {
 			continue
 		}
 		l = append(l, &p)
@@ -71,12 +71,12 @@
 	return l
 }
 
-// Halt is why a release is halted; "": it is not.
-func Halt(v View, name string) string {
+// HaltReason is why a release is halted; "": it is not.
+func HaltReason(v View, name string) string {
 	var h struct {
 		Why string `json:"why"`
 	}
-	if _, is := record(v, state.HaltPrefix+name, &h); is {
+	if _, is := record(v, state.HaltKeyPrefix+name, &h); is {
 		if h.Why == "" {
 			return "halted"
 		}
@@ -87,31 +87,31 @@
 
 // ProgressOf is how far a release has come.
 func ProgressOf(v View, name string) (p Progress) {
-	record(v, ProgressPrefix+name, &p)
+	record(v, ProgressKeyPrefix+name, &p)
 	return p
 }
 
 // HaltOp halts a release.
 func HaltOp(name, why string) state.Op {
 	value, _ := json.Marshal(map[string]string{"why": why}) // of strings: it cannot fail
-	return state.Op{Kind: state.Put, Key: state.HaltPrefix + name, Value: value, IfMod: state.Absent}
+	return state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + name, Value: value, IfModRevision: state.Absent}
 }
 
-// Next gives the orders of now, in order. Each is safe to repeat, and to give beside another controller's, of which the
+// NextWrites gives the orders of now, in order. Each is safe to repeat, and to give beside another controller's, of which the
 // fence lets only one through.
-func (m *Machine) Next(v View, now time.Duration) []Order {
+func (m *Scheduler) NextWrites(v View, now time.Duration) []Write {
 	if m.seen == nil {
 		m.seen, m.tries = map[string]time.Duration{}, map[string]int{}
 	}
-	var orders []Order
-	for _, p := range Running(v) {
+	var orders []Write
+	for _, p := range ActivePlans(v) {
 		orders = append(orders, m.next(p, v, now)...)
 	}
 	return orders
 }
 
 // since is how long something has been so, as far as this Machine has seen.
-func (m *Machine) since(what string, is bool, now time.Duration) time.Duration {
+func (m *Scheduler) since(what string, is bool, now time.Duration) time.Duration {
 	if !is {
 		delete(m.seen, what)
 		return 0
@@ -123,26 +123,26 @@
 	return now - at
 }
 
-func (m *Machine) next(p *Plan, v View, now time.Duration) []Order {
+func (m *Scheduler) next(p *Plan, v View, now time.Duration) []Write {
 	var done Progress
-	mod, found := record(v, ProgressPrefix+p.Name, &done)
+	mod, found := record(v, ProgressKeyPrefix+p.Name, &done)
 	if !found {
 		mod = state.Absent
 	}
-	progress := func(to Progress, why string) Order {
+	progress := func(to Progress, why string) Write {
 		value, _ := json.Marshal(to) // of numbers and strings: it cannot fail
-		return Order{state.Op{Kind: state.Put, Key: ProgressPrefix + p.Name, Value: value, IfMod: mod}, why}
+		return Write{state.Op{Kind: state.OpPutRecord, Key: ProgressKeyPrefix + p.Name, Value: value, IfModRevision: mod}, why}
 	}
 	if done.Stage >= len(p.Stages) {
 		done.Done = true
-		return []Order{progress(done, "all stages stand")}
+		return []Write{progress(done, "all stages stand")}
 	}
-	units := map[string]*state.Entry{}
+	units := map[string]*state.Instance{}
 	for _, u := range v.Units {
 		units[u.UID] = u
 	}
-	out := map[string]disruption.Out{}
-	for _, o := range v.Outs {
+	out := map[string]disruption.UnavailableUnit{}
+	for _, o := range v.Unavailable {
 		out[o.Unit] = o
 	}
 	permits := map[string]*disruption.Permit{}
@@ -153,20 +153,20 @@
 			inHand++
 		}
 	}
-	halt := func(why string) []Order { return []Order{{HaltOp(p.Name, why), why}} }
+	halt := func(why string) []Write { return []Write{{HaltOp(p.Name, why), why}} }
 	var todo []Step
 	left := 0
 	for _, s := range p.Stages[done.Stage] {
 		u, pt := units[s.Unit], permits[s.Unit]
 		mine := pt != nil && pt.Plan == p.Name
-		if took := m.since(p.Name+" "+s.Unit, mine && pt.Begun, now); took > time.Duration(p.BackWithinMS)*time.Millisecond {
-			return halt(fmt.Sprintf("%s has not come back within %d ms", s.Unit, p.BackWithinMS))
+		if took := m.since(p.Name+" "+s.Unit, mine && pt.Begun, now); took > time.Duration(p.RecoveryTimeoutMS)*time.Millisecond {
+			return halt(fmt.Sprintf("%s has not come back within %d ms", s.Unit, p.RecoveryTimeoutMS))
 		}
 		switch {
-		case u == nil, pt == nil && u.Version == s.To && out[s.Unit].Share == 0:
+		case u == nil, pt == nil && u.Version == s.ToVersion && out[s.Unit].Share == 0:
 			continue // declared gone, or changed
-		case pt == nil && u.Version != s.To && out[s.Unit].Why != disruption.Missing,
-			pt != nil && pt.Plan == p.Undoes && pt.Begun: // on its way to what is taken back
+		case pt == nil && u.Version != s.ToVersion && out[s.Unit].Reason != disruption.ReasonUnreachable,
+			pt != nil && pt.Plan == p.RollsBack && pt.Begun: // on its way to what is taken back
 			todo = append(todo, s)
 		}
 		left++
@@ -178,12 +178,12 @@
 		}
 		done.Stage++
 		done.Done = done.Stage == len(p.Stages)
-		return []Order{progress(done, fmt.Sprintf("stage %d stands", done.Stage-1))}
+		return []Write{progress(done, fmt.Sprintf("stage %d stands", done.Stage-1))}
 	}
-	var orders []Order
-	asked := slices.Clone(done.Asked)
+	var orders []Write
+	asked := slices.Clone(done.Requested)
 	for _, s := range todo {
-		if inHand >= cmp.Or(p.AtOnce, mostInHand) {
+		if inHand >= cmp.Or(p.MaxConcurrent, mostInHand) {
 			break
 		}
 		u := units[s.Unit]
@@ -194,13 +194,13 @@
 		if !slices.Contains(asked, s.Unit) {
 			asked = append(asked, s.Unit)
 		}
-		orders = append(orders, Order{state.Op{Kind: state.Permit, UID: s.Unit, Start: u.Token, Holder: m.Holder, Plan: p.Name, To: s.To, Over: p.Undoes},
-			fmt.Sprintf("%s from %q to %q", s.Unit, s.From, s.To)})
+		orders = append(orders, Write{state.Op{Kind: state.OpGrantPermit, UID: s.Unit, Incarnation: u.Token, Holder: m.Holder, Plan: p.Name, TargetVersion: s.ToVersion, ReplacesPlan: p.RollsBack},
+			fmt.Sprintf("%s from %q to %q", s.Unit, s.FromVersion, s.ToVersion)})
 	}
-	if len(asked) > len(done.Asked) {
+	if len(asked) > len(done.Requested) {
 		// Written before anything is asked: what may have changed must be known to who takes it back.
-		done.Asked = asked
-		orders = append([]Order{progress(done, "")}, orders...)
+		done.Requested = asked
+		orders = append([]Write{progress(done, "")}, orders...)
 	}
 	return orders
 }
--- a/internal/coordination/release/plan.go
+++ b/internal/coordination/release/plan.go
@@ -16,19 +16,19 @@
 	"umberbank/internal/stricttoml"
 )
 
-// File is a plan as staff write it.
-type File struct {
-	Name       string             `toml:"name"`
-	Version    string             `toml:"version"`     // that the units are to run
-	AtOnce     int                `toml:"at_once"`     // permits held at once; 0: as many as the budget gives
-	Bake       string             `toml:"bake"`        // a stage must stand so long before the next; "": 2 s
-	BackWithin string             `toml:"back_within"` // a unit must be back and warm, else the release halts; "": 60 s
-	Needs      map[string]float64 `toml:"needs"`       // by tier: the capacity that the present load needs
-	Stages     []FileStage        `toml:"stage"`
+// PlanFile is a plan as staff write it.
+type PlanFile struct {
+	Name             string             `toml:"name"`
+	Version          string             `toml:"version"`     // that the units are to run
+	MaxConcurrent    int                `toml:"at_once"`     // permits held at once; 0: as many as the budget gives
+	BakeTime         string             `toml:"bake"`        // a stage must stand so long before the next; "": 2 s
+	RecoveryTimeout  string             `toml:"back_within"` // a unit must be back and warm, else the release halts; "": 60 s
+	RequiredCapacity map[string]float64 `toml:"needs"`       // by tier: the capacity that the present load needs
+	Stages           []PlanFileStage    `toml:"stage"`
 }
 
-// FileStage is one stage of it: a share of a tier, counting what earlier stages have taken, or units by name.
-type FileStage struct {
+// PlanFileStage is one stage of it: a share of a tier, counting what earlier stages have taken, or units by name.
+type PlanFileStage struct {
 	Tier  string   `toml:"tier"`
 	Zones []string `toml:"zones"` // none: all
 	Share float64  `toml:"share"`
@@ -37,37 +37,37 @@
 
 // Plan is a release as it is kept: which units, in which order.
 type Plan struct {
-	Name         string   `json:"name"`
-	Undoes       string   `json:"undoes,omitempty"` // the release that this one takes back
-	AtOnce       int      `json:"at_once,omitempty"`
-	BakeMS       int64    `json:"bake_ms"`
-	BackWithinMS int64    `json:"back_within_ms"`
-	Stages       [][]Step `json:"stages"`
+	Name              string   `json:"name"`
+	RollsBack         string   `json:"undoes,omitempty"` // the release that this one takes back
+	MaxConcurrent     int      `json:"at_once,omitempty"`
+	BakeMS            int64    `json:"bake_ms"`
+	RecoveryTimeoutMS int64    `json:"back_within_ms"`
+	Stages            [][]Step `json:"stages"`
 }
 
 // Step is one unit's change.
 type Step struct {
-	Unit string `json:"unit"`
-	From string `json:"from"`
-	To   string `json:"to"`
+	Unit        string `json:"unit"`
+	FromVersion string `json:"from"`
+	ToVersion   string `json:"to"`
 }
 
 // Keys of the records of a release.
 const (
-	PlanPrefix     = "plan/"
-	ProgressPrefix = "release/"
+	PlanKeyPrefix     = "plan/"
+	ProgressKeyPrefix = "release/"
 )
 
 // Progress is how far a release has come.
 type Progress struct {
-	Stage int      `json:"stage"`
-	Done  bool     `json:"done,omitempty"`
-	Asked []string `json:"asked"` // units for which a permit was asked, in that order
+	Stage     int      `json:"stage"`
+	Done      bool     `json:"done,omitempty"`
+	Requested []string `json:"asked"` // units for which a permit was asked, in that order
 }
 
-// Parse reads a plan for the units that there are, and says what is wrong with it by file and key.
-func Parse(file string, text []byte, units []*state.Entry) (*Plan, *File, error) {
-	var f File
+// ParsePlan reads a plan for the units that there are, and says what is wrong with it by file and key.
+func ParsePlan(file string, text []byte, units []*state.Instance) (*Plan, *PlanFile, error) {
+	var f PlanFile
 	if err := stricttoml.Decode(file, text, &f); err != nil {
 		return nil, nil, err
 	}
@@ -79,15 +79,15 @@
 }
 
 // plan picks the units of each stage.
-func (f *File) plan(units []*state.Entry) (*Plan, error) {
-	p := &Plan{Name: f.Name, AtOnce: f.AtOnce}
+func (f *PlanFile) plan(units []*state.Instance) (*Plan, error) {
+	p := &Plan{Name: f.Name, MaxConcurrent: f.MaxConcurrent}
 	switch {
 	case f.Name == "" || strings.ContainsAny(f.Name, "/ \t\n"):
 		return nil, fmt.Errorf("name: %q is empty, or has a space or slash in it", f.Name)
 	case f.Version == "":
 		return nil, errors.New("version: missing")
-	case f.AtOnce < 0:
-		return nil, fmt.Errorf("at_once: %d is negative", f.AtOnce)
+	case f.MaxConcurrent < 0:
+		return nil, fmt.Errorf("at_once: %d is negative", f.MaxConcurrent)
 	case len(f.Stages) == 0:
 		return nil, errors.New("stage: there is none")
 	}
@@ -95,7 +95,7 @@
 		key, text string
 		to        *int64
 		or        time.Duration
-	}{{"bake", f.Bake, &p.BakeMS, 2 * time.Second}, {"back_within", f.BackWithin, &p.BackWithinMS, time.Minute}} {
+	}{{"bake", f.BakeTime, &p.BakeMS, 2 * time.Second}, {"back_within", f.RecoveryTimeout, &p.RecoveryTimeoutMS, time.Minute}} {
 		v := d.or
 		if d.text != "" {
 			var err error
@@ -106,7 +106,7 @@
 		*d.to = v.Milliseconds()
 	}
 	tiers := map[string]bool{}
-	byID := map[string]*state.Entry{}
+	byID := map[string]*state.Instance{}
 	for _, u := range units {
 		tiers[u.Tier] = true
 		byID[u.UID] = u
@@ -126,7 +126,7 @@
 		}
 		p.Stages = append(p.Stages, steps)
 	}
-	for tier := range f.Needs {
+	for tier := range f.RequiredCapacity {
 		if !tiers[tier] {
 			return nil, fmt.Errorf("needs.%s: there is no such tier", tier)
 		}
@@ -135,8 +135,8 @@
 }
 
 // pick gives a stage's units, evenly along the order of their names so that every zone is among the first.
-func (st *FileStage) pick(units []*state.Entry, byID map[string]*state.Entry, tiers, taken map[string]bool) ([]*state.Entry, error) {
-	var l []*state.Entry
+func (st *PlanFileStage) pick(units []*state.Instance, byID map[string]*state.Instance, tiers, taken map[string]bool) ([]*state.Instance, error) {
+	var l []*state.Instance
 	if len(st.Units) > 0 {
 		for _, id := range st.Units {
 			u := byID[id]
@@ -178,16 +178,16 @@
 	if want <= 0 {
 		return nil, nil
 	}
-	picked := make([]*state.Entry, want)
+	picked := make([]*state.Instance, want)
 	for i := range picked {
 		picked[i] = l[i*len(l)/want]
 	}
 	return picked, nil
 }
 
-// Fits says with the arithmetic why the present load could not be kept with as much out as the plan may take out at
+// CheckCapacity says with the arithmetic why the present load could not be kept with as much out as the plan may take out at
 // once beside what is out already; nil: it could.
-func Fits(p *Plan, needs map[string]float64, units []*state.Entry, l disruption.Limits, outs []disruption.Out) error {
+func CheckCapacity(p *Plan, needs map[string]float64, units []*state.Instance, l disruption.Limits, outs []disruption.UnavailableUnit) error {
 	out := map[string]float64{}
 	for _, o := range outs {
 		out[o.Unit] = o.Share
@@ -206,9 +206,9 @@
 			gone += out[u.UID] * u.Capacity
 			largest = max(largest, u.Capacity)
 		}
-		may := *limit.Whole * capacity
-		if p.AtOnce > 0 {
-			may = min(may, float64(p.AtOnce)*largest)
+		may := *limit.Total * capacity
+		if p.MaxConcurrent > 0 {
+			may = min(may, float64(p.MaxConcurrent)*largest)
 		}
 		if left := capacity - max(may, gone); left < need {
 			return fmt.Errorf("tier %s has a capacity of %.4g, %.4g of it out, and up to %.4g may be out at once: %.4g would be left where the load needs %.4g",
@@ -218,20 +218,20 @@
 	return nil
 }
 
-// Back is the plan that takes a release back, newest change first: what was changed last, or is being changed, goes
+// RollbackPlan is the plan that takes a release back, newest change first: what was changed last, or is being changed, goes
 // first. It is a release as any other, within the same budget.
-func Back(p *Plan, done Progress) *Plan {
+func RollbackPlan(p *Plan, done Progress) *Plan {
 	from := map[string]Step{}
 	for _, stage := range p.Stages {
 		for _, s := range stage {
 			from[s.Unit] = s
 		}
 	}
-	b := &Plan{Name: p.Name + "-back", Undoes: p.Name, AtOnce: p.AtOnce, BakeMS: 0, BackWithinMS: p.BackWithinMS}
+	b := &Plan{Name: p.Name + "-back", RollsBack: p.Name, MaxConcurrent: p.MaxConcurrent, BakeMS: 0, RecoveryTimeoutMS: p.RecoveryTimeoutMS}
 	steps := []Step{}
-	for _, id := range slices.Backward(done.Asked) {
+	for _, id := range slices.Backward(done.Requested) {
 		s := from[id]
-		steps = append(steps, Step{id, s.To, s.From})
+		steps = append(steps, Step{id, s.ToVersion, s.FromVersion})
 	}
 	b.Stages = [][]Step{steps}
 	return b
--- a/internal/coordination/rollout/golden_test.go
+++ b/internal/coordination/rollout/golden_test.go
@@ -8,11 +8,11 @@
 
 // The file was written by the build of revision f63bdca.
 func TestGoldenForms(t *testing.T) {
-	b := golden.RoundTripFull[Book](t, "testdata/book.json")
-	if n := b.Nodes["n"]; n == nil || n.Told != 7 || n.Acked != 6 || n.Running != 5 || n.MayRun != 4 || n.Since.WallMS != 3 {
+	b := golden.RoundTripFull[State](t, "testdata/book.json")
+	if n := b.Nodes["n"]; n == nil || n.TargetVersion != 7 || n.Acknowledged != 6 || n.RunningVersion != 5 || n.HighestPossible != 4 || n.OutOfSyncSince.UnixMS != 3 {
 		t.Errorf("node: %+v", n)
 	}
-	if b.Pending.BakeMS != 5 || b.Lost["z"].Rev != 8 || b.Halted != "halted" {
+	if b.Pending.BakeMS != 5 || b.LostZones["z"].Revision != 8 || b.HaltReason != "halted" {
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/coordination/rollout/machine.go
+++ b/internal/coordination/rollout/machine.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Machine is a controller's memory of the version under way. What it forgets only makes the next one wait longer.
-type Machine struct {
+// BakeTimer is a controller's memory of the version under way. What it forgets only makes the next one wait longer.
+type BakeTimer struct {
 	number int64
 	stage  int
 	since  time.Duration // that the next stage could be told; 0: it could not
 }
 
-// Next says whether the next stage's nodes are to be told now.
-func (m *Machine) Next(b *Book, now time.Duration) bool {
-	if b == nil || b.Pending == nil || b.Halted != "" || b.Ready() != nil {
+// StageDue says whether the next stage's nodes are to be told now.
+func (m *BakeTimer) StageDue(b *State, now time.Duration) bool {
+	if b == nil || b.Pending == nil || b.HaltReason != "" || b.CheckReady() != nil {
 		m.since = 0
 		return false
 	}
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -37,61 +37,61 @@
 	BakeMS   int64     `json:"bake_ms,omitempty"` // a stage must stand so long before the next, in milliseconds
 }
 
-// Moment is when something was written.
-type Moment struct {
-	Rev    int64 `json:"rev"`               // the registry's revision
-	WallMS int64 `json:"wall_ms,omitempty"` // Unix time by the writer's clock, for people alone; 0: it did not say
+// Timestamp is when something was written.
+type Timestamp struct {
+	Revision int64 `json:"rev"`               // the registry's revision
+	UnixMS   int64 `json:"wall_ms,omitempty"` // Unix time by the writer's clock, for people alone; 0: it did not say
 }
 
 // Node is one node's process.
 type Node struct {
-	ID      string `json:"id"`
-	Zone    string `json:"zone"`
-	Start   int64  `json:"start"`             // names its present start
-	Missing bool   `json:"missing,omitempty"` // out of touch: nobody hears from it
-	// Since is when it was last in touch, or first heard of, for as long as it is not in touch; nil: it is.
-	Since *Moment `json:"since,omitempty"`
-	// MayRun is the highest version that it had been told then. It may run that, what it has last reported and any that
+	ID          string `json:"id"`
+	Zone        string `json:"zone"`
+	Incarnation int64  `json:"start"`             // names its present start
+	Unreachable bool   `json:"missing,omitempty"` // out of touch: nobody hears from it
+	// OutOfSyncSince is when it was last in touch, or first heard of, for as long as it is not in touch; nil: it is.
+	OutOfSyncSince *Timestamp `json:"since,omitempty"`
+	// HighestPossible is the highest version that it had been told then. It may run that, what it has last reported and any that
 	// it was told in between; later ones only by a look of its own.
-	MayRun int64 `json:"may_run,omitempty"`
-	// CatchingUp: it is heard, and this start has not yet reported that it runs what it is told.
-	CatchingUp bool `json:"catching_up,omitempty"`
-
-	Known   bool   `json:"known,omitempty"`   // it has said in this start what it runs
-	Running int64  `json:"running"`           // by its own word, of this start or an earlier one
-	Acked   int64  `json:"acked,omitempty"`   // the version that it has acknowledged in this start
-	Told    int64  `json:"told"`              // the version that it was last told to run
-	Fault   string `json:"fault,omitempty"`   // what it did that none may
-	Refused string `json:"refused,omitempty"` // why it could not take the proposed version
+	HighestPossible int64 `json:"may_run,omitempty"`
+	// Syncing: it is heard, and this start has not yet reported that it runs what it is told.
+	Syncing bool `json:"catching_up,omitempty"`
+
+	Reported       bool   `json:"known,omitempty"`   // it has said in this start what it runs
+	RunningVersion int64  `json:"running"`           // by its own word, of this start or an earlier one
+	Acknowledged   int64  `json:"acked,omitempty"`   // the version that it has acknowledged in this start
+	TargetVersion  int64  `json:"told"`              // the version that it was last told to run
+	Violation      string `json:"fault,omitempty"`   // what it did that none may
+	RejectReason   string `json:"refused,omitempty"` // why it could not take the proposed version
 }
 
-// Book is what is decided and known. Its fields are for snapshots; only its methods change it.
-type Book struct {
-	Committed Version          `json:"committed"`         // told to all nodes
-	Pending   *Version         `json:"pending,omitempty"` // proposed, and told to nodes of the first stages
-	Stage     int              `json:"stage"`             // how many stages of Pending were told
-	Halted    string           `json:"halted,omitempty"`  // why Pending goes no further
-	Hashes    map[int64]string `json:"hashes"`            // of every version that some node may run or be told
-	Highest   int64            `json:"highest"`           // number that was ever given
-	Nodes     map[string]*Node `json:"nodes"`
-	// Lost are the zones whose nodes all went out of touch and of which none has caught up since, by when the last went.
-	Lost map[string]Moment `json:"lost,omitempty"`
+// State is what is decided and known. Its fields are for snapshots; only its methods change it.
+type State struct {
+	Committed     Version          `json:"committed"`         // told to all nodes
+	Pending       *Version         `json:"pending,omitempty"` // proposed, and told to nodes of the first stages
+	Stage         int              `json:"stage"`             // how many stages of Pending were told
+	HaltReason    string           `json:"halted,omitempty"`  // why Pending goes no further
+	Hashes        map[int64]string `json:"hashes"`            // of every version that some node may run or be told
+	HighestNumber int64            `json:"highest"`           // number that was ever given
+	Nodes         map[string]*Node `json:"nodes"`
+	// LostZones are the zones whose nodes all went out of touch and of which none has caught up since, by when the last went.
+	LostZones map[string]Timestamp `json:"lost,omitempty"`
 }
 
-// InTouch says that a node is heard and has caught up.
-func (n *Node) InTouch() bool { return !n.Missing && !n.CatchingUp }
+// InSync says that a node is heard and has caught up.
+func (n *Node) InSync() bool { return !n.Unreachable && !n.Syncing }
 
 // New returns a Book in which all nodes run what they were started with.
-func New() *Book { return &Book{Hashes: map[int64]string{}, Nodes: map[string]*Node{}} }
+func New() *State { return &State{Hashes: map[int64]string{}, Nodes: map[string]*Node{}} }
 
 // Clone is a copy that shares nothing that changes.
-func (b *Book) Clone() *Book {
+func (b *State) Clone() *State {
 	c := *b
 	if b.Pending != nil {
 		p := *b.Pending
 		c.Pending = &p
 	}
-	c.Hashes, c.Nodes, c.Lost = maps.Clone(b.Hashes), map[string]*Node{}, maps.Clone(b.Lost)
+	c.Hashes, c.Nodes, c.LostZones = maps.Clone(b.Hashes), map[string]*Node{}, maps.Clone(b.LostZones)
 	if c.Hashes == nil {
 		c.Hashes = map[int64]string{}
 	}
@@ -102,77 +102,77 @@
 	return &c
 }
 
-// Complete fills in what a Book lacks that was kept before nodes caught up: whoever has not said what it runs is to do so, and
+// MigrateLegacy fills in what a Book lacks that was kept before nodes caught up: whoever has not said what it runs is to do so, and
 // zones of which nobody was heard are lost.
-func (b *Book) Complete() {
+func (b *State) MigrateLegacy() {
 	for _, n := range b.Nodes {
-		n.CatchingUp = n.CatchingUp || !n.Known && !n.Missing
-		if n.Missing && n.Since == nil {
-			n.Since, n.MayRun = &Moment{}, n.Told
+		n.Syncing = n.Syncing || !n.Reported && !n.Unreachable
+		if n.Unreachable && n.OutOfSyncSince == nil {
+			n.OutOfSyncSince, n.HighestPossible = &Timestamp{}, n.TargetVersion
 		}
 	}
-	b.countZones(Moment{})
+	b.countZones(Timestamp{})
 }
 
 // SetNode notes a node's process, or that nobody hears from it. A new start has acknowledged nothing. at is when that was
 // written.
-func (b *Book) SetNode(id, zone string, start int64, missing bool, at Moment) {
+func (b *State) SetNode(id, zone string, start int64, missing bool, at Timestamp) {
 	n := b.Nodes[id]
 	if n == nil {
-		n = &Node{ID: id, Zone: zone, Start: start, Told: b.Committed.Number, CatchingUp: true, Since: &at, MayRun: b.Committed.Number}
+		n = &Node{ID: id, Zone: zone, Incarnation: start, TargetVersion: b.Committed.Number, Syncing: true, OutOfSyncSince: &at, HighestPossible: b.Committed.Number}
 		b.Nodes[id] = n
 	}
-	if n.InTouch() && (missing || n.Start != start) {
-		n.Since, n.MayRun = &at, n.Told
+	if n.InSync() && (missing || n.Incarnation != start) {
+		n.OutOfSyncSince, n.HighestPossible = &at, n.TargetVersion
 	}
-	if n.Start != start {
-		n.Start, n.Known, n.Acked, n.Refused, n.Fault, n.CatchingUp = start, false, 0, "", "", true
+	if n.Incarnation != start {
+		n.Incarnation, n.Reported, n.Acknowledged, n.RejectReason, n.Violation, n.Syncing = start, false, 0, "", "", true
 	}
-	if n.Missing && !missing {
-		n.Known, n.CatchingUp = false, true
+	if n.Unreachable && !missing {
+		n.Reported, n.Syncing = false, true
 	}
-	n.Zone, n.Missing = zone, missing
+	n.Zone, n.Unreachable = zone, missing
 	b.countZones(at)
 }
 
 // countZones notes the zones that are lost from now on, and forgets those that have no node, or one in touch.
-func (b *Book) countZones(at Moment) {
+func (b *State) countZones(at Timestamp) {
 	heard, inTouch := map[string]bool{}, map[string]bool{}
 	for _, n := range b.Nodes {
-		heard[n.Zone] = heard[n.Zone] || !n.Missing
-		inTouch[n.Zone] = inTouch[n.Zone] || n.InTouch()
+		heard[n.Zone] = heard[n.Zone] || !n.Unreachable
+		inTouch[n.Zone] = inTouch[n.Zone] || n.InSync()
 	}
 	for zone, is := range heard {
-		if _, lost := b.Lost[zone]; !is && !lost {
-			if b.Lost == nil {
-				b.Lost = map[string]Moment{}
+		if _, lost := b.LostZones[zone]; !is && !lost {
+			if b.LostZones == nil {
+				b.LostZones = map[string]Timestamp{}
 			}
-			b.Lost[zone] = at
+			b.LostZones[zone] = at
 		}
 	}
-	maps.DeleteFunc(b.Lost, func(zone string, _ Moment) bool {
+	maps.DeleteFunc(b.LostZones, func(zone string, _ Timestamp) bool {
 		_, has := heard[zone]
 		return !has || inTouch[zone]
 	})
 }
 
 // caughtUp notes that a node is in touch from now on, and so its zone is not lost.
-func (b *Book) caughtUp(n *Node) {
-	n.CatchingUp, n.Since, n.MayRun = false, nil, 0
-	delete(b.Lost, n.Zone)
+func (b *State) caughtUp(n *Node) {
+	n.Syncing, n.OutOfSyncSince, n.HighestPossible = false, nil, 0
+	delete(b.LostZones, n.Zone)
 }
 
-// Gone forgets a node that is declared gone: whoever says so answers for it that it does not run.
-func (b *Book) Gone(id string) {
+// Decommission forgets a node that is declared gone: whoever says so answers for it that it does not run.
+func (b *State) Decommission(id string) {
 	delete(b.Nodes, id)
-	b.countZones(Moment{})
+	b.countZones(Timestamp{})
 }
 
 // ids are all nodes in the shared order.
-func (b *Book) ids() []string { return slices.Sorted(maps.Keys(b.Nodes)) }
+func (b *State) ids() []string { return slices.Sorted(maps.Keys(b.Nodes)) }
 
 // Propose puts a version forward, with the next number, against the version that it replaces.
-func (b *Book) Propose(hash string, replaces int64, stages []float64) (*Version, error) {
+func (b *State) Propose(hash string, replaces int64, stages []float64) (*Version, error) {
 	if b.Pending != nil {
 		return nil, fmt.Errorf("version %d is under way", b.Pending.Number)
 	}
@@ -192,15 +192,15 @@
 }
 
 // unsettled says which node in touch is not known to run what is in force, or that none is in touch; nil: neither.
-func (b *Book) unsettled() error {
+func (b *State) unsettled() error {
 	inTouch := 0
 	for _, id := range b.ids() {
 		n := b.Nodes[id]
-		if !n.InTouch() {
+		if !n.InSync() {
 			continue
 		}
 		inTouch++
-		if !n.Known || n.Running != b.Committed.Number {
+		if !n.Reported || n.RunningVersion != b.Committed.Number {
 			return fmt.Errorf("node %s (zone %s) is not known to run version %d: wait for it, or declare it gone", id, n.Zone, b.Committed.Number)
 		}
 	}
@@ -224,20 +224,20 @@
 	return nil
 }
 
-func (b *Book) put(hash string, replaces int64, stages []float64) *Version {
-	b.Highest++
-	b.Pending = &Version{Number: b.Highest, Hash: hash, Replaces: replaces, Stages: stages}
-	b.Stage, b.Halted = 0, ""
-	b.Hashes[b.Highest] = hash
+func (b *State) put(hash string, replaces int64, stages []float64) *Version {
+	b.HighestNumber++
+	b.Pending = &Version{Number: b.HighestNumber, Hash: hash, Replaces: replaces, Stages: stages}
+	b.Stage, b.HaltReason = 0, ""
+	b.Hashes[b.HighestNumber] = hash
 	for _, n := range b.Nodes {
-		n.Acked, n.Refused = 0, ""
+		n.Acknowledged, n.RejectReason = 0, ""
 	}
 	return b.Pending
 }
 
 // Withdraw takes a proposed version back that no node was told to run. It leaves no trace but its number, which is not
 // given again.
-func (b *Book) Withdraw(number int64) error {
+func (b *State) Withdraw(number int64) error {
 	switch {
 	case b.Pending == nil || b.Pending.Number != number:
 		return fmt.Errorf("version %d is not under way", number)
@@ -251,26 +251,26 @@
 }
 
 // spread says that some node was told to run what is neither in force nor proposed.
-func (b *Book) spread() bool {
+func (b *State) spread() bool {
 	for _, n := range b.Nodes {
-		if n.Told > b.Committed.Number {
+		if n.TargetVersion > b.Committed.Number {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Book) drop() {
+func (b *State) drop() {
 	delete(b.Hashes, b.Pending.Number)
-	b.Pending, b.Stage, b.Halted = nil, 0, ""
+	b.Pending, b.Stage, b.HaltReason = nil, 0, ""
 	for _, n := range b.Nodes {
-		n.Acked, n.Refused = 0, ""
+		n.Acknowledged, n.RejectReason = 0, ""
 	}
 }
 
-// Back proposes the old content anew, in the place of a version that was told to some nodes, or of a way back from one that
+// Rollback proposes the old content anew, in the place of a version that was told to some nodes, or of a way back from one that
 // was halted. It goes to those first.
-func (b *Book) Back() (*Version, error) {
+func (b *State) Rollback() (*Version, error) {
 	if b.Pending == nil || b.Stage == 0 && !b.spread() {
 		return nil, errors.New("no version was told to nodes and not to all")
 	}
@@ -281,23 +281,23 @@
 }
 
 // Report notes what a node's start says that it runs.
-func (b *Book) Report(id string, start, number int64, hash string) error {
+func (b *State) Report(id string, start, number int64, hash string) error {
 	n := b.Nodes[id]
-	if n == nil || n.Start != start {
+	if n == nil || n.Incarnation != start {
 		return fmt.Errorf("start %d of node %s is not the one that runs", start, id)
 	}
-	n.Known, n.Running, n.Fault = true, number, ""
+	n.Reported, n.RunningVersion, n.Violation = true, number, ""
 	switch want := b.Hashes[number]; {
-	case number > n.Told:
-		n.Fault = fmt.Sprintf("node %s runs version %d, which it was not told to", id, number)
+	case number > n.TargetVersion:
+		n.Violation = fmt.Sprintf("node %s runs version %d, which it was not told to", id, number)
 	case number != 0 && want != "" && want != hash:
-		n.Fault = fmt.Sprintf("node %s runs version %d with the hash %.12s, which is %.12s", id, number, hash, want)
+		n.Violation = fmt.Sprintf("node %s runs version %d with the hash %.12s, which is %.12s", id, number, hash, want)
 	}
-	if n.Fault != "" && b.Pending != nil && b.Halted == "" {
-		b.Halted = n.Fault
+	if n.Violation != "" && b.Pending != nil && b.HaltReason == "" {
+		b.HaltReason = n.Violation
 	}
-	if n.Fault == "" {
-		if !n.Missing && number == n.Told {
+	if n.Violation == "" {
+		if !n.Unreachable && number == n.TargetVersion {
 			b.caughtUp(n)
 		}
 		b.prune()
@@ -307,42 +307,42 @@
 
 // prune forgets versions that no node can run or be told any more. Of a node that is not in touch two numbers stay known, what it
 // has last reported and the highest that it was told before, so that one which is away for long keeps no more.
-func (b *Book) prune() {
+func (b *State) prune() {
 	least, kept := b.Committed.Number, map[int64]bool{}
 	for _, n := range b.Nodes {
-		if n.InTouch() {
-			least = min(least, n.Told, n.Running)
+		if n.InSync() {
+			least = min(least, n.TargetVersion, n.RunningVersion)
 		} else {
-			kept[n.Running], kept[n.MayRun] = true, true
+			kept[n.RunningVersion], kept[n.HighestPossible] = true, true
 		}
 	}
 	maps.DeleteFunc(b.Hashes, func(number int64, _ string) bool { return number < least && !kept[number] })
 }
 
-// Ack notes that a node's start could run the proposed version, or why not. The word of one that is not in touch is not taken.
-func (b *Book) Ack(id string, start, number int64, hash, refused string) error {
+// Acknowledge notes that a node's start could run the proposed version, or why not. The word of one that is not in touch is not taken.
+func (b *State) Acknowledge(id string, start, number int64, hash, refused string) error {
 	n := b.Nodes[id]
 	switch {
-	case n == nil || n.Start != start:
+	case n == nil || n.Incarnation != start:
 		return fmt.Errorf("start %d of node %s is not the one that runs", start, id)
 	case b.Pending == nil || b.Pending.Number != number || b.Pending.Hash != hash:
 		return fmt.Errorf("version %d (%.12s) is not under way", number, hash)
-	case !n.InTouch():
-		return fmt.Errorf("node %s has not caught up with version %d", id, n.Told)
+	case !n.InSync():
+		return fmt.Errorf("node %s has not caught up with version %d", id, n.TargetVersion)
 	case refused != "":
-		n.Refused, n.Acked = refused, 0
-		if b.Halted == "" {
-			b.Halted = fmt.Sprintf("node %s could not take version %d: %s", id, number, refused)
+		n.RejectReason, n.Acknowledged = refused, 0
+		if b.HaltReason == "" {
+			b.HaltReason = fmt.Sprintf("node %s could not take version %d: %s", id, number, refused)
 		}
 	default:
-		n.Acked, n.Refused = number, ""
+		n.Acknowledged, n.RejectReason = number, ""
 	}
 	return nil
 }
 
-// Quorum says in which zone acknowledgments are missing; nil: in none. Lost zones are passed over, and their nodes count in the
+// CheckQuorum says in which zone acknowledgments are missing; nil: in none. Lost zones are passed over, and their nodes count in the
 // quorum of all.
-func (b *Book) Quorum() error {
+func (b *State) CheckQuorum() error {
 	if b.Pending == nil {
 		return errors.New("no version is under way")
 	}
@@ -357,13 +357,13 @@
 		}
 		for _, c := range []*count{z, whole} {
 			c.all++
-			if n.Acked == b.Pending.Number && n.InTouch() {
+			if n.Acknowledged == b.Pending.Number && n.InSync() {
 				c.acked++
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		if _, lost := b.Lost[name]; lost {
+		if _, lost := b.LostZones[name]; lost {
 			continue
 		}
 		if c := zones[name]; 2*c.acked <= c.all {
@@ -376,9 +376,9 @@
 	return nil
 }
 
-// Commit tells the next stage's nodes to run the proposed version, if a quorum has acknowledged it and the nodes of the
+// Advance tells the next stage's nodes to run the proposed version, if a quorum has acknowledged it and the nodes of the
 // stages before run it; or one more, if the only one that was told has vanished. stage is how many were told when the caller looked: a repeat changes nothing.
-func (b *Book) Commit(number int64, stage int) error {
+func (b *State) Advance(number int64, stage int) error {
 	if b.Pending == nil || b.Pending.Number != number {
 		if number <= b.Committed.Number {
 			return nil // told to all since
@@ -390,31 +390,31 @@
 		return nil
 	case b.Stage < stage:
 		return fmt.Errorf("version %d is at stage %d", number, b.Stage)
-	case b.Halted != "":
-		return errors.New("halted: " + b.Halted)
+	case b.HaltReason != "":
+		return errors.New("halted: " + b.HaltReason)
 	}
-	if err := b.Ready(); err != nil {
+	if err := b.CheckReady(); err != nil {
 		return err
 	}
 	instead := b.vanished()
 	// Nodes that are not in touch are told with the last stage, or when they come back after it.
 	last := b.Stage == len(b.Pending.Stages)-1 && !instead
-	ids := slices.DeleteFunc(b.ids(), func(id string) bool { return !last && !b.Nodes[id].InTouch() })
+	ids := slices.DeleteFunc(b.ids(), func(id string) bool { return !last && !b.Nodes[id].InSync() })
 	told := 0
 	for _, id := range ids {
-		if b.Nodes[id].Told == number {
+		if b.Nodes[id].TargetVersion == number {
 			told++
 		}
 	}
 	// Who was told what is taken back comes first, then evenly along the order.
 	var left []string
 	for _, id := range ids {
-		if t := b.Nodes[id].Told; t != number && t > b.Committed.Number {
+		if t := b.Nodes[id].TargetVersion; t != number && t > b.Committed.Number {
 			left = append(left, id)
 		}
 	}
 	for _, id := range ids {
-		if b.Nodes[id].Told <= b.Committed.Number {
+		if b.Nodes[id].TargetVersion <= b.Committed.Number {
 			left = append(left, id)
 		}
 	}
@@ -426,7 +426,7 @@
 		want = len(left)
 	}
 	for i := range min(max(want, 0), len(left)) {
-		b.Nodes[left[i*len(left)/want]].Told = number
+		b.Nodes[left[i*len(left)/want]].TargetVersion = number
 	}
 	if instead {
 		return nil
@@ -434,15 +434,15 @@
 	if b.Stage++; b.Stage == len(b.Pending.Stages) {
 		b.Committed, b.Pending, b.Stage = *b.Pending, nil, 0
 		for _, n := range b.Nodes {
-			n.Told, n.Acked = b.Committed.Number, 0
+			n.TargetVersion, n.Acknowledged = b.Committed.Number, 0
 		}
 	}
 	return nil
 }
 
-// Ready says why the next stage's nodes cannot be told yet; nil: they can.
-func (b *Book) Ready() error {
-	if err := b.Quorum(); err != nil {
+// CheckReady says why the next stage's nodes cannot be told yet; nil: they can.
+func (b *State) CheckReady() error {
+	if err := b.CheckQuorum(); err != nil {
 		return err
 	}
 	return b.behind()
@@ -450,21 +450,21 @@
 
 // behind says which node in touch of the stages told so far does not run what it was told, or that too few of them are in
 // touch; nil: neither.
-func (b *Book) behind() error {
+func (b *State) behind() error {
 	if b.Stage == 0 {
 		return nil
 	}
 	told, run := 0, 0
 	for _, id := range b.ids() {
 		n := b.Nodes[id]
-		if n.Told != b.Pending.Number {
+		if n.TargetVersion != b.Pending.Number {
 			continue
 		}
 		told++
 		switch {
-		case !n.InTouch():
-		case !n.Known || n.Running != n.Told:
-			return fmt.Errorf("node %s (zone %s) was told version %d and is not known to run it", id, n.Zone, n.Told)
+		case !n.InSync():
+		case !n.Reported || n.RunningVersion != n.TargetVersion:
+			return fmt.Errorf("node %s (zone %s) was told version %d and is not known to run it", id, n.Zone, n.TargetVersion)
 		default:
 			run++
 		}
@@ -478,24 +478,24 @@
 
 // vanished says that a single node was told the stages so far, and is not in touch. What it might have shown another is to show,
 // once: a version after which two have vanished waits.
-func (b *Book) vanished() bool {
+func (b *State) vanished() bool {
 	var told []*Node
 	for _, n := range b.Nodes {
-		if n.Told == b.Pending.Number {
+		if n.TargetVersion == b.Pending.Number {
 			told = append(told, n)
 		}
 	}
-	return b.Stage > 0 && len(told) == 1 && !told[0].InTouch()
+	return b.Stage > 0 && len(told) == 1 && !told[0].InSync()
 }
 
-// Settled says that no version is under way and every node in touch is known to run what is in force.
-func (b *Book) Settled() bool { return b.Pending == nil && b.unsettled() == nil }
+// Converged says that no version is under way and every node in touch is known to run what is in force.
+func (b *State) Converged() bool { return b.Pending == nil && b.unsettled() == nil }
 
-// OutOfTouch are the nodes that are not in touch, those that catch up with them, by id.
-func (b *Book) OutOfTouch() []*Node {
+// OutOfSync are the nodes that are not in touch, those that catch up with them, by id.
+func (b *State) OutOfSync() []*Node {
 	l := []*Node{}
 	for _, id := range b.ids() {
-		if n := b.Nodes[id]; !n.InTouch() {
+		if n := b.Nodes[id]; !n.InSync() {
 			l = append(l, n)
 		}
 	}
@@ -503,24 +503,24 @@
 }
 
 // Halt halts the version under way.
-func (b *Book) Halt(why string) error {
+func (b *State) Halt(why string) error {
 	if b.Pending == nil {
 		return errors.New("no version is under way")
 	}
-	if b.Halted == "" {
-		b.Halted = why
+	if b.HaltReason == "" {
+		b.HaltReason = why
 	}
 	return nil
 }
 
-// Wants are the numbers whose content nodes may ask for.
-func (b *Book) Wants() map[int64]bool {
+// NeededVersions are the numbers whose content nodes may ask for.
+func (b *State) NeededVersions() map[int64]bool {
 	l := map[int64]bool{b.Committed.Number: true}
 	if b.Pending != nil {
 		l[b.Pending.Number] = true
 	}
 	for _, n := range b.Nodes {
-		l[n.Told] = true
+		l[n.TargetVersion] = true
 	}
 	return l
 }
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -25,7 +25,7 @@
 // model is a Book and the processes that it is about, with a count of its own of who is in touch and which zones are lost.
 type model struct {
 	t         *rapid.T
-	b         *Book
+	b         *State
 	nodes     map[string]*process
 	names     []string
 	lost      map[string]bool
@@ -47,7 +47,7 @@
 
 // set tells the Book of a process, and counts which zones are lost.
 func (m *model) set(p *process) {
-	m.b.SetNode(p.id, p.zone, p.start, p.out, Moment{Rev: 1})
+	m.b.SetNode(p.id, p.zone, p.start, p.out, Timestamp{Revision: 1})
 	p.inTouch = p.inTouch && !p.out
 	all := true
 	for _, o := range m.nodes {
@@ -59,21 +59,21 @@
 // hears has a process do what it is told, and say so.
 func (m *model) hears(p *process) {
 	n := m.b.Nodes[p.id]
-	if n.Told > p.running {
-		if m.withdrawn[n.Told] {
-			m.t.Fatalf("told version %d, which was withdrawn", n.Told)
+	if n.TargetVersion > p.running {
+		if m.withdrawn[n.TargetVersion] {
+			m.t.Fatalf("told version %d, which was withdrawn", n.TargetVersion)
 		}
-		p.running, p.content = n.Told, m.contents[n.Told]
+		p.running, p.content = n.TargetVersion, m.contents[n.TargetVersion]
 	}
 	m.says(p)
 }
 
 // says has a process say what it runs.
 func (m *model) says(p *process) {
-	if err := m.b.Report(p.id, p.start, p.running, p.content); err != nil || m.b.Nodes[p.id].Fault != "" {
-		m.t.Fatalf("%v %s", err, m.b.Nodes[p.id].Fault)
+	if err := m.b.Report(p.id, p.start, p.running, p.content); err != nil || m.b.Nodes[p.id].Violation != "" {
+		m.t.Fatalf("%v %s", err, m.b.Nodes[p.id].Violation)
 	}
-	if !p.out && p.running == m.b.Nodes[p.id].Told {
+	if !p.out && p.running == m.b.Nodes[p.id].TargetVersion {
 		p.inTouch, m.lost[p.zone] = true, false
 	}
 }
@@ -122,7 +122,7 @@
 	p := m.nodes[rapid.SampledFrom(m.names).Draw(t, "node")]
 	switch rapid.IntRange(0, 18).Draw(t, "what") {
 	case 0:
-		if v, err := b.Propose(fmt.Sprint("c", b.Highest+1), b.Committed.Number, []float64{0.4, 1}); err == nil {
+		if v, err := b.Propose(fmt.Sprint("c", b.HighestNumber+1), b.Committed.Number, []float64{0.4, 1}); err == nil {
 			m.contents[v.Number] = v.Hash
 			for _, o := range m.nodes {
 				if o.inTouch && o.running != b.Committed.Number {
@@ -132,7 +132,7 @@
 		}
 	case 1, 2, 3:
 		if b.Pending != nil {
-			err := b.Ack(p.id, p.start, b.Pending.Number, b.Pending.Hash, "")
+			err := b.Acknowledge(p.id, p.start, b.Pending.Number, b.Pending.Hash, "")
 			if (err == nil) != p.inTouch {
 				t.Fatalf("in touch %v, and its acknowledgment: %v", p.inTouch, err)
 			}
@@ -148,7 +148,7 @@
 		p.start++
 		p.inTouch, p.acked = false, 0
 		m.set(p)
-		if err := b.Report(p.id, p.start-1, b.Nodes[p.id].Told, ""); err == nil {
+		if err := b.Report(p.id, p.start-1, b.Nodes[p.id].TargetVersion, ""); err == nil {
 			t.Fatal("the word of an earlier start is taken")
 		}
 	case 10, 13:
@@ -156,10 +156,10 @@
 		m.set(p)
 	case 11:
 		if b.Pending != nil && b.Withdraw(b.Pending.Number) == nil {
-			m.withdrawn[b.Highest] = true
+			m.withdrawn[b.HighestNumber] = true
 		}
 	case 12:
-		if v, err := b.Back(); err == nil {
+		if v, err := b.Rollback(); err == nil {
 			m.contents[v.Number] = v.Hash
 		}
 	case 14:
@@ -178,7 +178,7 @@
 		return nil
 	}
 	number := m.b.Pending.Number
-	err := m.b.Commit(number, m.b.Stage)
+	err := m.b.Advance(number, m.b.Stage)
 	if err == nil && !m.quorum(number) {
 		m.t.Fatalf("version %d was told without a quorum", number)
 	}
@@ -194,7 +194,7 @@
 		}
 		m.hears(p)
 		if v := m.b.Pending; v != nil {
-			if err := m.b.Ack(id, p.start, v.Number, v.Hash, ""); err != nil {
+			if err := m.b.Acknowledge(id, p.start, v.Number, v.Hash, ""); err != nil {
 				m.t.Fatal(err)
 			}
 			p.acked = v.Number
@@ -210,15 +210,15 @@
 		if p.inTouch {
 			run[p.content] = true
 		}
-		if n.InTouch() != p.inTouch || n.InTouch() != (n.Since == nil) {
+		if n.InSync() != p.inTouch || n.InSync() != (n.OutOfSyncSince == nil) {
 			m.t.Fatalf("%s is in touch: %v, by the book %+v", id, p.inTouch, n)
 		}
-		if n.Told < p.told || n.Told < m.b.Committed.Number {
-			m.t.Fatalf("%s is told version %d, after %d, with %d in force", id, n.Told, p.told, m.b.Committed.Number)
+		if n.TargetVersion < p.told || n.TargetVersion < m.b.Committed.Number {
+			m.t.Fatalf("%s is told version %d, after %d, with %d in force", id, n.TargetVersion, p.told, m.b.Committed.Number)
 		}
-		p.told = n.Told
-		if _, lost := m.b.Lost[p.zone]; lost != m.lost[p.zone] {
-			m.t.Fatalf("zone %s is lost: %v, by the book %v", p.zone, m.lost[p.zone], m.b.Lost)
+		p.told = n.TargetVersion
+		if _, lost := m.b.LostZones[p.zone]; lost != m.lost[p.zone] {
+			m.t.Fatalf("zone %s is lost: %v, by the book %v", p.zone, m.lost[p.zone], m.b.LostZones)
 		}
 	}
 	if len(run) > 2 {
@@ -279,7 +279,7 @@
 		}
 		if b.Pending != nil { // whatever was under way is taken back, or brought to its end
 			if b.Withdraw(b.Pending.Number) != nil {
-				if v, err := b.Back(); err == nil {
+				if v, err := b.Rollback(); err == nil {
 					m.contents[v.Number] = v.Hash
 				}
 			}
@@ -288,7 +288,7 @@
 			}
 		}
 		for range 3 {
-			v, err := b.Propose(fmt.Sprint("c", b.Highest+1), b.Committed.Number, []float64{0.4, 1})
+			v, err := b.Propose(fmt.Sprint("c", b.HighestNumber+1), b.Committed.Number, []float64{0.4, 1})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -310,19 +310,19 @@
 			}
 			m.check()
 		}
-		if !b.Settled() || len(b.OutOfTouch()) > 0 {
+		if !b.Converged() || len(b.OutOfSync()) > 0 {
 			t.Fatalf("everybody is back: %+v", b)
 		}
 	})
 }
 
 // site is a Book with nodes in touch, so many in each zone, named after it.
-func site(t *testing.T, zones string, each int) *Book {
+func site(t *testing.T, zones string, each int) *State {
 	b := New()
 	for _, z := range zones {
 		for i := range each {
 			id := fmt.Sprintf("%c%d", z, i)
-			b.SetNode(id, string(z), 1, false, Moment{Rev: 1})
+			b.SetNode(id, string(z), 1, false, Timestamp{Revision: 1})
 			if err := b.Report(id, 1, 0, ""); err != nil {
 				t.Fatal(err)
 			}
@@ -332,28 +332,28 @@
 }
 
 // version brings one version into force, with a word only of those who are heard.
-func version(b *Book, stages ...float64) error {
-	v, err := b.Propose(fmt.Sprint("c", b.Highest+1), b.Committed.Number, stages)
+func version(b *State, stages ...float64) error {
+	v, err := b.Propose(fmt.Sprint("c", b.HighestNumber+1), b.Committed.Number, stages)
 	for err == nil && b.Pending != nil {
 		for _, id := range b.ids() {
-			if n := b.Nodes[id]; !n.Missing {
-				b.Report(id, n.Start, n.Told, b.Hashes[n.Told])
-				b.Ack(id, n.Start, v.Number, v.Hash, "")
+			if n := b.Nodes[id]; !n.Unreachable {
+				b.Report(id, n.Incarnation, n.TargetVersion, b.Hashes[n.TargetVersion])
+				b.Acknowledge(id, n.Incarnation, v.Number, v.Hash, "")
 			}
 		}
-		err = b.Commit(v.Number, b.Stage)
+		err = b.Advance(v.Number, b.Stage)
 	}
 	for _, id := range b.ids() {
-		if n := b.Nodes[id]; !n.Missing {
-			b.Report(id, n.Start, n.Told, b.Hashes[n.Told])
+		if n := b.Nodes[id]; !n.Unreachable {
+			b.Report(id, n.Incarnation, n.TargetVersion, b.Hashes[n.TargetVersion])
 		}
 	}
 	return err
 }
 
-func out(b *Book, ids ...string) {
+func out(b *State, ids ...string) {
 	for _, id := range ids {
-		b.SetNode(id, b.Nodes[id].Zone, b.Nodes[id].Start, true, Moment{Rev: 9, WallMS: 1000})
+		b.SetNode(id, b.Nodes[id].Zone, b.Nodes[id].Incarnation, true, Timestamp{Revision: 9, UnixMS: 1000})
 	}
 }
 
@@ -371,11 +371,11 @@
 		t.Fatal(err)
 	}
 	for _, id := range b.ids() {
-		if err := b.Ack(id, 1, v.Number, v.Hash, ""); err != nil {
+		if err := b.Acknowledge(id, 1, v.Number, v.Hash, ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := b.Commit(v.Number, 0); err != nil {
+	if err := b.Advance(v.Number, 0); err != nil {
 		t.Fatal(err)
 	}
 	out(b, "a0")
@@ -390,16 +390,16 @@
 		}
 	}
 	n := b.Nodes["a0"]
-	if b.Committed.Number != 306 || n.Running != 5 || n.MayRun != 6 || *n.Since != (Moment{9, 1000}) {
+	if b.Committed.Number != 306 || n.RunningVersion != 5 || n.HighestPossible != 6 || *n.OutOfSyncSince != (Timestamp{9, 1000}) {
 		t.Errorf("in force %d, and of the dead is known: %+v", b.Committed.Number, n)
 	}
-	if len(b.Hashes) > 4 || len(b.Wants()) > 2 {
-		t.Errorf("hashes of %d versions are kept, contents of %d", len(b.Hashes), len(b.Wants()))
+	if len(b.Hashes) > 4 || len(b.NeededVersions()) > 2 {
+		t.Errorf("hashes of %d versions are kept, contents of %d", len(b.Hashes), len(b.NeededVersions()))
 	}
 	for number := int64(5); number <= 6; number++ { // rising, as a node runs them
 		hash := fmt.Sprint("c", number)
 		for _, said := range []string{hash, "another"} {
-			if err := b.Report("a0", 1, number, said); err != nil || (n.Fault == "") != (said == hash) || n.InTouch() {
+			if err := b.Report("a0", 1, number, said); err != nil || (n.Violation == "") != (said == hash) || n.InSync() {
 				t.Errorf("version %d, %s: %v, %+v", number, said, err, n)
 			}
 		}
@@ -419,24 +419,24 @@
 		{"it is taken back", func() { b.Withdraw(2) }, "zone c: 1 of 3 nodes have acknowledged version 3"},
 		{"the zone is lost", func() { b.Withdraw(3); out(b, "c2") }, ""},
 		{"one is back, with an old word", func() {
-			b.SetNode("c0", "c", 1, false, Moment{Rev: 12})
-			if err := b.Report("c0", 1, 1, "c1"); err != nil || b.Lost["c"].Rev != 9 || b.Nodes["c0"].InTouch() {
-				t.Errorf("%v: lost %v, %+v", err, b.Lost, b.Nodes["c0"])
+			b.SetNode("c0", "c", 1, false, Timestamp{Revision: 12})
+			if err := b.Report("c0", 1, 1, "c1"); err != nil || b.LostZones["c"].Revision != 9 || b.Nodes["c0"].InSync() {
+				t.Errorf("%v: lost %v, %+v", err, b.LostZones, b.Nodes["c0"])
 			}
 			out(b, "c0")
 		}, ""},
 		{"one has caught up, and the zone counts", func() {
-			b.SetNode("c0", "c", 1, false, Moment{Rev: 13})
+			b.SetNode("c0", "c", 1, false, Timestamp{Revision: 13})
 			b.Report("c0", 1, 5, "c5")
-			if len(b.Lost) > 0 {
-				t.Errorf("lost: %v", b.Lost)
+			if len(b.LostZones) > 0 {
+				t.Errorf("lost: %v", b.LostZones)
 			}
 		}, "zone c: 1 of 3"},
 		{"fresh starts of it", func() {
 			b.Withdraw(6)
 			for _, id := range []string{"c1", "c2"} {
-				b.SetNode(id, "c", 2, false, Moment{Rev: 14})
-				if b.Nodes[id].InTouch() {
+				b.SetNode(id, "c", 2, false, Timestamp{Revision: 14})
+				if b.Nodes[id].InSync() {
 					t.Errorf("a fresh start is in touch: %+v", b.Nodes[id])
 				}
 				b.Report(id, 2, 5, "c5")
@@ -446,10 +446,10 @@
 		{"a declared loss", func() {
 			b.Withdraw(8)
 			for _, id := range []string{"b0", "b1", "b2", "c0"} {
-				b.Gone(id)
+				b.Decommission(id)
 			}
-			if _, is := b.Lost["b"]; is {
-				t.Errorf("a zone without nodes is lost: %v", b.Lost)
+			if _, is := b.LostZones["b"]; is {
+				t.Errorf("a zone without nodes is lost: %v", b.LostZones)
 			}
 		}, ""},
 	} {
@@ -464,31 +464,31 @@
 // several, it goes no further, until they are back, declared gone, or it is taken back.
 func TestVanished(t *testing.T) {
 	const all = "a0 a1 a2 a3 a4 b0 b1 b2 b3 b4"
-	back := func(b *Book, id string) {
-		b.SetNode(id, "a", b.Nodes[id].Start, false, Moment{})
-		b.Report(id, b.Nodes[id].Start, 2, "x")
+	back := func(b *State, id string) {
+		b.SetNode(id, "a", b.Nodes[id].Incarnation, false, Timestamp{})
+		b.Report(id, b.Nodes[id].Incarnation, 2, "x")
 	}
 	for name, c := range map[string]struct {
 		share float64 // of ten nodes, in the first stage
-		then  func(*Book)
+		then  func(*State)
 		told  string // by the next commit, beside those before
 		fails string
 	}{
-		"all run it":         {0.1, func(*Book) {}, all, ""},
-		"the one goes":       {0.1, func(b *Book) { out(b, "a0") }, "a0 a1", ""},
-		"it starts again":    {0.1, func(b *Book) { b.SetNode("a0", "a", 2, false, Moment{}) }, "a0 a1", ""},
-		"it is back":         {0.1, func(b *Book) { out(b, "a0"); back(b, "a0") }, all, ""},
-		"it is gone":         {0.1, func(b *Book) { out(b, "a0"); b.Gone("a0") }, all[3:], ""},
-		"so does the second": {0.1, func(b *Book) { out(b, "a0"); b.Commit(2, 1); out(b, "a1") }, "a0 a1", "0 of 2 nodes that were told version 2 are in touch and run it, 1 are needed"},
-		"the second is slow": {0.1, func(b *Book) { out(b, "a0"); b.Commit(2, 1) }, "a0 a1", "node a1 (zone a) was told version 2 and is not known to run it"},
-		"the second runs it": {0.1, func(b *Book) { out(b, "a0"); b.Commit(2, 1); b.Report("a1", 1, 2, "x") }, all, ""},
-		"one of three goes":  {0.3, func(b *Book) { out(b, "a0") }, all, ""},
-		"two of three go":    {0.3, func(b *Book) { out(b, "a0", "a3") }, "a0 a3 b1", "1 of 3 nodes that were told version 2 are in touch and run it, 2 are needed"},
-		"one of them is back": {0.3, func(b *Book) {
+		"all run it":         {0.1, func(*State) {}, all, ""},
+		"the one goes":       {0.1, func(b *State) { out(b, "a0") }, "a0 a1", ""},
+		"it starts again":    {0.1, func(b *State) { b.SetNode("a0", "a", 2, false, Timestamp{}) }, "a0 a1", ""},
+		"it is back":         {0.1, func(b *State) { out(b, "a0"); back(b, "a0") }, all, ""},
+		"it is gone":         {0.1, func(b *State) { out(b, "a0"); b.Decommission("a0") }, all[3:], ""},
+		"so does the second": {0.1, func(b *State) { out(b, "a0"); b.Advance(2, 1); out(b, "a1") }, "a0 a1", "0 of 2 nodes that were told version 2 are in touch and run it, 1 are needed"},
+		"the second is slow": {0.1, func(b *State) { out(b, "a0"); b.Advance(2, 1) }, "a0 a1", "node a1 (zone a) was told version 2 and is not known to run it"},
+		"the second runs it": {0.1, func(b *State) { out(b, "a0"); b.Advance(2, 1); b.Report("a1", 1, 2, "x") }, all, ""},
+		"one of three goes":  {0.3, func(b *State) { out(b, "a0") }, all, ""},
+		"two of three go":    {0.3, func(b *State) { out(b, "a0", "a3") }, "a0 a3 b1", "1 of 3 nodes that were told version 2 are in touch and run it, 2 are needed"},
+		"one of them is back": {0.3, func(b *State) {
 			out(b, "a0", "a3")
 			back(b, "a3")
 		}, all, ""},
-		"it is taken back": {0.3, func(b *Book) { out(b, "a0", "a3"); b.Back() }, "a0 a3 b1", "version 2 is not under way"},
+		"it is taken back": {0.3, func(b *State) { out(b, "a0", "a3"); b.Rollback() }, "a0 a3 b1", "version 2 is not under way"},
 	} {
 		b := site(t, "ab", 5)
 		if err := version(b, 1); err != nil {
@@ -499,25 +499,25 @@
 			t.Fatal(err)
 		}
 		for _, id := range b.ids() {
-			if err := b.Ack(id, 1, v.Number, "x", ""); err != nil {
+			if err := b.Acknowledge(id, 1, v.Number, "x", ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := b.Commit(2, 0); err != nil {
+		if err := b.Advance(2, 0); err != nil {
 			t.Fatal(err)
 		}
 		for _, id := range b.ids() {
-			if b.Nodes[id].Told == 2 {
+			if b.Nodes[id].TargetVersion == 2 {
 				b.Report(id, 1, 2, "x")
 			}
 		}
 		c.then(b)
-		if err := b.Commit(2, 1); err != nil && c.fails == "" || c.fails != "" && (err == nil || !strings.Contains(err.Error(), c.fails)) {
+		if err := b.Advance(2, 1); err != nil && c.fails == "" || c.fails != "" && (err == nil || !strings.Contains(err.Error(), c.fails)) {
 			t.Errorf("%s: %v, want %q", name, err, c.fails)
 		}
 		var told []string
 		for _, id := range b.ids() {
-			if b.Nodes[id].Told == 2 {
+			if b.Nodes[id].TargetVersion == 2 {
 				told = append(told, id)
 			}
 		}
@@ -529,22 +529,22 @@
 
 // A Book of a build before nodes caught up goes on: who had said what it runs is in touch, whoever had not is to.
 func TestComplete(t *testing.T) {
-	var b Book
+	var b State
 	if err := json.Unmarshal([]byte(`{"committed":{"number":3,"hash":"c3","replaces":2,"stages":[1]},"hashes":{"3":"c3"},"highest":3,"nodes":{
 		"n0":{"id":"n0","zone":"a","start":1,"known":true,"running":3,"told":3},
 		"n1":{"id":"n1","zone":"a","start":1,"running":3,"told":3},
 		"n2":{"id":"n2","zone":"b","start":1,"missing":true,"known":true,"running":2,"told":3}}}`), &b); err != nil {
 		t.Fatal(err)
 	}
-	b.Complete()
-	if n := b.OutOfTouch(); len(n) != 2 || n[0].ID != "n1" || n[1].ID != "n2" || n[1].MayRun != 3 {
+	b.MigrateLegacy()
+	if n := b.OutOfSync(); len(n) != 2 || n[0].ID != "n1" || n[1].ID != "n2" || n[1].HighestPossible != 3 {
 		t.Errorf("out of touch: %+v", n)
 	}
-	if _, lost := b.Lost["b"]; !lost || len(b.Lost) != 1 {
-		t.Errorf("lost: %v", b.Lost)
+	if _, lost := b.LostZones["b"]; !lost || len(b.LostZones) != 1 {
+		t.Errorf("lost: %v", b.LostZones)
 	}
 	c := b.Clone()
-	c.Complete()
+	c.MigrateLegacy()
 	if d := cmp.Diff(&b, c); d != "" {
 		t.Errorf("twice: %s", d)
 	}
@@ -555,7 +555,7 @@
 	b := New()
 	zones := []string{"a", "a", "a", "b", "b"}
 	for i, z := range zones {
-		b.SetNode(fmt.Sprint("n", i), z, 1, false, Moment{})
+		b.SetNode(fmt.Sprint("n", i), z, 1, false, Timestamp{})
 	}
 	fails := func(err error, want string) {
 		t.Helper()
@@ -576,72 +576,72 @@
 	fails(err, "")
 	_, err = b.Propose("y", 0, []float64{1})
 	fails(err, "under way")
-	ack := func(i int) { fails(b.Ack(fmt.Sprint("n", i), 1, v.Number, "x", ""), "") }
+	ack := func(i int) { fails(b.Acknowledge(fmt.Sprint("n", i), 1, v.Number, "x", ""), "") }
 	ack(0)
 	ack(0) // twice counts once
 	ack(3)
-	fails(b.Commit(v.Number, 0), "zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed")
+	fails(b.Advance(v.Number, 0), "zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed")
 	ack(1)
-	fails(b.Commit(v.Number, 0), "zone b: 1 of 2")
-	fails(b.Ack("n4", 2, v.Number, "x", ""), "start 2")
-	fails(b.Ack("n4", 1, v.Number, "z", ""), "not under way")
+	fails(b.Advance(v.Number, 0), "zone b: 1 of 2")
+	fails(b.Acknowledge("n4", 2, v.Number, "x", ""), "start 2")
+	fails(b.Acknowledge("n4", 1, v.Number, "z", ""), "not under way")
 	ack(4)
-	b.SetNode("n4", "b", 1, true, Moment{}) // cut off, and no smaller quorum for it
-	fails(b.Commit(v.Number, 0), "zone b: 1 of 2")
-	b.SetNode("n4", "b", 2, false, Moment{}) // a restart: its word is worth nothing
-	fails(b.Commit(v.Number, 0), "zone b: 1 of 2")
-	fails(b.Ack("n4", 2, v.Number, "x", ""), "node n4 has not caught up with version 0")
+	b.SetNode("n4", "b", 1, true, Timestamp{}) // cut off, and no smaller quorum for it
+	fails(b.Advance(v.Number, 0), "zone b: 1 of 2")
+	b.SetNode("n4", "b", 2, false, Timestamp{}) // a restart: its word is worth nothing
+	fails(b.Advance(v.Number, 0), "zone b: 1 of 2")
+	fails(b.Acknowledge("n4", 2, v.Number, "x", ""), "node n4 has not caught up with version 0")
 	fails(b.Report("n4", 2, 0, ""), "")
-	fails(b.Commit(v.Number, 0), "zone b: 1 of 2")
-	fails(b.Ack("n4", 2, v.Number, "x", ""), "")
-	fails(b.Commit(v.Number, 0), "")
-	fails(b.Commit(v.Number, 0), "") // a repeat
-	if b.Nodes["n0"].Told != 1 || b.Stage != 1 {
+	fails(b.Advance(v.Number, 0), "zone b: 1 of 2")
+	fails(b.Acknowledge("n4", 2, v.Number, "x", ""), "")
+	fails(b.Advance(v.Number, 0), "")
+	fails(b.Advance(v.Number, 0), "") // a repeat
+	if b.Nodes["n0"].TargetVersion != 1 || b.Stage != 1 {
 		t.Errorf("%+v", b)
 	}
-	fails(b.Commit(v.Number, 1), "node n0 (zone a) was told version 1 and is not known to run it")
+	fails(b.Advance(v.Number, 1), "node n0 (zone a) was told version 1 and is not known to run it")
 	fails(b.Withdraw(1), "only going back")
 	fails(b.Report("n1", 1, 1, "x"), "") // it runs what it only acknowledged
-	if !strings.Contains(b.Halted, "n1 runs version 1, which it was not told to") {
-		t.Errorf("halted: %q", b.Halted)
+	if !strings.Contains(b.HaltReason, "n1 runs version 1, which it was not told to") {
+		t.Errorf("halted: %q", b.HaltReason)
 	}
-	fails(b.Commit(v.Number, 1), "halted: node n1")
-	_, err = b.Back()
+	fails(b.Advance(v.Number, 1), "halted: node n1")
+	_, err = b.Rollback()
 	fails(err, "version 0 is what each node was started with")
 	// A way back that is halted cannot be withdrawn, as some run what it takes back, but can be begun anew.
 	c := New()
-	c.SetNode("n0", "a", 1, false, Moment{})
-	c.SetNode("n1", "a", 1, false, Moment{})
+	c.SetNode("n0", "a", 1, false, Timestamp{})
+	c.SetNode("n1", "a", 1, false, Timestamp{})
 	pass := func() {
 		t.Helper()
 		for _, id := range c.ids() {
-			fails(c.Report(id, 1, c.Nodes[id].Told, c.Hashes[c.Nodes[id].Told]), "")
+			fails(c.Report(id, 1, c.Nodes[id].TargetVersion, c.Hashes[c.Nodes[id].TargetVersion]), "")
 			if c.Pending != nil {
-				fails(c.Ack(id, 1, c.Pending.Number, c.Pending.Hash, ""), "")
+				fails(c.Acknowledge(id, 1, c.Pending.Number, c.Pending.Hash, ""), "")
 			}
 		}
 	}
 	pass()
 	c.Propose("x", 0, []float64{1})
 	pass()
-	fails(c.Commit(1, 0), "")
+	fails(c.Advance(1, 0), "")
 	pass()
 	c.Propose("y", 1, []float64{0.5, 1})
 	pass()
-	fails(c.Commit(2, 0), "")
-	_, err = c.Back()
+	fails(c.Advance(2, 0), "")
+	_, err = c.Rollback()
 	fails(err, "")
 	fails(c.Halt("by staff"), "")
 	fails(c.Withdraw(3), "itself a way back")
-	again, err := c.Back()
+	again, err := c.Rollback()
 	fails(err, "")
 	pass()
-	fails(c.Commit(again.Number, 0), "")
+	fails(c.Advance(again.Number, 0), "")
 	if c.Committed.Number != 4 || c.Committed.Hash != "x" {
 		t.Errorf("in force: %+v", c.Committed)
 	}
-	fails(b.Ack("n2", 1, 1, "x", "no such class"), "")
-	if b.Nodes["n2"].Refused == "" {
+	fails(b.Acknowledge("n2", 1, 1, "x", "no such class"), "")
+	if b.Nodes["n2"].RejectReason == "" {
 		t.Error("a refusal is not kept")
 	}
 }
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := w.Write(starting, state.Op{Kind: state.SetLimits, Limits: &limits}); err != nil {
+		if _, err := w.Write(starting, state.Op{Kind: state.OpSetLimits, Limits: &limits}); err != nil {
 			return err
 		}
 	}
@@ -109,12 +109,12 @@
 }
 
 // entry is a server as it registers itself.
-func (r *registry) entry(server int, st model.State) *state.Entry {
+func (r *registry) entry(server int, st model.State) *state.Instance {
 	s := &r.f.w.Site.Servers[server]
-	e := &state.Entry{UID: s.Name, Endpoint: "-", Tier: r.f.w.Site.Tiers[s.Tier].Name, Zone: r.f.w.Site.Zones[s.Zone].Name, Region: r.f.w.Site.Zones[s.Zone].Region, Kind: s.Kind.Name,
+	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.f.w.Site.Tiers[s.Tier].Name, Zone: r.f.w.Site.Zones[s.Zone].Name, Region: r.f.w.Site.Zones[s.Zone].Region, Kind: s.Kind.Name,
 		Rack: s.Rack, State: st.String(), Capacity: s.Size(), TTLMS: time.Duration(r.f.w.Site.Registry.TTL).Milliseconds()}
 	if boot := r.f.w.Servers[server].Boot(); boot >= 0 {
-		e.BootMS = float64(r.f.began.Add(boot).UnixMicro()) / 1000
+		e.StartTimeMS = float64(r.f.began.Add(boot).UnixMicro()) / 1000
 	}
 	return e
 }
@@ -188,19 +188,19 @@
 	if len(v.Units) == 0 {
 		return errors.New("the registry does not know it")
 	}
-	permit, err := one(ctx, w, state.Op{Kind: state.Permit, UID: uid, Start: v.Units[0].Token, Holder: "staff"})
+	permit, err := one(ctx, w, state.Op{Kind: state.OpGrantPermit, UID: uid, Incarnation: v.Units[0].Token, Holder: "staff"})
 	if err != nil {
 		return err
 	}
-	_, err = one(ctx, w, state.Op{Kind: state.Begin, UID: uid, Token: permit.Token})
+	_, err = one(ctx, w, state.Op{Kind: state.OpBeginPermit, UID: uid, Token: permit.Token})
 	return err
 }
 
 // one has one write carried out; a fault is an error.
-func one(ctx context.Context, w *client.Writer, op state.Op) (state.Answer, error) {
+func one(ctx context.Context, w *client.Writer, op state.Op) (state.Result, error) {
 	a, err := w.One(ctx, op)
-	if err == nil && a.Fault != "" {
-		err = fmt.Errorf("%s: %s", a.Fault, a.Why)
+	if err == nil && a.Code != "" {
+		err = fmt.Errorf("%s: %s", a.Code, a.Reason)
 	}
 	return a, err
 }
@@ -323,8 +323,8 @@
 		if e.State == state.Draining {
 			en.State = model.Draining
 		}
-		if e.BootMS > 0 {
-			en.Boot = time.UnixMicro(int64(e.BootMS * 1000)).Sub(r.f.began)
+		if e.StartTimeMS > 0 {
+			en.Boot = time.UnixMicro(int64(e.StartTimeMS * 1000)).Sub(r.f.began)
 		}
 		l[i] = en
 	}
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -40,13 +40,13 @@
 			defer own.kill()
 			var ops []state.Op
 			for i := range n {
-				ops = append(ops, state.Op{Kind: state.Register, Entry: &state.Entry{UID: placeOf(i).server, Endpoint: fmt.Sprintf("10.1.0.%03d:3000", i), Zone: "z", State: state.Serving}})
+				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: placeOf(i).server, Endpoint: fmt.Sprintf("10.1.0.%03d:3000", i), Zone: "z", State: state.Serving}})
 			}
 			a, err := w.Write(ctx, ops...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			rev := a[len(a)-1].Rev
+			rev := a[len(a)-1].Revision
 			meters, heard := make([]meter, n), make(chan int64, n*(changes+1))
 			var readers []*client.Reader
 			watching, end := context.WithCancel(ctx)
@@ -80,11 +80,11 @@
 			}
 			for i := range changes {
 				capacity := float64(2 + i)
-				a, err := w.Write(ctx, state.Op{Kind: state.Update, UID: placeOf(0).server, Capacity: &capacity})
+				a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: placeOf(0).server, Capacity: &capacity})
 				if err != nil {
 					t.Fatal(err)
 				}
-				all(a[0].Rev)
+				all(a[0].Revision)
 			}
 			most := int64(0)
 			for i, reader := range readers {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -68,7 +68,7 @@
 			return nil
 		}}
 	agent := &host.Agent{Registry: at, TTL: leaseTTL, Dial: h.agent.dial, Log: slog.New(slog.DiscardHandler),
-		Entry: state.Entry{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
+		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
 	h.running.Go(func() { h.reader.Run(ctx, func(u client.Update) { h.rev.Store(u.Rev) }) }) // it ends with ctx
 	h.running.Go(func() { node.Follow(ctx, follow) })
 	h.running.Go(func() { agent.Run(ctx) })
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -224,8 +224,8 @@
 func (p *play) at() []string { return p.c.Addresses() }
 
 // book asks for what is agreed, without units.
-func (p *play) agreed(ctx context.Context) (*state.Agreed, error) {
-	var a state.Agreed
+func (p *play) agreed(ctx context.Context) (*state.CoordinationView, error) {
+	var a state.CoordinationView
 	return &a, p.w.Call(ctx, "GET", "/registry/agreed?consistent=1", nil, &a)
 }
 
@@ -266,12 +266,12 @@
 		switch {
 		case err != nil:
 			return false, err.Error()
-		case a.Book == nil || len(a.Book.Nodes) < p.n+1:
+		case a.Rollout == nil || len(a.Rollout.Nodes) < p.n+1:
 			return false, "not all nodes are known"
-		case !a.Book.Settled():
+		case !a.Rollout.Converged():
 			return false, "not all run what is in force"
 		}
-		p.number = a.Book.Committed.Number
+		p.number = a.Rollout.Committed.Number
 		return true, ""
 	})
 }
@@ -451,16 +451,16 @@
 	nodes, _ := p.traffic()
 	capacity := 2.0
 	began := time.Now()
-	a, err := p.w.Write(ctx, state.Op{Kind: state.Update, UID: p.hollows[0].server, Capacity: &capacity})
+	a, err := p.w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: p.hollows[0].server, Capacity: &capacity})
 	if err != nil {
 		return err
 	}
-	if a[0].Fault != "" {
-		return errors.New(a[0].Fault)
+	if a[0].Code != "" {
+		return errors.New(a[0].Code)
 	}
 	there := 0
 	if err := until(ctx, time.Millisecond, p.o.Pace.Within, func(context.Context) (bool, string) {
-		for there < p.n && p.hollows[there].rev.Load() >= a[0].Rev {
+		for there < p.n && p.hollows[there].rev.Load() >= a[0].Revision {
 			there++
 		}
 		return there == p.n, fmt.Sprintf("%d of %d nodes hold the change", there, p.n)
@@ -501,18 +501,18 @@
 	defer cancel()
 	last := ""
 	for proposed := false; !proposed; {
-		a, err := p.w.Write(ctx, state.Op{Kind: state.Propose, Value: settings, Replaces: p.number, Stages: []float64{1}})
+		a, err := p.w.Write(ctx, state.Op{Kind: state.OpPropose, Value: settings, Replaces: p.number, Stages: []float64{1}})
 		switch {
 		case err != nil && last == "":
 			last = err.Error()
 		case err != nil: // what it was turned down for before tells more
-		case a[0].Fault == "":
+		case a[0].Code == "":
 			p.number, proposed = a[0].Token, true
 			continue
-		case a[0].Why != "":
-			last = a[0].Why
+		case a[0].Reason != "":
+			last = a[0].Reason
 		default:
-			last = a[0].Fault
+			last = a[0].Code
 		}
 		if pauseFor(ctx, retryEvery) != nil {
 			return s, blocked{last}
@@ -534,12 +534,12 @@
 	switch {
 	case err != nil:
 		return err.Error()
-	case a.Book == nil || a.Book.Pending == nil:
+	case a.Rollout == nil || a.Rollout.Pending == nil:
 		return "not all nodes run what all were told"
-	case a.Book.Halted != "":
-		return a.Book.Halted
+	case a.Rollout.HaltReason != "":
+		return a.Rollout.HaltReason
 	}
-	if err := a.Book.Ready(); err != nil {
+	if err := a.Rollout.CheckReady(); err != nil {
 		return err.Error()
 	}
 	return "no controller tells it"
@@ -573,7 +573,7 @@
 		bytes += float64(after.bytes-before.bytes)/float64(p.n) - p.f.Values[RestBytes]*took
 		agentBytes += float64(agentsAfter.bytes-agents.bytes)/float64(p.n) - p.f.Values[AgentBytes]*took
 		calls += float64(after.calls-before.calls)/float64(p.n) - p.f.Values[RestCalls]*took
-		writes += float64(to.Rev - from.Rev)
+		writes += float64(to.Revision - from.Revision)
 		cpu += (p.spent() - spent).Seconds() - p.restCPU*took
 	}
 	count := float64(p.o.Pace.Singles)
@@ -720,7 +720,7 @@
 		if err != nil {
 			return false, err.Error()
 		}
-		return a.Book != nil && (a.Book.Nodes[name] == nil || a.Book.Nodes[name].Missing), name + " is not known to be missing"
+		return a.Rollout != nil && (a.Rollout.Nodes[name] == nil || a.Rollout.Nodes[name].Unreachable), name + " is not known to be missing"
 	}); err != nil {
 		return err
 	}
--- a/internal/lab/scale/track.go
+++ b/internal/lab/scale/track.go
@@ -35,14 +35,14 @@
 	if t.spreads == nil {
 		t.spreads = map[string]*spread{}
 	}
-	t.spreads[state.Hash(settings)] = s
+	t.spreads[state.ContentHash(settings)] = s
 	return s
 }
 
 // ran notes that a node runs settings from now on.
 func (t *tracker) ran(node string, settings []byte) {
 	t.mu.Lock()
-	s := t.spreads[state.Hash(settings)]
+	s := t.spreads[state.ContentHash(settings)]
 	t.mu.Unlock()
 	if s == nil {
 		return
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -92,12 +92,12 @@
 	}
 	var l disruption.Limits
 	for _, t := range s.Tiers {
-		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Whole: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
+		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Total: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
 	}
-	l.ColdFrom = 1
+	l.InitialShare = 1
 	for _, sv := range s.Servers {
-		l.ColdFrom = min(l.ColdFrom, sv.Kind.ColdFrom)
-		l.WarmMS = max(l.WarmMS, sv.ColdFor.Milliseconds())
+		l.InitialShare = min(l.InitialShare, sv.Kind.ColdFrom)
+		l.WarmUpMS = max(l.WarmUpMS, sv.ColdFor.Milliseconds())
 	}
 	return l
 }
@@ -106,7 +106,7 @@
 func (s *Site) Unit(server int) disruption.Unit {
 	sv := &s.Servers[server]
 	z := &s.Zones[sv.Zone]
-	return disruption.Unit{ID: sv.Name, Start: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.Size()}
+	return disruption.Unit{ID: sv.Name, Incarnation: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.Size()}
 }
 
 // MeanWork is the mean work of a request at a tier, on a yardstick core.
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -214,21 +214,21 @@
 
 // Take asks the budget for a permit, with all servers as they are now.
 func (f *Fleet) Take(server int, done func(error)) {
-	l := disruption.New()
-	l.Limit(f.w.Site.BudgetLimits())
+	l := disruption.NewBudget()
+	l.SetLimits(f.w.Site.BudgetLimits())
 	for i, s := range f.w.Servers {
 		u := f.w.Site.Unit(i)
 		switch {
 		case !s.Up():
-			u.Out, u.Why = 1, disruption.Missing
+			u.UnavailableShare, u.Reason = 1, disruption.ReasonUnreachable
 		case s.Drains():
-			u.Out, u.Why = 1, "draining"
+			u.UnavailableShare, u.Reason = 1, "draining"
 		case s.Cold():
-			u.Out, u.Why = 1-s.Warmth(), "cold"
+			u.UnavailableShare, u.Reason = 1-s.Warmth(), "cold"
 		}
-		l.Set(u)
+		l.SetUnit(u)
 	}
-	_, refused := l.Grant(disruption.Permit{Unit: f.w.Site.Servers[server].Name, Start: 1}, "")
+	_, refused := l.Grant(disruption.Permit{Unit: f.w.Site.Servers[server].Name, Incarnation: 1}, "")
 	done(refused)
 }
 
--- a/internal/node/agreed.go
+++ b/internal/node/agreed.go
@@ -117,7 +117,7 @@
 	}
 	var k kept
 	if err == nil {
-		if err = json.Unmarshal(text, &k); err == nil && state.Hash(k.Settings) != k.Hash {
+		if err = json.Unmarshal(text, &k); err == nil && state.ContentHash(k.Settings) != k.Hash {
 			err = errors.New("its hash is another")
 		}
 	}
@@ -174,9 +174,9 @@
 			rev = 0
 			continue
 		}
-		rev = got.Rev
-		if got.Config != nil && got.Config.Node != nil && (f.holder == nil || got.Config.Node.Start == f.holder.Token(f.Name)) {
-			f.follow(ctx, got.Config, rev)
+		rev = got.Revision
+		if got.NodeSettings != nil && got.NodeSettings.Node != nil && (f.holder == nil || got.NodeSettings.Node.Incarnation == f.holder.Token(f.Name)) {
+			f.follow(ctx, got.NodeSettings, rev)
 		}
 	}
 }
@@ -213,8 +213,8 @@
 	if f.Agreed.TTLMS > 0 {
 		ttl = time.Duration(f.Agreed.TTLMS) * time.Millisecond
 	}
-	e := &state.Entry{UID: name, Endpoint: f.Addr(), Role: state.Node, Tier: f.Agreed.Tier, Zone: f.Agreed.Zone, Region: f.Agreed.Region,
-		Kind: f.Agreed.SendsTo, Capacity: f.Agreed.Capacity, State: state.Serving, BootMS: boot, TTLMS: ttl.Milliseconds()}
+	e := &state.Instance{UID: name, Endpoint: f.Addr(), Role: state.RoleNode, Tier: f.Agreed.Tier, Zone: f.Agreed.Zone, Region: f.Agreed.Region,
+		Kind: f.Agreed.SendsTo, Capacity: f.Agreed.Capacity, State: state.Serving, StartTimeMS: boot, TTLMS: ttl.Milliseconds()}
 	if e.Capacity == 0 {
 		e.Capacity = 1
 	}
@@ -230,21 +230,21 @@
 }
 
 // follow does what this node is told, as of a revision, and says what came of it.
-func (f *follower) follow(ctx context.Context, c *state.NodeConfig, rev int64) {
-	start := c.Node.Start
+func (f *follower) follow(ctx context.Context, c *state.NodeSettings, rev int64) {
+	start := c.Node.Incarnation
 	f.note(c, rev)
-	if c.Told.Number > f.running.Number {
-		f.activate(c.Told)
-	}
-	caughtUp := c.Node.CatchingUp && !c.Node.Missing && c.Node.Fault == "" && c.Told.Number == f.running.Number
-	if !c.Node.Known || caughtUp || c.Node.Running != f.running.Number || f.reported == 0 {
-		a, err := f.writer.One(ctx, state.Op{Kind: state.Report, UID: f.Name, Token: start, Number: f.running.Number, Hash: f.running.Hash})
-		if err == nil && a.Fault == "" {
-			f.reported = a.Rev
+	if c.Target.Number > f.running.Number {
+		f.activate(c.Target)
+	}
+	caughtUp := c.Node.Syncing && !c.Node.Unreachable && c.Node.Violation == "" && c.Target.Number == f.running.Number
+	if !c.Node.Reported || caughtUp || c.Node.RunningVersion != f.running.Number || f.reported == 0 {
+		a, err := f.writer.One(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: start, Number: f.running.Number, Hash: f.running.Hash})
+		if err == nil && a.Code == "" {
+			f.reported = a.Revision
 		} // else another look tells whether it was heard
 	}
 	p := c.Pending
-	if p == nil || c.Node.Acked == p.Number || c.Node.Refused != "" || p.Number <= f.running.Number {
+	if p == nil || c.Node.Acknowledged == p.Number || c.Node.RejectReason != "" || p.Number <= f.running.Number {
 		return
 	}
 	if f.looked.Number != p.Number {
@@ -254,33 +254,33 @@
 		f.looked, f.refused = kept{p.Number, p.Hash, p.Settings}, ""
 		if err := f.CouldRun(p.Settings); err != nil {
 			f.refused = err.Error()
-		} else if state.Hash(p.Settings) != p.Hash {
+		} else if state.ContentHash(p.Settings) != p.Hash {
 			f.refused = "its hash is another"
 		}
 	}
 	if f.refused == "" {
 		f.say("could run", f.looked)
 	}
-	f.writer.One(ctx, state.Op{Kind: state.Ack, UID: f.Name, Token: start, Number: p.Number, Hash: p.Hash, Refused: f.refused})
+	f.writer.One(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: start, Number: p.Number, Hash: p.Hash, RejectReason: f.refused})
 }
 
 // note takes down whether the registry counts this node as in touch, and lets it serve the first time that it does. What the
 // registry knew before it had this process's own word is not about this process.
-func (f *follower) note(c *state.NodeConfig, rev int64) {
-	is := c.Node.InTouch() && c.Node.Known && c.Node.Running == f.running.Number && f.reported > 0 && rev >= f.reported
+func (f *follower) note(c *state.NodeSettings, rev int64) {
+	is := c.Node.InSync() && c.Node.Reported && c.Node.RunningVersion == f.running.Number && f.reported > 0 && rev >= f.reported
 	if is && !f.inTouch {
 		f.span()
-		f.say(fmt.Sprintf("in touch by start %d with", c.Node.Start), f.running)
+		f.say(fmt.Sprintf("in touch by start %d with", c.Node.Incarnation), f.running)
 		select {
 		case <-f.caughtUp:
 		default:
 			close(f.caughtUp)
 		}
 	}
-	if f.inTouch && !c.Node.InTouch() {
-		f.say(fmt.Sprintf("out of touch by start %d, renewed within %d ms, with", c.Node.Start, f.span().Milliseconds()), f.running)
+	if f.inTouch && !c.Node.InSync() {
+		f.say(fmt.Sprintf("out of touch by start %d, renewed within %d ms, with", c.Node.Incarnation, f.span().Milliseconds()), f.running)
 	}
-	f.inTouch = is || f.inTouch && c.Node.InTouch()
+	f.inTouch = is || f.inTouch && c.Node.InSync()
 }
 
 // span is the longest time between renewals of this node's lease since it was last asked for; 0: an agent renews it.
@@ -308,12 +308,12 @@
 
 // activate runs a version from now on, and keeps it for the process after this one. It is kept first: a process that dies in
 // between then starts with what it was told.
-func (f *follower) activate(c state.Content) {
+func (f *follower) activate(c state.VersionContent) {
 	next := kept{c.Number, c.Hash, c.Settings}
 	if c.Settings == nil && f.looked.Number == c.Number {
 		next.Settings = f.looked.Settings
 	}
-	if next.Settings == nil || state.Hash(next.Settings) != c.Hash {
+	if next.Settings == nil || state.ContentHash(next.Settings) != c.Hash {
 		return
 	}
 	if f.Agreed.Keep != "" {
--- a/internal/node/agreed_test.go
+++ b/internal/node/agreed_test.go
@@ -64,10 +64,10 @@
 		t.Fatal(err)
 	}
 	f := n.follower
-	if f.activate(state.Content{Number: 2, Hash: "another", Settings: next}); f.running.Number != 0 {
+	if f.activate(state.VersionContent{Number: 2, Hash: "another", Settings: next}); f.running.Number != 0 {
 		t.Error("it runs what has another hash")
 	}
-	f.activate(state.Content{Number: 2, Hash: state.Hash(next), Settings: next})
+	f.activate(state.VersionContent{Number: 2, Hash: state.ContentHash(next), Settings: next})
 	attempts := make(chan int)
 	n.loop.post(func() { attempts <- n.loop.maxAttempts })
 	if got := wait(t, attempts); got != 4 || f.running.Number != 2 {
--- a/internal/node/caughtup_test.go
+++ b/internal/node/caughtup_test.go
@@ -35,7 +35,7 @@
 }
 
 // write carries writes out.
-func (r *oneReplica) write(ops ...state.Op) (l []state.Answer) {
+func (r *oneReplica) write(ops ...state.Op) (l []state.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, op := range ops {
@@ -51,8 +51,8 @@
 func (r *oneReplica) node(uid string) (inTouch bool, running int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.state.Book().Nodes[uid]
-	return n.InTouch(), n.Running
+	n := r.state.Rollout().Nodes[uid]
+	return n.InSync(), n.RunningVersion
 }
 
 func (r *oneReplica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
@@ -100,9 +100,9 @@
 	for waits := true; ; {
 		r.mu.Lock()
 		wake := r.wake
-		if r.state.Rev() > after || !waits {
+		if r.state.Revision() > after || !waits {
 			uid := q.URL.Query().Get("node") + q.URL.Query().Get("unit") // one of them
-			text, err := json.Marshal(r.state.AgreedOfNode(uid, nil))
+			text, err := json.Marshal(r.state.NodeView(uid, nil))
 			r.mu.Unlock()
 			if err == nil {
 				w.Write(text)
@@ -126,8 +126,8 @@
 	var start [2]int64
 	ops := []state.Op{}
 	for i := range start {
-		e := &state.Entry{UID: fmt.Sprint("other", i), Endpoint: "x:1", Role: state.Node, Tier: "front", State: state.Serving, Capacity: 1}
-		start[i] = r.write(state.Op{Kind: state.Register, Entry: e})[0].Token
+		e := &state.Instance{UID: fmt.Sprint("other", i), Endpoint: "x:1", Role: state.RoleNode, Tier: "front", State: state.Serving, Capacity: 1}
+		start[i] = r.write(state.Op{Kind: state.OpRegister, Instance: e})[0].Token
 	}
 	say := func(kind string, number int64, hash string) {
 		for i, s := range start {
@@ -135,18 +135,18 @@
 		}
 	}
 	r.mu.Lock()
-	was := r.state.Book().Committed
+	was := r.state.Rollout().Committed
 	r.mu.Unlock()
-	say(state.Report, was.Number, was.Hash)
-	ops = append(ops, state.Op{Kind: state.Propose, Value: content, Replaces: was.Number, Stages: []float64{1}})
+	say(state.OpReport, was.Number, was.Hash)
+	ops = append(ops, state.Op{Kind: state.OpPropose, Value: content, Replaces: was.Number, Stages: []float64{1}})
 	answers := r.write(ops...)
 	number := answers[len(answers)-1].Token
 	ops = ops[:0]
-	say(state.Ack, number, state.Hash(content))
-	ops = append(ops, state.Op{Kind: state.Commit, Number: number})
-	say(state.Report, number, state.Hash(content))
+	say(state.OpAcknowledge, number, state.ContentHash(content))
+	ops = append(ops, state.Op{Kind: state.OpAdvance, Number: number})
+	say(state.OpReport, number, state.ContentHash(content))
 	for _, a := range r.write(ops...) {
-		if a.Fault != "" {
+		if a.Code != "" {
 			t.Fatalf("version %d: %+v", number, a)
 		}
 	}
@@ -167,7 +167,7 @@
 	r.force(t, first)
 	r.force(t, attempts(t, 6))
 	keep := filepath.Join(t.TempDir(), "kept")
-	text, err := json.Marshal(kept{1, state.Hash(first), first})
+	text, err := json.Marshal(kept{1, state.ContentHash(first), first})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	cfg := agreedConfigAt(t, addr, keep)
 	reported, let := make(chan state.Op, 1), make(chan struct{})
 	r.gate = func(op state.Op) {
-		if op.Kind == state.Report && op.UID == "n3" {
+		if op.Kind == state.OpReport && op.UID == "n3" {
 			select {
 			case reported <- op:
 			default:
@@ -196,7 +196,7 @@
 		t.Errorf("ended before it had caught up: %v, serving %v", err, early.serving.Load())
 	}
 
-	if text, err = json.Marshal(kept{1, state.Hash(first), first}); err != nil {
+	if text, err = json.Marshal(kept{1, state.ContentHash(first), first}); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(keep, text, 0o600); err != nil {
@@ -220,7 +220,7 @@
 	r.mu.Lock()
 	start := r.state.Get("n3").Token
 	r.mu.Unlock()
-	r.write(state.Op{Kind: state.Expire, UID: "n3", Token: start})
+	r.write(state.Op{Kind: state.OpExpire, UID: "n3", Token: start})
 	r.force(t, attempts(t, 7))
 	r.force(t, attempts(t, 8))
 	eventually(t, "it is back in touch", func() bool { inTouch, running := r.node("n3"); return inTouch && running == 4 })
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -40,7 +40,7 @@
 	r.mu.Lock()
 	r.ops = append(r.ops, c.Ops...)
 	r.mu.Unlock()
-	answer := `{"answers":[{"rev":` + strconv.FormatInt(r.st.Rev(), 10) + `}]}`
+	answer := `{"answers":[{"rev":` + strconv.FormatInt(r.st.Revision(), 10) + `}]}`
 	r.count(c.Ops[0].UID, len(text)+len(answer))
 	io.WriteString(w, answer)
 }
@@ -58,7 +58,7 @@
 	for ; ; rounds++ {
 		heard := false
 		for i, f := range r.nodes {
-			if r.revs[i] == r.st.Rev() {
+			if r.revs[i] == r.st.Revision() {
 				continue
 			}
 			heard = true
@@ -70,17 +70,17 @@
 				}
 				has[n] = true
 			}
-			text, err := json.Marshal(r.st.AgreedOfNode(f.Name, has))
+			text, err := json.Marshal(r.st.NodeView(f.Name, has))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.count(f.Name, len(text))
-			var a state.Agreed
+			var a state.CoordinationView
 			if err := json.Unmarshal(text, &a); err != nil {
 				t.Fatal(err)
 			}
-			r.revs[i] = a.Rev
-			f.follow(t.Context(), a.Config, a.Rev)
+			r.revs[i] = a.Revision
+			f.follow(t.Context(), a.NodeSettings, a.Revision)
 		}
 		if !heard {
 			return rounds
@@ -90,8 +90,8 @@
 		r.ops = nil
 		r.mu.Unlock()
 		for _, op := range ops {
-			if a, _ := r.st.Apply(op); a.Fault != "" {
-				t.Fatalf("%s of %s: %s %s", op.Kind, op.UID, a.Fault, a.Why)
+			if a, _ := r.st.Apply(op); a.Code != "" {
+				t.Fatalf("%s of %s: %s %s", op.Kind, op.UID, a.Code, a.Reason)
 			}
 		}
 	}
@@ -108,9 +108,9 @@
 		defer server.Close()
 		for i := range n {
 			name := fmt.Sprintf("n%04d", i)
-			e := &state.Entry{UID: name, Endpoint: "10.0.0.1:3000", Role: state.Node, Tier: "front", Zone: fmt.Sprint("z", i%7), State: state.Serving, BootMS: 1e12, TTLMS: 2000}
-			if a, _ := r.st.Apply(state.Op{Kind: state.Register, Entry: e}); a.Fault != "" {
-				t.Fatal(a.Fault)
+			e := &state.Instance{UID: name, Endpoint: "10.0.0.1:3000", Role: state.RoleNode, Tier: "front", Zone: fmt.Sprint("z", i%7), State: state.Serving, StartTimeMS: 1e12, TTLMS: 2000}
+			if a, _ := r.st.Apply(state.Op{Kind: state.OpRegister, Instance: e}); a.Code != "" {
+				t.Fatal(a.Code)
 			}
 			f, err := follow(Following{Name: name, Agreed: Agreed{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, ByAgent: true},
 				CouldRun: func(json.RawMessage) error { return nil }, Run: func(json.RawMessage) error { return nil }, Log: func(string, ...any) {}}, kept{})
@@ -122,13 +122,13 @@
 		r.play(t) // they say what they run
 		clear(r.bytes)
 		clear(r.messages)
-		a, _ := r.st.Apply(state.Op{Kind: state.Propose, Value: json.RawMessage(`{"limits":{"max-attempts":4}}`), Stages: []float64{1}})
+		a, _ := r.st.Apply(state.Op{Kind: state.OpPropose, Value: json.RawMessage(`{"limits":{"max-attempts":4}}`), Stages: []float64{1}})
 		rounds := r.play(t)
-		if a, _ := r.st.Apply(state.Op{Kind: state.Commit, Number: a.Token}); a.Fault != "" {
-			t.Fatalf("%d nodes: %s %s", n, a.Fault, a.Why)
+		if a, _ := r.st.Apply(state.Op{Kind: state.OpAdvance, Number: a.Token}); a.Code != "" {
+			t.Fatalf("%d nodes: %s %s", n, a.Code, a.Reason)
 		}
 		rounds += r.play(t)
-		if !r.st.Book().Settled() || r.st.Book().Committed.Number != a.Token {
+		if !r.st.Rollout().Converged() || r.st.Rollout().Committed.Number != a.Token {
 			t.Fatalf("%d nodes: version %d is not in force", n, a.Token)
 		}
 		most := cost{rounds: rounds}
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -144,7 +144,7 @@
 		all.Go(func() error {
 			var ops []state.Op
 			for i := from; i < min(from+batch, m.o.Instances); i++ {
-				ops = append(ops, state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid(i), Endpoint: fmt.Sprintf("10.%d.%d.1:3000", i/250, i%250),
+				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid(i), Endpoint: fmt.Sprintf("10.%d.%d.1:3000", i/250, i%250),
 					Tier: benchTier, Zone: fmt.Sprint("z", i%3), Rack: i / 20, State: state.Serving, Capacity: 1}})
 			}
 			_, err := m.w.Write(ctx, ops...)
@@ -261,21 +261,21 @@
 
 // rev is the registry's revision now.
 func (m *measurement) rev(ctx context.Context) (int64, error) {
-	a, err := m.w.Write(ctx, state.Op{Kind: state.Nothing})
+	a, err := m.w.Write(ctx, state.Op{Kind: state.OpNoop})
 	if err != nil {
 		return 0, err
 	}
-	return a[0].Rev, nil
+	return a[0].Revision, nil
 }
 
 // change changes one instance and gives the revision.
 func (m *measurement) change(ctx context.Context, i int) (int64, error) {
 	capacity := float64(i + 2)
-	a, err := m.w.Write(ctx, state.Op{Kind: state.Update, UID: uid(i % m.o.Instances), Capacity: &capacity})
+	a, err := m.w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: uid(i % m.o.Instances), Capacity: &capacity})
 	if err != nil {
 		return 0, err
 	}
-	return a[0].Rev, nil
+	return a[0].Revision, nil
 }
 
 // propagate times changes to all watchers, and then lets these all reconnect at once.
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -35,10 +35,10 @@
 func (m *measurement) permits(ctx context.Context, p *Permits, rate int, lasts time.Duration) error {
 	m.step("permits")
 	whole := 0.5
-	if _, err := m.w.Write(ctx, state.Op{Kind: state.SetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: benchTier, Whole: &whole, Zone: &whole}}, LapseMS: 60_000}}); err != nil {
+	if _, err := m.w.Write(ctx, state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: benchTier, Total: &whole, Zone: &whole}}, PermitExpiryMS: 60_000}}); err != nil {
 		return err
 	}
-	var agreed state.Agreed
+	var agreed state.CoordinationView
 	if err := m.w.Call(ctx, "GET", "/registry/agreed?consistent=1&units=1", nil, &agreed); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 				op := held
 				if op == nil {
 					u := agreed.Units[int(next.Add(1))%len(agreed.Units)]
-					op = &state.Op{Kind: state.Permit, UID: u.UID, Start: u.Token, Holder: "bench"}
+					op = &state.Op{Kind: state.OpGrantPermit, UID: u.UID, Incarnation: u.Token, Holder: "bench"}
 				}
 				a, err := m.w.Write(ctx, *op)
 				mu.Lock()
@@ -70,9 +70,9 @@
 				case held != nil:
 					held = nil
 					returned.Add(1)
-				case a[0].Fault == "":
+				case a[0].Code == "":
 					granted.Add(1)
-					held = &state.Op{Kind: state.Return, UID: op.UID, Token: a[0].Token}
+					held = &state.Op{Kind: state.OpReturnPermit, UID: op.UID, Token: a[0].Token}
 				}
 			}
 		})
--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/agreed.go
@@ -14,22 +14,22 @@
 
 // Agreed asks what is agreed, later than a revision if that comes within wait. query says which part; see the replica's
 // /registry/agreed.
-func (w *Writer) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.Agreed, error) {
+func (w *Writer) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
 	defer cancel()
-	var a state.Agreed
+	var a state.CoordinationView
 	return &a, w.Call(ctx, "GET", "/registry/agreed?"+query.Encode(), nil, &a)
 }
 
 // One has one write carried out, within a second.
-func (w *Writer) One(ctx context.Context, op state.Op) (state.Answer, error) {
+func (w *Writer) One(ctx context.Context, op state.Op) (state.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
 	a, err := w.Write(ctx, op)
 	if err != nil {
-		return state.Answer{}, err
+		return state.Result{}, err
 	}
 	return a[0], nil
 }
@@ -43,7 +43,7 @@
 	}
 	boot := float64(wall.UnixMilli())
 	for _, e := range known.Units {
-		boot = max(boot, e.BootMS+1)
+		boot = max(boot, e.StartTimeMS+1)
 	}
 	return boot, nil
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -33,9 +33,9 @@
 
 // message is a line of a watch, or a whole list.
 type message struct {
-	Rev     int64          `json:"rev"`
-	All     bool           `json:"all"`
-	Targets []*state.Entry `json:"targets"`
+	Rev     int64             `json:"rev"`
+	All     bool              `json:"all"`
+	Targets []*state.Instance `json:"targets"`
 }
 
 // Dial opens a connection, as net.Dialer.DialContext does.
@@ -90,7 +90,7 @@
 
 	mu      sync.Mutex
 	rev     int64
-	entries map[string]*state.Entry
+	entries map[string]*state.Instance
 	heard   time.Time // when a replica last said something; zero: never, the list is from the cache
 	wholes  int       // whole lists taken
 	lines   int       // and changes
@@ -102,7 +102,7 @@
 	if err := opt.complete(); err != nil {
 		return nil, err
 	}
-	r := &Reader{opt: opt, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}}, entries: map[string]*state.Entry{}}
+	r := &Reader{opt: opt, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}}, entries: map[string]*state.Instance{}}
 	if opt.Cache != "" {
 		c := newCache(opt.Cache)
 		c.load(r)
@@ -114,10 +114,10 @@
 // View is what a Reader holds.
 type View struct {
 	Rev     int64
-	Entries []*state.Entry // in the order of their uids
-	Heard   time.Time      // when the registry last said something; zero: not since the start
-	Wholes  int            // whole lists taken since the start
-	Lines   int            // and changes
+	Entries []*state.Instance // in the order of their uids
+	Heard   time.Time         // when the registry last said something; zero: not since the start
+	Wholes  int               // whole lists taken since the start
+	Lines   int               // and changes
 }
 
 // View is what the Reader holds now.
@@ -130,8 +130,8 @@
 }
 
 // sorted is the list in the order of uids.
-func (r *Reader) sorted() []*state.Entry {
-	return slices.SortedFunc(maps.Values(r.entries), func(a, b *state.Entry) int { return strings.Compare(a.UID, b.UID) })
+func (r *Reader) sorted() []*state.Instance {
+	return slices.SortedFunc(maps.Values(r.entries), func(a, b *state.Instance) int { return strings.Compare(a.UID, b.UID) })
 }
 
 // Run follows the registry until ctx ends, and calls changed with each change, once it is applied. Whatever ends a watch, it goes on at
@@ -216,7 +216,7 @@
 		return false
 	}
 	if m.All {
-		r.entries = make(map[string]*state.Entry, len(m.Targets))
+		r.entries = make(map[string]*state.Instance, len(m.Targets))
 		r.wholes++
 	} else {
 		r.lines++
@@ -264,14 +264,14 @@
 
 // Write has ops carried out, in their order and each once, and gives what became of each. It repeats them until a
 // replica answers or ctx ends; in the latter case whether they were carried out is not known.
-func (w *Writer) Write(ctx context.Context, ops ...state.Op) ([]state.Answer, error) {
+func (w *Writer) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
 	for i := range ops {
 		if ops[i].ID == "" {
 			ops[i].ID = newID()
 		}
 	}
 	var got struct {
-		Answers []state.Answer `json:"answers"`
+		Answers []state.Result `json:"answers"`
 	}
 	if err := w.Call(ctx, http.MethodPost, "/registry/write", map[string]any{"ops": ops}, &got); err != nil {
 		return nil, err
@@ -355,7 +355,7 @@
 type Holder struct {
 	w      *Writer
 	mu     sync.Mutex
-	held   map[string]*state.Entry
+	held   map[string]*state.Instance
 	tokens map[string]int64
 	sent   time.Time     // when the last renewal was sent that was answered
 	span   time.Duration // see Span
@@ -363,17 +363,17 @@
 
 // NewHolder returns a Holder of nothing.
 func NewHolder(w *Writer) *Holder {
-	return &Holder{w: w, held: map[string]*state.Entry{}, tokens: map[string]int64{}}
+	return &Holder{w: w, held: map[string]*state.Instance{}, tokens: map[string]int64{}}
 }
 
 // ErrFenced says that another process has taken an entry over.
 var ErrFenced = errors.New("another process holds the entry")
 
 // Hold registers entries and keeps them from then on.
-func (h *Holder) Hold(ctx context.Context, entries ...*state.Entry) error {
+func (h *Holder) Hold(ctx context.Context, entries ...*state.Instance) error {
 	var ops []state.Op
 	for _, e := range entries {
-		ops = append(ops, state.Op{Kind: state.Register, Entry: e})
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
 	}
 	answers, err := h.w.Write(ctx, ops...)
 	if err != nil {
@@ -383,15 +383,15 @@
 	defer h.mu.Unlock()
 	for i, a := range answers {
 		uid := entries[i].UID
-		switch a.Fault {
+		switch a.Code {
 		case "":
 			h.held[uid], h.tokens[uid] = entries[i], a.Token
-		case state.Fenced:
+		case state.CodeFenced:
 			delete(h.held, uid)
 			delete(h.tokens, uid)
 			err = errors.Join(err, fmt.Errorf("%s: %w", uid, ErrFenced))
 		default:
-			err = errors.Join(err, fmt.Errorf("%s: %s", uid, a.Fault))
+			err = errors.Join(err, fmt.Errorf("%s: %s", uid, a.Code))
 		}
 	}
 	return err
@@ -426,7 +426,7 @@
 	if err := h.w.Call(ctx, http.MethodPost, "/registry/renew", map[string]any{"leases": all}, &got); err != nil {
 		return err
 	}
-	var again []*state.Entry
+	var again []*state.Instance
 	h.mu.Lock()
 	if !h.sent.IsZero() {
 		h.span = max(h.span, time.Since(h.sent))
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -225,7 +225,7 @@
 			}
 			all := message{Rev: 1, All: true}
 			for i := range n {
-				all.Targets = append(all.Targets, &state.Entry{UID: fmt.Sprintf("s-%08x", i*7919), Endpoint: "10.1.0.18:3000", Zone: "a", State: state.Serving, Mod: 1})
+				all.Targets = append(all.Targets, &state.Instance{UID: fmt.Sprintf("s-%08x", i*7919), Endpoint: "10.1.0.18:3000", Zone: "a", State: state.Serving, ModRevision: 1})
 			}
 			r.take(all)
 			if err := r.cache.write(r); err != nil {
@@ -234,8 +234,8 @@
 			b.ResetTimer()
 			for i := range b.N {
 				e := *all.Targets[i%n]
-				e.Mod = int64(i) + 2
-				r.take(message{Rev: e.Mod, Targets: []*state.Entry{&e}})
+				e.ModRevision = int64(i) + 2
+				r.take(message{Rev: e.ModRevision, Targets: []*state.Instance{&e}})
 				if err := r.cache.write(r); err != nil {
 					b.Fatal(err)
 				}
@@ -277,11 +277,11 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	a, err := w.Write(ctx, state.Op{Kind: state.Remove, UID: "a"})
-	if err != nil || a[0].Rev != 3 || len(ids) != 3 || ids[0] == "" || ids[0] != ids[1] || ids[1] != ids[2] {
+	a, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"})
+	if err != nil || a[0].Revision != 3 || len(ids) != 3 || ids[0] == "" || ids[0] != ids[1] || ids[1] != ids[2] {
 		t.Errorf("%+v, %v, ids %q", a, err, ids)
 	}
-	if _, err := w.Write(ctx, state.Op{Kind: state.Remove, UID: "a"}); err == nil || !strings.Contains(err.Error(), "no") || calls != 4 {
+	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}); err == nil || !strings.Contains(err.Error(), "no") || calls != 4 {
 		t.Errorf("refused: %v after %d calls", err, calls)
 	}
 	w.http.CloseIdleConnections()
--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -27,7 +27,7 @@
 			var ops []state.Op
 			for k := range 20 {
 				uid := fmt.Sprint(name, "-", i, "-", k)
-				ops = append(ops, state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "a:1", State: state.Serving}})
+				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "a:1", State: state.Serving}})
 				written[uid] = true
 			}
 			if _, err := w.Write(ctx, ops...); err != nil {
@@ -78,7 +78,7 @@
 	t.Helper()
 	began := time.Now()
 	for range n {
-		if _, err := w.Write(ctx, state.Op{Kind: state.Nothing}); err != nil {
+		if _, err := w.Write(ctx, state.Op{Kind: state.OpNoop}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,8 +131,8 @@
 	c.Kill(behind)
 	ended := c.Ended(leader)
 	const mark = "spoil-this-entry"
-	e := &state.Entry{UID: mark, Endpoint: "a:1", State: state.Serving}
-	a, err := w.Write(ctx, state.Op{Kind: state.Register, Entry: e})
+	e := &state.Instance{UID: mark, Endpoint: "a:1", State: state.Serving}
+	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	var l list
-	if err := late.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", a[0].Rev), nil, &l); err != nil {
+	if err := late.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", a[0].Revision), nil, &l); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(behind))
 	}
 	if len(l.Targets) != 1 || l.Targets[0].UID != mark {
--- a/internal/registry/faulttest/judge.go
+++ b/internal/registry/faulttest/judge.go
@@ -87,7 +87,7 @@
 				return true, registered{i.value, -1}
 			}
 			return true, st
-		case o.fault == state.Conflict:
+		case o.fault == state.CodeConflict:
 			return i.ifMod != 0 && (st.mod != i.ifMod || st.mod == -1), st
 		}
 		return fits, registered{i.value, o.mod}
@@ -118,13 +118,13 @@
 		}
 		call := time.Since(h.began)
 		one, cancel := context.WithTimeout(ctx, opWithin)
-		answers, err := w.Write(one, state.Op{Kind: state.Update, UID: u, Capacity: &in.value, IfMod: in.ifMod})
+		answers, err := w.Write(one, state.Op{Kind: state.OpUpdate, UID: u, Capacity: &in.value, IfModRevision: in.ifMod})
 		cancel()
 		out, back := output{}, time.Since(h.began)
 		if err != nil {
 			back = 1 << 60 // pending for good
 		} else {
-			out = output{known: true, fault: answers[0].Fault, mod: answers[0].Rev}
+			out = output{known: true, fault: answers[0].Code, mod: answers[0].Revision}
 		}
 		h.add(user, in, out, call, back)
 	}
@@ -148,8 +148,8 @@
 	}
 	for _, e := range l.Targets {
 		if e.UID == u {
-			seen[u] = e.Mod
-			h.add(user, input{uid: u}, output{known: true, value: e.Capacity, mod: e.Mod}, call, time.Since(h.began))
+			seen[u] = e.ModRevision
+			h.add(user, input{uid: u}, output{known: true, value: e.Capacity, mod: e.ModRevision}, call, time.Since(h.began))
 			return
 		}
 	}
@@ -219,9 +219,9 @@
 	for _, v := range h.views {
 		mods := map[string]int64{}
 		for _, e := range v.Entries {
-			mods[e.UID] = e.Mod
-			if e.Mod > v.Rev {
-				found = append(found, fmt.Sprintf("a watcher at revision %d holds %s of %d", v.Rev, e.UID, e.Mod))
+			mods[e.UID] = e.ModRevision
+			if e.ModRevision > v.Rev {
+				found = append(found, fmt.Sprintf("a watcher at revision %d holds %s of %d", v.Rev, e.UID, e.ModRevision))
 			}
 		}
 		for _, a := range h.acks {
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -38,11 +38,11 @@
 	written, last := 0, int64(0)
 	write := func(n int) {
 		for range n {
-			a, err := w.Write(ctx, state.Op{Kind: state.Register, Entry: &state.Entry{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
-			if err != nil || a[0].Fault != "" || a[0].Rev <= last {
+			a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
+			if err != nil || a[0].Code != "" || a[0].Revision <= last {
 				t.Fatalf("write %d: %+v after %d, %v", written, a, last, err)
 			}
-			last = a[0].Rev
+			last = a[0].Revision
 			written++
 		}
 	}
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -27,14 +27,14 @@
 func TestNodeFollows(t *testing.T) {
 	t.Parallel()
 	c, w := started(t)
-	server := func(name string) *state.Entry {
+	server := func(name string) *state.Instance {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, name) }))
 		t.Cleanup(s.Close)
-		return &state.Entry{UID: name, Endpoint: strings.TrimPrefix(s.URL, "http://"), Zone: "a", State: state.Serving, Capacity: 1}
+		return &state.Instance{UID: name, Endpoint: strings.TrimPrefix(s.URL, "http://"), Zone: "a", State: state.Serving, Capacity: 1}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	if _, err := w.Write(ctx, state.Op{Kind: state.Register, Entry: server("one")}); err != nil {
+	if _, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: server("one")}); err != nil {
 		t.Fatal(err)
 	}
 	follow := map[string]map[string]any{
@@ -48,7 +48,7 @@
 	}
 	// One with all endpoints hears changes while any replica serves.
 	c.Kill(0)
-	if _, err := w.Write(ctx, state.Op{Kind: state.Remove, UID: "one"}, state.Op{Kind: state.Register, Entry: server("more")}); err != nil {
+	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "one"}, state.Op{Kind: state.OpRegister, Instance: server("more")}); err != nil {
 		t.Fatal(err)
 	}
 	await(t, nodes["as registry"], "more")
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := w.Write(ctx, state.Op{Kind: state.Remove, UID: "more"}, state.Op{Kind: state.Register, Entry: server("two")}); err != nil {
+	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "more"}, state.Op{Kind: state.OpRegister, Instance: server("two")}); err != nil {
 		t.Fatal(err)
 	}
 	for name := range follow {
--- a/internal/registry/faulttest/trial.go
+++ b/internal/registry/faulttest/trial.go
@@ -46,8 +46,8 @@
 
 func uid(k int) string { return fmt.Sprintf("s%d", k) }
 
-func entry(k int) *state.Entry {
-	return &state.Entry{UID: uid(k), Endpoint: "10.0.0.1:3000", State: state.Serving}
+func entry(k int) *state.Instance {
+	return &state.Instance{UID: uid(k), Endpoint: "10.0.0.1:3000", State: state.Serving}
 }
 
 // Bounds of the waits.
@@ -102,7 +102,7 @@
 	defer cancel()
 	var ops []state.Op
 	for k := range keys {
-		ops = append(ops, state.Op{Kind: state.Register, Entry: entry(k)})
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: entry(k)})
 	}
 	if _, err := w.Write(starting, ops...); err != nil {
 		return nil, fmt.Errorf("the registry did not start: %w: %s", err, c.Logs(0))
@@ -152,14 +152,14 @@
 func settle(ctx context.Context, w *client.Writer, readers []*client.Reader) (*list, error) {
 	ctx, cancel := context.WithTimeout(ctx, healWithin)
 	defer cancel()
-	a, err := w.Write(ctx, state.Op{Kind: state.Register, Entry: &state.Entry{UID: "last", Endpoint: "10.0.0.9:3000", State: state.Serving}})
+	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "last", Endpoint: "10.0.0.9:3000", State: state.Serving}})
 	if err != nil {
 		return nil, err
 	}
 	for {
 		behind := false
 		for _, r := range readers {
-			behind = behind || r.View().Rev < a[0].Rev
+			behind = behind || r.View().Rev < a[0].Revision
 		}
 		if !behind {
 			break
@@ -176,8 +176,8 @@
 
 // list is a list as the registry gives it.
 type list struct {
-	Rev     int64          `json:"rev"`
-	Targets []*state.Entry `json:"targets"`
+	Rev     int64             `json:"rev"`
+	Targets []*state.Instance `json:"targets"`
 }
 
 // play plays faults drawn by the seed, one after another and over each other.
