--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -184,10 +184,10 @@
 		if err := r.raft.AddVoter(raft.ServerID(c.Add.ID), raft.ServerAddress(c.Add.Raft), 0, writeWithin).Error(); err != nil {
 			return nil, err
 		}
-		_, err := r.write(command{Ops: []state.Op{{Kind: state.Member, UID: c.Add.ID, Address: c.Add.Address}}})
+		_, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: c.Add.ID, Address: c.Add.Address}}})
 		return map[string]any{}, err
 	case c.Remove != "":
-		if _, err := r.write(command{Ops: []state.Op{{Kind: state.Member, UID: c.Remove}}}); err != nil {
+		if _, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: c.Remove}}}); err != nil {
 			return nil, err
 		}
 		return map[string]any{}, r.raft.RemoveServer(raft.ServerID(c.Remove), 0, writeWithin).Error()
@@ -212,8 +212,8 @@
 	st := Status{ID: r.cfg.ID, Leads: r.raft.State() == raft.Leader, Leader: string(leader), Term: r.raft.Stats()["term"],
 		Watchers: r.streams.len(), StaleMS: r.staleness().Milliseconds(), Replicas: map[string]string{}}
 	r.fsm.read(func(s *state.State) {
-		st.Rev, st.Epoch, st.Entries, st.Members = s.Rev(), state.Epoch(s.Rev()), s.Len(), s.Members()
-		for _, e := range s.Entries() {
+		st.Rev, st.Epoch, st.Entries, st.Members = s.Revision(), state.Epoch(s.Revision()), s.Len(), s.Members()
+		for _, e := range s.Instances() {
 			if e.Suspect {
 				st.Suspects++
 			}
@@ -274,21 +274,21 @@
 			has[n] = true
 		}
 	}
-	var a state.Agreed
+	var a state.CoordinationView
 	var text []byte
 	var err error
 	r.fsm.read(func(s *state.State) {
 		switch unit, node := query.Get("unit"), query.Get("node"); {
 		case unit != "":
-			a = s.AgreedOfUnit(unit)
+			a = s.UnitView(unit)
 		case node != "":
-			a = s.AgreedOfNode(node, has)
+			a = s.NodeView(node, has)
 		default:
-			a = s.Agreed(query.Get("units") != "", query.Get("lead"))
+			a = s.CoordinationView(query.Get("units") != "", query.Get("lead"))
 		}
 		text, err = json.Marshal(a) // much of it changes in place
 	})
-	w.Header().Set(HeaderRev, strconv.FormatInt(a.Rev, 10))
+	w.Header().Set(HeaderRev, strconv.FormatInt(a.Revision, 10))
 	reply(w, json.RawMessage(text), err)
 }
 
@@ -350,8 +350,8 @@
 }
 
 func (r *Replica) whole() ([]byte, int64, error) {
-	return r.fsm.hub.wholeList(func() (rev int64, entries []*state.Entry) {
-		r.fsm.read(func(s *state.State) { rev, entries = s.Rev(), s.Entries() })
+	return r.fsm.hub.wholeList(func() (rev int64, entries []*state.Instance) {
+		r.fsm.read(func(s *state.State) { rev, entries = s.Revision(), s.Instances() })
 		return rev, entries
 	})
 }
@@ -488,6 +488,6 @@
 // ahead tells whether a reader holds a later revision of this epoch than the replica has.
 func (r *Replica) ahead(since int64) bool {
 	ahead := false
-	r.fsm.read(func(s *state.State) { ahead = since > s.Rev() && state.Epoch(since) == state.Epoch(s.Rev()) })
+	r.fsm.read(func(s *state.State) { ahead = since > s.Revision() && state.Epoch(since) == state.Epoch(s.Revision()) })
 	return ahead
 }
--- a/internal/registry/replica/disk_test.go
+++ b/internal/registry/replica/disk_test.go
@@ -44,7 +44,7 @@
 		SnapshotEvery: 40, Guard: Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
 }
 
-func write(t *testing.T, r *Replica, ops ...state.Op) []state.Answer {
+func write(t *testing.T, r *Replica, ops ...state.Op) []state.Result {
 	t.Helper()
 	w, err := client.NewWriter(client.Options{Endpoints: []string{r.Addr()}, RestFirst: time.Millisecond, RestMost: 10 * time.Millisecond})
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 func register(i int) state.Op {
-	return state.Op{Kind: state.Register, Entry: &state.Entry{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", Zone: "zone-of-the-test", State: state.Serving}}
+	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", Zone: "zone-of-the-test", State: state.Serving}}
 }
 
 // What was answered is there after a restart, from the log and from snapshots, and revisions go on from where they were.
@@ -74,10 +74,10 @@
 		}
 		for i := range 60 {
 			a := write(t, r, register(60*round+i))
-			if a[0].Rev <= last {
-				t.Fatalf("revision %d after %d", a[0].Rev, last)
+			if a[0].Revision <= last {
+				t.Fatalf("revision %d after %d", a[0].Revision, last)
 			}
-			last = a[0].Rev
+			last = a[0].Revision
 		}
 		if round == 1 {
 			if err := r.raft.Snapshot().Error(); err != nil {
@@ -114,8 +114,8 @@
 	for i := range 30 {
 		write(t, r, register(i))
 	}
-	held := func(r *Replica) (l []*state.Entry) {
-		r.fsm.read(func(s *state.State) { l = s.Entries() })
+	held := func(r *Replica) (l []*state.Instance) {
+		r.fsm.read(func(s *state.State) { l = s.Instances() })
 		return l
 	}
 	want := held(r)
@@ -142,7 +142,7 @@
 		case err != nil:
 			t.Fatalf("byte %d: %v", at, err)
 		default: // a page that was let go: nothing may be other than it was
-			write(t, r, state.Op{Kind: state.Nothing})
+			write(t, r, state.Op{Kind: state.OpNoop})
 			if got := held(r); !reflect.DeepEqual(got, want) {
 				t.Errorf("byte %d: the State is another", at)
 			}
@@ -193,9 +193,9 @@
 			fmt.Println("SAID", err)
 			return
 		}
-		write(t, r, state.Op{Kind: state.Nothing})
+		write(t, r, state.Op{Kind: state.OpNoop})
 		var text []byte
-		r.fsm.read(func(s *state.State) { text, err = json.Marshal(s.Entries()) })
+		r.fsm.read(func(s *state.State) { text, err = json.Marshal(s.Instances()) })
 		fmt.Printf("HOLDS %x %v\n", xxhash.Sum64(text), err)
 		r.Close()
 		return
@@ -214,7 +214,7 @@
 		}
 	}
 	var text []byte
-	r.fsm.read(func(s *state.State) { text, err = json.Marshal(s.Entries()) })
+	r.fsm.read(func(s *state.State) { text, err = json.Marshal(s.Instances()) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -19,7 +19,7 @@
 
 // answers is what Apply gives for a command.
 type answers struct {
-	list []state.Answer
+	list []state.Result
 	err  error
 }
 
@@ -34,7 +34,7 @@
 
 func newFSM() *fsm {
 	s := state.New()
-	return &fsm{state: s, hub: newHub(s.Rev()), applied: func(string, string) {}}
+	return &fsm{state: s, hub: newHub(s.Revision()), applied: func(string, string) {}}
 }
 
 // read gives the State to f, which must not keep it.
@@ -50,10 +50,10 @@
 // ApplyBatch applies entries of the log that were committed together; readers hear of them in one line.
 func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
 	out := make([]any, len(logs))
-	var changed []*state.Entry
+	var changed []*state.Instance
 	restored := false
 	f.mu.Lock()
-	before := f.state.Rev()
+	before := f.state.Revision()
 	for i, l := range logs {
 		if l.Type != raft.LogCommand {
 			continue
@@ -66,7 +66,7 @@
 		if c.Restore != nil {
 			backup, err := state.Load(c.Restore)
 			if err == nil {
-				f.state = state.Restored(backup, f.state)
+				f.state = state.RestoreBackup(backup, f.state)
 				restored, changed = true, nil
 			}
 			out[i] = answers{err: err}
@@ -76,14 +76,14 @@
 		for _, op := range c.Ops {
 			answer, entry := f.state.Apply(op)
 			a.list = append(a.list, answer)
-			f.applied(op.Kind, answer.Fault)
+			f.applied(op.Kind, answer.Code)
 			if entry != nil {
 				changed = append(changed, entry)
 			}
 		}
 		out[i] = a
 	}
-	rev := f.state.Rev()
+	rev := f.state.Revision()
 	f.mu.Unlock()
 	// Only this goroutine changes the State, so the hub hears of changes in their order.
 	if restored {
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	f.state = s
 	f.mu.Unlock()
-	f.hub.reset(s.Rev())
+	f.hub.reset(s.Revision())
 	return nil
 }
 
--- a/internal/registry/replica/hub.go
+++ b/internal/registry/replica/hub.go
@@ -9,9 +9,9 @@
 
 // message is what readers get: the whole list, or what has changed, in discovery's form.
 type message struct {
-	Rev     int64          `json:"rev"`
-	All     bool           `json:"all"`
-	Targets []*state.Entry `json:"targets"`
+	Rev     int64             `json:"rev"`
+	All     bool              `json:"all"`
+	Targets []*state.Instance `json:"targets"`
 }
 
 // Bounds of what a hub keeps for readers to resume from.
@@ -24,7 +24,7 @@
 type line struct {
 	from, rev int64  // it leads from one revision to the other
 	text      []byte // framed for a watch
-	changed   []*state.Entry
+	changed   []*state.Instance
 }
 
 // hub hands changes to any number of readers. Each holds only its revision; nothing is kept for it, so a slow one
@@ -43,7 +43,7 @@
 func newHub(rev int64) *hub { return &hub{rev: rev, wake: make(chan struct{})} }
 
 // publish adds a change that leads to a revision.
-func (h *hub) publish(rev int64, changed []*state.Entry) error {
+func (h *hub) publish(rev int64, changed []*state.Instance) error {
 	text, err := encode(message{Rev: rev, Targets: changed})
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 }
 
 func encode(m message) ([]byte, error) {
-	targets := []*state.Entry{} // a list without targets is none
+	targets := []*state.Instance{} // a list without targets is none
 	for _, e := range m.Targets {
 		if e.Role == "" {
 			targets = append(targets, e)
@@ -120,7 +120,7 @@
 // coalesce is the latest state of all that several lines have changed, as one message.
 func coalesce(rev int64, lines []line) ([]byte, error) {
 	latest := map[string]int{}
-	var changed []*state.Entry
+	var changed []*state.Instance
 	for _, l := range lines {
 		for _, e := range l.changed {
 			if i, before := latest[e.UID]; before {
@@ -135,7 +135,7 @@
 }
 
 // wholeList encodes the whole list once for each revision that somebody asks for it at.
-func (h *hub) wholeList(read func() (int64, []*state.Entry)) ([]byte, int64, error) {
+func (h *hub) wholeList(read func() (int64, []*state.Instance)) ([]byte, int64, error) {
 	h.mu.Lock()
 	text, rev, now := h.whole, h.wholeRev, h.rev
 	h.mu.Unlock()
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -15,7 +15,7 @@
 )
 
 // apply applies writes as raft does: on one goroutine at a time, in the order of the log.
-func apply(f *fsm, order *modelcheck.Mutex, ops ...state.Op) []state.Answer {
+func apply(f *fsm, order *modelcheck.Mutex, ops ...state.Op) []state.Result {
 	text, err := json.Marshal(command{Ops: ops})
 	if err != nil {
 		panic(err)
@@ -26,7 +26,7 @@
 }
 
 func enter(uid string) state.Op {
-	return state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "x:1", State: state.Serving, Tier: "web", Capacity: 1}}
+	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Tier: "web", Capacity: 1}}
 }
 
 // A writer publishes, or restores a backup, while readers follow. Each reader comes to the last revision, whatever it had
@@ -40,8 +40,8 @@
 			case err != nil:
 				modelcheck.Failf("%v", err)
 			case whole:
-				if _, rev, err = f.hub.wholeList(func() (rev int64, l []*state.Entry) {
-					f.read(func(s *state.State) { rev, l = s.Rev(), s.Entries() })
+				if _, rev, err = f.hub.wholeList(func() (rev int64, l []*state.Instance) {
+					f.read(func(s *state.State) { rev, l = s.Revision(), s.Instances() })
 					return rev, l
 				}); err != nil {
 					modelcheck.Failf("%v", err)
@@ -93,10 +93,10 @@
 			x.Go("writer", func() { apply(f, order, enter("a")); apply(f, order, enter("b")) })
 			for i := range 2 {
 				x.Go(fmt.Sprint("reader ", i), func() {
-					text, rev, err := f.hub.wholeList(func() (rev int64, l []*state.Entry) {
-						f.read(func(s *state.State) { rev, l = s.Rev(), s.Entries() })
+					text, rev, err := f.hub.wholeList(func() (rev int64, l []*state.Instance) {
+						f.read(func(s *state.State) { rev, l = s.Revision(), s.Instances() })
 						if twice { // the planted fault
-							f.read(func(s *state.State) { l = s.Entries() })
+							f.read(func(s *state.State) { l = s.Instances() })
 						}
 						return rev, l
 					})
@@ -120,9 +120,9 @@
 		return func(x *modelcheck.Exec) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			half := 0.5
-			apply(f, order, state.Op{Kind: state.SetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Whole: &half}}}})
+			apply(f, order, state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &half}}}})
 			apply(f, order, enter("a"), enter("b"))
-			permit := apply(f, order, state.Op{Kind: state.Permit, UID: "a", Start: f.state.Get("a").Token, Holder: "c", Plan: "p", To: "v2"})[0]
+			permit := apply(f, order, state.Op{Kind: state.OpGrantPermit, UID: "a", Incarnation: f.state.Get("a").Token, Holder: "c", Plan: "p", TargetVersion: "v2"})[0]
 			acted := map[string]bool{}
 			act := func(uid string) {
 				modelcheck.Step(&acted, "act")
@@ -131,23 +131,23 @@
 			x.Go("agent", func() {
 				if looks { // the planted fault: a look in place of the write
 					may := false
-					f.read(func(s *state.State) { may = s.Ledger().Permit("a") != nil && s.Record(state.HaltPrefix+"p") == nil })
+					f.read(func(s *state.State) { may = s.Budget().Permit("a") != nil && s.Record(state.HaltKeyPrefix+"p") == nil })
 					if may {
 						act("a")
 					}
 					return
 				}
-				if apply(f, order, state.Op{Kind: state.Begin, UID: "a", Token: permit.Token})[0].Fault == "" {
+				if apply(f, order, state.Op{Kind: state.OpBeginPermit, UID: "a", Token: permit.Token})[0].Code == "" {
 					act("a")
 				}
 			})
-			x.Go("lapse", func() { apply(f, order, state.Op{Kind: state.Return, UID: "a", Token: permit.Token}) })
+			x.Go("lapse", func() { apply(f, order, state.Op{Kind: state.OpReturnPermit, UID: "a", Token: permit.Token}) })
 			x.Go("staff", func() {
-				apply(f, order, state.Op{Kind: state.Put, Key: state.HaltPrefix + "p", Value: json.RawMessage(`{}`)})
+				apply(f, order, state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + "p", Value: json.RawMessage(`{}`)})
 			})
 			x.Go("other", func() {
-				p := apply(f, order, state.Op{Kind: state.Permit, UID: "b", Start: f.state.Get("b").Token, Holder: "d"})[0]
-				if p.Fault == "" && apply(f, order, state.Op{Kind: state.Begin, UID: "b", Token: p.Token})[0].Fault == "" {
+				p := apply(f, order, state.Op{Kind: state.OpGrantPermit, UID: "b", Incarnation: f.state.Get("b").Token, Holder: "d"})[0]
+				if p.Code == "" && apply(f, order, state.Op{Kind: state.OpBeginPermit, UID: "b", Token: p.Token})[0].Code == "" {
 					act("b")
 				}
 			})
@@ -167,7 +167,7 @@
 // run by nobody.
 func TestInterleaveRollout(t *testing.T) {
 	node := func(uid string, boot float64) state.Op {
-		return state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.Node, Tier: "front", Zone: "a", Capacity: 1, BootMS: boot}}
+		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: boot}}
 	}
 	body := func(eager bool) func(x *modelcheck.Exec) {
 		return func(x *modelcheck.Exec) {
@@ -177,16 +177,16 @@
 				starts[fmt.Sprint("n", i)] = a.Token
 			}
 			for uid, token := range starts {
-				apply(f, order, state.Op{Kind: state.Report, UID: uid, Token: token})
+				apply(f, order, state.Op{Kind: state.OpReport, UID: uid, Token: token})
 			}
-			v := apply(f, order, state.Op{Kind: state.Propose, Value: json.RawMessage(`{}`), Stages: []float64{1}})[0].Token
-			hash := state.Hash([]byte(`{}`))
+			v := apply(f, order, state.Op{Kind: state.OpPropose, Value: json.RawMessage(`{}`), Stages: []float64{1}})[0].Token
+			hash := state.ContentHash([]byte(`{}`))
 			withdrawn, runs := false, map[string]bool{}
 			for _, uid := range []string{"n0", "n1"} {
 				x.Go(uid, func() {
-					apply(f, order, state.Op{Kind: state.Ack, UID: uid, Token: starts[uid], Number: v, Hash: hash})
+					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: uid, Token: starts[uid], Number: v, Hash: hash})
 					told := int64(0)
-					f.read(func(s *state.State) { told = s.Book().Nodes[uid].Told })
+					f.read(func(s *state.State) { told = s.Rollout().Nodes[uid].TargetVersion })
 					if told == v || eager { // the planted fault: it runs what it has acknowledged
 						modelcheck.Step(&runs, "run")
 						if withdrawn {
@@ -198,23 +198,23 @@
 			}
 			x.Go("restart", func() { apply(f, order, node("n1", 2)) })
 			x.Go("staff", func() {
-				if apply(f, order, state.Op{Kind: state.Withdraw, Number: v})[0].Fault == "" {
+				if apply(f, order, state.Op{Kind: state.OpWithdraw, Number: v})[0].Code == "" {
 					modelcheck.Step(&runs, "taken back")
 					withdrawn = true
 				}
 			})
 			x.Go("controller", func() {
-				if apply(f, order, state.Op{Kind: state.Commit, Number: v})[0].Fault != "" {
+				if apply(f, order, state.Op{Kind: state.OpAdvance, Number: v})[0].Code != "" {
 					return
 				}
 				f.read(func(s *state.State) {
-					if s.Book().Committed.Number != v {
+					if s.Rollout().Committed.Number != v {
 						modelcheck.Failf("told, and not in force")
 					}
 				})
 			})
 			x.Finally(func() {
-				b := f.state.Book()
+				b := f.state.Rollout()
 				if b.Committed.Number == v && withdrawn {
 					modelcheck.Failf("it is in force and taken back")
 				}
@@ -234,11 +234,11 @@
 // there, what waits for it goes on in the end, by its word or as its zone is lost.
 func TestInterleaveTouch(t *testing.T) {
 	node := func(uid, zone string, boot float64) state.Op {
-		return state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.Node, Tier: "front", Zone: zone, Capacity: 1, BootMS: boot}}
+		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: boot}}
 	}
 	content := func(n int64) json.RawMessage { return json.RawMessage(fmt.Sprint(n)) }
 	propose := func(n int64) state.Op {
-		return state.Op{Kind: state.Propose, Value: content(n), Replaces: n - 1, Stages: []float64{1}}
+		return state.Op{Kind: state.OpPropose, Value: content(n), Replaces: n - 1, Stages: []float64{1}}
 	}
 	body := func(zone string, boot float64, early bool) func(x *modelcheck.Exec) {
 		return func(x *modelcheck.Exec) {
@@ -246,7 +246,7 @@
 			starts, runs := map[string]int64{}, map[string]int64{}
 			say := func(kind string, n int64, uids ...string) (l []state.Op) {
 				for _, uid := range uids {
-					l = append(l, state.Op{Kind: kind, UID: uid, Token: starts[uid], Number: n, Hash: state.Hash(content(n))})
+					l = append(l, state.Op{Kind: kind, UID: uid, Token: starts[uid], Number: n, Hash: state.ContentHash(content(n))})
 				}
 				return l
 			}
@@ -255,9 +255,9 @@
 			for i, a := range apply(f, order, node("n0", "a", 1), node("n1", "a", 1), node("n2", zone, 1)) {
 				starts[all[i]] = a.Token
 			}
-			apply(f, order, say(state.Report, 0, all...)...)
-			apply(f, order, append([]state.Op{propose(1)}, say(state.Ack, 1, all...)...)...)
-			apply(f, order, append([]state.Op{{Kind: state.Commit, Number: 1}}, say(state.Report, 1, all...)...)...)
+			apply(f, order, say(state.OpReport, 0, all...)...)
+			apply(f, order, append([]state.Op{propose(1)}, say(state.OpAcknowledge, 1, all...)...)...)
+			apply(f, order, append([]state.Op{{Kind: state.OpAdvance, Number: 1}}, say(state.OpReport, 1, all...)...)...)
 			for _, uid := range all {
 				runs[uid] = 1
 			}
@@ -265,12 +265,12 @@
 				modelcheck.Step(&runs, "run")
 				runs[uid] = n
 			}
-			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.Expire, UID: "n2", Token: starts["n2"]}) })
+			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.OpExpire, UID: "n2", Token: starts["n2"]}) })
 			x.Go("n2", func() {
 				start := apply(f, order, node("n2", zone, boot))[0].Token
 				told := int64(0)
-				f.read(func(s *state.State) { told = s.Book().Nodes["n2"].Told })
-				report := state.Op{Kind: state.Report, UID: "n2", Token: start, Number: told, Hash: state.Hash(content(told))}
+				f.read(func(s *state.State) { told = s.Rollout().Nodes["n2"].TargetVersion })
+				report := state.Op{Kind: state.OpReport, UID: "n2", Token: start, Number: told, Hash: state.ContentHash(content(told))}
 				if early { // the planted fault: it says that it runs what it is about to take
 					apply(f, order, report)
 				}
@@ -278,13 +278,13 @@
 				apply(f, order, report)
 			})
 			x.Go("staff and controller", func() {
-				ops := append([]state.Op{propose(2)}, say(state.Ack, 2, others...)...)
+				ops := append([]state.Op{propose(2)}, say(state.OpAcknowledge, 2, others...)...)
 				for _, a := range apply(f, order, ops...) {
-					if a.Fault != "" {
+					if a.Code != "" {
 						modelcheck.Failf("n0 and n1 are held up: %+v", a)
 					}
 				}
-				if a := apply(f, order, state.Op{Kind: state.Commit, Number: 2})[0]; a.Fault != "" {
+				if a := apply(f, order, state.Op{Kind: state.OpAdvance, Number: 2})[0]; a.Code != "" {
 					if zone == "a" {
 						modelcheck.Failf("held up: %+v", a)
 					}
@@ -292,13 +292,13 @@
 				}
 				run("n0", 2)
 				run("n1", 2)
-				apply(f, order, say(state.Report, 2, others...)...)
+				apply(f, order, say(state.OpReport, 2, others...)...)
 				// One step, in which nothing is between what the book says and what nodes run.
 				modelcheck.Step(&runs, "look")
-				if a := apply(f, order, propose(3))[0]; a.Fault == "" {
+				if a := apply(f, order, propose(3))[0]; a.Code == "" {
 					f.read(func(s *state.State) {
-						for uid, n := range s.Book().Nodes {
-							if n.InTouch() && runs[uid] != 2 {
+						for uid, n := range s.Rollout().Nodes {
+							if n.InSync() && runs[uid] != 2 {
 								modelcheck.Failf("%s is in touch and runs version %d", uid, runs[uid])
 							}
 						}
@@ -306,14 +306,14 @@
 				}
 			})
 			x.Finally(func() {
-				b := f.state.Book()
+				b := f.state.Rollout()
 				n := b.Nodes["n2"]
-				if n.Told < b.Committed.Number || n.InTouch() && n.Running < 1 {
+				if n.TargetVersion < b.Committed.Number || n.InSync() && n.RunningVersion < 1 {
 					modelcheck.Failf("in force %d: %+v", b.Committed.Number, n)
 				}
 				if v := b.Pending; v != nil && v.Number == 2 {
-					apply(f, order, state.Op{Kind: state.Ack, UID: "n2", Token: n.Start, Number: 2, Hash: v.Hash})
-					if a := apply(f, order, state.Op{Kind: state.Commit, Number: 2})[0]; a.Fault != "" {
+					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: "n2", Token: n.Incarnation, Number: 2, Hash: v.Hash})
+					if a := apply(f, order, state.Op{Kind: state.OpAdvance, Number: 2})[0]; a.Code != "" {
 						modelcheck.Failf("held up in the end: %+v", a)
 					}
 				}
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -66,7 +66,7 @@
 	permits  map[string]waiting
 }
 
-func newLeases(g Guard, entries []*state.Entry, now time.Duration) *leases {
+func newLeases(g Guard, entries []*state.Instance, now time.Duration) *leases {
 	l := &leases{guard: g, byUID: map[string]*lease{}, last: now, warmings: map[string]*warming{}, permits: map[string]waiting{}}
 	for _, e := range entries {
 		l.hold(e, now)
@@ -75,7 +75,7 @@
 }
 
 // hold begins, or begins anew, the lease of an entry as the State has it.
-func (l *leases) hold(e *state.Entry, now time.Duration) {
+func (l *leases) hold(e *state.Instance, now time.Duration) {
 	l.warm(e, now)
 	if e.State == state.Deleted || e.TTLMS == 0 {
 		delete(l.byUID, e.UID)
@@ -86,18 +86,18 @@
 		old.zone, old.ttl, old.suspect = e.Zone, ttl, e.Suspect
 		return
 	}
-	l.byUID[e.UID] = &lease{token: e.Token, zone: e.Zone, ttl: ttl, ends: now + ttl, suspect: e.Suspect, alone: e.Role == state.Controller}
+	l.byUID[e.UID] = &lease{token: e.Token, zone: e.Zone, ttl: ttl, ends: now + ttl, suspect: e.Suspect, alone: e.Role == state.RoleController}
 }
 
 // warm begins, or goes on with, the warming up of an entry as the State has it.
-func (l *leases) warm(e *state.Entry, now time.Duration) {
+func (l *leases) warm(e *state.Instance, now time.Duration) {
 	switch w := l.warmings[e.UID]; {
-	case e.State == state.Deleted || e.Cold == 0:
+	case e.State == state.Deleted || e.WarmUpDeficit == 0:
 		delete(l.warmings, e.UID)
 	case w != nil && w.token == e.Token:
-		w.cold = e.Cold
+		w.cold = e.WarmUpDeficit
 	default:
-		l.warmings[e.UID] = &warming{e.Token, now, e.Cold, e.Cold}
+		l.warmings[e.UID] = &warming{e.Token, now, e.WarmUpDeficit, e.WarmUpDeficit}
 	}
 }
 
@@ -112,7 +112,7 @@
 			share = math.Floor(warmSteps*float64(now-w.since)/float64(l.warmFor)) / warmSteps
 		}
 		if cold := w.from * (1 - min(share, 1)); cold < w.cold {
-			ops = append(ops, state.Op{Kind: state.Warm, UID: uid, Token: w.token, Cold: &cold})
+			ops = append(ops, state.Op{Kind: state.OpWarmUp, UID: uid, Token: w.token, WarmUpDeficit: &cold})
 		}
 	}
 	return ops
@@ -131,7 +131,7 @@
 		}
 		still[p.Unit] = w
 		if now-w.since >= l.lapse {
-			ops = append(ops, state.Op{Kind: state.Return, UID: p.Unit, Token: p.Token})
+			ops = append(ops, state.Op{Kind: state.OpReturnPermit, UID: p.Unit, Token: p.Token})
 		}
 	}
 	l.permits = still
@@ -171,7 +171,7 @@
 	for uid, h := range l.byUID {
 		if h.alone {
 			if now >= h.ends {
-				ops = append(ops, state.Op{Kind: state.Expire, UID: uid, Token: h.token})
+				ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: h.token})
 			}
 			continue
 		}
@@ -183,7 +183,7 @@
 		z.all++
 		if now < h.ends {
 			if h.suspect {
-				ops = append(ops, state.Op{Kind: state.Trust, UID: uid, Token: h.token})
+				ops = append(ops, state.Op{Kind: state.OpTrust, UID: uid, Token: h.token})
 			}
 			continue
 		}
@@ -208,12 +208,12 @@
 		case !massive[h.zone] && (!h.suspect || len(massive) == 0):
 			// Few end: wait a moment, for the rest of a zone to end too.
 			if now-h.ended >= l.settle() {
-				ops = append(ops, state.Op{Kind: state.Expire, UID: uid, Token: h.token})
+				ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: h.token})
 			}
 		case len(massive) == 1 && len(zones) > 1 && now-h.ended >= l.guard.Confirm:
-			ops = append(ops, state.Op{Kind: state.Expire, UID: uid, Token: h.token})
+			ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: h.token})
 		case !h.suspect:
-			ops = append(ops, state.Op{Kind: state.Suspect, UID: uid, Token: h.token})
+			ops = append(ops, state.Op{Kind: state.OpSuspect, UID: uid, Token: h.token})
 		}
 	}
 	ops = append(ops, l.warmer(now)...)
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -40,14 +40,14 @@
 		gauge("registry_entries", "Servers in the list.", read(func(s *state.State) float64 { return float64(s.Len()) })),
 		gauge("registry_suspects", "Servers whose ended leases are not believed.", read(func(s *state.State) float64 {
 			n := 0
-			for _, e := range s.Entries() {
+			for _, e := range s.Instances() {
 				if e.Suspect {
 					n++
 				}
 			}
 			return float64(n)
 		})),
-		gauge("registry_epoch", "Moved on by each restored backup.", read(func(s *state.State) float64 { return float64(state.Epoch(s.Rev())) })),
+		gauge("registry_epoch", "Moved on by each restored backup.", read(func(s *state.State) float64 { return float64(state.Epoch(s.Revision())) })),
 		gauge("registry_watchers", "Open watches.", func() float64 { return float64(r.streams.len()) }),
 		gauge("registry_leads", "1 on the leader.", func() float64 {
 			if r.raft.State() == raft.Leader {
@@ -64,7 +64,7 @@
 // applied counts a write.
 func (m *meters) applied(kind, fault string) {
 	switch kind { // what callers name must not make a figure of its own
-	case state.Register, state.Update, state.Remove, state.Expire, state.Suspect, state.Trust, state.Member, state.Nothing:
+	case state.OpRegister, state.OpUpdate, state.OpRemove, state.OpExpire, state.OpSuspect, state.OpTrust, state.OpSetMember, state.OpNoop:
 	default:
 		kind = "unknown"
 	}
--- a/internal/registry/replica/metrics_test.go
+++ b/internal/registry/replica/metrics_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	write(t, r, register(1), register(2), state.Op{Kind: state.Remove, UID: "none"}, state.Op{Kind: "made-up"})
+	write(t, r, register(1), register(2), state.Op{Kind: state.OpRemove, UID: "none"}, state.Op{Kind: "made-up"})
 	resp, err := http.Get("http://" + r.Addr() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -337,12 +337,12 @@
 	if r.raft.Barrier(writeWithin).Error() != nil {
 		return nil, 0, nil // it leads no more
 	}
-	var entries []*state.Entry
+	var entries []*state.Instance
 	var rev int64
 	var mine string
-	r.fsm.read(func(s *state.State) { entries, rev, mine = s.Entries(), s.Rev(), s.Members()[r.cfg.ID] })
+	r.fsm.read(func(s *state.State) { entries, rev, mine = s.Instances(), s.Revision(), s.Members()[r.cfg.ID] })
 	if mine != r.Addr() {
-		r.propose([]state.Op{{Kind: state.Member, UID: r.cfg.ID, Address: r.Addr()}})
+		r.propose([]state.Op{{Kind: state.OpSetMember, UID: r.cfg.ID, Address: r.Addr()}})
 	}
 	r.fsm.hub.mu.Lock()
 	wake := r.fsm.hub.wake
@@ -358,11 +358,11 @@
 			kept.warmFor, kept.lapse = 0, defaultLapse
 			return
 		}
-		kept.warmFor, kept.lapse = time.Duration(limits.WarmMS)*time.Millisecond, time.Duration(limits.LapseMS)*time.Millisecond
+		kept.warmFor, kept.lapse = time.Duration(limits.WarmUpMS)*time.Millisecond, time.Duration(limits.PermitExpiryMS)*time.Millisecond
 		if kept.lapse == 0 {
 			kept.lapse = defaultLapse
 		}
-		for _, p := range s.Ledger().Permits() {
+		for _, p := range s.Budget().Permits() {
 			if !p.Begun {
 				copied := *p
 				held = append(held, &copied)
@@ -376,7 +376,7 @@
 func (r *Replica) follow(kept *leases, since int64, now time.Duration) (int64, <-chan struct{}) {
 	rev, wake, changed, whole := r.fsm.hub.entriesAfter(since)
 	if whole {
-		r.fsm.read(func(s *state.State) { changed, rev = s.Entries(), s.Rev() })
+		r.fsm.read(func(s *state.State) { changed, rev = s.Instances(), s.Revision() })
 		*kept = *newLeases(kept.guard, changed, now)
 		return rev, wake
 	}
@@ -387,7 +387,7 @@
 }
 
 // entriesAfter is what has changed since a revision.
-func (h *hub) entriesAfter(since int64) (rev int64, wake <-chan struct{}, changed []*state.Entry, whole bool) {
+func (h *hub) entriesAfter(since int64) (rev int64, wake <-chan struct{}, changed []*state.Instance, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if since == h.rev {
@@ -406,8 +406,8 @@
 // propose writes without waiting for what comes of it: the next look sees that. Ends of leases carry the wall clock, for people.
 func (r *Replica) propose(ops []state.Op) {
 	for i := range ops {
-		if k := ops[i].Kind; k == state.Expire || k == state.Suspect {
-			ops[i].WallMS = time.Now().UnixMilli()
+		if k := ops[i].Kind; k == state.OpExpire || k == state.OpSuspect {
+			ops[i].WallTimeMS = time.Now().UnixMilli()
 		}
 	}
 	text, err := json.Marshal(command{Ops: ops})
@@ -422,7 +422,7 @@
 var errNotLeader = errors.New("not the leader")
 
 // write has a command committed and gives its answers.
-func (r *Replica) write(c command) ([]state.Answer, error) {
+func (r *Replica) write(c command) ([]state.Result, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -23,19 +23,19 @@
 func TestHub(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
-		h := newHub(s.Rev())
+		h := newHub(s.Revision())
 		type reader struct {
 			rev  int64
-			held map[string]*state.Entry
+			held map[string]*state.Instance
 		}
-		readers := []*reader{{held: map[string]*state.Entry{}}, {rev: 7, held: map[string]*state.Entry{}}, {rev: s.Rev(), held: map[string]*state.Entry{}}}
+		readers := []*reader{{held: map[string]*state.Instance{}}, {rev: 7, held: map[string]*state.Instance{}}, {rev: s.Revision(), held: map[string]*state.Instance{}}}
 		catchUp := func(r *reader) {
 			lines, rev, whole, _, err := h.after(r.rev)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if whole {
-				text, at, err := h.wholeList(func() (int64, []*state.Entry) { return s.Rev(), s.Entries() })
+				text, at, err := h.wholeList(func() (int64, []*state.Instance) { return s.Revision(), s.Instances() })
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -51,7 +51,7 @@
 					t.Fatal(err)
 				}
 				if m.All {
-					r.held = map[string]*state.Entry{}
+					r.held = map[string]*state.Instance{}
 				}
 				for _, e := range m.Targets {
 					r.held[e.UID] = e
@@ -61,8 +61,8 @@
 				}
 			}
 			r.rev = rev
-			if r.rev != s.Rev() || len(r.held) != s.Len() {
-				t.Fatalf("holds %d entries at %d, the State %d at %d", len(r.held), r.rev, s.Len(), s.Rev())
+			if r.rev != s.Revision() || len(r.held) != s.Len() {
+				t.Fatalf("holds %d entries at %d, the State %d at %d", len(r.held), r.rev, s.Len(), s.Revision())
 			}
 			for uid, e := range r.held {
 				if !reflect.DeepEqual(e, s.Get(uid)) {
@@ -74,19 +74,19 @@
 			n := rapid.SampledFrom([]int{1, 2, maxBehind, maxBehind + 5}).Draw(t, "lines")
 			for range n {
 				uid := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "uid"))
-				op := state.Op{Kind: state.Remove, UID: uid}
+				op := state.Op{Kind: state.OpRemove, UID: uid}
 				if rapid.Bool().Draw(t, "register") {
-					op = state.Op{Kind: state.Register, Entry: &state.Entry{UID: uid, Endpoint: "a:1", State: state.Serving, BootMS: float64(s.Rev())}}
+					op = state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "a:1", State: state.Serving, StartTimeMS: float64(s.Revision())}}
 				}
 				if _, changed := s.Apply(op); changed != nil {
-					if err := h.publish(s.Rev(), []*state.Entry{changed}); err != nil {
+					if err := h.publish(s.Revision(), []*state.Instance{changed}); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 			if rapid.IntRange(0, 20).Draw(t, "restore") == 0 {
-				s = state.Restored(s, s)
-				h.reset(s.Rev())
+				s = state.RestoreBackup(s, s)
+				h.reset(s.Revision())
 			}
 			catchUp(readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")])
 		}
@@ -118,9 +118,9 @@
 	} {
 		s := state.New()
 		for i, z := range c.zones {
-			s.Apply(state.Op{Kind: state.Register, Entry: &state.Entry{UID: fmt.Sprint("s", i), Endpoint: "a:1", Zone: z, State: state.Serving, TTLMS: 1000}})
+			s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "a:1", Zone: z, State: state.Serving, TTLMS: 1000}})
 		}
-		l := newLeases(g, s.Entries(), 0)
+		l := newLeases(g, s.Instances(), 0)
 		early := 0
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
 			for i, z := range c.zones {
@@ -138,7 +138,7 @@
 			}
 		}
 		suspects := 0
-		for _, e := range s.Entries() {
+		for _, e := range s.Instances() {
 			if e.Suspect {
 				suspects++
 			}
@@ -148,7 +148,7 @@
 		}
 		if c.sus > 0 { // it was the way to the registry: they renew, and are trusted again
 			for now := 40 * time.Second; now < 42*time.Second; now += 100 * time.Millisecond {
-				for _, e := range s.Entries() {
+				for _, e := range s.Instances() {
 					l.renew(e.UID, e.Token, now)
 				}
 				for _, op := range l.look(now) {
@@ -157,7 +157,7 @@
 					}
 				}
 			}
-			for _, e := range s.Entries() {
+			for _, e := range s.Instances() {
 				if e.Suspect {
 					t.Errorf("%s: %s is still suspect", name, e.UID)
 				}
@@ -169,8 +169,8 @@
 // A leader that stood still blames nobody, and its wall clock is none of its concern.
 func TestStalledLeader(t *testing.T) {
 	s := state.New()
-	s.Apply(state.Op{Kind: state.Register, Entry: &state.Entry{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
-	l := newLeases(Guard{Share: 0.3, Least: 3, Window: time.Second, Confirm: time.Second}, s.Entries(), 0)
+	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
+	l := newLeases(Guard{Share: 0.3, Least: 3, Window: time.Second, Confirm: time.Second}, s.Instances(), 0)
 	if ops := l.look(10 * time.Second); len(ops) > 0 {
 		t.Errorf("after a stall of 10 s: %+v", ops)
 	}
@@ -189,16 +189,16 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if a := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(answers); a.err != nil || a.list[0].Fault != "" {
+				if a := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(answers); a.err != nil || a.list[0].Code != "" {
 					b.Fatalf("%+v", a)
 				}
 			}
 			for i := range n {
-				apply(state.Op{Kind: state.Register, Entry: &state.Entry{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", State: state.Serving}})
+				apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", State: state.Serving}})
 			}
 			for i := 0; b.Loop(); i++ {
 				capacity := float64(i + 1)
-				apply(state.Op{Kind: state.Update, UID: fmt.Sprint("s", i%n), Capacity: &capacity})
+				apply(state.Op{Kind: state.OpUpdate, UID: fmt.Sprint("s", i%n), Capacity: &capacity})
 			}
 		})
 	}
--- a/internal/registry/state/agree.go
+++ b/internal/registry/state/agree.go
@@ -19,43 +19,43 @@
 
 // Roles of entries. Those that are no servers stay out of the list that nodes read.
 const (
-	Node       = "node"       // a node's process, which can be taken out as a server can; its Kind is the tier that it sends to
-	Controller = "controller" // whoever acts for all that could; see Op.Fence
+	RoleNode       = "node"       // a node's process, which can be taken out as a server can; its Kind is the tier that it sends to
+	RoleController = "controller" // whoever acts for all that could; see Op.Fence
 )
 
 // Kinds of writes about what is agreed.
 const (
-	SetLimits = "limits"
-	Permit    = "permit" // for one start of one unit
-	Begin     = "begin"  // the unit is taken out from now on; a server drains with it
-	Return    = "return" // a permit that has not begun
-	Gone      = "gone"   // a unit that will not come back, or not soon
-	Warm      = "warm"   // by the leader: how cold a unit still is
-	Avoid     = "avoid"  // by a node: which servers it keeps out for their health
-	Put       = "put"    // a record, or with no value its end
-
-	Propose  = "propose"  // a version of nodes' settings, against the one that it replaces
-	Ack      = "ack"      // by a node: it could run what is proposed, or why not
-	Report   = "report"   // by a node: what it runs
-	Commit   = "commit"   // the next stage's nodes are to run it; the answer's Token is the version in force
-	Withdraw = "withdraw" // what no node was told to run
-	GoBack   = "go-back"  // the old content as a new version
-	Halt     = "halt"     // the version under way
+	OpSetLimits     = "limits"
+	OpGrantPermit   = "permit" // for one start of one unit
+	OpBeginPermit   = "begin"  // the unit is taken out from now on; a server drains with it
+	OpReturnPermit  = "return" // a permit that has not begun
+	OpDecommission  = "gone"   // a unit that will not come back, or not soon
+	OpWarmUp        = "warm"   // by the leader: how cold a unit still is
+	OpReportEjected = "avoid"  // by a node: which servers it keeps out for their health
+	OpPutRecord     = "put"    // a record, or with no value its end
+
+	OpPropose     = "propose"  // a version of nodes' settings, against the one that it replaces
+	OpAcknowledge = "ack"      // by a node: it could run what is proposed, or why not
+	OpReport      = "report"   // by a node: what it runs
+	OpAdvance     = "commit"   // the next stage's nodes are to run it; the answer's Token is the version in force
+	OpWithdraw    = "withdraw" // what no node was told to run
+	OpRollback    = "go-back"  // the old content as a new version
+	OpHalt        = "halt"     // the version under way
 )
 
 // Faults of writes about what is agreed.
 const (
-	OverBudget = "over-budget"
-	Halted     = "halted"
-	NoPermit   = "no-permit"
-	NotYet     = "not-yet" // Why says what is missing
+	CodeOverBudget = "over-budget"
+	CodeHalted     = "halted"
+	CodeNoPermit   = "no-permit"
+	CodeNotReady   = "not-yet" // Reason says what is missing
 )
 
-// Absent as Op.IfMod means that there must be no such entry or record.
+// Absent as Op.IfModRevision means that there must be no such entry or record.
 const Absent = -1
 
-// HaltPrefix begins the key of the record that halts a plan: while it stands nothing of the plan begins.
-const HaltPrefix = "halt/"
+// HaltKeyPrefix begins the key of the record that halts a plan: while it stands nothing of the plan begins.
+const HaltKeyPrefix = "halt/"
 
 // Fence names an entry that must be held by a token, for a write to count: whoever has lost its lease writes in vain.
 type Fence struct {
@@ -65,31 +65,31 @@
 
 // Record is something agreed on, under a key.
 type Record struct {
-	Key   string          `json:"key"`
-	Mod   int64           `json:"mod"` // revision of its last change
-	Value json.RawMessage `json:"value"`
+	Key         string          `json:"key"`
+	ModRevision int64           `json:"mod"` // revision of its last change
+	Value       json.RawMessage `json:"value"`
 }
 
 // agreed is that part of a State.
 type agreed struct {
 	limits  *disruption.Limits // nil: none, and nobody counts
-	ledger  *disruption.Ledger
-	missing map[string]*Entry // that nobody hears from, or that took themselves out: out until back or declared gone
+	ledger  *disruption.Budget
+	missing map[string]*Instance // that nobody hears from, or that took themselves out: out until back or declared gone
 	records map[string]*Record
 	avoids  map[string][]string // by node
 	avoided map[string]int      // by server: how many nodes avoid it
 	nodes   map[string]int      // by the tier that they send to, how many there are
-	book    *rollout.Book       // of the versions of nodes' settings
+	book    *rollout.State      // of the versions of nodes' settings
 	configs map[int64]json.RawMessage
 }
 
 func newAgreed() agreed {
-	return agreed{ledger: disruption.New(), missing: map[string]*Entry{}, records: map[string]*Record{},
+	return agreed{ledger: disruption.NewBudget(), missing: map[string]*Instance{}, records: map[string]*Record{},
 		avoids: map[string][]string{}, avoided: map[string]int{}, nodes: map[string]int{}, book: rollout.New(), configs: map[int64]json.RawMessage{}}
 }
 
-// Ledger is what may be out and what is. It must not be changed.
-func (s *State) Ledger() *disruption.Ledger { return s.ledger }
+// Budget is what may be out and what is. It must not be changed.
+func (s *State) Budget() *disruption.Budget { return s.ledger }
 
 // Limits are those in force; nil: none.
 func (s *State) Limits() *disruption.Limits { return s.limits }
@@ -109,21 +109,21 @@
 }
 
 // Units are the entries that count in a budget, the missing with them, by uid.
-func (s *State) Units() []*Entry {
-	l := []*Entry{}
-	for _, from := range []map[string]*Entry{s.entries, s.missing} {
+func (s *State) Units() []*Instance {
+	l := []*Instance{}
+	for _, from := range []map[string]*Instance{s.entries, s.missing} {
 		for _, e := range from {
-			if e.Tier != "" && e.Role != Controller {
+			if e.Tier != "" && e.Role != RoleController {
 				l = append(l, e)
 			}
 		}
 	}
-	slices.SortFunc(l, func(a, b *Entry) int { return compare(a.UID, b.UID) })
+	slices.SortFunc(l, func(a, b *Instance) int { return compare(a.UID, b.UID) })
 	return l
 }
 
-// Missing gives an entry that is out as nobody hears from it, or nil.
-func (s *State) Missing(uid string) *Entry { return s.missing[uid] }
+// Unreachable gives an entry that is out as nobody hears from it, or nil.
+func (s *State) Unreachable(uid string) *Instance { return s.missing[uid] }
 
 // fenced says that a write's fence holds no more.
 func (s *State) fenced(f *Fence) bool {
@@ -134,154 +134,154 @@
 	return e == nil || e.Token != f.Token
 }
 
-// Book is which versions of their settings nodes run. It must not be changed.
-func (s *State) Book() *rollout.Book { return s.book }
+// Rollout is which versions of their settings nodes run. It must not be changed.
+func (s *State) Rollout() *rollout.State { return s.book }
 
-// Config is the content of a version; nil: it is not known.
-func (s *State) Config(number int64) json.RawMessage { return s.configs[number] }
+// NodeSettings is the content of a version; nil: it is not known.
+func (s *State) Settings(number int64) json.RawMessage { return s.configs[number] }
 
 // rollout carries out a write about the versions of nodes' settings.
-func (s *State) rollout(op Op) Answer {
+func (s *State) rollout(op Op) Result {
 	var err error
 	var v *rollout.Version
 	switch op.Kind {
-	case Propose:
+	case OpPropose:
 		if len(op.Value) == 0 || len(op.Value) > maxRecord || !json.Valid(op.Value) {
-			return Answer{Fault: Bad}
+			return Result{Code: CodeInvalid}
 		}
-		if v, err = s.book.Propose(Hash(op.Value), op.Replaces, op.Stages); err == nil {
+		if v, err = s.book.Propose(ContentHash(op.Value), op.Replaces, op.Stages); err == nil {
 			s.configs[v.Number], v.BakeMS = op.Value, op.BakeMS
 		}
-	case GoBack:
+	case OpRollback:
 		content := s.configs[s.book.Committed.Number]
-		if v, err = s.book.Back(); err == nil {
+		if v, err = s.book.Rollback(); err == nil {
 			s.configs[v.Number] = content
 		}
-	case Ack:
-		err = s.book.Ack(op.UID, op.Token, op.Number, op.Hash, op.Refused)
-	case Report:
+	case OpAcknowledge:
+		err = s.book.Acknowledge(op.UID, op.Token, op.Number, op.Hash, op.RejectReason)
+	case OpReport:
 		err = s.book.Report(op.UID, op.Token, op.Number, op.Hash)
-	case Commit:
-		err = s.book.Commit(op.Number, op.Stage)
-	case Withdraw:
+	case OpAdvance:
+		err = s.book.Advance(op.Number, op.Stage)
+	case OpWithdraw:
 		err = s.book.Withdraw(op.Number)
-	case Halt:
+	case OpHalt:
 		err = s.book.Halt(op.Holder)
 	}
 	if err != nil {
-		return Answer{Fault: NotYet, Why: err.Error()}
+		return Result{Code: CodeNotReady, Reason: err.Error()}
 	}
 	s.rev++
-	wants := s.book.Wants()
+	wants := s.book.NeededVersions()
 	maps.DeleteFunc(s.configs, func(n int64, _ json.RawMessage) bool { return !wants[n] })
-	a := Answer{}
+	a := Result{}
 	switch {
 	case v != nil:
 		a.Token = v.Number
-	case op.Kind == Commit:
+	case op.Kind == OpAdvance:
 		a.Token = s.book.Committed.Number
 	}
 	return a
 }
 
-// Hash is what a version's content is known by. It is of the text as it stands.
-func Hash(content []byte) string {
+// ContentHash is what a version's content is known by. It is of the text as it stands.
+func ContentHash(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
 // agree carries out a write about what is agreed.
-func (s *State) agree(op Op) (Answer, *Entry) {
+func (s *State) agree(op Op) (Result, *Instance) {
 	switch op.Kind {
-	case Propose, GoBack, Ack, Report, Commit, Withdraw, Halt:
+	case OpPropose, OpRollback, OpAcknowledge, OpReport, OpAdvance, OpWithdraw, OpHalt:
 		return s.rollout(op), nil
-	case SetLimits:
-		if op.Limits == nil || op.Limits.Check() != nil {
-			return Answer{Fault: Bad}, nil
+	case OpSetLimits:
+		if op.Limits == nil || op.Limits.Validate() != nil {
+			return Result{Code: CodeInvalid}, nil
 		}
 		s.rev++
 		s.limits = op.Limits
-		s.ledger.Limit(*op.Limits)
-		return Answer{}, nil
-	case Permit:
+		s.ledger.SetLimits(*op.Limits)
+		return Result{}, nil
+	case OpGrantPermit:
 		return s.permit(op), nil
-	case Begin:
+	case OpBeginPermit:
 		return s.begin(op)
-	case Return:
+	case OpReturnPermit:
 		if !s.ledger.Return(op.UID, op.Token) {
-			return Answer{Fault: NoPermit}, nil
+			return Result{Code: CodeNoPermit}, nil
 		}
 		s.rev++
-		return Answer{}, nil
-	case Gone:
+		return Result{}, nil
+	case OpDecommission:
 		if s.entries[op.UID] != nil {
-			return s.change(Op{Kind: Remove, UID: op.UID})
+			return s.change(Op{Kind: OpRemove, UID: op.UID})
 		}
 		if s.missing[op.UID] == nil {
-			return Answer{Fault: NotFound}, nil
+			return Result{Code: CodeNotFound}, nil
 		}
 		s.forget(op.UID)
 		s.rev++
-		return Answer{}, nil
-	case Avoid:
+		return Result{}, nil
+	case OpReportEjected:
 		return s.avoid(op), nil
-	case Put:
+	case OpPutRecord:
 		return s.putRecord(op), nil
 	}
-	return Answer{Fault: Bad}, nil
+	return Result{Code: CodeInvalid}, nil
 }
 
-func (s *State) permit(op Op) Answer {
+func (s *State) permit(op Op) Result {
 	had := s.ledger.Permit(op.UID)
-	p, err := s.ledger.Grant(disruption.Permit{Unit: op.UID, Start: op.Start, Token: s.rev + 1, Holder: op.Holder, Plan: op.Plan, To: op.To}, op.Over)
+	p, err := s.ledger.Grant(disruption.Permit{Unit: op.UID, Incarnation: op.Incarnation, Token: s.rev + 1, Holder: op.Holder, Plan: op.Plan, TargetVersion: op.TargetVersion}, op.ReplacesPlan)
 	if err != nil {
-		return Answer{Fault: OverBudget, Why: err.Error()}
+		return Result{Code: CodeOverBudget, Reason: err.Error()}
 	}
 	if had != p {
 		s.rev++
 	}
-	return Answer{Token: p.Token}
+	return Result{Token: p.Token}
 }
 
 // begin lets a permit's holder take its unit out. What has begun can begin again, halted or not, as its first answer
 // may have been lost.
-func (s *State) begin(op Op) (Answer, *Entry) {
+func (s *State) begin(op Op) (Result, *Instance) {
 	p := s.ledger.Permit(op.UID)
-	if p != nil && !p.Begun && p.Plan != "" && s.records[HaltPrefix+p.Plan] != nil {
-		return Answer{Fault: Halted}, nil
+	if p != nil && !p.Begun && p.Plan != "" && s.records[HaltKeyPrefix+p.Plan] != nil {
+		return Result{Code: CodeHalted}, nil
 	}
 	begun := p != nil && p.Begun
 	p, err := s.ledger.Begin(op.UID, op.Token)
 	switch {
-	case errors.Is(err, disruption.ErrStart):
-		return Answer{Fault: Fenced, Why: err.Error()}, nil
+	case errors.Is(err, disruption.ErrUnitRestarted):
+		return Result{Code: CodeFenced, Reason: err.Error()}, nil
 	case err != nil:
-		return Answer{Fault: NoPermit, Why: err.Error()}, nil
+		return Result{Code: CodeNoPermit, Reason: err.Error()}, nil
 	case begun:
-		return Answer{Token: p.Token}, nil
+		return Result{Token: p.Token}, nil
 	}
 	e := s.entries[op.UID]
 	if e == nil || e.Role != "" {
 		s.rev++
-		return Answer{Token: p.Token}, nil
+		return Result{Token: p.Token}, nil
 	}
 	drained := *e
 	drained.State = Draining
-	return Answer{Token: p.Token}, s.put(drained)
+	return Result{Token: p.Token}, s.put(drained)
 }
 
 // avoid notes which servers a node keeps out. A server counts as out while more than half of the nodes do.
-func (s *State) avoid(op Op) Answer {
+func (s *State) avoid(op Op) Result {
 	e := s.entries[op.UID]
 	switch {
-	case e == nil || e.Role != Node:
-		return Answer{Fault: NotFound}
+	case e == nil || e.Role != RoleNode:
+		return Result{Code: CodeNotFound}
 	case op.Token != e.Token:
-		return Answer{Fault: Fenced}
+		return Result{Code: CodeFenced}
 	}
-	s.setAvoids(op.UID, op.Avoids)
+	s.setAvoids(op.UID, op.Ejected)
 	s.rev++
-	return Answer{}
+	return Result{}
 }
 
 func (s *State) setAvoids(node string, avoids []string) {
@@ -307,15 +307,15 @@
 	}
 }
 
-func (s *State) putRecord(op Op) Answer {
+func (s *State) putRecord(op Op) Result {
 	old := s.records[op.Key]
 	switch {
 	case op.Key == "" || len(op.Key) > maxText || len(op.Value) > maxRecord || len(op.Value) > 0 && !json.Valid(op.Value):
-		return Answer{Fault: Bad}
-	case op.IfMod == Absent && old != nil, op.IfMod > 0 && (old == nil || old.Mod != op.IfMod):
-		return Answer{Fault: Conflict}
+		return Result{Code: CodeInvalid}
+	case op.IfModRevision == Absent && old != nil, op.IfModRevision > 0 && (old == nil || old.ModRevision != op.IfModRevision):
+		return Result{Code: CodeConflict}
 	case len(op.Value) == 0 && old == nil:
-		return Answer{Fault: NotFound}
+		return Result{Code: CodeNotFound}
 	}
 	s.rev++
 	if len(op.Value) == 0 {
@@ -323,37 +323,37 @@
 	} else {
 		s.records[op.Key] = &Record{op.Key, s.rev, op.Value}
 	}
-	return Answer{}
+	return Result{}
 }
 
 // note lets the ledger know of an entry as it is now.
-func (s *State) note(e *Entry) {
-	if e.Tier == "" || e.Role == Controller {
+func (s *State) note(e *Instance) {
+	if e.Tier == "" || e.Role == RoleController {
 		return
 	}
-	if e.Role == Node {
+	if e.Role == RoleNode {
 		// Nobody has to be dead for the book: a lease that has ended is enough, believed or not.
-		s.book.SetNode(e.UID, e.Zone, e.Token, e.Suspect || s.missing[e.UID] != nil, rollout.Moment{Rev: s.rev, WallMS: s.wall})
+		s.book.SetNode(e.UID, e.Zone, e.Token, e.Suspect || s.missing[e.UID] != nil, rollout.Timestamp{Revision: s.rev, UnixMS: s.wall})
 	}
-	u := disruption.Unit{ID: e.UID, Start: e.Token, Boot: e.BootMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack, Capacity: e.Capacity}
+	u := disruption.Unit{ID: e.UID, Incarnation: e.Token, StartTimeMS: e.StartTimeMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack, Capacity: e.Capacity}
 	switch {
 	case s.missing[e.UID] != nil:
-		u.Out, u.Why = 1, disruption.Missing
+		u.UnavailableShare, u.Reason = 1, disruption.ReasonUnreachable
 	case e.Suspect:
-		u.Out, u.Why = 1, "suspect"
+		u.UnavailableShare, u.Reason = 1, "suspect"
 	case e.State == Draining:
-		u.Out, u.Why = 1, "draining"
+		u.UnavailableShare, u.Reason = 1, "draining"
 	case 2*s.avoided[e.UID] > s.nodes[e.Tier]:
-		u.Out, u.Why = 1, "avoided"
-	case e.Cold > 0:
-		u.Out, u.Why = e.Cold, "cold"
+		u.UnavailableShare, u.Reason = 1, "avoided"
+	case e.WarmUpDeficit > 0:
+		u.UnavailableShare, u.Reason = e.WarmUpDeficit, "cold"
 	}
-	s.ledger.Set(u)
+	s.ledger.SetUnit(u)
 }
 
 // settle notes an entry that was put in place of another, or taken out.
-func (s *State) settle(old, e *Entry, declared bool) {
-	if e.Role == Node {
+func (s *State) settle(old, e *Instance, declared bool) {
+	if e.Role == RoleNode {
 		s.countNode(old, -1)
 		s.countNode(e, 1)
 		if e.State == Deleted || old != nil && old.Token != e.Token { // another process knows nothing yet
@@ -361,11 +361,11 @@
 		}
 	}
 	switch {
-	case e.Tier == "" || e.Role == Controller:
+	case e.Tier == "" || e.Role == RoleController:
 	case e.State != Deleted:
 		delete(s.missing, e.UID)
 		s.note(e)
-	case declared || s.limits == nil && e.Role != Node:
+	case declared || s.limits == nil && e.Role != RoleNode:
 		s.forget(e.UID)
 	default:
 		gone := *e
@@ -378,13 +378,13 @@
 // forget counts a unit no more.
 func (s *State) forget(uid string) {
 	delete(s.missing, uid)
-	s.ledger.Gone(uid)
-	s.book.Gone(uid)
+	s.ledger.Decommission(uid)
+	s.book.Decommission(uid)
 }
 
 // countNode counts a node in or out, and looks anew at what most nodes avoid.
-func (s *State) countNode(e *Entry, n int) {
-	if e == nil || e.Role != Node || e.State == Deleted {
+func (s *State) countNode(e *Instance, n int) {
+	if e == nil || e.Role != RoleNode || e.State == Deleted {
 		return
 	}
 	s.nodes[e.Kind] += n
@@ -396,33 +396,33 @@
 }
 
 // found takes back an entry that was missing, in the same start of the same process.
-func (s *State) found(lost *Entry, e Entry) (Answer, *Entry) {
-	e.Token, e.Cold = lost.Token, lost.Cold
-	return Answer{Token: e.Token}, s.put(e)
+func (s *State) found(lost *Instance, e Instance) (Result, *Instance) {
+	e.Token, e.WarmUpDeficit = lost.Token, lost.WarmUpDeficit
+	return Result{Token: e.Token}, s.put(e)
 }
 
 // taken says that an entry's start was taken out by a permit: until it starts anew it drains, whatever it says itself.
-func (s *State) taken(e *Entry) bool {
+func (s *State) taken(e *Instance) bool {
 	p := s.ledger.Permit(e.UID)
-	return p != nil && p.Begun && p.Boot == e.BootMS && e.Role == ""
+	return p != nil && p.Begun && p.StartTimeMS == e.StartTimeMS && e.Role == ""
 }
 
 // changing says that a release is changing a unit: it cannot be told to serve until that is over, or was taken back
 // before anything had changed.
-func (s *State) changing(e *Entry) (plan string, is bool) {
+func (s *State) changing(e *Instance) (plan string, is bool) {
 	p := s.ledger.Permit(e.UID)
-	if p == nil || !p.Begun || p.To == "" || p.To == e.Version {
+	if p == nil || !p.Begun || p.TargetVersion == "" || p.TargetVersion == e.Version {
 		return "", false
 	}
 	return p.Plan, true
 }
 
 // cold is how cold an entry is that has just started.
-func (s *State) cold(e *Entry) float64 {
-	if s.limits == nil || s.limits.WarmMS == 0 || e.BootMS == 0 {
+func (s *State) cold(e *Instance) float64 {
+	if s.limits == nil || s.limits.WarmUpMS == 0 || e.StartTimeMS == 0 {
 		return 0
 	}
-	return 1 - s.limits.ColdFrom
+	return 1 - s.limits.InitialShare
 }
 
 // ---- Snapshots ----
@@ -431,11 +431,11 @@
 type agreedImage struct {
 	Limits  *disruption.Limits   `json:"limits,omitempty"`
 	Permits []*disruption.Permit `json:"permits,omitempty"`
-	Missing []*Entry             `json:"missing,omitempty"`
+	Missing []*Instance          `json:"missing,omitempty"`
 	Records []*Record            `json:"records,omitempty"`
 	Avoids  map[string][]string  `json:"avoids,omitempty"`
 
-	Book    *rollout.Book             `json:"book,omitempty"`
+	Book    *rollout.State            `json:"book,omitempty"`
 	Configs map[int64]json.RawMessage `json:"configs,omitempty"`
 }
 
@@ -451,14 +451,14 @@
 func (s *State) load(m agreedImage) {
 	if m.Limits != nil {
 		s.limits = m.Limits
-		s.ledger.Limit(*m.Limits)
+		s.ledger.SetLimits(*m.Limits)
 	}
 	for _, r := range m.Records {
 		s.records[r.Key] = r
 	}
 	if m.Book != nil {
 		s.book = m.Book.Clone()
-		s.book.Complete()
+		s.book.MigrateLegacy()
 	}
 	maps.Copy(s.configs, m.Configs)
 	for _, e := range m.Missing {
@@ -469,7 +469,7 @@
 	for _, e := range s.entries {
 		s.countNode(e, 1)
 	}
-	for _, e := range s.Entries() {
+	for _, e := range s.Instances() {
 		s.note(e)
 	}
 	for _, e := range s.missing {
@@ -506,11 +506,11 @@
 	})
 	for _, p := range running.ledger.Permits() {
 		kept := *p
-		kept.SeenOut = false // in the new epoch, not yet
+		kept.SeenUnavailable = false // in the new epoch, not yet
 		m.Permits = append(m.Permits, &kept)
-		if e := s.entries[p.Unit]; e != nil && p.Begun && p.Boot >= e.BootMS && e.Role == "" {
+		if e := s.entries[p.Unit]; e != nil && p.Begun && p.StartTimeMS >= e.StartTimeMS && e.Role == "" {
 			drained := *e
-			drained.State, drained.Mod = Draining, s.rev
+			drained.State, drained.ModRevision = Draining, s.rev
 			s.entries[p.Unit] = &drained
 		}
 	}
--- a/internal/registry/state/agree_test.go
+++ b/internal/registry/state/agree_test.go
@@ -15,15 +15,15 @@
 
 func half() *disruption.Limits {
 	v := 0.5
-	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Whole: &v}}, ColdFrom: 0.4, WarmMS: 1000}
+	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialShare: 0.4, WarmUpMS: 1000}
 }
 
 // site is a State with limits and so many units of capacity 1, s0 and on, all warm.
 func site(units int) *State {
 	s := New()
-	s.Apply(Op{Kind: SetLimits, Limits: half()})
+	s.Apply(Op{Kind: OpSetLimits, Limits: half()})
 	for i := range units {
-		s.Apply(Op{Kind: Register, Entry: &Entry{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}})
+		s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}})
 	}
 	return s
 }
@@ -36,95 +36,95 @@
 	step := func(what string, op Op, fault string) {
 		t.Helper()
 		a, _ := s.Apply(op)
-		if a.Fault != fault {
+		if a.Code != fault {
 			t.Errorf("%s: %+v, want %q", what, a, fault)
 		}
-		if op.Kind == Permit && a.Fault == "" {
+		if op.Kind == OpGrantPermit && a.Code == "" {
 			token[op.UID] = a.Token
 		}
 	}
 	ask := func(uid string) Op {
-		return Op{Kind: Permit, UID: uid, Start: start(uid), Holder: "me", Plan: "p", To: "v2"}
+		return Op{Kind: OpGrantPermit, UID: uid, Incarnation: start(uid), Holder: "me", Plan: "p", TargetVersion: "v2"}
 	}
 	out := func(want float64) {
 		t.Helper()
-		if u := s.Ledger().Uses(); u[0].Out != want {
-			t.Errorf("%v of %v out, want %v", u[0].Out, u[0].Capacity, want)
+		if u := s.Budget().Usages(); u[0].Unavailable != want {
+			t.Errorf("%v of %v out, want %v", u[0].Unavailable, u[0].Capacity, want)
 		}
 	}
 	step("the first", ask("s0"), "")
 	step("once more", ask("s0"), "")
 	step("the second", ask("s1"), "")
-	step("one too many", ask("s2"), OverBudget)
+	step("one too many", ask("s2"), CodeOverBudget)
 	out(2)
-	step("a wrong token", Op{Kind: Begin, UID: "s0", Token: 1}, NoPermit)
-	step("it begins", Op{Kind: Begin, UID: "s0", Token: token["s0"]}, "")
+	step("a wrong token", Op{Kind: OpBeginPermit, UID: "s0", Token: 1}, CodeNoPermit)
+	step("it begins", Op{Kind: OpBeginPermit, UID: "s0", Token: token["s0"]}, "")
 	if s.Get("s0").State != Draining {
 		t.Error("a server that is taken out does not drain")
 	}
-	step("a halt", Op{Kind: Put, Key: HaltPrefix + "p", Value: json.RawMessage(`{}`)}, "")
-	step("what had begun may begin again", Op{Kind: Begin, UID: "s0", Token: token["s0"]}, "")
-	step("nothing else begins", Op{Kind: Begin, UID: "s1", Token: token["s1"]}, Halted)
-	step("it is given back", Op{Kind: Return, UID: "s1", Token: token["s1"]}, "")
-	step("what has begun is not", Op{Kind: Return, UID: "s0", Token: token["s0"]}, NoPermit)
+	step("a halt", Op{Kind: OpPutRecord, Key: HaltKeyPrefix + "p", Value: json.RawMessage(`{}`)}, "")
+	step("what had begun may begin again", Op{Kind: OpBeginPermit, UID: "s0", Token: token["s0"]}, "")
+	step("nothing else begins", Op{Kind: OpBeginPermit, UID: "s1", Token: token["s1"]}, CodeHalted)
+	step("it is given back", Op{Kind: OpReturnPermit, UID: "s1", Token: token["s1"]}, "")
+	step("what has begun is not", Op{Kind: OpReturnPermit, UID: "s0", Token: token["s0"]}, CodeNoPermit)
 	out(1)
 
-	step("its lease ends", Op{Kind: Expire, UID: "s0", Token: start("s0")}, "")
+	step("its lease ends", Op{Kind: OpExpire, UID: "s0", Token: start("s0")}, "")
 	out(1)
-	again := &Entry{UID: "s0", Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}
-	step("the same process comes back", Op{Kind: Register, Entry: again}, "")
-	if s.Get("s0").State != Draining || s.Ledger().Permit("s0") == nil {
+	again := &Instance{UID: "s0", Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}
+	step("the same process comes back", Op{Kind: OpRegister, Instance: again}, "")
+	if s.Get("s0").State != Draining || s.Budget().Permit("s0") == nil {
 		t.Error("a unit that is being taken out came back and serves")
 	}
 	next := *again
-	next.BootMS, next.Version = 5, "v2"
-	step("its next start", Op{Kind: Register, Entry: &next}, "")
-	if s.Get("s0").Cold != 0.6 || s.Ledger().Permit("s0") == nil {
-		t.Errorf("a start that is cold by %v frees its permit", s.Get("s0").Cold)
+	next.StartTimeMS, next.Version = 5, "v2"
+	step("its next start", Op{Kind: OpRegister, Instance: &next}, "")
+	if s.Get("s0").WarmUpDeficit != 0.6 || s.Budget().Permit("s0") == nil {
+		t.Errorf("a start that is cold by %v frees its permit", s.Get("s0").WarmUpDeficit)
 	}
 	out(1)
 	warm := 0.0
-	step("it is warm", Op{Kind: Warm, UID: "s0", Token: start("s0"), Cold: &warm}, "")
+	step("it is warm", Op{Kind: OpWarmUp, UID: "s0", Token: start("s0"), WarmUpDeficit: &warm}, "")
 	out(0)
 
-	step("a crash", Op{Kind: Expire, UID: "s3", Token: start("s3")}, "")
-	step("another", Op{Kind: Remove, UID: "s2", Token: start("s2")}, "")
+	step("a crash", Op{Kind: OpExpire, UID: "s3", Token: start("s3")}, "")
+	step("another", Op{Kind: OpRemove, UID: "s2", Token: start("s2")}, "")
 	out(2)
-	step("faults have taken all that may be out", ask("s1"), OverBudget)
-	step("one is declared gone", Op{Kind: Gone, UID: "s3"}, "")
+	step("faults have taken all that may be out", ask("s1"), CodeOverBudget)
+	step("one is declared gone", Op{Kind: OpDecommission, UID: "s3"}, "")
 	out(1)
-	step("which is not there twice", Op{Kind: Gone, UID: "s3"}, NotFound)
-	step("a drain without a permit counts", Op{Kind: Update, UID: "s1", State: Draining}, "")
+	step("which is not there twice", Op{Kind: OpDecommission, UID: "s3"}, CodeNotFound)
+	step("a drain without a permit counts", Op{Kind: OpUpdate, UID: "s1", State: Draining}, "")
 	out(2)
-	if o := s.Ledger().Outs(); len(o) != 2 || o[0].Unit != "s1" || o[0].Permitted || o[0].Why != "draining" {
+	if o := s.Budget().UnavailableUnits(); len(o) != 2 || o[0].Unit != "s1" || o[0].Permitted || o[0].Reason != "draining" {
 		t.Errorf("out: %+v", o)
 	}
 
-	step("a controller", Op{Kind: Register, IfMod: Absent, Entry: &Entry{UID: "c", Endpoint: "one", State: Serving, Role: Controller, BootMS: 1}}, "")
-	step("another one", Op{Kind: Register, IfMod: Absent, Entry: &Entry{UID: "c", Endpoint: "two", State: Serving, Role: Controller, BootMS: 2}}, Conflict)
+	step("a controller", Op{Kind: OpRegister, IfModRevision: Absent, Instance: &Instance{UID: "c", Endpoint: "one", State: Serving, Role: RoleController, StartTimeMS: 1}}, "")
+	step("another one", Op{Kind: OpRegister, IfModRevision: Absent, Instance: &Instance{UID: "c", Endpoint: "two", State: Serving, Role: RoleController, StartTimeMS: 2}}, CodeConflict)
 	lead := &Fence{"c", start("c")}
-	step("it acts", Op{Kind: Put, Key: "k", Value: json.RawMessage(`1`), Fence: lead}, "")
-	step("its lease ends", Op{Kind: Expire, UID: "c", Token: lead.Token}, "")
-	step("it acts no more", Op{Kind: Put, Key: "k", Value: json.RawMessage(`2`), Fence: lead}, Fenced)
-	step("a record that is there", Op{Kind: Put, Key: "k", Value: json.RawMessage(`2`), IfMod: Absent}, Conflict)
-	step("no JSON", Op{Kind: Put, Key: "k", Value: json.RawMessage(`{`)}, Bad)
+	step("it acts", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`1`), Fence: lead}, "")
+	step("its lease ends", Op{Kind: OpExpire, UID: "c", Token: lead.Token}, "")
+	step("it acts no more", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`2`), Fence: lead}, CodeFenced)
+	step("a record that is there", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`2`), IfModRevision: Absent}, CodeConflict)
+	step("no JSON", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`{`)}, CodeInvalid)
 }
 
 // A server counts as out while most of the nodes that send to its tier avoid it.
 func TestAvoided(t *testing.T) {
 	s := site(2)
 	for i := range 3 {
-		s.Apply(Op{Kind: Register, Entry: &Entry{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: Node, Tier: "front", Kind: "web", Capacity: 1}})
+		s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Kind: "web", Capacity: 1}})
 	}
 	avoid := func(i int, l ...string) {
 		uid := fmt.Sprint("n", i)
-		if a, _ := s.Apply(Op{Kind: Avoid, UID: uid, Token: s.Get(uid).Token, Avoids: l}); a.Fault != "" {
+		if a, _ := s.Apply(Op{Kind: OpReportEjected, UID: uid, Token: s.Get(uid).Token, Ejected: l}); a.Code != "" {
 			t.Errorf("%+v", a)
 		}
 	}
 	is := func(want bool, when string) {
 		t.Helper()
-		if o := s.Ledger().Outs(); (len(o) == 1 && o[0].Unit == "s1" && o[0].Why == "avoided") != want {
+		if o := s.Budget().UnavailableUnits(); (len(o) == 1 && o[0].Unit == "s1" && o[0].Reason == "avoided") != want {
 			t.Errorf("%s: %+v", when, o)
 		}
 	}
@@ -135,9 +135,9 @@
 	avoid(0)
 	is(false, "one again")
 	avoid(2, "s1")
-	s.Apply(Op{Kind: Remove, UID: "n2", Token: 0})
+	s.Apply(Op{Kind: OpRemove, UID: "n2", Token: 0})
 	is(false, "one of two, as the third has gone")
-	s.Apply(Op{Kind: Remove, UID: "n0", Token: 0})
+	s.Apply(Op{Kind: OpRemove, UID: "n0", Token: 0})
 	is(true, "the one that is left")
 }
 
@@ -150,21 +150,21 @@
 			uid := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "unit"))
 			e := s.Get(uid)
 			if e == nil {
-				e = &Entry{UID: uid, Endpoint: "x:1", State: Serving, Tier: "web", Capacity: 1, BootMS: rapid.SampledFrom([]float64{0, 7}).Draw(t, "boot")}
+				e = &Instance{UID: uid, Endpoint: "x:1", State: Serving, Tier: "web", Capacity: 1, StartTimeMS: rapid.SampledFrom([]float64{0, 7}).Draw(t, "boot")}
 			}
 			var permit int64
-			if p := s.Ledger().Permit(uid); p != nil {
+			if p := s.Budget().Permit(uid); p != nil {
 				permit = p.Token
 			}
-			cold := e.Cold / 2
+			cold := e.WarmUpDeficit / 2
 			again := *e
-			again.BootMS++
+			again.StartTimeMS++
 			return rapid.SampledFrom([]Op{
-				{Kind: Register, Entry: e}, {Kind: Register, Entry: &again}, {Kind: Permit, UID: uid, Start: e.Token, Holder: "me", Plan: "p"},
-				{Kind: Permit, UID: uid, Start: e.Token, Holder: "me", Plan: "p-back", Over: "p"},
-				{Kind: Begin, UID: uid, Token: permit}, {Kind: Return, UID: uid, Token: permit}, {Kind: Expire, UID: uid, Token: e.Token},
-				{Kind: Warm, UID: uid, Token: e.Token, Cold: &cold}, {Kind: Gone, UID: uid}, {Kind: Suspect, UID: uid}, {Kind: Trust, UID: uid},
-				{Kind: Update, UID: uid, State: Draining}, {Kind: Update, UID: uid, State: Serving},
+				{Kind: OpRegister, Instance: e}, {Kind: OpRegister, Instance: &again}, {Kind: OpGrantPermit, UID: uid, Incarnation: e.Token, Holder: "me", Plan: "p"},
+				{Kind: OpGrantPermit, UID: uid, Incarnation: e.Token, Holder: "me", Plan: "p-back", ReplacesPlan: "p"},
+				{Kind: OpBeginPermit, UID: uid, Token: permit}, {Kind: OpReturnPermit, UID: uid, Token: permit}, {Kind: OpExpire, UID: uid, Token: e.Token},
+				{Kind: OpWarmUp, UID: uid, Token: e.Token, WarmUpDeficit: &cold}, {Kind: OpDecommission, UID: uid}, {Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid},
+				{Kind: OpUpdate, UID: uid, State: Draining}, {Kind: OpUpdate, UID: uid, State: Serving},
 			}).Draw(t, "op")
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "before") {
@@ -186,26 +186,26 @@
 				t.Fatalf("%+v: %+v, and read from its snapshot %+v", o, a, b)
 			}
 		}
-		if d := cmp.Diff(s.Ledger().Uses(), read.Ledger().Uses()) + cmp.Diff(s.Ledger().Outs(), read.Ledger().Outs()); d != "" {
+		if d := cmp.Diff(s.Budget().Usages(), read.Budget().Usages()) + cmp.Diff(s.Budget().UnavailableUnits(), read.Budget().UnavailableUnits()); d != "" {
 			t.Fatal(d)
 		}
 		backup, err := Load(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored := Restored(backup, s)
-		for _, p := range s.Ledger().Permits() {
+		restored := RestoreBackup(backup, s)
+		for _, p := range s.Budget().Permits() {
 			e := restored.Get(p.Unit)
 			if e == nil {
-				e = restored.Missing(p.Unit)
+				e = restored.Unreachable(p.Unit)
 			}
-			if e == nil || e.BootMS > p.Boot {
+			if e == nil || e.StartTimeMS > p.StartTimeMS {
 				continue // declared gone, or back again
 			}
-			if restored.Ledger().Permit(p.Unit) == nil {
+			if restored.Budget().Permit(p.Unit) == nil {
 				t.Fatalf("the permit %+v was lost", p)
 			}
-			if restored.Missing(p.Unit) == nil && p.Begun && e.State != Draining {
+			if restored.Unreachable(p.Unit) == nil && p.Begun && e.State != Draining {
 				t.Fatalf("%+v serves, though it may be out", e)
 			}
 		}
@@ -215,7 +215,7 @@
 // A backup in the running State's place does not bring back who led when it was taken: not its fences, whoever leads now.
 func TestRestoredLead(t *testing.T) {
 	lead := func(s *State, boot float64) *Fence {
-		a, _ := s.Apply(Op{Kind: Register, Entry: &Entry{UID: "controller", Endpoint: "c", State: Serving, Role: Controller, BootMS: boot, TTLMS: 1000}})
+		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: "controller", Endpoint: "c", State: Serving, Role: RoleController, StartTimeMS: boot, TTLMS: 1000}})
 		return &Fence{"controller", a.Token}
 	}
 	s := New()
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(Op{Kind: Expire, UID: "controller", Token: old.Token})
+	s.Apply(Op{Kind: OpExpire, UID: "controller", Token: old.Token})
 	for _, name := range []string{"nobody", "another"} {
 		running := s.clone(t)
 		var now *Fence
@@ -235,14 +235,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := Restored(backup, running)
-		if a, _ := r.Apply(Op{Kind: Nothing, Fence: old}); a.Fault != Fenced {
+		r := RestoreBackup(backup, running)
+		if a, _ := r.Apply(Op{Kind: OpNoop, Fence: old}); a.Code != CodeFenced {
 			t.Errorf("%s leads: the one before acts: %+v", name, a)
 		}
 		if now == nil {
 			continue
 		}
-		if a, _ := r.Apply(Op{Kind: Nothing, Fence: now}); a.Fault != "" {
+		if a, _ := r.Apply(Op{Kind: OpNoop, Fence: now}); a.Code != "" {
 			t.Errorf("%s leads, and does no more: %+v", name, a)
 		}
 	}
@@ -267,9 +267,9 @@
 	t.Helper()
 	s := New()
 	for i := range nodes {
-		e := Entry{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: Node, Tier: "front", Zone: string("ab"[i%2]), Capacity: 1, BootMS: 1}
-		a, _ := s.Apply(Op{Kind: Register, Entry: &e})
-		if a, _ = s.Apply(Op{Kind: Report, UID: e.UID, Token: a.Token}); a.Fault != "" {
+		e := Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Zone: string("ab"[i%2]), Capacity: 1, StartTimeMS: 1}
+		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &e})
+		if a, _ = s.Apply(Op{Kind: OpReport, UID: e.UID, Token: a.Token}); a.Code != "" {
 			t.Fatal(a)
 		}
 	}
@@ -281,39 +281,39 @@
 func TestOutOfTouch(t *testing.T) {
 	s := fleet(t, 4)
 	start := map[string]int64{}
-	for uid, n := range s.Book().Nodes {
-		start[uid] = n.Start
+	for uid, n := range s.Rollout().Nodes {
+		start[uid] = n.Incarnation
 	}
 	again := *s.Get("n2")
 	later := again
-	later.BootMS = 2
-	report := Op{Kind: Report, UID: "n2", Token: start["n2"]}
+	later.StartTimeMS = 2
+	report := Op{Kind: OpReport, UID: "n2", Token: start["n2"]}
 	for _, c := range []struct {
 		what           string
 		op             Op
 		fault          string
 		inTouch, heard bool
 	}{
-		{"a lease that is not believed to have ended", Op{Kind: Suspect, UID: "n2", Token: start["n2"], WallMS: 7000}, "", false, false},
+		{"a lease that is not believed to have ended", Op{Kind: OpSuspect, UID: "n2", Token: start["n2"], WallTimeMS: 7000}, "", false, false},
 		{"its word meanwhile", report, "", false, false},
-		{"it is renewed", Op{Kind: Trust, UID: "n2", Token: start["n2"]}, "", false, true},
+		{"it is renewed", Op{Kind: OpTrust, UID: "n2", Token: start["n2"]}, "", false, true},
 		{"its word", report, "", true, true},
-		{"an end that is believed", Op{Kind: Expire, UID: "n2", Token: start["n2"], WallMS: 8000}, "", false, false},
-		{"the same process is back", Op{Kind: Register, Entry: &again}, "", false, true},
+		{"an end that is believed", Op{Kind: OpExpire, UID: "n2", Token: start["n2"], WallTimeMS: 8000}, "", false, false},
+		{"the same process is back", Op{Kind: OpRegister, Instance: &again}, "", false, true},
 		{"it has caught up", report, "", true, true},
-		{"a fresh start", Op{Kind: Register, Entry: &later}, "", false, true},
-		{"the word of the one before", report, NotYet, false, true},
+		{"a fresh start", Op{Kind: OpRegister, Instance: &later}, "", false, true},
+		{"the word of the one before", report, CodeNotReady, false, true},
 	} {
 		a, _ := s.Apply(c.op)
-		n := s.Book().Nodes["n2"]
-		if a.Fault != c.fault || n.InTouch() != c.inTouch || n.Missing == c.heard {
+		n := s.Rollout().Nodes["n2"]
+		if a.Code != c.fault || n.InSync() != c.inTouch || n.Unreachable == c.heard {
 			t.Errorf("%s: %+v, %+v", c.what, a, n)
 		}
-		if c.op.WallMS > 0 && (n.Since.Rev != s.Rev() || n.Since.WallMS != c.op.WallMS) {
-			t.Errorf("%s: since %+v at revision %d", c.what, n.Since, s.Rev())
+		if c.op.WallTimeMS > 0 && (n.OutOfSyncSince.Revision != s.Revision() || n.OutOfSyncSince.UnixMS != c.op.WallTimeMS) {
+			t.Errorf("%s: since %+v at revision %d", c.what, n.OutOfSyncSince, s.Revision())
 		}
 	}
-	if a, _ := s.Apply(Op{Kind: Report, UID: "n2", Token: s.Get("n2").Token}); a.Fault != "" || !s.Book().Nodes["n2"].InTouch() {
+	if a, _ := s.Apply(Op{Kind: OpReport, UID: "n2", Token: s.Get("n2").Token}); a.Code != "" || !s.Rollout().Nodes["n2"].InSync() {
 		t.Errorf("%+v", a)
 	}
 }
@@ -326,15 +326,15 @@
 			uid := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(rt, "node"))
 			e := s.Get(uid)
 			if e == nil {
-				e = s.Missing(uid)
+				e = s.Unreachable(uid)
 			}
-			again, n, v := *e, s.Book().Nodes[uid], s.Book().Pending
-			again.BootMS++
-			ops := []Op{{Kind: Register, Entry: e}, {Kind: Register, Entry: &again}, {Kind: Expire, UID: uid, Token: e.Token, WallMS: 5}, {Kind: Expire, UID: uid, Token: e.Token},
-				{Kind: Suspect, UID: uid}, {Kind: Trust, UID: uid}, {Kind: Report, UID: uid, Token: e.Token, Number: n.Told, Hash: s.Book().Hashes[n.Told]},
-				{Kind: Propose, Value: json.RawMessage(fmt.Sprint(s.Book().Highest)), Replaces: s.Book().Committed.Number, Stages: []float64{0.4, 1}}, {Kind: GoBack}}
+			again, n, v := *e, s.Rollout().Nodes[uid], s.Rollout().Pending
+			again.StartTimeMS++
+			ops := []Op{{Kind: OpRegister, Instance: e}, {Kind: OpRegister, Instance: &again}, {Kind: OpExpire, UID: uid, Token: e.Token, WallTimeMS: 5}, {Kind: OpExpire, UID: uid, Token: e.Token},
+				{Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid}, {Kind: OpReport, UID: uid, Token: e.Token, Number: n.TargetVersion, Hash: s.Rollout().Hashes[n.TargetVersion]},
+				{Kind: OpPropose, Value: json.RawMessage(fmt.Sprint(s.Rollout().HighestNumber)), Replaces: s.Rollout().Committed.Number, Stages: []float64{0.4, 1}}, {Kind: OpRollback}}
 			if v != nil {
-				ops = append(ops, Op{Kind: Ack, UID: uid, Token: e.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: Commit, Number: v.Number, Stage: s.Book().Stage})
+				ops = append(ops, Op{Kind: OpAcknowledge, UID: uid, Token: e.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: OpAdvance, Number: v.Number, Stage: s.Rollout().Stage})
 			}
 			return rapid.SampledFrom(ops).Draw(rt, "op")
 		}
@@ -350,7 +350,7 @@
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 20).Draw(rt, "after") {
-			if d := cmp.Diff(s.Book(), read.Book(), cmpopts.EquateEmpty()); d != "" {
+			if d := cmp.Diff(s.Rollout(), read.Rollout(), cmpopts.EquateEmpty()); d != "" {
 				rt.Fatal(d)
 			}
 			o := op(s)
@@ -360,9 +360,9 @@
 			}
 		}
 		// A backup in the place of the running State takes nothing of what nodes were told back.
-		restored := Restored(read, s)
-		for uid, n := range s.Book().Nodes {
-			if r := restored.Book().Nodes[uid]; r == nil || r.Told != n.Told || r.InTouch() && !n.InTouch() {
+		restored := RestoreBackup(read, s)
+		for uid, n := range s.Rollout().Nodes {
+			if r := restored.Rollout().Nodes[uid]; r == nil || r.TargetVersion != n.TargetVersion || r.InSync() && !n.InSync() {
 				rt.Fatalf("%s: %+v, restored %+v", uid, n, r)
 			}
 		}
@@ -372,7 +372,7 @@
 func TestRecordsByPrefix(t *testing.T) {
 	s := New()
 	for _, k := range []string{"b/1", "a/2", "a/1"} {
-		s.Apply(Op{Kind: Put, Key: k, Value: json.RawMessage(`{}`)})
+		s.Apply(Op{Kind: OpPutRecord, Key: k, Value: json.RawMessage(`{}`)})
 	}
 	var keys []string
 	for _, r := range s.Records("a/") {
--- a/internal/registry/state/agreed.go
+++ b/internal/registry/state/agreed.go
@@ -8,40 +8,40 @@
 	"umberbank/internal/coordination/rollout"
 )
 
-// Agreed is what a site has agreed on, as of a revision, or a part of it.
-type Agreed struct {
-	Rev     int64                `json:"rev"`
-	Limits  *disruption.Limits   `json:"limits,omitempty"`
-	Uses    []disruption.Use     `json:"uses,omitempty"`
-	Outs    []disruption.Out     `json:"outs,omitempty"`
-	Permits []*disruption.Permit `json:"permits"`
-	Records []*Record            `json:"records"`
-	Units   []*Entry             `json:"units,omitempty"` // nodes and servers that count, the missing with them
-	Lead    *Entry               `json:"lead,omitempty"`  // who acts, where a lead is asked for
-	Book    *rollout.Book        `json:"book,omitempty"`  // of the versions of nodes' settings
-	Config  *NodeConfig          `json:"config,omitempty"`
+// CoordinationView is what a site has agreed on, as of a revision, or a part of it.
+type CoordinationView struct {
+	Revision     int64                        `json:"rev"`
+	Limits       *disruption.Limits           `json:"limits,omitempty"`
+	Usages       []disruption.Usage           `json:"uses,omitempty"`
+	Unavailable  []disruption.UnavailableUnit `json:"outs,omitempty"`
+	Permits      []*disruption.Permit         `json:"permits"`
+	Records      []*Record                    `json:"records"`
+	Units        []*Instance                  `json:"units,omitempty"` // nodes and servers that count, the missing with them
+	Leader       *Instance                    `json:"lead,omitempty"`  // who acts, where a lead is asked for
+	Rollout      *rollout.State               `json:"book,omitempty"`  // of the versions of nodes' settings
+	NodeSettings *NodeSettings                `json:"config,omitempty"`
 }
 
-// NodeConfig is what one node is to know of the versions of its settings.
-type NodeConfig struct {
-	Node    *rollout.Node `json:"node"`
-	Told    Content       `json:"told"`              // to run
-	Pending *Content      `json:"pending,omitempty"` // to look at, and no more
+// NodeSettings is what one node is to know of the versions of its settings.
+type NodeSettings struct {
+	Node    *rollout.Node   `json:"node"`
+	Target  VersionContent  `json:"told"`              // to run
+	Pending *VersionContent `json:"pending,omitempty"` // to look at, and no more
 }
 
-// Content is a version with its settings; none where the asker has them.
-type Content struct {
+// VersionContent is a version with its settings; none where the asker has them.
+type VersionContent struct {
 	Number   int64           `json:"number"`
 	Hash     string          `json:"hash"`
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// Agreed is all that is agreed, with units only if they are asked for. What it refers to changes with the State.
-func (s *State) Agreed(units bool, lead string) Agreed {
-	a := Agreed{Rev: s.rev, Limits: s.limits, Uses: s.ledger.Uses(), Outs: s.ledger.Outs(), Permits: s.ledger.Permits(),
-		Records: s.Records(""), Lead: s.entries[lead]}
+// CoordinationView is all that is agreed, with units only if they are asked for. What it refers to changes with the State.
+func (s *State) CoordinationView(units bool, lead string) CoordinationView {
+	a := CoordinationView{Revision: s.rev, Limits: s.limits, Usages: s.ledger.Usages(), Unavailable: s.ledger.UnavailableUnits(), Permits: s.ledger.Permits(),
+		Records: s.Records(""), Leader: s.entries[lead]}
 	if len(s.book.Nodes) > 0 {
-		a.Book = s.book
+		a.Rollout = s.book
 	}
 	if units {
 		a.Units = s.Units()
@@ -49,9 +49,9 @@
 	return a
 }
 
-// AgreedOfUnit is what concerns one unit.
-func (s *State) AgreedOfUnit(uid string) Agreed {
-	a := Agreed{Rev: s.rev, Permits: []*disruption.Permit{}, Records: []*Record{}}
+// UnitView is what concerns one unit.
+func (s *State) UnitView(uid string) CoordinationView {
+	a := CoordinationView{Revision: s.rev, Permits: []*disruption.Permit{}, Records: []*Record{}}
 	if e := cmp.Or(s.entries[uid], s.missing[uid]); e != nil {
 		a.Units = append(a.Units, e)
 	}
@@ -61,24 +61,24 @@
 	return a
 }
 
-// AgreedOfNode is what one node is to know of its settings.
-func (s *State) AgreedOfNode(uid string, has map[int64]bool) Agreed {
-	a := s.AgreedOfUnit(uid)
+// NodeView is what one node is to know of its settings.
+func (s *State) NodeView(uid string, has map[int64]bool) CoordinationView {
+	a := s.UnitView(uid)
 	n := s.book.Nodes[uid]
 	if n == nil {
 		return a
 	}
-	content := func(number int64) Content {
-		c := Content{Number: number, Hash: s.book.Hashes[number]}
+	content := func(number int64) VersionContent {
+		c := VersionContent{Number: number, Hash: s.book.Hashes[number]}
 		if !has[number] {
 			c.Settings = s.configs[number]
 		}
 		return c
 	}
-	a.Config = &NodeConfig{Node: n, Told: content(n.Told)}
+	a.NodeSettings = &NodeSettings{Node: n, Target: content(n.TargetVersion)}
 	if p := s.book.Pending; p != nil {
 		c := content(p.Number)
-		a.Config.Pending = &c
+		a.NodeSettings.Pending = &c
 	}
 	return a
 }
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -42,9 +42,9 @@
 		seen[golden.Decode[Op](t, line).Kind] = true
 	}
 	for kind, want := range map[string]string{
-		Register: "register", Update: "update", Remove: "remove", Expire: "expire", Suspect: "suspect", Trust: "trust", Member: "member", Nothing: "nothing",
-		SetLimits: "limits", Permit: "permit", Begin: "begin", Return: "return", Gone: "gone", Warm: "warm", Avoid: "avoid", Put: "put",
-		Propose: "propose", Ack: "ack", Report: "report", Commit: "commit", Withdraw: "withdraw", GoBack: "go-back", Halt: "halt",
+		OpRegister: "register", OpUpdate: "update", OpRemove: "remove", OpExpire: "expire", OpSuspect: "suspect", OpTrust: "trust", OpSetMember: "member", OpNoop: "nothing",
+		OpSetLimits: "limits", OpGrantPermit: "permit", OpBeginPermit: "begin", OpReturnPermit: "return", OpDecommission: "gone", OpWarmUp: "warm", OpReportEjected: "avoid", OpPutRecord: "put",
+		OpPropose: "propose", OpAcknowledge: "ack", OpReport: "report", OpAdvance: "commit", OpWithdraw: "withdraw", OpRollback: "go-back", OpHalt: "halt",
 	} {
 		if kind != want {
 			t.Errorf("the kind %q was %q", kind, want)
@@ -68,33 +68,33 @@
 	if !bytes.Equal(text, again) {
 		t.Errorf("the snapshot encodes differently\n got %s\nwant %s", again, text)
 	}
-	if s.Get("s0").State != Draining || s.Get("s6").Suspect != true || s.Get("controller").Role != Controller {
+	if s.Get("s0").State != Draining || s.Get("s6").Suspect != true || s.Get("controller").Role != RoleController {
 		t.Errorf("instances: %+v, %+v, %+v", s.Get("s0"), s.Get("s6"), s.Get("controller"))
 	}
 	if m := s.Members(); len(m) != 2 || m["r2"] != "127.0.0.1:7002" {
 		t.Errorf("replicas: %v", m)
 	}
-	if l := s.Limits(); l == nil || len(l.Tiers) != 2 || *l.Tiers[0].Region != 0.9 || l.ColdFrom != 0.4 || l.WarmMS != 8800 || l.LapseMS != 1500 {
+	if l := s.Limits(); l == nil || len(l.Tiers) != 2 || *l.Tiers[0].Region != 0.9 || l.InitialShare != 0.4 || l.WarmUpMS != 8800 || l.PermitExpiryMS != 1500 {
 		t.Errorf("limits: %+v", l)
 	}
-	if p := s.Ledger().Permit("s0"); p == nil || !p.Begun || !p.SeenOut || p.Plan != "web-v2-back" || p.To != "v1" || p.Holder != "c0" {
+	if p := s.Budget().Permit("s0"); p == nil || !p.Begun || !p.SeenUnavailable || p.Plan != "web-v2-back" || p.TargetVersion != "v1" || p.Holder != "c0" {
 		t.Errorf("permit: %+v", p)
 	}
-	if s.Missing("s5") == nil || s.Missing("n2") == nil || s.Missing("s3") != nil {
+	if s.Unreachable("s5") == nil || s.Unreachable("n2") == nil || s.Unreachable("s3") != nil {
 		t.Error("the units that nobody hears from are not those of the snapshot")
 	}
-	if s.Record(HaltPrefix+"web-v2") == nil || s.Record("plan/web-v2") == nil || s.Record("release/web-v2") == nil || s.Record("note") == nil {
+	if s.Record(HaltKeyPrefix+"web-v2") == nil || s.Record("plan/web-v2") == nil || s.Record("release/web-v2") == nil || s.Record("note") == nil {
 		t.Errorf("records: %v", s.Records(""))
 	}
-	b := s.Book()
-	if b.Committed.Number != 1 || b.Pending == nil || b.Pending.Number != 4 || b.Halted == "" || b.Highest != 4 || len(b.Nodes) != 6 {
+	b := s.Rollout()
+	if b.Committed.Number != 1 || b.Pending == nil || b.Pending.Number != 4 || b.HaltReason == "" || b.HighestNumber != 4 || len(b.Nodes) != 6 {
 		t.Errorf("versions of settings: %+v", b)
 	}
-	if _, lost := b.Lost["c"]; !lost || !b.Nodes["n2"].Missing || !b.Nodes["n5"].CatchingUp || b.Nodes["n4"].Refused == "" || b.Nodes["n3"].Fault == "" {
-		t.Errorf("nodes: lost %v, %+v", b.Lost, b.Nodes)
+	if _, lost := b.LostZones["c"]; !lost || !b.Nodes["n2"].Unreachable || !b.Nodes["n5"].Syncing || b.Nodes["n4"].RejectReason == "" || b.Nodes["n3"].Violation == "" {
+		t.Errorf("nodes: lost %v, %+v", b.LostZones, b.Nodes)
 	}
 	for _, number := range []int64{1, 3, 4} {
-		if s.Config(number) == nil {
+		if s.Settings(number) == nil {
 			t.Errorf("the content of version %d is not there", number)
 		}
 	}
@@ -112,9 +112,9 @@
 		return s
 	}
 	running := load()
-	running.Apply(Op{Kind: Put, Key: "later", Value: json.RawMessage(`true`)})
-	running.Apply(Op{Kind: Remove, UID: "s4"})
-	text, err := Restored(load(), running).Snapshot()
+	running.Apply(Op{Kind: OpPutRecord, Key: "later", Value: json.RawMessage(`true`)})
+	running.Apply(Op{Kind: OpRemove, UID: "s4"})
+	text, err := RestoreBackup(load(), running).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,22 +125,22 @@
 
 func TestGoldenAgreed(t *testing.T) {
 	s := replayGolden(t)
-	for file, answer := range map[string]Agreed{
-		"agreed.json":       s.Agreed(false, ""),
-		"agreed-units.json": s.Agreed(true, "controller"),
-		"agreed-unit.json":  s.AgreedOfUnit("s1"),
-		"agreed-node.json":  s.AgreedOfNode("n0", map[int64]bool{1: true}),
+	for file, answer := range map[string]CoordinationView{
+		"agreed.json":       s.CoordinationView(false, ""),
+		"agreed-units.json": s.CoordinationView(true, "controller"),
+		"agreed-unit.json":  s.UnitView("s1"),
+		"agreed-node.json":  s.NodeView("n0", map[int64]bool{1: true}),
 	} {
 		t.Run(file, func(t *testing.T) {
 			golden.Encodes(t, answer, golden.Read(t, "testdata/"+file))
-			golden.RoundTrip[Agreed](t, "testdata/"+file)
+			golden.RoundTrip[CoordinationView](t, "testdata/"+file)
 		})
 	}
 }
 
 func TestGoldenForms(t *testing.T) {
 	golden.RoundTripFull[Op](t, "testdata/op-full.json")
-	golden.RoundTripFull[Answer](t, "testdata/answer-full.json")
+	golden.RoundTripFull[Result](t, "testdata/answer-full.json")
 	golden.RoundTripFull[Record](t, "testdata/record-full.json")
-	golden.RoundTripFull[Agreed](t, "testdata/agreed-full.json")
+	golden.RoundTripFull[CoordinationView](t, "testdata/agreed-full.json")
 }
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -20,92 +20,92 @@
 	Deleted  = "DELETED" // only among changes
 )
 
-// Entry is one server. It is never changed once it is in a State: a change puts another in its place. The first
+// Instance is one server. It is never changed once it is in a State: a change puts another in its place. The first
 // fields are the form that nodes read; the rest they pass over.
-type Entry struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Rack     int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"`
-
-	Role    string `json:"role,omitempty"` // "" a server; see the Roles
-	Tier    string `json:"tier,omitempty"` // whose budget it counts in; "": none
-	Region  string `json:"region,omitempty"`
-	Version string `json:"version,omitempty"`
-	TTLMS   int64  `json:"ttl_ms,omitempty"`  // of its lease; 0: it has none, and stays until it is removed
-	Token   int64  `json:"token,omitempty"`   // of the process that holds it: the revision of its registration
-	Mod     int64  `json:"mod,omitempty"`     // revision of its last change
-	Suspect bool   `json:"suspect,omitempty"` // its lease has ended, but so have too many others' to believe it
-
-	Cold float64 `json:"cold,omitempty"` // share of its capacity that it surely lacks after its start
+type Instance struct {
+	UID         string  `json:"uid"`
+	Endpoint    string  `json:"endpoint"`
+	Zone        string  `json:"az"`
+	Kind        string  `json:"model"`
+	Rack        int     `json:"pod_group"`
+	State       string  `json:"state"`
+	Capacity    float64 `json:"capacity_hint"`
+	StartTimeMS float64 `json:"boot_ms"`
+
+	Role        string `json:"role,omitempty"` // "" a server; see the Roles
+	Tier        string `json:"tier,omitempty"` // whose budget it counts in; "": none
+	Region      string `json:"region,omitempty"`
+	Version     string `json:"version,omitempty"`
+	TTLMS       int64  `json:"ttl_ms,omitempty"`  // of its lease; 0: it has none, and stays until it is removed
+	Token       int64  `json:"token,omitempty"`   // of the process that holds it: the revision of its registration
+	ModRevision int64  `json:"mod,omitempty"`     // revision of its last change
+	Suspect     bool   `json:"suspect,omitempty"` // its lease has ended, but so have too many others' to believe it
+
+	WarmUpDeficit float64 `json:"cold,omitempty"` // share of its capacity that it surely lacks after its start
 }
 
 // Kinds of writes.
 const (
-	Register = "register" // by a server, which gets a token
-	Update   = "update"   // by the token's holder, or by an operator with none
-	Remove   = "remove"
-	Expire   = "expire"  // by the leader, for a lease that has ended
-	Suspect  = "suspect" // by the leader, for one that it does not believe
-	Trust    = "trust"   // and for one that was renewed after all
-	Member   = "member"  // where a replica's writers and readers call
-	Nothing  = "nothing" // a write that only takes its place in the order
+	OpRegister  = "register" // by a server, which gets a token
+	OpUpdate    = "update"   // by the token's holder, or by an operator with none
+	OpRemove    = "remove"
+	OpExpire    = "expire"  // by the leader, for a lease that has ended
+	OpSuspect   = "suspect" // by the leader, for one that it does not believe
+	OpTrust     = "trust"   // and for one that was renewed after all
+	OpSetMember = "member"  // where a replica's writers and readers call
+	OpNoop      = "nothing" // a write that only takes its place in the order
 )
 
 // Op is one write.
 type Op struct {
-	Kind   string `json:"kind"`
-	ID     string `json:"id,omitempty"` // a repeat with the same one changes nothing and gets the same answer
-	Entry  *Entry `json:"entry,omitempty"`
-	UID    string `json:"uid,omitempty"`
-	Token  int64  `json:"token,omitempty"`   // 0: an operator's
-	IfMod  int64  `json:"if_mod,omitempty"`  // only if the entry is of this revision; 0: whatever it is; or Absent
-	Fence  *Fence `json:"fence,omitempty"`   // only as long as its holder has its lease
-	WallMS int64  `json:"wall_ms,omitempty"` // Unix time by the leader's clock as it writes of leases, for people alone; 0: not said
+	Kind          string    `json:"kind"`
+	ID            string    `json:"id,omitempty"` // a repeat with the same one changes nothing and gets the same answer
+	Instance      *Instance `json:"entry,omitempty"`
+	UID           string    `json:"uid,omitempty"`
+	Token         int64     `json:"token,omitempty"`   // 0: an operator's
+	IfModRevision int64     `json:"if_mod,omitempty"`  // only if the entry is of this revision; 0: whatever it is; or Absent
+	Fence         *Fence    `json:"fence,omitempty"`   // only as long as its holder has its lease
+	WallTimeMS    int64     `json:"wall_ms,omitempty"` // Unix time by the leader's clock as it writes of leases, for people alone; 0: not said
 	// What Update sets; absent: as it is.
 	State    string   `json:"state,omitempty"`
 	Capacity *float64 `json:"capacity,omitempty"`
 	// What Member sets; an empty address takes the replica out.
 	Address string `json:"address,omitempty"`
 	// What the writes of agree.go set; UID names the unit.
-	Limits *disruption.Limits `json:"limits,omitempty"`
-	Start  int64              `json:"start,omitempty"` // token of the unit's start
-	Holder string             `json:"holder,omitempty"`
-	Plan   string             `json:"plan,omitempty"`
-	To     string             `json:"to,omitempty"`
-	Over   string             `json:"over,omitempty"` // the plan whose begun permit this one takes the place of
-	Cold   *float64           `json:"cold,omitempty"`
-	Avoids []string           `json:"avoids,omitempty"`
-	Key    string             `json:"key,omitempty"`
+	Limits        *disruption.Limits `json:"limits,omitempty"`
+	Incarnation   int64              `json:"start,omitempty"` // token of the unit's start
+	Holder        string             `json:"holder,omitempty"`
+	Plan          string             `json:"plan,omitempty"`
+	TargetVersion string             `json:"to,omitempty"`
+	ReplacesPlan  string             `json:"over,omitempty"` // the plan whose begun permit this one takes the place of
+	WarmUpDeficit *float64           `json:"cold,omitempty"`
+	Ejected       []string           `json:"avoids,omitempty"`
+	Key           string             `json:"key,omitempty"`
 	// What writes about versions of nodes' settings set; Token is a node's start, Value the content.
-	Number   int64           `json:"number,omitempty"`
-	Hash     string          `json:"hash,omitempty"`
-	Replaces int64           `json:"replaces,omitempty"`
-	Stages   []float64       `json:"stages,omitempty"`
-	Stage    int             `json:"stage,omitempty"`
-	BakeMS   int64           `json:"bake_ms,omitempty"`
-	Refused  string          `json:"refused,omitempty"`
-	Value    json.RawMessage `json:"value,omitempty"`
+	Number       int64           `json:"number,omitempty"`
+	Hash         string          `json:"hash,omitempty"`
+	Replaces     int64           `json:"replaces,omitempty"`
+	Stages       []float64       `json:"stages,omitempty"`
+	Stage        int             `json:"stage,omitempty"`
+	BakeMS       int64           `json:"bake_ms,omitempty"`
+	RejectReason string          `json:"refused,omitempty"`
+	Value        json.RawMessage `json:"value,omitempty"`
 }
 
-// Answer is what became of a write.
-type Answer struct {
-	Rev   int64  `json:"rev"` // of the State after it
-	Token int64  `json:"token,omitempty"`
-	Fault string `json:"fault,omitempty"` // one of the Faults; "": done
-	Why   string `json:"why,omitempty"`   // what more there is to say of a Fault
+// Result is what became of a write.
+type Result struct {
+	Revision int64  `json:"rev"` // of the State after it
+	Token    int64  `json:"token,omitempty"`
+	Code     string `json:"fault,omitempty"` // one of the Faults; "": done
+	Reason   string `json:"why,omitempty"`   // what more there is to say of a Fault
 }
 
 // Faults.
 const (
-	Fenced   = "fenced"    // another process holds the entry
-	Conflict = "conflict"  // the entry is of another revision
-	NotFound = "not-found" // there is no such entry
-	Bad      = "bad"       // the write makes no sense
+	CodeFenced   = "fenced"    // another process holds the entry
+	CodeConflict = "conflict"  // the entry is of another revision
+	CodeNotFound = "not-found" // there is no such entry
+	CodeInvalid  = "bad"       // the write makes no sense
 )
 
 // Bounds of a write's fields.
@@ -119,21 +119,21 @@
 // State is the registry as of one revision.
 type State struct {
 	rev     int64
-	entries map[string]*Entry
+	entries map[string]*Instance
 	members map[string]string
-	answers map[string]Answer // by the writes' ids
+	answers map[string]Result // by the writes' ids
 	order   []string          // of those ids
-	wall    int64             // of the write that is carried out; see Op.WallMS
+	wall    int64             // of the write that is carried out; see Op.WallTimeMS
 	agreed
 }
 
 // New returns an empty State, of the first epoch.
 func New() *State {
-	return &State{rev: 1 << epochShift, entries: map[string]*Entry{}, members: map[string]string{}, answers: map[string]Answer{}, agreed: newAgreed()}
+	return &State{rev: 1 << epochShift, entries: map[string]*Instance{}, members: map[string]string{}, answers: map[string]Result{}, agreed: newAgreed()}
 }
 
-// Rev is the revision.
-func (s *State) Rev() int64 { return s.rev }
+// Revision is the revision.
+func (s *State) Revision() int64 { return s.rev }
 
 // Epoch is the part of a revision that only a restored backup moves on.
 func Epoch(rev int64) int64 { return rev >> epochShift }
@@ -142,12 +142,12 @@
 func (s *State) Len() int { return len(s.entries) }
 
 // Get returns an entry, or nil.
-func (s *State) Get(uid string) *Entry { return s.entries[uid] }
+func (s *State) Get(uid string) *Instance { return s.entries[uid] }
 
-// Entries returns all entries in the order of their uids.
-func (s *State) Entries() []*Entry {
+// Instances returns all entries in the order of their uids.
+func (s *State) Instances() []*Instance {
 	l := slices.Collect(maps.Values(s.entries))
-	slices.SortFunc(l, func(a, b *Entry) int { return compare(a.UID, b.UID) })
+	slices.SortFunc(l, func(a, b *Instance) int { return compare(a.UID, b.UID) })
 	return l
 }
 
@@ -162,22 +162,22 @@
 func (s *State) Members() map[string]string { return maps.Clone(s.members) }
 
 // Apply carries out one write. changed is the entry that it has put in place, one that is Deleted included; nil: none.
-func (s *State) Apply(op Op) (a Answer, changed *Entry) {
+func (s *State) Apply(op Op) (a Result, changed *Instance) {
 	if op.ID != "" {
 		if a, done := s.answers[op.ID]; done {
 			return a, nil
 		}
 	}
-	s.wall = op.WallMS
+	s.wall = op.WallTimeMS
 	a, changed = s.apply(op)
-	a.Rev = s.rev
+	a.Revision = s.rev
 	if op.ID != "" {
 		s.remember(op.ID, a)
 	}
 	return a, changed
 }
 
-func (s *State) remember(id string, a Answer) {
+func (s *State) remember(id string, a Result) {
 	s.answers[id] = a
 	s.order = append(s.order, id)
 	if len(s.order) > maxRemember {
@@ -186,90 +186,90 @@
 	}
 }
 
-func (s *State) apply(op Op) (Answer, *Entry) {
+func (s *State) apply(op Op) (Result, *Instance) {
 	if s.fenced(op.Fence) {
-		return Answer{Fault: Fenced}, nil
+		return Result{Code: CodeFenced}, nil
 	}
 	switch op.Kind {
-	case Register:
+	case OpRegister:
 		return s.register(op)
-	case Update, Remove, Expire, Suspect, Trust, Warm:
+	case OpUpdate, OpRemove, OpExpire, OpSuspect, OpTrust, OpWarmUp:
 		return s.change(op)
-	case SetLimits, Permit, Begin, Return, Gone, Avoid, Put, Propose, GoBack, Ack, Report, Commit, Withdraw, Halt:
+	case OpSetLimits, OpGrantPermit, OpBeginPermit, OpReturnPermit, OpDecommission, OpReportEjected, OpPutRecord, OpPropose, OpRollback, OpAcknowledge, OpReport, OpAdvance, OpWithdraw, OpHalt:
 		return s.agree(op)
-	case Member:
+	case OpSetMember:
 		if op.Address == "" {
 			delete(s.members, op.UID)
 		} else {
 			s.members[op.UID] = op.Address
 		}
-		return Answer{}, nil
-	case Nothing:
-		return Answer{}, nil
+		return Result{}, nil
+	case OpNoop:
+		return Result{}, nil
 	}
-	return Answer{Fault: Bad}, nil
+	return Result{Code: CodeInvalid}, nil
 }
 
 // register enters a server's process. One that started later takes the entry over, and the token of the one before
 // is worth nothing from then on; one that started earlier is turned down.
-func (s *State) register(op Op) (Answer, *Entry) {
-	if op.Entry == nil || op.Entry.check() != nil {
-		return Answer{Fault: Bad}, nil
+func (s *State) register(op Op) (Result, *Instance) {
+	if op.Instance == nil || op.Instance.check() != nil {
+		return Result{Code: CodeInvalid}, nil
 	}
-	e := *op.Entry
+	e := *op.Instance
 	if s.taken(&e) {
 		e.State = Draining
 	}
 	old := s.entries[e.UID]
-	if old != nil && op.IfMod == Absent {
-		return Answer{Fault: Conflict}, nil
+	if old != nil && op.IfModRevision == Absent {
+		return Result{Code: CodeConflict}, nil
 	}
-	if lost := s.missing[e.UID]; old == nil && lost != nil && lost.BootMS == e.BootMS {
+	if lost := s.missing[e.UID]; old == nil && lost != nil && lost.StartTimeMS == e.StartTimeMS {
 		return s.found(lost, e)
 	}
 	if old != nil {
-		if e.BootMS < old.BootMS {
-			return Answer{Fault: Fenced}, nil
+		if e.StartTimeMS < old.StartTimeMS {
+			return Result{Code: CodeFenced}, nil
 		}
-		e.Token, e.Mod, e.Suspect, e.Cold = old.Token, old.Mod, false, old.Cold
+		e.Token, e.ModRevision, e.Suspect, e.WarmUpDeficit = old.Token, old.ModRevision, false, old.WarmUpDeficit
 		if e == *old { // the same process says the same again
-			return Answer{Token: old.Token}, nil
+			return Result{Token: old.Token}, nil
 		}
-		if e.BootMS == old.BootMS {
-			return Answer{Token: old.Token}, s.put(e)
+		if e.StartTimeMS == old.StartTimeMS {
+			return Result{Token: old.Token}, s.put(e)
 		}
 	}
-	e.Token, e.Cold = s.rev+1, s.cold(&e)
-	return Answer{Token: e.Token}, s.put(e)
+	e.Token, e.WarmUpDeficit = s.rev+1, s.cold(&e)
+	return Result{Token: e.Token}, s.put(e)
 }
 
 // change changes an entry that is there.
-func (s *State) change(op Op) (Answer, *Entry) {
+func (s *State) change(op Op) (Result, *Instance) {
 	old := s.entries[op.UID]
 	switch {
 	case old == nil:
-		return Answer{Fault: NotFound}, nil
+		return Result{Code: CodeNotFound}, nil
 	case op.Token != 0 && op.Token != old.Token:
-		return Answer{Fault: Fenced}, nil
-	case op.IfMod != 0 && op.IfMod != old.Mod:
-		return Answer{Fault: Conflict}, nil
+		return Result{Code: CodeFenced}, nil
+	case op.IfModRevision != 0 && op.IfModRevision != old.ModRevision:
+		return Result{Code: CodeConflict}, nil
 	}
 	e := *old
 	switch op.Kind {
-	case Remove, Expire:
+	case OpRemove, OpExpire:
 		e.State = Deleted
-		put := s.putIn(e, op.Kind == Remove && op.Token == 0)
-		return Answer{Token: e.Token}, put
-	case Warm:
-		if op.Cold == nil || !(*op.Cold >= 0 && *op.Cold <= e.Cold) {
-			return Answer{Fault: Bad}, nil
+		put := s.putIn(e, op.Kind == OpRemove && op.Token == 0)
+		return Result{Token: e.Token}, put
+	case OpWarmUp:
+		if op.WarmUpDeficit == nil || !(*op.WarmUpDeficit >= 0 && *op.WarmUpDeficit <= e.WarmUpDeficit) {
+			return Result{Code: CodeInvalid}, nil
 		}
-		e.Cold = *op.Cold
-	case Suspect, Trust:
-		e.Suspect = op.Kind == Suspect
-	case Update:
+		e.WarmUpDeficit = *op.WarmUpDeficit
+	case OpSuspect, OpTrust:
+		e.Suspect = op.Kind == OpSuspect
+	case OpUpdate:
 		if plan, is := s.changing(old); is && op.State == Serving {
-			return Answer{Fault: Conflict, Why: "release " + plan + " is changing it"}, nil
+			return Result{Code: CodeConflict, Reason: "release " + plan + " is changing it"}, nil
 		}
 		if op.State != "" {
 			e.State = op.State
@@ -278,22 +278,22 @@
 			e.Capacity = *op.Capacity
 		}
 		if op.State == Deleted || e.check() != nil {
-			return Answer{Fault: Bad}, nil
+			return Result{Code: CodeInvalid}, nil
 		}
 	}
 	if e == *old {
-		return Answer{Token: e.Token}, nil
+		return Result{Token: e.Token}, nil
 	}
-	return Answer{Token: e.Token}, s.put(e)
+	return Result{Token: e.Token}, s.put(e)
 }
 
 // put puts an entry in place, under the next revision.
-func (s *State) put(e Entry) *Entry { return s.putIn(e, false) }
+func (s *State) put(e Instance) *Instance { return s.putIn(e, false) }
 
 // putIn is put; declared: what is taken out will not come back.
-func (s *State) putIn(e Entry, declared bool) *Entry {
+func (s *State) putIn(e Instance, declared bool) *Instance {
 	s.rev++
-	e.Mod = s.rev
+	e.ModRevision = s.rev
 	old := s.entries[e.UID]
 	defer func() { s.settle(old, &e, declared) }()
 	if e.State == Deleted {
@@ -304,10 +304,10 @@
 	return &e
 }
 
-// Check says what is wrong with an entry as a server registers it.
-func (e *Entry) Check() error { return e.check() }
+// Validate says what is wrong with an entry as a server registers it.
+func (e *Instance) Validate() error { return e.check() }
 
-func (e *Entry) check() error {
+func (e *Instance) check() error {
 	switch {
 	case e.UID == "" || len(e.UID) > maxText:
 		return errors.New("uid: missing or too long")
@@ -315,11 +315,11 @@
 		return errors.New("endpoint: missing or too long")
 	case e.State != Serving && e.State != Draining:
 		return fmt.Errorf("state: %q is neither %s nor %s", e.State, Serving, Draining)
-	case e.Role != "" && e.Role != Node && e.Role != Controller:
+	case e.Role != "" && e.Role != RoleNode && e.Role != RoleController:
 		return fmt.Errorf("role: %q is none", e.Role)
 	case len(e.Tier) > maxText || len(e.Zone) > maxText || len(e.Region) > maxText || len(e.Kind) > maxText || len(e.Version) > maxText:
 		return errors.New("a text is too long")
-	case e.Capacity < 0 || e.TTLMS < 0 || e.BootMS < 0:
+	case e.Capacity < 0 || e.TTLMS < 0 || e.StartTimeMS < 0:
 		return errors.New("capacity, ttl and boot time cannot be negative")
 	}
 	return nil
@@ -330,16 +330,16 @@
 // image is a State as it is kept.
 type image struct {
 	Rev     int64             `json:"rev"`
-	Entries []*Entry          `json:"entries"`
+	Entries []*Instance       `json:"entries"`
 	Members map[string]string `json:"members"`
 	Order   []string          `json:"order"`
-	Answers []Answer          `json:"answers"` // in that order
+	Answers []Result          `json:"answers"` // in that order
 	agreedImage
 }
 
 // Snapshot is the State as it can be kept and read again.
 func (s *State) Snapshot() ([]byte, error) {
-	m := image{Rev: s.rev, Entries: s.Entries(), Members: s.members, Order: s.order, agreedImage: s.agreedImage()}
+	m := image{Rev: s.rev, Entries: s.Instances(), Members: s.members, Order: s.order, agreedImage: s.agreedImage()}
 	for _, id := range s.order {
 		m.Answers = append(m.Answers, s.answers[id])
 	}
@@ -373,16 +373,16 @@
 	return s, nil
 }
 
-// Restored is a backup's State as it goes on after another: in an epoch of its own, later than both, so that no
+// RestoreBackup is a backup's State as it goes on after another: in an epoch of its own, later than both, so that no
 // revision is given twice and readers see that they must take the whole list. The replicas stay those of the other.
-func Restored(backup, running *State) *State {
+func RestoreBackup(backup, running *State) *State {
 	epoch := max(Epoch(backup.rev), Epoch(running.rev)) + 1
 	s := New()
 	s.rev, s.entries, s.members = epoch<<epochShift, maps.Clone(backup.entries), maps.Clone(running.members)
 	// Who leads now goes on leading: with the backup's entry whoever led then would, and its fences would hold again.
-	maps.DeleteFunc(s.entries, func(_ string, e *Entry) bool { return e.Role == Controller })
+	maps.DeleteFunc(s.entries, func(_ string, e *Instance) bool { return e.Role == RoleController })
 	for uid, e := range running.entries {
-		if e.Role == Controller {
+		if e.Role == RoleController {
 			s.entries[uid] = e
 		}
 	}
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -8,33 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-func server(uid string, boot float64) *Entry {
-	return &Entry{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, BootMS: boot}
+func server(uid string, boot float64) *Instance {
+	return &Instance{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, StartTimeMS: boot}
 }
 
 // A server that was replaced cannot write over its successor, whatever comes in which order.
 func TestFencing(t *testing.T) {
 	s := New()
-	first, _ := s.Apply(Op{Kind: Register, Entry: server("a", 1)})
-	again, changed := s.Apply(Op{Kind: Register, Entry: server("a", 1)})
+	first, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
+	again, changed := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
 	if again.Token != first.Token || changed != nil {
 		t.Errorf("the same process again: %+v, %+v", again, changed)
 	}
-	next, _ := s.Apply(Op{Kind: Register, Entry: server("a", 2)})
+	next, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 2)})
 	if next.Token <= first.Token {
 		t.Errorf("token %d after %d", next.Token, first.Token)
 	}
 	for _, op := range []Op{
-		{Kind: Register, Entry: server("a", 1)},
-		{Kind: Update, UID: "a", Token: first.Token, State: Draining},
-		{Kind: Remove, UID: "a", Token: first.Token},
-		{Kind: Expire, UID: "a", Token: first.Token},
+		{Kind: OpRegister, Instance: server("a", 1)},
+		{Kind: OpUpdate, UID: "a", Token: first.Token, State: Draining},
+		{Kind: OpRemove, UID: "a", Token: first.Token},
+		{Kind: OpExpire, UID: "a", Token: first.Token},
 	} {
-		if a, changed := s.Apply(op); a.Fault != Fenced || changed != nil {
+		if a, changed := s.Apply(op); a.Code != CodeFenced || changed != nil {
 			t.Errorf("%s by the one before: %+v", op.Kind, a)
 		}
 	}
-	if a, _ := s.Apply(Op{Kind: Update, UID: "a", Token: next.Token, State: Draining}); a.Fault != "" || s.Get("a").State != Draining {
+	if a, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", Token: next.Token, State: Draining}); a.Code != "" || s.Get("a").State != Draining {
 		t.Errorf("by the successor: %+v", a)
 	}
 }
@@ -42,18 +42,18 @@
 // A change with the revision compared is done only on that revision.
 func TestCompare(t *testing.T) {
 	s := New()
-	a, _ := s.Apply(Op{Kind: Register, Entry: server("a", 1)})
-	if b, _ := s.Apply(Op{Kind: Update, UID: "a", IfMod: a.Rev, State: Draining}); b.Fault != "" {
+	a, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
+	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: a.Revision, State: Draining}); b.Code != "" {
 		t.Errorf("on its revision: %+v", b)
 	}
-	if b, _ := s.Apply(Op{Kind: Update, UID: "a", IfMod: a.Rev, State: Serving}); b.Fault != Conflict || s.Get("a").State != Draining {
+	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: a.Revision, State: Serving}); b.Code != CodeConflict || s.Get("a").State != Draining {
 		t.Errorf("on an older one: %+v", b)
 	}
-	if b, _ := s.Apply(Op{Kind: Update, UID: "none", State: Serving}); b.Fault != NotFound {
+	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "none", State: Serving}); b.Code != CodeNotFound {
 		t.Errorf("of nothing: %+v", b)
 	}
-	for _, bad := range []Op{{Kind: "dance"}, {Kind: Register}, {Kind: Register, Entry: &Entry{UID: "x"}}, {Kind: Update, UID: "a", State: Deleted}} {
-		if b, changed := s.Apply(bad); b.Fault != Bad || changed != nil {
+	for _, bad := range []Op{{Kind: "dance"}, {Kind: OpRegister}, {Kind: OpRegister, Instance: &Instance{UID: "x"}}, {Kind: OpUpdate, UID: "a", State: Deleted}} {
+		if b, changed := s.Apply(bad); b.Code != CodeInvalid || changed != nil {
 			t.Errorf("%+v: %+v", bad, b)
 		}
 	}
@@ -62,13 +62,13 @@
 func anyOp(t *rapid.T) Op {
 	uid := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "uid"))
 	op := Op{UID: uid, ID: fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "id"))}
-	op.Kind = rapid.SampledFrom([]string{Register, Update, Remove, Expire, Suspect, Trust, Member, Nothing}).Draw(t, "kind")
+	op.Kind = rapid.SampledFrom([]string{OpRegister, OpUpdate, OpRemove, OpExpire, OpSuspect, OpTrust, OpSetMember, OpNoop}).Draw(t, "kind")
 	switch op.Kind {
-	case Register:
-		op.Entry = server(uid, float64(rapid.IntRange(0, 3).Draw(t, "boot")))
-	case Update:
+	case OpRegister:
+		op.Instance = server(uid, float64(rapid.IntRange(0, 3).Draw(t, "boot")))
+	case OpUpdate:
 		op.State = rapid.SampledFrom([]string{"", Serving, Draining}).Draw(t, "state")
-	case Member:
+	case OpSetMember:
 		op.Address = rapid.SampledFrom([]string{"", "10.0.0.1:1"}).Draw(t, "address")
 	}
 	return op
@@ -79,9 +79,9 @@
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		answers := map[string]Answer{}
+		answers := map[string]Result{}
 		for range rapid.IntRange(0, 60).Draw(t, "writes") {
-			op, before := anyOp(t), a.Rev()
+			op, before := anyOp(t), a.Revision()
 			got, changed := a.Apply(op)
 			twin, _ := b.Apply(op)
 			if !reflect.DeepEqual(got, twin) {
@@ -91,11 +91,11 @@
 				t.Fatalf("the repeat %+v got %+v, before %+v", op, got, was)
 			}
 			answers[op.ID] = got
-			if step := a.Rev() - before; step != 0 && changed == nil || step != 1 && changed != nil {
+			if step := a.Revision() - before; step != 0 && changed == nil || step != 1 && changed != nil {
 				t.Fatalf("%+v moved the revision by %d", op, step)
 			}
-			if changed != nil && (changed.Mod != a.Rev() || changed.State != Deleted && a.Get(changed.UID) != changed) {
-				t.Fatalf("%+v put %+v at revision %d", op, changed, a.Rev())
+			if changed != nil && (changed.ModRevision != a.Revision() || changed.State != Deleted && a.Get(changed.UID) != changed) {
+				t.Fatalf("%+v put %+v at revision %d", op, changed, a.Revision())
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				text, err := b.Snapshot()
@@ -107,12 +107,12 @@
 				}
 			}
 		}
-		if !reflect.DeepEqual(a.Entries(), b.Entries()) || a.Rev() != b.Rev() || !reflect.DeepEqual(a.Members(), b.Members()) {
+		if !reflect.DeepEqual(a.Instances(), b.Instances()) || a.Revision() != b.Revision() || !reflect.DeepEqual(a.Members(), b.Members()) {
 			t.Fatalf("the States differ: %+v, %+v", a, b)
 		}
-		r := Restored(a, b)
-		if Epoch(r.Rev()) <= Epoch(b.Rev()) || r.Rev() <= b.Rev() || !reflect.DeepEqual(r.Entries(), a.Entries()) {
-			t.Fatalf("restored at %d after %d", r.Rev(), b.Rev())
+		r := RestoreBackup(a, b)
+		if Epoch(r.Revision()) <= Epoch(b.Revision()) || r.Revision() <= b.Revision() || !reflect.DeepEqual(r.Instances(), a.Instances()) {
+			t.Fatalf("restored at %d after %d", r.Revision(), b.Revision())
 		}
 	})
 }
