--- a/cmd/umberbank-node/state_test.go
+++ b/cmd/umberbank-node/state_test.go
@@ -69,7 +69,7 @@
 }
 
 func (p *process) get(path string) string {
-	r, err := http.NewRequest("GET", "http://"+p.listen+path, nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+p.listen+path, nil)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -122,7 +122,7 @@
 			return err
 		}
 		path, body, _ := strings.Cut(string(text), "\n")
-		req, err := http.NewRequest("POST", "http://"+s.pick()+path, strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://"+s.pick()+path, strings.NewReader(body))
 		if err != nil {
 			return err
 		}
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -162,7 +162,7 @@
 	}
 	fresh := dial(t, n.Addr().String())
 	for name, c := range map[string]net.Conn{"used": used, "fresh": fresh} {
-		if resp := exchange(c, bufio.NewReader(c)); resp.StatusCode != 200 || !resp.Close {
+		if resp := exchange(c, bufio.NewReader(c)); resp.StatusCode != http.StatusOK || !resp.Close {
 			t.Errorf("%s connection while draining: %d, closing %v", name, resp.StatusCode, resp.Close)
 		}
 	}
@@ -180,7 +180,7 @@
 	back := dial(t, n.Addr().String())
 	r := bufio.NewReader(back)
 	for range 2 {
-		if resp := exchange(back, r); resp.StatusCode != 200 || resp.Close {
+		if resp := exchange(back, r); resp.StatusCode != http.StatusOK || resp.Close {
 			t.Errorf("after the drain: %d, closing %v", resp.StatusCode, resp.Close)
 		}
 	}
@@ -200,7 +200,7 @@
 	fresh, kept := dial(t, n.Addr().String()), dial(t, n.Addr().String())
 	keptR := bufio.NewReader(kept)
 	io.WriteString(kept, readRequest)
-	if resp, err := http.ReadResponse(keptR, nil); err != nil || resp.StatusCode != 200 {
+	if resp, err := http.ReadResponse(keptR, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", resp, err)
 	} else {
 		io.ReadAll(resp.Body)
@@ -213,7 +213,7 @@
 	time.Sleep(3 * drainIdle)
 	for name, c := range map[string]net.Conn{"fresh": fresh, "kept": kept} {
 		io.WriteString(c, readRequest[30:])
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 			t.Errorf("%s: %+v, %v", name, resp, err)
 		}
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -123,7 +123,7 @@
 	r := bufio.NewReader(conn)
 	for i := range 2 {
 		resp, err := http.ReadResponse(r, nil)
-		if err != nil || resp.StatusCode != 503 {
+		if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("answer %d: %+v, %v", i, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
@@ -394,7 +394,7 @@
 	for range n.listener.limit - 1 {
 		conn := dial(t, n.Addr().String())
 		io.WriteString(conn, head("GET", "/read/1", ""))
-		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 || resp.Close {
+		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
 			t.Fatalf("%+v, %v", resp, err)
 		}
 	}
@@ -412,11 +412,11 @@
 		}
 		return true
 	})
-	if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || resp.StatusCode != 200 {
+	if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v", resp, err)
 	}
 	close(hold)
-	if resp, err := http.ReadResponse(bufio.NewReader(working), nil); err != nil || resp.StatusCode != 200 {
+	if resp, err := http.ReadResponse(bufio.NewReader(working), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("at work: %+v, %v", resp, err)
 	}
 }
@@ -513,7 +513,7 @@
 	runNode(t, n)
 	r := newRequest(t, n, "POST", "/send/1", "x")
 	r.Header.Set("Idempotency-Key", "k")
-	if resp, _ := do(t, r); resp.StatusCode != 502 {
+	if resp, _ := do(t, r); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 	if a, b := wait(t, outcomes), wait(t, outcomes); a.Result != balancer.Failure || b.Result != balancer.NotSent || len(got) > 0 {
--- a/internal/node/inherit_test.go
+++ b/internal/node/inherit_test.go
@@ -117,7 +117,7 @@
 	close(release)
 	for name, c := range map[string]net.Conn{"open": open, "late": late} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || resp.StatusCode != 200 || resp.Close != (name == "open") {
+		if err != nil || resp.StatusCode != http.StatusOK || resp.Close != (name == "open") {
 			t.Errorf("%s request: %+v, %v", name, resp, err)
 		}
 	}
--- a/internal/node/long_test.go
+++ b/internal/node/long_test.go
@@ -55,7 +55,7 @@
 		addr, _ := stub(t, answer, true)
 		n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 		resp, got := do(t, newRequest(t, n, "GET", "/read/1", ""))
-		if resp.StatusCode != 200 || got != body {
+		if resp.StatusCode != http.StatusOK || got != body {
 			t.Errorf("%s: %d with %d bytes", name, resp.StatusCode, len(got))
 		}
 	}
@@ -179,13 +179,13 @@
 		r := bufio.NewReader(conn)
 		io.WriteString(conn, head("POST", "/order/1", c.more))
 		if strings.HasPrefix(c.more, "Expect") {
-			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 100 {
+			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusContinue {
 				t.Fatalf("%s: not asked for the body: %+v, %v", name, resp, err)
 			}
 		}
 		io.WriteString(conn, c.body)
 		resp, err := http.ReadResponse(r, nil)
-		if err != nil || resp.StatusCode != 200 {
+		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("%s: %+v, %v", name, resp, err)
 		}
 		if s := wait(t, got); s.body != body || s.Header.Get("X-Correlation-Id") != "c-1" {
@@ -194,7 +194,7 @@
 		if c.more[0] != 'T' { // a connection with chunks is closed, see ambiguous
 			io.ReadAll(io.LimitReader(r, 2))
 			io.WriteString(conn, head("GET", "/read/2", ""))
-			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
+			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("%s: the next request: %+v, %v", name, resp, err)
 			}
 			wait(t, got)
@@ -225,7 +225,7 @@
 	conn.Write(make([]byte, size/2))
 	wait(t, half)
 	conn.Write(make([]byte, size/2))
-	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
+	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v", resp, err)
 	}
 }
@@ -319,7 +319,7 @@
 	if e := wait(t, taken); e.Deadline < before {
 		t.Errorf("a deadline that was over before the last byte: %v before", before-e.Deadline)
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
+	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v", resp, err)
 	}
 }
@@ -397,7 +397,7 @@
 	body := strings.Repeat("x", maxBody+1) + inner
 	go io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body+inner)
 	resp, err := http.ReadResponse(r, nil)
-	if err != nil || resp.StatusCode != 503 || !resp.Close {
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -180,11 +180,11 @@
 	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", maxBody))
 	r.Header.Set("Idempotency-Key", "k-1")
 	resp, body := do(t, r)
-	if resp.StatusCode != 200 || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
+	if resp.StatusCode != http.StatusOK || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
 		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
 	}
 	s := wait(t, got)
-	if s.Method != "POST" || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.body) != maxBody ||
+	if s.Method != http.MethodPost || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.body) != maxBody ||
 		s.Header.Get("X-Correlation-Id") != "c-1" || s.Header.Get("Idempotency-Key") != "k-1" {
 		t.Errorf("the server got %s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.body), s.Header)
 	}
@@ -206,7 +206,7 @@
 	defer c.Close()
 	io.WriteString(c, "GET /read/1 HTTP/1.0\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 200 {
+	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("answer %+v, %v", resp, err)
 	}
 	if s := wait(t, got); s.Host != addr {
@@ -465,10 +465,10 @@
 		return nil
 	}))
 	resp, _ := do(t, newRequest(t, n, "GET", "/read/1", ""))
-	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.25" {
+	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "0.25" {
 		t.Errorf("refusal: %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != 502 {
+	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("failure: %d", resp.StatusCode)
 	}
 }
@@ -485,7 +485,7 @@
 	}))
 	r := newRequest(t, n, "GET", "/read/1", "")
 	r.Header.Set("X-Time-Left", "50m")
-	if resp, _ := do(t, r); resp.StatusCode != 502 {
+	if resp, _ := do(t, r); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 	wait(t, gone)
@@ -504,7 +504,7 @@
 			}
 			r := newRequest(t, n, method, path, body)
 			r.Header.Set("X-Time-Left", "1u")
-			if resp, _ := do(t, r); resp.StatusCode != 502 && resp.StatusCode != 503 {
+			if resp, _ := do(t, r); resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Errorf("%s: answer %d", method, resp.StatusCode)
 			}
 		}
@@ -606,7 +606,7 @@
 			}
 			return nil
 		}))
-	if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != 200 || body != "hi" {
+	if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != http.StatusOK || body != "hi" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
 	if o := wait(t, outcomes); o.Endpoint != "fast" || o.Attempt != 1 || !o.RequestDone || o.Result != balancer.Success {
@@ -670,7 +670,7 @@
 	}
 	close(release)
 	for range 2 {
-		if resp := wait(t, answers); resp == nil || resp.StatusCode != 200 || !resp.Close {
+		if resp := wait(t, answers); resp == nil || resp.StatusCode != http.StatusOK || !resp.Close {
 			t.Errorf("answer %+v", resp)
 		}
 	}
@@ -721,7 +721,7 @@
 	addr, got := stub(t, ok, false)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	n.loop.post(n.loop.abandonAll)
-	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != 503 || len(got) > 0 {
+	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusServiceUnavailable || len(got) > 0 {
 		t.Errorf("answer %d, %d sent on", resp.StatusCode, len(got))
 	}
 }
@@ -745,8 +745,8 @@
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				switch resp.StatusCode {
-				case 200:
-				case 503: // by the module, for want of room
+				case http.StatusOK:
+				case http.StatusServiceUnavailable: // by the module, for want of room
 					refused.Add(1)
 				default:
 					err = errors.New(resp.Status)
@@ -793,8 +793,8 @@
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(l) }()
 	for range 2 {
-		r, _ := http.NewRequest("GET", "http://"+inner.Addr().String()+"/", nil)
-		if resp, _ := do(t, r); resp.StatusCode != 200 {
+		r, _ := http.NewRequest(http.MethodGet, "http://"+inner.Addr().String()+"/", nil)
+		if resp, _ := do(t, r); resp.StatusCode != http.StatusOK {
 			t.Errorf("answer %d", resp.StatusCode)
 		}
 	}
@@ -807,8 +807,8 @@
 func TestReady(t *testing.T) {
 	t.Parallel()
 	n := startNode(t, testConfig("127.0.0.1:1"), nil)
-	r, _ := http.NewRequest("GET", "http://"+n.Addr().String()+"/health/ready", nil)
-	if resp, _ := do(t, r); resp.StatusCode != 200 {
+	r, _ := http.NewRequest(http.MethodGet, "http://"+n.Addr().String()+"/health/ready", nil)
+	if resp, _ := do(t, r); resp.StatusCode != http.StatusOK {
 		t.Errorf("ready: %d", resp.StatusCode)
 	}
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -28,7 +28,7 @@
 
 func keyed(t *testing.T) *http.Request {
 	t.Helper()
-	r, err := http.NewRequest("POST", "/send/1", strings.NewReader("body"))
+	r, err := http.NewRequest(http.MethodPost, "/send/1", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -404,7 +404,7 @@
 		wrote <- n
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != 502 {
+	if resp, _ := do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 	if n := wait(t, wrote); n >= most {
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -112,7 +112,7 @@
 }
 
 func get(listen string) string {
-	req, err := http.NewRequest("GET", "http://"+listen+"/read/1", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+listen+"/read/1", nil)
 	if err != nil {
 		return err.Error()
 	}
