--- a/cmd/umberbank-node/state_test.go
+++ b/cmd/umberbank-node/state_test.go
@@ -100,7 +100,7 @@
 // saved are the snapshots in a folder, the newest last.
 func saved(t *testing.T, dir string) []string {
 	t.Helper()
-	l, err := filepath.Glob(filepath.Join(dir, "*"+durable.Suffix))
+	l, err := filepath.Glob(filepath.Join(dir, "*"+durable.SnapshotSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/umberbank/main_test.go
+++ b/cmd/umberbank/main_test.go
@@ -123,7 +123,7 @@
 			t.Fatal(err)
 		}
 	}
-	files, err := filepath.Glob(filepath.Join(dir, "*"+durable.Suffix))
+	files, err := filepath.Glob(filepath.Join(dir, "*"+durable.SnapshotSuffix))
 	if err != nil || len(files) != 3 {
 		t.Fatal(files, err)
 	}
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -122,7 +122,7 @@
 	if !st.IsDir() {
 		return []string{path}, nil
 	}
-	return filepath.Glob(filepath.Join(path, "*"+durable.Suffix))
+	return filepath.Glob(filepath.Join(path, "*"+durable.SnapshotSuffix))
 }
 
 type stateRepairCmd struct {
--- a/internal/coordination/faulttest/config.go
+++ b/internal/coordination/faulttest/config.go
@@ -98,7 +98,7 @@
 	zones := zoneOf(nodes)
 	for i := range nodes {
 		p := &siteProcess{name: fmt.Sprintf("n%02d", i)}
-		p.Process = process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, p.name+".log")}
+		p.Process = process.Process{Launcher: s.launch, LogPath: filepath.Join(s.dir, p.name+".log")}
 		at, err := s.links(p)
 		if err != nil {
 			return err
@@ -166,7 +166,7 @@
 		return err
 	}
 	if s.opt.Beside != nil {
-		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
+		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, LogPath: filepath.Join(s.dir, "beside.log")}}
 		p.SetCommand(s.opt.Beside(s.cluster.Addresses(), s.dir))
 		if err := p.Start(); err != nil {
 			return err
@@ -304,7 +304,7 @@
 	s.res.Faults = append(s.res.Faults, fmt.Sprintf("%s %s %v", kind, name, lasts))
 	s.opt.Log("%s %s for %v", kind, name, lasts)
 	s.zonesLost++
-	silent := &relay.Effect{Silent: true, There: true, Back: true}
+	silent := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 	var links []*relay.Relay
 	var killed []*siteProcess
 	var there []*siteProcess
@@ -389,7 +389,7 @@
 // readLogs adds what nodes wrote of their versions.
 func (r *record) readLogs(nodes []*siteProcess) error {
 	for _, p := range nodes {
-		f, err := os.Open(p.Log)
+		f, err := os.Open(p.LogPath)
 		if err != nil {
 			return err
 		}
--- a/internal/coordination/faulttest/trial.go
+++ b/internal/coordination/faulttest/trial.go
@@ -158,7 +158,7 @@
 		}
 		opt.Program = []string{self}
 	}
-	return &site{opt: opt, launch: process.New(), r: rand.New(rand.NewPCG(opt.Seed, 7)), res: res, record: newRecord()}, nil
+	return &site{opt: opt, launch: process.NewLauncher(), r: rand.New(rand.NewPCG(opt.Seed, 7)), res: res, record: newRecord()}, nil
 }
 
 // Run plays one run.
@@ -288,7 +288,7 @@
 
 // siteProcess starts a process of the program with links of its own.
 func (s *site) process(name, command string, args []string) (*siteProcess, error) {
-	p := &siteProcess{name: name, Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, name+".log")}}
+	p := &siteProcess{name: name, Process: process.Process{Launcher: s.launch, LogPath: filepath.Join(s.dir, name+".log")}}
 	at, err := s.links(p)
 	if err != nil {
 		return nil, err
@@ -346,7 +346,7 @@
 		return false, fmt.Errorf("%w: %s", err, out)
 	}
 	if s.opt.Beside != nil {
-		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, Log: filepath.Join(s.dir, "beside.log")}}
+		p := &siteProcess{name: "beside", Process: process.Process{Launcher: s.launch, LogPath: filepath.Join(s.dir, "beside.log")}}
 		p.SetCommand(s.opt.Beside(s.cluster.Addresses(), s.dir))
 		if err := p.Start(); err != nil {
 			return false, err
@@ -456,7 +456,7 @@
 		p.Signal(syscall.SIGSTOP)
 		afterFault(func() { p.Signal(syscall.SIGCONT) })
 	case "cut", "one-way":
-		e := &relay.Effect{Silent: true, There: true, Back: kind == "cut"}
+		e := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: kind == "cut"}
 		for _, l := range p.links {
 			if err := l.Add(e); err != nil {
 				return err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"umberbank/internal/durable"
-	"umberbank/internal/durable/faulty"
+	"umberbank/internal/durable/faultfs"
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
@@ -24,11 +24,11 @@
 }
 
 func options(fsys durable.FS) durable.Options {
-	return durable.Options{Dir: "d", Kind: "test", Schema: 2, Keep: 2, FS: fsys}
+	return durable.Options{Dir: "d", Kind: "test", Schema: 2, Retain: 2, FS: fsys}
 }
 
 // load loads what is there; -1: nothing. Anything that was never saved ends the test.
-func load(t *testing.T, o durable.Options) (n int, thrown []durable.Thrown) {
+func load(t *testing.T, o durable.Options) (n int, thrown []durable.SkippedFile) {
 	t.Helper()
 	s, thrown := durable.Load(o, func(durable.Snapshot) error { return nil })
 	if s == nil {
@@ -81,13 +81,13 @@
 // that too.
 func TestPowerLoss(t *testing.T) {
 	points := 0
-	crash := func(begin func() *faulty.FS, acked0, from int, each func(after *faulty.FS, acked int)) {
+	crash := func(begin func() *faultfs.FS, acked0, from int, each func(after *faultfs.FS, acked int)) {
 		for at := 0; ; at++ {
 			f := begin()
 			f.CrashAt = at
 			acked, tried := session(f, from)
 			acked = max(acked, acked0)
-			f.Outcomes(func(after *faulty.FS) {
+			f.Outcomes(func(after *faultfs.FS) {
 				points++
 				got, _ := load(t, options(after))
 				if got < acked || got > max(tried, acked) {
@@ -100,16 +100,16 @@
 			}
 		}
 	}
-	crash(faulty.New, -1, 0, func(after *faulty.FS, got int) {
-		crash(func() *faulty.FS {
-			f := faulty.New()
+	crash(faultfs.New, -1, 0, func(after *faultfs.FS, got int) {
+		crash(func() *faultfs.FS {
+			f := faultfs.New()
 			names, _ := after.ReadDir("d")
 			for _, n := range names {
 				text, _ := after.ReadFile(filepath.Join("d", n))
 				f.Put(filepath.Join("d", n), text)
 			}
 			return f
-		}, got, got+1, func(*faulty.FS, int) {})
+		}, got, got+1, func(*faultfs.FS, int) {})
 	})
 	t.Logf("%d states of the disk after a crash", points)
 	if points < 10_000 {
@@ -120,15 +120,15 @@
 // Any one step fails, as on a full, a read-only or a dying disk, and the power goes at any step after it: what was said to be
 // kept is there. Save and Append go on from a fault by themselves, also from a sync that failed once.
 func TestFailingDisk(t *testing.T) {
-	steps := func(f *faulty.FS) int { session(f, 0); return f.Steps }
-	all := steps(faulty.New())
+	steps := func(f *faultfs.FS) int { session(f, 0); return f.Steps }
+	all := steps(faultfs.New())
 	for _, fail := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for at := range all {
 			for crash := at + 1; crash <= all+1; crash++ {
-				f := faulty.New()
+				f := faultfs.New()
 				f.FailAt, f.Fail, f.CrashAt = at, fail, crash
 				acked, tried := session(f, 0)
-				f.Outcomes(func(after *faulty.FS) {
+				f.Outcomes(func(after *faultfs.FS) {
 					if got, _ := load(t, options(after)); got < acked || got > tried {
 						t.Fatalf("%v at step %d, crash at %d: %d is loaded, %d was kept last", fail, at, crash, got, acked)
 					}
@@ -143,7 +143,7 @@
 
 // Every bit of a snapshot is flipped, and it is cut at every byte: it is named and passed over, and the one before is taken.
 func TestFlips(t *testing.T) {
-	f := faulty.New()
+	f := faultfs.New()
 	session(f, 0)
 	names, err := f.ReadDir("d")
 	if err != nil || len(names) != 3 { // two snapshots, and the log between them
@@ -194,9 +194,9 @@
 // What a newer version wrote, what the reader's own check turns down, and files of other kinds are passed over; nothing of
 // them is overwritten or counts less than it did.
 func TestPassedOver(t *testing.T) {
-	f := faulty.New()
+	f := faultfs.New()
 	session(f, 0)
-	newer := durable.Options{Dir: "d", Kind: "test", Schema: 3, Keep: 2, FS: f}
+	newer := durable.Options{Dir: "d", Kind: "test", Schema: 3, Retain: 2, FS: f}
 	s, err := durable.Open(newer)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/durable/faulty/faulty.go
+++ b/internal/durable/faultfs/fs.go
@@ -1,7 +1,7 @@
-// Package faulty is a file system in memory that fails as disks and power do. What was not synced may be lost, torn or
+// Package faultfs is a file system in memory that fails as disks and power do. What was not synced may be lost, torn or
 // kept, each by itself and in any order; a sync that failed once lets go of what it should have written, as Linux
 // does, although the next one succeeds.
-package faulty
+package faultfs
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 )
 
 // ErrCrashed is what every call gets once the power is gone.
-var ErrCrashed = errors.New("faulty: the power is gone")
+var ErrCrashed = errors.New("faultfs: the power is gone")
 
 // inode is a file's content, by now and on the disk.
 type inode struct {
--- a/internal/durable/format_test.go
+++ b/internal/durable/format_test.go
@@ -19,7 +19,7 @@
 )
 
 func storedOptions(dir string) durable.Options {
-	return durable.Options{Dir: dir, Kind: "fixture", Schema: 2, Keep: 2}
+	return durable.Options{Dir: dir, Kind: "fixture", Schema: 2, Retain: 2}
 }
 
 func storedTime(n int64) time.Time { return time.Unix(1_800_000_000+n, 250_000_000) }
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -39,8 +39,8 @@
 	defer func() { s.failed = err != nil }()
 	size := 0
 	for _, r := range records {
-		if len(r) > s.opt.Most {
-			return fmt.Errorf("%s: a record of %d bytes, over the %d allowed", s.opt.Dir, len(r), s.opt.Most)
+		if len(r) > s.opt.MaxPayload {
+			return fmt.Errorf("%s: a record of %d bytes, over the %d allowed", s.opt.Dir, len(r), s.opt.MaxPayload)
 		}
 		size += frameHead + len(r)
 	}
@@ -121,7 +121,7 @@
 // Replay gives to apply, in order, the records that were appended to the snapshot of a number, as Load has returned it. It
 // ends where one is damaged, which after a crash is one whose Append had not returned, or where apply fails, and
 // says so; what came before stands.
-func Replay(o Options, seq uint64, apply func(record []byte) error) *Thrown {
+func Replay(o Options, seq uint64, apply func(record []byte) error) *SkippedFile {
 	o.complete()
 	text, err := o.FS.ReadFile(o.logPath(seq))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -131,7 +131,7 @@
 		err = decodeLog(seq, text, apply)
 	}
 	if err != nil {
-		return &Thrown{o.logPath(seq), err}
+		return &SkippedFile{o.logPath(seq), err}
 	}
 	return nil
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -18,12 +18,12 @@
 
 // Options say where a state is kept and what it is.
 type Options struct {
-	Dir    string
-	Kind   string // of the state; other kinds in the folder are let be
-	Schema uint32 // the newest version of the payload that is understood
-	Keep   int    // snapshots that are kept; 0: 3
-	Most   int    // bytes of a payload; 0: 64 MiB
-	FS     FS     // nil: OS
+	Dir        string
+	Kind       string // of the state; other kinds in the folder are let be
+	Schema     uint32 // the newest version of the payload that is understood
+	Retain     int    // snapshots that are kept; 0: 3
+	MaxPayload int    // bytes of a payload; 0: 64 MiB
+	FS         FS     // nil: OS
 }
 
 const (
@@ -33,15 +33,15 @@
 	lockFile    = "lock"
 )
 
-// Suffix ends the names of a Store's snapshots.
-const Suffix = ".state"
+// SnapshotSuffix ends the names of a Store's snapshots.
+const SnapshotSuffix = ".state"
 
 func (o *Options) complete() {
-	if o.Keep == 0 {
-		o.Keep = defaultKeep
+	if o.Retain == 0 {
+		o.Retain = defaultKeep
 	}
-	if o.Most == 0 {
-		o.Most = defaultMost
+	if o.MaxPayload == 0 {
+		o.MaxPayload = defaultMost
 	}
 	if o.FS == nil {
 		o.FS = OS
@@ -49,12 +49,12 @@
 }
 
 func (o *Options) path(seq uint64) string {
-	return filepath.Join(o.Dir, fmt.Sprintf("%s-%016x%s", o.Kind, seq, Suffix))
+	return filepath.Join(o.Dir, fmt.Sprintf("%s-%016x%s", o.Kind, seq, SnapshotSuffix))
 }
 
 // seqOf is the number in a snapshot's name; false: it is none of this kind.
 func (o *Options) seqOf(name string) (uint64, bool) {
-	text, is := strings.CutSuffix(name, Suffix)
+	text, is := strings.CutSuffix(name, SnapshotSuffix)
 	text, of := strings.CutPrefix(text, o.Kind+"-")
 	if !is || !of || len(text) != 16 {
 		return 0, false
@@ -63,26 +63,26 @@
 	return seq, err == nil
 }
 
-// Thrown is a file that was passed over.
-type Thrown struct {
+// SkippedFile is a file that was passed over.
+type SkippedFile struct {
 	File   string
 	Reason error
 }
 
-func (t Thrown) String() string { return fmt.Sprintf("%s: %v", t.File, t.Reason) }
+func (t SkippedFile) String() string { return fmt.Sprintf("%s: %v", t.File, t.Reason) }
 
 // Load returns the newest whole snapshot that take accepts, nil if there is none, and what was passed over on the
 // way. It takes no lock: another process may go on saving meanwhile.
-func Load(o Options, take func(Snapshot) error) (*Snapshot, []Thrown) {
+func Load(o Options, take func(Snapshot) error) (*Snapshot, []SkippedFile) {
 	o.complete()
 	names, err := o.FS.ReadDir(o.Dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, []Thrown{{o.Dir, err}}
+		return nil, []SkippedFile{{o.Dir, err}}
 	}
-	var thrown []Thrown
+	var thrown []SkippedFile
 	for _, seq := range o.numbers(names) {
 		s, err := o.read(seq)
 		if err == nil {
@@ -93,7 +93,7 @@
 			return &s, thrown
 		case errors.Is(err, fs.ErrNotExist): // its writer has a newer one
 		default:
-			thrown = append(thrown, Thrown{o.path(seq), err})
+			thrown = append(thrown, SkippedFile{o.path(seq), err})
 		}
 	}
 	return nil, thrown
@@ -176,8 +176,8 @@
 // error the older ones stand, and the new one may or may not. Each call writes a file of its own from its beginning:
 // what a failed sync leaves behind is never relied on.
 func (s *Store) Save(payload []byte, taken time.Time) error {
-	if len(payload) > s.opt.Most {
-		return fmt.Errorf("%s: a state of %d bytes, over the %d allowed", s.opt.Dir, len(payload), s.opt.Most)
+	if len(payload) > s.opt.MaxPayload {
+		return fmt.Errorf("%s: a state of %d bytes, over the %d allowed", s.opt.Dir, len(payload), s.opt.MaxPayload)
 	}
 	s.next++
 	text, err := Encode(Snapshot{s.opt.Kind, s.opt.Schema, s.next, taken, payload})
@@ -203,7 +203,7 @@
 
 // prune removes what is older than what is to be kept. What cannot be removed is tried again with the next.
 func (s *Store) prune() {
-	for len(s.old) > s.opt.Keep {
+	for len(s.old) > s.opt.Retain {
 		for _, name := range []string{s.opt.logPath(s.old[0]), s.opt.path(s.old[0])} { // no log outlives its snapshot
 			if err := s.opt.FS.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	by := process.New()
+	by := process.NewLauncher()
 	defer by.Close()
 	node, err := startNode(ctx, by, o.Node, dir, addrs)
 	if err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -67,9 +67,9 @@
 type link struct {
 	addr    string
 	relay   *relay.Relay // nil: no fault touches it
-	effects map[*model.Effect]*relay.Effect
-	down    []*relay.Effect   // while the server's process, or its machine, is down
-	jobs    chan func() error // for its relay, in order: they may take a moment, and the loop must not wait
+	effects map[*model.Effect]*relay.Impairment
+	down    []*relay.Impairment // while the server's process, or its machine, is down
+	jobs    chan func() error   // for its relay, in order: they may take a moment, and the loop must not wait
 }
 
 // linkJobs is how many of them may wait.
@@ -113,7 +113,7 @@
 	if f.dir, err = os.MkdirTemp("", "umberbank-lab-"); err != nil {
 		return f, err
 	}
-	f.launch = process.New()
+	f.launch = process.NewLauncher()
 	touched := map[[2]int]bool{}
 	fault.Links(opt.Events, w.Site, func(node, server int) { touched[[2]int{node, server}] = true })
 	if err = f.startServers(touched); err != nil {
@@ -361,7 +361,7 @@
 				l.jobs <- func() error { return l.relay.Remove(r) }
 				continue
 			}
-			r := &relay.Effect{Delay: e.Delay, Jitter: e.Jitter, Silent: e.Silent, Refuse: e.Refuse, Rate: e.Rate, There: e.There, Back: e.Back}
+			r := &relay.Impairment{Delay: e.Delay, Jitter: e.Jitter, Stall: e.Silent, Refuse: e.Refuse, BytesPerSecond: e.Rate, ToTarget: e.There, FromTarget: e.Back}
 			l.effects[e] = r
 			l.jobs <- func() error {
 				if e.Reset {
@@ -379,9 +379,9 @@
 		f.registry.release(server)
 	}
 	f.eachLink(server, func(l *link) {
-		e := &relay.Effect{Refuse: true}
+		e := &relay.Impairment{Refuse: true}
 		if silent {
-			e = &relay.Effect{Silent: true, There: true, Back: true}
+			e = &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 		}
 		l.down = append(l.down, e)
 		l.jobs <- func() error {
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -27,8 +27,8 @@
 	holds   []*hold        // by server; nil: not held
 	lost    []bool         // by server: its heartbeats do not arrive
 	views   []map[int]model.Entry
-	cuts    map[int]*relay.Effect // by replica
-	jobs    chan func()           // on processes, in order: they may take a moment, and the loop must not wait
+	cuts    map[int]*relay.Impairment // by replica
+	jobs    chan func()               // on processes, in order: they may take a moment, and the loop must not wait
 }
 
 // hold is a server's lease.
@@ -49,7 +49,7 @@
 		return err
 	}
 	r := &registry{f: f, cluster: c, index: map[string]int{}, holds: make([]*hold, len(f.w.Site.Servers)), lost: make([]bool, len(f.w.Site.Servers)),
-		views: make([]map[int]model.Entry, len(f.w.Site.Nodes)), cuts: map[int]*relay.Effect{}, jobs: make(chan func(), linkJobs)}
+		views: make([]map[int]model.Entry, len(f.w.Site.Nodes)), cuts: map[int]*relay.Impairment{}, jobs: make(chan func(), linkJobs)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	f.registry = r
 	r.running.Go(func() {
@@ -255,7 +255,7 @@
 	case what == "registry-stop":
 		r.cluster.Signal(i, syscall.SIGCONT)
 	case on:
-		r.cuts[i] = &relay.Effect{Silent: true, There: true, Back: true}
+		r.cuts[i] = &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 		r.eachLink(i, func(l *relay.Relay) error { return l.Add(r.cuts[i]) })
 	default:
 		r.eachLink(i, func(l *relay.Relay) error { return l.Remove(r.cuts[i]) })
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			l := &link{addr: ln.Addr().String(), effects: map[*model.Effect]*relay.Effect{}}
+			l := &link{addr: ln.Addr().String(), effects: map[*model.Effect]*relay.Impairment{}}
 			f.links[[2]int{n, s}] = l
 			f.serveHTTP(&linkListener{ln, endpoint{n, s}, open, int64(f.w.Site.Servers[s].Kind.Connections)}, srv)
 			if touched[[2]int{n, s}] {
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -57,7 +57,7 @@
 func measure(ctx context.Context, o Options, n int, mayMB float64, say string) (*Figures, error) {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	p := &play{o: o, n: n, f: newFigures(n), launch: process.New(), guard: &guard{mayMB: mayMB, may: MostProcesses}}
+	p := &play{o: o, n: n, f: newFigures(n), launch: process.NewLauncher(), guard: &guard{mayMB: mayMB, may: MostProcesses}}
 	defer p.close()
 	began := time.Now()
 	var watching sync.WaitGroup
@@ -167,7 +167,7 @@
 }
 
 func (p *play) process(name string, env []string, command []string) *process.Process {
-	x := &process.Process{Launcher: p.launch, Log: filepath.Join(p.dir, name+".log")}
+	x := &process.Process{Launcher: p.launch, LogPath: filepath.Join(p.dir, name+".log")}
 	if len(env) > 0 {
 		command = append(append([]string{"/usr/bin/env"}, env...), command...)
 	}
@@ -778,7 +778,7 @@
 			m.cut(far[h.region], healed)
 		}
 	}
-	silent := &relay.Effect{Silent: true, There: true, Back: true}
+	silent := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 	var err error
 	var links []*relay.Relay
 	p.c.Links(func(from, to int, r *relay.Relay) {
--- a/internal/modelcheck/isync/checked.go
+++ b/internal/modelcheck/checkedsync/checked.go
@@ -1,6 +1,6 @@
 //go:build interleave
 
-package isync
+package checkedsync
 
 import "umberbank/internal/modelcheck"
 
--- a/internal/modelcheck/isync/real.go
+++ b/internal/modelcheck/checkedsync/real.go
@@ -1,8 +1,8 @@
 //go:build !interleave
 
-// Package isync is what code synchronises by that is checked by package interleave. Its types are those of sync and
+// Package checkedsync is what code synchronises by that is checked by package interleave. Its types are those of sync and
 // sync/atomic; under the build tag interleave they are the checker's, and only tests that run under it work.
-package isync
+package checkedsync
 
 import (
 	"sync"
--- a/internal/modelcheck/interleave.go
+++ b/internal/modelcheck/interleave.go
@@ -1,7 +1,7 @@
 // Package modelcheck runs a few threads of real code under every order in which their synchronising steps can come, and
-// reports the order in which an invariant breaks, a thread panics, or nobody can go on: a deadlock or a lost wake-up.
+// reports the order in which an invariant breaks, a thread panics, or no thread can proceed: a deadlock or a lost wake-up.
 //
-// Code is checked by synchronising through package isync, whose types are those of sync and sync/atomic, and under the build
+// Code is checked by synchronising through package checkedsync, whose types are those of sync and sync/atomic, and under the build
 // tag interleave those of this package. Threads take turns: one runs until it is about to take a step, and the checker
 // decides who goes on. It searches depth first by running the whole again for each order, with sleep sets (Godefroid,
 // Partial-Order Methods for the Verification of Concurrent Systems, 1996): of orders that differ only in steps
@@ -20,8 +20,8 @@
 
 // Options bound a search.
 type Options struct {
-	Preemptions int // most times that a thread is made to wait that could go on; 0: no bound
-	Schedules   int // fail after so many; 0: a million
+	MaxPreemptions int // most times that a thread is made to wait that could go on; 0: no bound
+	MaxSchedules   int // fail after so many; 0: a million
 }
 
 // ReplayEnv names the environment's variable with the schedule to run alone, as a failure prints it.
@@ -34,14 +34,14 @@
 
 // Failure is how a schedule went wrong.
 type Failure struct {
-	Why      string
+	Reason   string
 	Schedule []int    // which thread took each step
 	Steps    []string // in words
 }
 
 func (f *Failure) Error() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "%s\n%s=", f.Why, ReplayEnv)
+	fmt.Fprintf(&s, "%s\n%s=", f.Reason, ReplayEnv)
 	for i, id := range f.Schedule {
 		if i > 0 {
 			s.WriteByte(',')
@@ -54,8 +54,8 @@
 	return s.String()
 }
 
-// Exec is one run of the threads under one schedule.
-type Exec struct {
+// Execution is one run of the threads under one schedule.
+type Execution struct {
 	threads   []*thread
 	finally   func()
 	running   *thread
@@ -90,15 +90,15 @@
 func (o op) depends(p op) bool { return o.object == p.object && (o.write || p.write) }
 
 // current is the run that goes on; nil: none, and steps are taken as they come.
-var current *Exec
+var current *Execution
 
 // Go adds a thread. Threads must be the same for every schedule.
-func (x *Exec) Go(name string, f func()) {
+func (x *Execution) Go(name string, f func()) {
 	x.threads = append(x.threads, &thread{id: len(x.threads), name: name, f: f, resume: make(chan struct{})})
 }
 
 // Finally is run once all threads have ended.
-func (x *Exec) Finally(f func()) { x.finally = f }
+func (x *Execution) Finally(f func()) { x.finally = f }
 
 // broken is a panic by Failf.
 type broken string
@@ -169,7 +169,7 @@
 // pick chooses the next thread to try; false: there is none left.
 func (n *node) pick(o Options) bool {
 	for _, id := range n.enabled {
-		over := o.Preemptions > 0 && n.spent >= o.Preemptions && n.preempts(id)
+		over := o.MaxPreemptions > 0 && n.spent >= o.MaxPreemptions && n.preempts(id)
 		if !n.sleep[id] && !contains(n.tried, id) && !over {
 			n.chosen = id
 			return true
@@ -207,23 +207,23 @@
 
 // Explore runs body's threads under all schedules, and gives how many there were and how one failed; nil: none did. Body
 // makes everything anew each time that it is called, and nothing that it uses may depend on time or chance.
-func Explore(o Options, body func(x *Exec)) (schedules int, failed *Failure) {
-	if o.Schedules == 0 {
-		o.Schedules = mostSchedules
+func Explore(o Options, body func(x *Execution)) (schedules int, failed *Failure) {
+	if o.MaxSchedules == 0 {
+		o.MaxSchedules = mostSchedules
 	}
 	var replay []int
 	if text := os.Getenv(ReplayEnv); text != "" {
 		for _, id := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(id)
 			if err != nil {
-				return 0, &Failure{Why: ReplayEnv + ": " + err.Error()}
+				return 0, &Failure{Reason: ReplayEnv + ": " + err.Error()}
 			}
 			replay = append(replay, n)
 		}
 	}
 	var path []*node
 	for {
-		x := &Exec{parked: make(chan *thread), objects: map[any]int{}}
+		x := &Execution{parked: make(chan *thread), objects: map[any]int{}}
 		body(x)
 		complete := true
 		path, complete = x.run(o, path, replay)
@@ -236,8 +236,8 @@
 		if replay != nil {
 			return schedules, nil
 		}
-		if schedules >= o.Schedules {
-			return schedules, &Failure{Why: fmt.Sprintf("over %d schedules", o.Schedules)}
+		if schedules >= o.MaxSchedules {
+			return schedules, &Failure{Reason: fmt.Sprintf("over %d schedules", o.MaxSchedules)}
 		}
 		for len(path) > 0 {
 			n := path[len(path)-1]
@@ -254,7 +254,7 @@
 }
 
 // run runs the threads along a path and on from its end; false: what follows was run before in another order.
-func (x *Exec) run(o Options, path []*node, replay []int) ([]*node, bool) {
+func (x *Execution) run(o Options, path []*node, replay []int) ([]*node, bool) {
 	current = x
 	defer func() { current = nil }()
 	for _, t := range x.threads {
@@ -294,7 +294,7 @@
 					who = append(who, t.name+" at "+t.next.what)
 				}
 			}
-			x.failed = "nobody can go on: " + strings.Join(who, ", ")
+			x.failed = "no thread can proceed: " + strings.Join(who, ", ")
 			return path, true
 		case depth > mostSteps:
 			x.failed = fmt.Sprintf("over %d steps", mostSteps)
@@ -326,7 +326,7 @@
 }
 
 // start brings a thread to its first step.
-func (x *Exec) start(t *thread) {
+func (x *Execution) start(t *thread) {
 	x.running = t
 	go func() {
 		defer func() {
@@ -346,7 +346,7 @@
 }
 
 // end looks at what the threads have left.
-func (x *Exec) end() {
+func (x *Execution) end() {
 	defer func() {
 		if r := recover(); r != nil {
 			x.failed = fmt.Sprint("in the end: ", r)
@@ -358,7 +358,7 @@
 }
 
 // abandon ends the threads that have not.
-func (x *Exec) abandon() {
+func (x *Execution) abandon() {
 	x.abandoned = true
 	for _, t := range x.threads {
 		if !t.done {
@@ -369,7 +369,7 @@
 }
 
 // Check explores body and fails t with the schedule that breaks it.
-func Check(t *testing.T, o Options, body func(x *Exec)) {
+func Check(t *testing.T, o Options, body func(x *Execution)) {
 	t.Helper()
 	n, failed := Explore(o, body)
 	if failed != nil {
@@ -378,12 +378,12 @@
 	t.Logf("schedules: %d", n)
 }
 
-// Finds explores a body in which a fault was planted, and fails t unless some schedule fails for the reason.
-func Finds(t *testing.T, o Options, why string, body func(x *Exec)) {
+// CheckFails explores a body in which a fault was planted, and fails t unless some schedule fails for the reason.
+func CheckFails(t *testing.T, o Options, why string, body func(x *Execution)) {
 	t.Helper()
 	n, failed := Explore(o, body)
-	if failed == nil || !strings.Contains(failed.Why, why) {
+	if failed == nil || !strings.Contains(failed.Reason, why) {
 		t.Fatalf("the planted fault was not found in %d schedules: %v", n, failed)
 	}
-	t.Logf("schedules: %d until %s", n, failed.Why)
+	t.Logf("schedules: %d until %s", n, failed.Reason)
 }
--- a/internal/node/keep.go
+++ b/internal/node/keep.go
@@ -78,7 +78,7 @@
 	if s.Dir == "" {
 		return nil
 	}
-	return &keeper{opt: durable.Options{Dir: s.Dir, Kind: StateKind, Schema: stateSchema, Most: maxState}, every: s.Every}
+	return &keeper{opt: durable.Options{Dir: s.Dir, Kind: StateKind, Schema: stateSchema, MaxPayload: maxState}, every: s.Every}
 }
 
 // recall is what an earlier process had learned; false: nothing that can be used. A bad file is said, and no more.
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -39,7 +39,7 @@
 	for i := range 10_000 {
 		m.Endpoints = append(m.Endpoints, balancer.EndpointSnapshot{ID: fmt.Sprintf("s-%08x", i*7919), Slowness: 0.1 + float64(i)/1e5, LatencySamples: 3})
 	}
-	k := &keeper{opt: durable.Options{Dir: b.TempDir(), Kind: StateKind, Schema: stateSchema, Most: maxState}}
+	k := &keeper{opt: durable.Options{Dir: b.TempDir(), Kind: StateKind, Schema: stateSchema, MaxPayload: maxState}}
 	var took time.Duration
 	for range b.N {
 		d, err := k.save(func() (balancer.Snapshot, bool) { return m, true })
--- a/internal/process/launch.go
+++ b/internal/process/launch.go
@@ -15,8 +15,8 @@
 	once sync.Once
 }
 
-// New returns a Launcher with its thread.
-func New() *Launcher {
+// NewLauncher returns a Launcher with its thread.
+func NewLauncher() *Launcher {
 	l := &Launcher{jobs: make(chan func())}
 	go func() {
 		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -12,7 +12,7 @@
 type Process struct {
 	Launcher *Launcher
 	Args     []string // of its command
-	Log      string   // a file for what it writes, over all its starts
+	LogPath  string   // a file for what it writes, over all its starts
 
 	mu      sync.Mutex
 	command []string
@@ -38,7 +38,7 @@
 			return nil
 		}
 	}
-	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Ended is closed when the process that it runs as has ended; nil: it does not run.
-func (p *Process) Ended() <-chan struct{} {
+// Done is closed when the process that it runs as has ended; nil: it does not run.
+func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -97,9 +97,9 @@
 	return p.cmd.Process.Pid
 }
 
-// Logs is the end of what it wrote.
-func (p *Process) Logs() string {
-	text, err := os.ReadFile(p.Log)
+// LogTail is the end of what it wrote.
+func (p *Process) LogTail() string {
+	text, err := os.ReadFile(p.LogPath)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/process/relay/relay.go
+++ b/internal/process/relay/relay.go
@@ -18,29 +18,29 @@
 	"time"
 )
 
-// Effect is what a link does. Several may hold at once: delays add up, the slowest rate counts, and one silence
+// Impairment is what a link does. Several may hold at once: delays add up, the slowest rate counts, and one silence
 // is enough.
-type Effect struct {
-	Delay, Jitter time.Duration
-	Silent        bool
-	Refuse        bool
-	Rate          int // bytes a second; 0: as fast as may be
-	There, Back   bool
+type Impairment struct {
+	Delay, Jitter        time.Duration
+	Stall                bool
+	Refuse               bool
+	BytesPerSecond       int // bytes a second; 0: as fast as may be
+	ToTarget, FromTarget bool
 }
 
 // Relay listens at an address and passes connections on to another.
 type Relay struct {
 	addr, target string
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	ln      *net.TCPListener // nil while it refuses
-	effects []*Effect
-	pipes   map[*pipe]struct{}
-	resting bool       // the accepting goroutine accepts nothing
-	holding int        // directions that wait for a silence to end, with bytes or an end to pass on
-	filler  []net.Conn // fills the backlog while silent, so that no connection comes up
-	closed  bool
+	mu            sync.Mutex
+	changed       *sync.Cond
+	ln            *net.TCPListener // nil while it refuses
+	effects       []*Impairment
+	pipes         map[*pipe]struct{}
+	resting       bool       // the accepting goroutine accepts nothing
+	stalledCopies int        // directions that wait for a silence to end, with bytes or an end to pass on
+	filler        []net.Conn // fills the backlog while silent, so that no connection comes up
+	closed        bool
 }
 
 // pipe is one connection passed on.
@@ -99,7 +99,7 @@
 }
 
 // Add puts an effect on the link.
-func (r *Relay) Add(e *Effect) error {
+func (r *Relay) Add(e *Impairment) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.effects = append(r.effects, e)
@@ -107,7 +107,7 @@
 }
 
 // Remove takes an effect off again; one that is not on is none of its concern.
-func (r *Relay) Remove(e *Effect) error {
+func (r *Relay) Remove(e *Impairment) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := slices.Index(r.effects, e); i >= 0 {
@@ -122,7 +122,7 @@
 	if r.closed {
 		return nil
 	}
-	refuse, silent := r.any(func(e *Effect) bool { return e.Refuse }), r.any(func(e *Effect) bool { return e.Silent })
+	refuse, silent := r.any(func(e *Impairment) bool { return e.Refuse }), r.any(func(e *Impairment) bool { return e.Stall })
 	if refuse {
 		r.unfill()
 		if r.ln != nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (r *Relay) any(is func(*Effect) bool) bool { return slices.ContainsFunc(r.effects, is) }
+func (r *Relay) any(is func(*Impairment) bool) bool { return slices.ContainsFunc(r.effects, is) }
 
 // fillers is how many connections are tried to fill a backlog of none, and fillWait how long one may take.
 const (
@@ -251,8 +251,8 @@
 		p.reset()
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.copy(p, p.far, p.near, func(e *Effect) bool { return e.There }) })
-	both.Go(func() { r.copy(p, p.near, p.far, func(e *Effect) bool { return e.Back }) })
+	both.Go(func() { r.copy(p, p.far, p.near, func(e *Impairment) bool { return e.ToTarget }) })
+	both.Go(func() { r.copy(p, p.near, p.far, func(e *Impairment) bool { return e.FromTarget }) })
 	both.Wait()
 	p.near.Close()
 	p.far.Close()
@@ -262,7 +262,7 @@
 }
 
 // copy carries one direction; hit tells which effects concern it.
-func (r *Relay) copy(p *pipe, to, from *net.TCPConn, hit func(*Effect) bool) {
+func (r *Relay) copy(p *pipe, to, from *net.TCPConn, hit func(*Impairment) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -304,14 +304,14 @@
 }
 
 // hold waits for as long as the direction is silent, and then for its delay. It says whether it was silent.
-func (r *Relay) hold(hit func(*Effect) bool) (silent bool) {
-	quiet := func() bool { return !r.closed && r.any(func(e *Effect) bool { return e.Silent && hit(e) }) }
+func (r *Relay) hold(hit func(*Impairment) bool) (silent bool) {
+	quiet := func() bool { return !r.closed && r.any(func(e *Impairment) bool { return e.Stall && hit(e) }) }
 	r.mu.Lock()
 	if silent = quiet(); silent {
-		for r.holding++; quiet(); {
+		for r.stalledCopies++; quiet(); {
 			r.changed.Wait()
 		}
-		r.holding--
+		r.stalledCopies--
 	}
 	wait := time.Duration(0)
 	for _, e := range r.effects {
@@ -327,13 +327,13 @@
 }
 
 // write passes bytes on at the pace that the direction has.
-func (r *Relay) write(to *net.TCPConn, b []byte, hit func(*Effect) bool) error {
+func (r *Relay) write(to *net.TCPConn, b []byte, hit func(*Impairment) bool) error {
 	for len(b) > 0 {
 		rate := 0
 		r.mu.Lock()
 		for _, e := range r.effects {
-			if hit(e) && e.Rate > 0 && (rate == 0 || e.Rate < rate) {
-				rate = e.Rate
+			if hit(e) && e.BytesPerSecond > 0 && (rate == 0 || e.BytesPerSecond < rate) {
+				rate = e.BytesPerSecond
 			}
 		}
 		r.mu.Unlock()
--- a/internal/process/relay/relay_test.go
+++ b/internal/process/relay/relay_test.go
@@ -75,7 +75,7 @@
 	return strings.TrimSuffix(s, "\n"), err
 }
 
-func put(t *testing.T, r *Relay, e *Effect) *Effect {
+func put(t *testing.T, r *Relay, e *Impairment) *Impairment {
 	t.Helper()
 	if err := r.Add(e); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	return e
 }
 
-func take(t *testing.T, r *Relay, e *Effect) {
+func take(t *testing.T, r *Relay, e *Impairment) {
 	t.Helper()
 	if err := r.Remove(e); err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 // While a link is silent either way nothing comes through and no connection comes up. Afterwards what was
 // written arrives, once.
 func TestSilence(t *testing.T) {
-	for _, e := range []*Effect{{Silent: true, There: true}, {Silent: true, Back: true}, {Silent: true, There: true, Back: true}} {
+	for _, e := range []*Impairment{{Stall: true, ToTarget: true}, {Stall: true, FromTarget: true}, {Stall: true, ToTarget: true, FromTarget: true}} {
 		r := start(t)
 		c := dial(t, r)
 		want(t, c, "before")
@@ -157,11 +157,11 @@
 		c := dial(t, r)
 		io.WriteString(c, "before\n")
 		<-got
-		e := put(t, r, &Effect{Silent: true, There: true})
+		e := put(t, r, &Impairment{Stall: true, ToTarget: true})
 		io.WriteString(c, "during\n")
 		for held, end := 0, time.Now().Add(limit); held == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			r.mu.Lock()
-			held = r.holding
+			held = r.stalledCopies
 			r.mu.Unlock()
 		}
 		if reset {
@@ -184,8 +184,8 @@
 	r := start(t)
 	c := dial(t, r)
 	want(t, c, "before") // it has been taken, and does not wait in the backlog that a refusal empties
-	first, second := put(t, r, &Effect{Silent: true, There: true}), put(t, r, &Effect{Silent: true, There: true})
-	refuse := put(t, r, &Effect{Refuse: true})
+	first, second := put(t, r, &Impairment{Stall: true, ToTarget: true}), put(t, r, &Impairment{Stall: true, ToTarget: true})
+	refuse := put(t, r, &Impairment{Refuse: true})
 	take(t, r, first)
 	if got, err := ask(c, "held", 50*time.Millisecond); err == nil {
 		t.Errorf("heard %q in the second silence", got)
@@ -217,14 +217,14 @@
 func TestDelayAndRate(t *testing.T) {
 	r := start(t)
 	c := dial(t, r)
-	put(t, r, &Effect{Delay: 30 * time.Millisecond, There: true})
-	put(t, r, &Effect{Delay: 20 * time.Millisecond, There: true, Back: true})
+	put(t, r, &Impairment{Delay: 30 * time.Millisecond, ToTarget: true})
+	put(t, r, &Impairment{Delay: 20 * time.Millisecond, ToTarget: true, FromTarget: true})
 	began := time.Now()
 	want(t, c, "delayed")
 	if took := time.Since(began); took < 70*time.Millisecond {
 		t.Errorf("%v there and back, want 70ms or more", took)
 	}
-	put(t, r, &Effect{Rate: 1000, Back: true})
+	put(t, r, &Impairment{BytesPerSecond: 1000, FromTarget: true})
 	began = time.Now()
 	want(t, c, strings.Repeat("x", 100))
 	if took := time.Since(began); took < 150*time.Millisecond {
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -31,7 +31,7 @@
 )
 
 func newCache(dir string) *cache {
-	return &cache{opt: durable.Options{Dir: dir, Kind: cacheKind, Schema: cacheSchema, Keep: 2}, whole: true, news: make(chan struct{}, 1)}
+	return &cache{opt: durable.Options{Dir: dir, Kind: cacheKind, Schema: cacheSchema, Retain: 2}, whole: true, news: make(chan struct{}, 1)}
 }
 
 // load gives the Reader what the cache has, as far as it is whole.
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -54,7 +54,7 @@
 	if len(command) == 0 {
 		return nil, errors.New("no command of a replica")
 	}
-	c = &Cluster{launch: process.New(), links: map[[2]int]*relay.Relay{}}
+	c = &Cluster{launch: process.NewLauncher(), links: map[[2]int]*relay.Relay{}}
 	defer func() {
 		if err != nil {
 			c.Close()
@@ -65,7 +65,7 @@
 	}
 	for i := range replicas {
 		m := &member{id: fmt.Sprintf("r%d", i), config: filepath.Join(c.dir, fmt.Sprintf("r%d.toml", i))}
-		m.Launcher, m.Args, m.Log = c.launch, []string{"--config", m.config}, filepath.Join(c.dir, m.id+".log")
+		m.Launcher, m.Args, m.LogPath = c.launch, []string{"--config", m.config}, filepath.Join(c.dir, m.id+".log")
 		m.SetCommand(command)
 		for _, addr := range []*string{&m.raft, &m.address} {
 			if *addr, err = Free(); err != nil {
@@ -127,10 +127,10 @@
 func (c *Cluster) syncWait(i int) string { return filepath.Join(c.dir, c.nodes[i].id+".sync") }
 
 // Ended is closed when the process that a replica runs as has ended; nil: it does not run.
-func (c *Cluster) Ended(i int) <-chan struct{} { return c.nodes[i].Ended() }
+func (c *Cluster) Ended(i int) <-chan struct{} { return c.nodes[i].Done() }
 
 // Logs is the end of what a replica wrote.
-func (c *Cluster) Logs(i int) string { return c.nodes[i].Logs() }
+func (c *Cluster) Logs(i int) string { return c.nodes[i].LogTail() }
 
 // Addresses are where writers and readers call.
 func (c *Cluster) Addresses() []string {
--- a/internal/registry/faulttest/trial.go
+++ b/internal/registry/faulttest/trial.go
@@ -226,7 +226,7 @@
 			}
 			after(func() { c.SlowDisk(i, 0) })
 		default:
-			e := &relay.Effect{Silent: kind != "slow", There: true, Back: true}
+			e := &relay.Impairment{Stall: kind != "slow", ToTarget: true, FromTarget: true}
 			if kind == "slow" {
 				e.Delay, e.Jitter = 30*time.Millisecond, 50*time.Millisecond
 			}
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"umberbank/internal/modelcheck/isync"
+	"umberbank/internal/modelcheck/checkedsync"
 	"umberbank/internal/registry/state"
 )
 
@@ -28,7 +28,7 @@
 	hub     *hub
 	applied func(kind, fault string) // hears of every write
 
-	mu    isync.RWMutex
+	mu    checkedsync.RWMutex
 	state *state.State
 }
 
--- a/internal/registry/replica/hub.go
+++ b/internal/registry/replica/hub.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"umberbank/internal/modelcheck/isync"
+	"umberbank/internal/modelcheck/checkedsync"
 	"umberbank/internal/registry/state"
 )
 
@@ -30,7 +30,7 @@
 // hub hands changes to any number of readers. Each holds only its revision; nothing is kept for it, so a slow one
 // costs nothing and holds nobody up.
 type hub struct {
-	mu      isync.Mutex
+	mu      checkedsync.Mutex
 	rev     int64
 	lines   []line
 	history int // changed entries in lines
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -59,8 +59,8 @@
 			}
 		}
 	}
-	body := func(restore, wakeAfter bool) func(x *modelcheck.Exec) {
-		return func(x *modelcheck.Exec) {
+	body := func(restore, wakeAfter bool) func(x *modelcheck.Execution) {
+		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			want := int64(1)<<40 + 2
 			if restore {
@@ -82,13 +82,13 @@
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false, false))
 	modelcheck.Check(t, modelcheck.Options{}, body(true, false))
-	modelcheck.Finds(t, modelcheck.Options{}, "nobody can go on: reader at wait for", body(false, true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "no thread can proceed: reader at wait for", body(false, true))
 }
 
 // A whole list and the revision that it is given at belong together, while entries come.
 func TestInterleaveWholeList(t *testing.T) {
-	body := func(twice bool) func(x *modelcheck.Exec) {
-		return func(x *modelcheck.Exec) {
+	body := func(twice bool) func(x *modelcheck.Execution) {
+		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			x.Go("writer", func() { apply(f, order, enter("a")); apply(f, order, enter("b")) })
 			for i := range 2 {
@@ -109,15 +109,15 @@
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false))
-	modelcheck.Finds(t, modelcheck.Options{}, "entries at revision", body(true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "entries at revision", body(true))
 }
 
 // An agent begins its permit and acts, while the permit lapses, staff halt the release, and somebody else wants to
 // take another unit out, where one of two may be. Never do both act, and the agent never acts on a permit that it began after
 // the halt.
 func TestInterleavePermit(t *testing.T) {
-	body := func(looks bool) func(x *modelcheck.Exec) {
-		return func(x *modelcheck.Exec) {
+	body := func(looks bool) func(x *modelcheck.Execution) {
+		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			half := 0.5
 			apply(f, order, state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &half}}}})
@@ -159,7 +159,7 @@
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false))
-	modelcheck.Finds(t, modelcheck.Options{}, "both are out", body(true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "both are out", body(true))
 }
 
 // Two nodes look at a version and acknowledge it, one restarts, staff take it back, and a controller tells it. No node runs
@@ -169,8 +169,8 @@
 	node := func(uid string, boot float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: boot}}
 	}
-	body := func(eager bool) func(x *modelcheck.Exec) {
-		return func(x *modelcheck.Exec) {
+	body := func(eager bool) func(x *modelcheck.Execution) {
+		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			starts := map[string]int64{}
 			for i, a := range apply(f, order, node("n0", 1), node("n1", 1)) {
@@ -225,7 +225,7 @@
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false))
-	modelcheck.Finds(t, modelcheck.Options{}, "run", body(true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "run", body(true))
 }
 
 // Version 1 is in force. The leader writes that n2's lease has ended, n2 comes back by the same start or by a fresh one and catches up,
@@ -240,8 +240,8 @@
 	propose := func(n int64) state.Op {
 		return state.Op{Kind: state.OpPropose, Value: content(n), Replaces: n - 1, Stages: []float64{1}}
 	}
-	body := func(zone string, boot float64, early bool) func(x *modelcheck.Exec) {
-		return func(x *modelcheck.Exec) {
+	body := func(zone string, boot float64, early bool) func(x *modelcheck.Execution) {
+		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			starts, runs := map[string]int64{}, map[string]int64{}
 			say := func(kind string, n int64, uids ...string) (l []state.Op) {
@@ -325,5 +325,5 @@
 			modelcheck.Check(t, modelcheck.Options{}, body(zone, boot, false))
 		}
 	}
-	modelcheck.Finds(t, modelcheck.Options{}, "is in touch and runs version 1", body("a", 1, true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "is in touch and runs version 1", body("a", 1, true))
 }
