--- /dev/null
+++ b/balancer/settings_test.go
@@ -0,0 +1,30 @@
+package balancer
+
+import (
+	"math"
+	"strings"
+	"testing"
+)
+
+func TestSettingErrorNamesField(t *testing.T) {
+	for want, change := range map[string]func(*Settings){
+		"Classes":                      func(s *Settings) { s.Classes = nil },
+		"Classes[0].Name":              func(s *Settings) { s.Classes[0].Name = "" },
+		"Classes[2].LatencyObjective":  func(s *Settings) { s.Classes[2].LatencyObjective = 0 },
+		"Classes[1].Deadline":          func(s *Settings) { s.Classes[1].Deadline = -1 },
+		"Classes[1].IdempotencyWindow": func(s *Settings) { s.Classes[1].IdempotencyWindow = -1 },
+		"Classes[0].PriorityWeight":    func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"Classes[0].LateCredit":        func(s *Settings) { s.Classes[0].LateCredit = 2 },
+		"SlowStart.InitialFraction":    func(s *Settings) { s.SlowStart.InitialFraction = 1.5 },
+		"SlowStart.Duration":           func(s *Settings) { s.SlowStart.Duration = -1 },
+		"ReplicaIndex":                 func(s *Settings) { s.ReplicaIndex = -1 },
+		"SlowStart.OverloadMultiple":   func(s *Settings) { s.SlowStart.OverloadMultiple = math.NaN() },
+	} {
+		want := "setting " + want + " is"
+		s := testSettings()
+		change(&s)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got %v, want %q", err, want)
+		}
+	}
+}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -417,8 +417,9 @@
 		MaxAttempts: p.Limits.MaxAttempts, Hedging: p.Limits.SecondCopies,
 		Cancellation: p.Limits.Cancelling, WeightKind: sizes[p.Sizes],
 		PollDiscovery: p.Registry == "on_request", PollInterval: fromMS(p.Rules.AskWithin),
-		Tick: fromMS(p.Tick), ColdFrom: p.Rules.ColdFrom, WarmAfter: fromMS(p.Rules.WarmAfter),
-		FallMultiple: p.Rules.FallMultiple, FallFor: fromMS(p.Rules.FallFor),
+		Tick: fromMS(p.Tick), SlowStart: balancer.SlowStart{
+			InitialFraction: p.Rules.ColdFrom, Duration: fromMS(p.Rules.WarmAfter),
+			OverloadMultiple: p.Rules.FallMultiple, OverloadWindow: fromMS(p.Rules.FallFor)},
 	}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
