--- /dev/null
+++ b/internal/coordination/disruption/usage.go
@@ -0,0 +1,64 @@
+package disruption
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// Usage is how much of a scope's capacity is unavailable, and how much a limit allows.
+type Usage struct {
+	Scope       string  `json:"scope"`
+	Capacity    float64 `json:"capacity"`
+	Unavailable float64 `json:"out"`
+	Allowed     float64 `json:"may"`
+}
+
+// Usages returns the usage of every scope that has a limit, the one with the least capacity left first.
+func (b *Budget) Usages() []Usage {
+	var usages []Usage
+	for k, s := range b.sums {
+		limit := b.limits[k.tier]
+		if limit == nil {
+			continue
+		}
+		share := limit.shares()[k.kind]
+		if share == nil {
+			continue
+		}
+		usages = append(usages, Usage{k.String(), fromMillionths(s.capacity), fromMillionths(s.unavailable), fromMillionths(allowed(*share, s.capacity))})
+	}
+	slices.SortFunc(usages, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.Unavailable-b.Allowed, a.Unavailable-a.Allowed), cmp.Compare(a.Scope, b.Scope))
+	})
+	return usages
+}
+
+// UnavailableUnit is a unit that is not fully available, or that has a permit.
+type UnavailableUnit struct {
+	Unit      string  `json:"unit"`
+	Share     float64 `json:"share"` // of its capacity that is unavailable
+	Reason    string  `json:"why"`
+	Permitted bool    `json:"permitted"`
+}
+
+// reasonPermitted is the reason of a unit that is fully available and has a permit.
+const reasonPermitted = "permitted"
+
+// UnavailableUnits returns all units that are not fully available or have a permit, by ascending ID.
+func (b *Budget) UnavailableUnits() []UnavailableUnit {
+	var units []UnavailableUnit
+	for _, id := range slices.Sorted(maps.Keys(b.units)) {
+		u, permit := b.units[id], b.permits[id]
+		isUnavailable := u.UnavailableShare > 0
+		if !isUnavailable && permit == nil {
+			continue
+		}
+		unavailable := UnavailableUnit{Unit: id, Share: u.UnavailableShare, Reason: u.Reason, Permitted: permit != nil}
+		if !isUnavailable {
+			unavailable.Reason = reasonPermitted
+		}
+		units = append(units, unavailable)
+	}
+	return units
+}
