--- /dev/null
+++ b/internal/coordination/rollout/acknowledge.go
@@ -0,0 +1,133 @@
+package rollout
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Report records the version and hash that an incarnation of a node runs. A node that reports its target version is in
+// sync from then on, unless it is unreachable. A report that breaks a rule is recorded as the node's violation and halts
+// the pending version. The error says that the incarnation is not the present one.
+func (s *State) Report(id string, incarnation, number int64, hash string) error {
+	n := s.Nodes[id]
+	if n == nil || n.Incarnation != incarnation {
+		return incarnationError(id, incarnation)
+	}
+	n.Reported, n.RunningVersion = true, number
+	n.Violation = s.violation(n, number, hash)
+	if n.Violation != "" {
+		if s.Pending != nil {
+			s.haltUnlessHalted(n.Violation)
+		}
+		return nil
+	}
+	if !n.Unreachable && number == n.TargetVersion {
+		s.markInSync(n)
+	}
+	s.pruneHashes()
+	return nil
+}
+
+// violation returns the rule that a node breaks by running a version with a hash; empty: none.
+func (s *State) violation(n *Node, number int64, hash string) string {
+	want := s.Hashes[number]
+	switch {
+	case number > n.TargetVersion:
+		return fmt.Sprintf("node %s runs version %d, which it was not told to", n.ID, number)
+	case number != 0 && want != "" && want != hash:
+		return fmt.Sprintf("node %s runs version %d with the hash %.12s, which is %.12s", n.ID, number, hash, want)
+	}
+	return ""
+}
+
+func incarnationError(id string, incarnation int64) error {
+	return fmt.Errorf("start %d of node %s is not the one that runs", incarnation, id)
+}
+
+// pruneHashes drops the hashes of versions that no node can run or get any more. For a node that is not in sync it keeps
+// two, that of the last reported version and that of the highest possible one, so that a node that stays away for long
+// does not keep all hashes since.
+func (s *State) pruneHashes() {
+	oldest, kept := s.Committed.Number, map[int64]bool{}
+	for _, n := range s.Nodes {
+		if n.InSync() {
+			oldest = min(oldest, n.TargetVersion, n.RunningVersion)
+		} else {
+			kept[n.RunningVersion], kept[n.HighestPossible] = true, true
+		}
+	}
+	maps.DeleteFunc(s.Hashes, func(number int64, _ string) bool { return number < oldest && !kept[number] })
+}
+
+// Acknowledge records that an incarnation of a node can run the pending version, or with a rejectReason that it cannot,
+// which halts the version. It fails for another incarnation, another version or hash, and a node that is not in sync.
+func (s *State) Acknowledge(id string, incarnation, number int64, hash, rejectReason string) error {
+	n := s.Nodes[id]
+	switch {
+	case n == nil || n.Incarnation != incarnation:
+		return incarnationError(id, incarnation)
+	case s.Pending == nil || s.Pending.Number != number || s.Pending.Hash != hash:
+		return fmt.Errorf("version %d (%.12s) is not under way", number, hash)
+	case !n.InSync():
+		return fmt.Errorf("node %s has not caught up with version %d", id, n.TargetVersion)
+	case rejectReason != "":
+		n.RejectReason, n.Acknowledged = rejectReason, 0
+		s.haltUnlessHalted(fmt.Sprintf("node %s could not take version %d: %s", id, number, rejectReason))
+	default:
+		n.Acknowledged, n.RejectReason = number, ""
+	}
+	return nil
+}
+
+// acknowledgements counts nodes, and those in sync that have acknowledged the pending version.
+type acknowledgements struct{ nodes, acknowledged int }
+
+func (a *acknowledgements) add(acknowledged bool) {
+	a.nodes++
+	if acknowledged {
+		a.acknowledged++
+	}
+}
+
+// isQuorum reports whether more than half of the nodes have acknowledged.
+func (a *acknowledgements) isQuorum() bool { return 2*a.acknowledged > a.nodes }
+
+// needed is the smallest number of acknowledgements that is a quorum.
+func (a *acknowledgements) needed() int { return a.nodes/2 + 1 }
+
+// CheckQuorum returns an error that says which zone's quorum, or that of all nodes, lacks acknowledgements of the pending
+// version. Lost zones are exempt from their own quorum.
+func (s *State) CheckQuorum() error {
+	if s.Pending == nil {
+		return errors.New("no version is under way")
+	}
+	zones, all := s.countAcknowledgements()
+	for _, zone := range slices.Sorted(maps.Keys(zones)) {
+		if _, lost := s.LostZones[zone]; lost {
+			continue
+		}
+		if c := zones[zone]; !c.isQuorum() {
+			return fmt.Errorf("zone %s: %d of %d nodes have acknowledged version %d, %d are needed", zone, c.acknowledged, c.nodes, s.Pending.Number, c.needed())
+		}
+	}
+	if !all.isQuorum() {
+		return fmt.Errorf("%d of %d nodes have acknowledged version %d, %d are needed", all.acknowledged, all.nodes, s.Pending.Number, all.needed())
+	}
+	return nil
+}
+
+// countAcknowledgements counts by zone and over all nodes.
+func (s *State) countAcknowledgements() (zones map[string]*acknowledgements, all acknowledgements) {
+	zones = map[string]*acknowledgements{}
+	for _, n := range s.Nodes {
+		if zones[n.Zone] == nil {
+			zones[n.Zone] = &acknowledgements{}
+		}
+		acknowledged := n.Acknowledged == s.Pending.Number && n.InSync()
+		zones[n.Zone].add(acknowledged)
+		all.add(acknowledged)
+	}
+	return zones, all
+}
--- /dev/null
+++ b/internal/coordination/rollout/reachability.go
@@ -0,0 +1,75 @@
+package rollout
+
+import "maps"
+
+// SetNode records the present incarnation of a node and whether it is unreachable, as written at the time at. A new
+// incarnation has reported and acknowledged nothing.
+func (s *State) SetNode(id, zone string, incarnation int64, unreachable bool, at Timestamp) {
+	n := s.Nodes[id]
+	if n == nil {
+		n = &Node{
+			ID: id, Zone: zone, Incarnation: incarnation, Syncing: true, OutOfSyncSince: &at,
+			TargetVersion: s.Committed.Number, HighestPossible: s.Committed.Number,
+		}
+		s.Nodes[id] = n
+	}
+	restarted := n.Incarnation != incarnation
+	if n.InSync() && (unreachable || restarted) {
+		n.OutOfSyncSince, n.HighestPossible = &at, n.TargetVersion
+	}
+	if restarted {
+		n.Incarnation = incarnation
+		n.Reported, n.Syncing = false, true
+		n.Acknowledged, n.RejectReason, n.Violation = 0, "", ""
+	}
+	if n.Unreachable && !unreachable {
+		n.Reported, n.Syncing = false, true
+	}
+	n.Zone, n.Unreachable = zone, unreachable
+	s.updateLostZones(at)
+}
+
+// Decommission removes a node. Whoever decommissions it is responsible for the node not running any more.
+func (s *State) Decommission(id string) {
+	delete(s.Nodes, id)
+	s.updateLostZones(Timestamp{})
+}
+
+// OutOfSync returns the nodes that are unreachable or syncing, by ascending ID.
+func (s *State) OutOfSync() []*Node {
+	nodes := []*Node{}
+	for _, id := range s.nodeIDs() {
+		if n := s.Nodes[id]; !n.InSync() {
+			nodes = append(nodes, n)
+		}
+	}
+	return nodes
+}
+
+// updateLostZones adds the zones of which no node is reachable, and removes those that have no node left or one in sync.
+func (s *State) updateLostZones(at Timestamp) {
+	reachable, inSync := map[string]bool{}, map[string]bool{}
+	for _, n := range s.Nodes {
+		reachable[n.Zone] = reachable[n.Zone] || !n.Unreachable
+		inSync[n.Zone] = inSync[n.Zone] || n.InSync()
+	}
+	for zone, isReachable := range reachable {
+		if _, lost := s.LostZones[zone]; isReachable || lost {
+			continue
+		}
+		if s.LostZones == nil {
+			s.LostZones = map[string]Timestamp{}
+		}
+		s.LostZones[zone] = at
+	}
+	maps.DeleteFunc(s.LostZones, func(zone string, _ Timestamp) bool {
+		_, hasNodes := reachable[zone]
+		return !hasNodes || inSync[zone]
+	})
+}
+
+// markInSync records that a node is in sync from now on, and so its zone is not lost.
+func (s *State) markInSync(n *Node) {
+	n.Syncing, n.OutOfSyncSince, n.HighestPossible = false, nil, 0
+	delete(s.LostZones, n.Zone)
+}
