--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -335,7 +335,9 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		var said struct{ Error string }
+		var said struct {
+			Error string `json:"error"`
+		}
 		if json.Unmarshal(text, &said) != nil || said.Error == "" {
 			said.Error = resp.Status
 		}
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -30,10 +30,10 @@
 
 // Peer is a replica as a cluster begins.
 type Peer struct {
-	ID      string `toml:"id"`
-	Raft    string `toml:"raft"`    // where the others call it
-	Address string `toml:"address"` // where writers and readers do
-	Via     string `toml:"via"`     // where this replica calls it, if not at Raft
+	ID      string `toml:"id" json:"ID"`
+	Raft    string `toml:"raft" json:"Raft"`       // where the others call it
+	Address string `toml:"address" json:"Address"` // where writers and readers do
+	Via     string `toml:"via" json:"Via"`         // where this replica calls it, if not at Raft
 }
 
 // ServerAddr is where to call a replica; raft asks for it before each connection.
