--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -53,7 +53,7 @@
 	b.send(r, e)
 }
 
-// limitReached says that no first attempt may be sent now: no endpoint is ready or, on the first tier, the
+// limitReached reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier, the
 // concurrency limit is reached.
 func (b *Balancer) limitReached() bool {
 	if len(b.endpoints.ready) == 0 {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// firstGroupShare is the share of the shared order that makes up the first group of the pick.
-	firstGroupShare = 0.5
+	// firstGroupFraction is the share of the shared order that makes up the first group of the pick.
+	firstGroupFraction = 0.5
 	// minSubset is the least number of endpoints that a replica sends first attempts to.
 	minSubset = 4
-	// subsetShare is how many times its fair share of the endpoints a replica's subset has at least.
-	subsetShare = 3.0
+	// subsetMultiple is how many times its fair share of the endpoints a replica's subset has at least.
+	subsetMultiple = 3.0
 )
 
 // endpoint is a listed endpoint, or one that left the list with attempts still active.
@@ -192,7 +192,7 @@
 
 // divide numbers the ready endpoints and divides them into the two groups of the pick.
 func (s *endpointSet) divide() {
-	firstGroup := int(math.Ceil(firstGroupShare * float64(len(s.ready))))
+	firstGroup := int(math.Ceil(firstGroupFraction * float64(len(s.ready))))
 	for i, e := range s.ready {
 		e.rank, e.secondGroup = i, i >= firstGroup
 	}
@@ -203,7 +203,7 @@
 // nothing of any endpoint, and would fill its connection table.
 func (s *endpointSet) selectSubset() []*endpoint {
 	ready, replicas := len(s.ready), s.settings.Replicas
-	size := max(minSubset, int(math.Ceil(subsetShare*s.perReplica())))
+	size := max(minSubset, int(math.Ceil(subsetMultiple*s.perReplica())))
 	if size >= ready || replicas <= 1 {
 		return s.ready
 	}
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -37,7 +37,7 @@
 	NotSent               // given up by the host before anything was sent
 )
 
-// provesNotExecuted says that an attempt with this result cannot have run.
+// provesNotExecuted reports whether an attempt with this result cannot have run.
 func (r Result) provesNotExecuted() bool {
 	return r == Overloaded || r == Unreachable || r == NotSent
 }
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -31,8 +31,8 @@
 	limitIncrease = 0.02
 	limitRecovery = 9
 	limitDecrease = 0.1
-	// limitUsedShare is the share of the limit at which it counts as in use.
-	limitUsedShare = 0.8
+	// limitUsedFraction is the share of the limit at which it counts as in use.
+	limitUsedFraction = 0.8
 	// maxRestoredMultiple bounds a restored limit to so many times the attempts in flight, once it proves too
 	// high.
 	maxRestoredMultiple = 2
@@ -65,7 +65,7 @@
 	}
 }
 
-// reached says that no further attempt may be started at the clock time now.
+// reached reports whether no further attempt may be started at the clock time now.
 func (l *concurrencyLimiter) reached(now time.Duration) bool {
 	return float64(l.inFlight) >= max(l.limit, minInFlight) || now < l.pacedUntil()
 }
@@ -86,7 +86,7 @@
 	// would stay at its floor long after the overload.
 	if l.utilization > bound {
 		l.decrease()
-	} else if float64(l.inFlight+1) >= limitUsedShare*l.limit {
+	} else if float64(l.inFlight+1) >= limitUsedFraction*l.limit {
 		l.increase(bound, answers)
 	}
 	// The floor keeps work that fills much of the objective by itself from being taken for overload until
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -21,8 +21,8 @@
 	// minLatencySamples is how many latencies are needed before an endpoint can be called slow, and how many
 	// successes in a row lower its ejection level.
 	minLatencySamples = 3
-	// maxExcludedShare is the share of the ready endpoints that may be excluded as outliers.
-	maxExcludedShare = 0.2
+	// maxExcludedFraction is the share of the ready endpoints that may be excluded as outliers.
+	maxExcludedFraction = 0.2
 	// ejectionLatencies is the length of a first ejection, and about that of a rejection limit, in mean
 	// latencies of the class.
 	ejectionLatencies = 12
@@ -53,12 +53,12 @@
 	}
 }
 
-// ejected says that an endpoint gets no attempts now, whatever the request.
+// ejected reports whether an endpoint gets no attempts now, whatever the request.
 func (d *outlierDetector) ejected(e *endpoint, now time.Duration) bool {
 	return now < e.ejectedUntil || d.unresponsive(e, now)
 }
 
-// unresponsive says that the oldest awaited attempt of an endpoint is overdue although other endpoints
+// unresponsive reports whether the oldest awaited attempt of an endpoint is overdue although other endpoints
 // answered later ones: a process that hangs shows nothing else until its attempts time out.
 func (d *outlierDetector) unresponsive(e *endpoint, now time.Duration) bool {
 	if len(e.awaited) == 0 {
@@ -70,41 +70,41 @@
 	return now-oldest.sentAt > wait && d.lastSuccess > answeredBy && e.lastSuccess < answeredBy
 }
 
-// unfit says that an endpoint must not get an attempt of a request now. After an ejection one attempt at a
+// isOutlier reports whether an endpoint must not get an attempt of a request now. After an ejection one attempt at a
 // time tries the endpoint, and never one of a request that cannot be repeated.
-func (d *outlierDetector) unfit(e *endpoint, r *request, now time.Duration) bool {
+func (d *outlierDetector) isOutlier(e *endpoint, r *request, now time.Duration) bool {
 	if d.ejected(e, now) {
 		return true
 	}
-	onTrial := e.ejectionLevel > 0 && e.consecutiveSuccesses == 0
-	return onTrial && (r.class.Effect == NonIdempotent || e.activeAttempts > 0)
+	onProbation := e.ejectionLevel > 0 && e.consecutiveSuccesses == 0
+	return onProbation && (r.class.Effect == NonIdempotent || e.activeAttempts > 0)
 }
 
-// unfitEndpoints returns the ready endpoints that are unfit for a request, the longest run of failures first,
+// outliersFor returns the ready endpoints that are outliers for a request, the longest run of failures first,
 // then in the shared order. It drops endpoints that are no longer suspect.
-func (d *outlierDetector) unfitEndpoints(r *request, now time.Duration) []*endpoint {
-	var unfit []*endpoint
+func (d *outlierDetector) outliersFor(r *request, now time.Duration) []*endpoint {
+	var outliers []*endpoint
 	kept := d.suspects[:0]
 	for _, e := range d.suspects {
-		if !e.mayBecomeUnfit(now) {
+		if !e.mayBecomeOutlier(now) {
 			e.suspect = false
 			continue
 		}
 		kept = append(kept, e)
-		if e.listed && e.State == Ready && d.unfit(e, r, now) {
-			unfit = append(unfit, e)
+		if e.listed && e.State == Ready && d.isOutlier(e, r, now) {
+			outliers = append(outliers, e)
 		}
 	}
 	clear(d.suspects[len(kept):])
 	d.suspects = kept
-	slices.SortFunc(unfit, func(x, y *endpoint) int {
+	slices.SortFunc(outliers, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(y.consecutiveFailures, x.consecutiveFailures), cmp.Compare(x.rank, y.rank))
 	})
-	return unfit
+	return outliers
 }
 
-// mayBecomeUnfit says that an endpoint must stay among the suspects.
-func (e *endpoint) mayBecomeUnfit(now time.Duration) bool {
+// mayBecomeOutlier reports whether an endpoint must stay among the suspects.
+func (e *endpoint) mayBecomeOutlier(now time.Duration) bool {
 	if !e.listed && e.activeAttempts == 0 {
 		return false
 	}
@@ -182,8 +182,8 @@
 // would take all the load: only the worst are excluded.
 func (b *Balancer) excludedEndpoints(r *request) map[*endpoint]bool {
 	excluded := map[*endpoint]bool{}
-	unfit := b.outliers.unfitEndpoints(r, b.now)
-	for _, e := range unfit[:min(len(unfit), b.maxExcluded())] {
+	outliers := b.outliers.outliersFor(r, b.now)
+	for _, e := range outliers[:min(len(outliers), b.maxExcluded())] {
 		excluded[e] = true
 	}
 	return excluded
@@ -196,7 +196,7 @@
 	admitted := 1 - b.queue.shedRate
 	ready := len(b.endpoints.ready)
 	least := math.Round(admitted * float64(min(1, ready/3)))
-	return int(max(least, maxExcludedShare*admitted*float64(ready)))
+	return int(max(least, maxExcludedFraction*admitted*float64(ready)))
 }
 
 // EjectedCount returns how many ready endpoints are excluded as outliers, whatever the request, at the
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -70,7 +70,7 @@
 	now := 5 * time.Second
 	s := sendsOf(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
 	endAttempt(b, now+10*ms, "new", s, Success)
-	if s.Endpoint != stuck.ID && !b.outliers.unfit(stuck, &request{class: b.classes.byName["get"]}, b.now) || b.outliers.unresponsive(b.endpoints.byID[s.Endpoint], b.now) && s.Endpoint != stuck.ID {
+	if s.Endpoint != stuck.ID && !b.outliers.isOutlier(stuck, &request{class: b.classes.byName["get"]}, b.now) || b.outliers.unresponsive(b.endpoints.byID[s.Endpoint], b.now) && s.Endpoint != stuck.ID {
 		t.Error("the wrong server is taken for silent")
 	}
 }
@@ -216,12 +216,12 @@
 				r := &request{class: b.classes.byName[class]}
 				var want []*endpoint
 				for _, s := range b.endpoints.ready {
-					if b.outliers.unfit(s, r, b.now) {
+					if b.outliers.isOutlier(s, r, b.now) {
 						want = append(want, s)
 					}
 				}
 				sort.SliceStable(want, func(i, j int) bool { return want[i].consecutiveFailures > want[j].consecutiveFailures })
-				if got := b.outliers.unfitEndpoints(r, b.now); !slices.Equal(got, want) {
+				if got := b.outliers.outliersFor(r, b.now); !slices.Equal(got, want) {
 					t.Fatalf("%s: %d found of %d", class, len(got), len(want))
 				}
 			}
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -4,8 +4,8 @@
 	// minClassArrivals is the decayed count of arrivals above which a class can be the one that is served
 	// worst.
 	minClassArrivals = 1
-	// leastTotal keeps a quotient finite.
-	leastTotal = 1e-9
+	// minTotal keeps a quotient finite.
+	minTotal = 1e-9
 )
 
 // priority is what an answer to a request adds to the result for each ns that it takes, so that load shedding
@@ -13,9 +13,9 @@
 func (b *Balancer) priority(r *request) float64 {
 	c := r.class
 	totalWeight, worst := b.classes.demand(c)
-	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, leastTotal)
+	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minTotal)
 	if worst == c {
-		value += b.settings.WorstClassWeight / max(c.arrivals, leastTotal)
+		value += b.settings.WorstClassWeight / max(c.arrivals, minTotal)
 	}
 	if r.clientRetry { // its objective runs from the client's first try and is mostly over
 		value *= c.LateCredit
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -8,9 +8,9 @@
 const (
 	// requestTimerPrefix begins the token of a request's timer; its ID follows.
 	requestTimerPrefix = "r:"
-	// retryTimeoutShare is the share of a class's longest timeout under which a request counts as a retry by
+	// retryTimeoutFraction is the share of a class's longest timeout under which a request counts as a retry by
 	// its client.
-	retryTimeoutShare = 0.95
+	retryTimeoutFraction = 0.95
 )
 
 // request is an accepted request, kept until it is answered and its attempts have ended.
@@ -72,7 +72,7 @@
 func (b *Balancer) detectClientRetry(r *request) {
 	timeout := r.deadline - b.now
 	r.class.longestTimeout = max(r.class.longestTimeout, timeout)
-	if b.settings.Tier == 0 && float64(timeout) < retryTimeoutShare*float64(r.class.longestTimeout) {
+	if b.settings.Tier == 0 && float64(timeout) < retryTimeoutFraction*float64(r.class.longestTimeout) {
 		r.firstTriedAt = min(b.now, r.deadline-r.class.Deadline)
 		r.clientRetry = true
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -49,7 +49,7 @@
 	return retryCost
 }
 
-// retryAllowed says that the class's effect and the number of attempts allow one more now.
+// retryAllowed reports whether the class's effect and the number of attempts allow one more now.
 func (b *Balancer) retryAllowed(r *request) bool {
 	if r.answered || r.responseStarted || len(r.attempts) >= r.maxAttempts {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// repeatable says that an attempt which may have run may be repeated now.
+// repeatable reports whether an attempt which may have run may be repeated now.
 func (b *Balancer) repeatable(a *attempt) bool {
 	c := a.request.class
 	switch c.Effect {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// inScope says that an endpoint shares the idempotency keys of those that may have executed the request.
+// inScope reports whether an endpoint shares the idempotency keys of those that may have executed the request.
 func (r *request) inScope(e *endpoint) bool {
 	if r.class.Effect != WithIdempotencyKey {
 		return true
@@ -93,7 +93,7 @@
 	return true
 }
 
-// tried says that an attempt of the request has gone to the endpoint before.
+// tried reports whether an attempt of the request has gone to the endpoint before.
 func (r *request) tried(e *endpoint) bool {
 	for _, a := range r.attempts {
 		if a.endpoint == e {
@@ -103,7 +103,7 @@
 	return false
 }
 
-// rejectable says that a Reject may promise that a retry by the client does no harm.
+// rejectable reports whether a Reject may promise that a retry by the client does no harm.
 func (r *request) rejectable() bool {
 	for _, a := range r.attempts {
 		if a.notExecuted {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -79,7 +79,7 @@
 	SnapshotMaxAge time.Duration // an older snapshot is ignored; 0: nothing is restored
 }
 
-// SettingError says that a setting is missing or out of range.
+// SettingError reports that a setting is missing or out of range.
 type SettingError struct {
 	Field string // path of the field in Settings, such as Classes[0].Deadline
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// warmupBudgetShare is the share that replicas may use, on the average, of the attempts that overload an
+// warmupBudgetFraction is the share that replicas may use, on the average, of the attempts that overload an
 // endpoint which is warming up. The rest is for variance.
-const warmupBudgetShare = 0.67
+const warmupBudgetFraction = 0.67
 
 // slowStart limits the attempts at endpoints that are warming up. While enough others are warm, such an
 // endpoint is drawn in proportion to its warm-up fraction. While warm capacity is scarce, a budget bounds
@@ -59,18 +59,18 @@
 	s.span = s.span*kept + window*(1-kept)
 }
 
-// drawWarm is true with the probability of an endpoint's warm-up fraction. While it is warming up it gets
+// drawWarm reports true with the probability of an endpoint's warm-up fraction. While it is warming up it gets
 // one own attempt at a time: many replicas that each send a little overload it together.
 func (b *Balancer) drawWarm(e *endpoint) bool {
 	fraction := b.slowStart.warmFraction(e, b.now)
 	return fraction == 1 || (e.activeAttempts == 0 && b.random.Float64() < fraction)
 }
 
-// warmCapacityScarce says that draws by warm-up fraction would overload endpoints that are warming up.
+// warmCapacityScarce reports whether draws by warm-up fraction would overload endpoints that are warming up.
 // Within OverloadWindow an endpoint bears N = OverloadMultiple x fraction x capacity x OverloadWindow
 // attempts, and a warm one has had so much of its capacity as this replica's attempts over the endpoints
 // that were ready. If fewer are warm than then, one that is warming up gets more than its fraction of that,
-// and up to warmupBudgetShare x N it may.
+// and up to warmupBudgetFraction x N it may.
 func (b *Balancer) warmCapacityScarce() bool {
 	subset, ready := len(b.endpoints.subset), len(b.endpoints.ready)
 	rule := b.settings.SlowStart
@@ -80,7 +80,7 @@
 	}
 	someWarmingUp := capacity < float64(subset)
 	capacity *= float64(ready) / float64(max(1, subset))
-	bearable := warmupBudgetShare * rule.OverloadMultiple * capacity * b.slowStart.sendsPerEndpoint
+	bearable := warmupBudgetFraction * rule.OverloadMultiple * capacity * b.slowStart.sendsPerEndpoint
 	b.slowStart.scarce = someWarmingUp && rule.OverloadWindow > 0 && bearable < b.slowStart.sends
 	return b.slowStart.scarce
 }
@@ -91,14 +91,14 @@
 // Of its capacity a replica knows the number of attempts that it has sent to an endpoint, of which the sum
 // over the replicas was borne. If it has sent hardly any, it knows that an endpoint serves one request at a
 // time for all replicas together. The endpoint is in the subsets of a part of the replicas. So much, times
-// warmupBudgetShare, is granted anew every OverloadWindow, with its fraction as a probability. A time of
+// warmupBudgetFraction, is granted anew every OverloadWindow, with its fraction as a probability. A time of
 // OverloadWindow meets two grants at the most: N on the average where endpoints were used to three quarters
 // of their capacity, with a variance under N, however many the replicas are and whichever of them have the
 // requests.
 func (b *Balancer) withinWarmupBudget(e *endpoint, c *classState) bool {
 	if b.now >= e.warmupBudgetUntil {
 		window := b.settings.SlowStart.OverloadWindow
-		e.warmupBudget = int(warmupBudgetShare*b.warmupCapacity(e, c) + b.random.Float64())
+		e.warmupBudget = int(warmupBudgetFraction*b.warmupCapacity(e, c) + b.random.Float64())
 		e.warmupBudgetUntil = b.now + window
 	}
 	return e.warmupBudget > 0
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -41,7 +41,7 @@
 	EjectionRemaining time.Duration `json:"left,omitempty"`
 }
 
-// SnapshotError says that a part of a Snapshot cannot be what a Balancer has learned.
+// SnapshotError reports that a part of a Snapshot cannot be what a Balancer has learned.
 type SnapshotError struct {
 	Part string // the class or the endpoint, or "a figure" for one of the whole
 }
@@ -85,10 +85,10 @@
 		e.EjectionRemaining >= 0
 }
 
-// within says that all values are numbers from least to most.
-func within(least, most float64, values ...float64) bool {
+// within reports whether all values are numbers from lowest to highest.
+func within(lowest, highest float64, values ...float64) bool {
 	for _, v := range values {
-		if !(v >= least && v <= most) { // false for NaN
+		if !(v >= lowest && v <= highest) { // false for NaN
 			return false
 		}
 	}
@@ -154,7 +154,7 @@
 	return snapshots
 }
 
-// hasHistory says that something was learned of an endpoint that is worth keeping.
+// hasHistory reports whether something was learned of an endpoint that is worth keeping.
 func (e *endpoint) hasHistory(now time.Duration) bool {
 	return e.latencySamples > 0 || e.ejectionLevel > 0 || e.ejectedUntil > now
 }
