--- a/internal/registry/state/agree_test.go
+++ b/internal/registry/state/coordination_test.go
@@ -18,7 +18,7 @@
 	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialShare: 0.4, WarmUpMS: 1000}
 }
 
-// site is a State with limits and so many units of capacity 1, s0 and on, all warm.
+// site is a State with limits and so many units of capacity 1, s0 and on, all warmed up.
 func site(units int) *State {
 	s := New()
 	s.Apply(Op{Kind: OpSetLimits, Limits: half()})
@@ -28,16 +28,16 @@
 	return s
 }
 
-// TestPermits walks through what may befall permits. Each step says what the write should come to.
-func TestPermits(t *testing.T) {
+// Writes about permits in sequence. Each step has the code of the result.
+func TestPermitWrites(t *testing.T) {
 	s := site(4)
 	start := func(uid string) int64 { return s.Get(uid).Token }
 	token := map[string]int64{}
-	step := func(what string, op Op, fault string) {
+	step := func(what string, op Op, code string) {
 		t.Helper()
 		a, _ := s.Apply(op)
-		if a.Code != fault {
-			t.Errorf("%s: %+v, want %q", what, a, fault)
+		if a.Code != code {
+			t.Errorf("%s: %+v, want %q", what, a, code)
 		}
 		if op.Kind == OpGrantPermit && a.Code == "" {
 			token[op.UID] = a.Token
@@ -46,79 +46,79 @@
 	ask := func(uid string) Op {
 		return Op{Kind: OpGrantPermit, UID: uid, Incarnation: start(uid), Holder: "me", Plan: "p", TargetVersion: "v2"}
 	}
-	out := func(want float64) {
+	unavailable := func(want float64) {
 		t.Helper()
 		if u := s.Budget().Usages(); u[0].Unavailable != want {
-			t.Errorf("%v of %v out, want %v", u[0].Unavailable, u[0].Capacity, want)
+			t.Errorf("%v of %v unavailable, want %v", u[0].Unavailable, u[0].Capacity, want)
 		}
 	}
 	step("the first", ask("s0"), "")
 	step("once more", ask("s0"), "")
 	step("the second", ask("s1"), "")
 	step("one too many", ask("s2"), CodeOverBudget)
-	out(2)
+	unavailable(2)
 	step("a wrong token", Op{Kind: OpBeginPermit, UID: "s0", Token: 1}, CodeNoPermit)
 	step("it begins", Op{Kind: OpBeginPermit, UID: "s0", Token: token["s0"]}, "")
 	if s.Get("s0").State != Draining {
-		t.Error("a server that is taken out does not drain")
+		t.Error("a server whose permit has begun does not drain")
 	}
 	step("a halt", Op{Kind: OpPutRecord, Key: HaltKeyPrefix + "p", Value: json.RawMessage(`{}`)}, "")
 	step("what had begun may begin again", Op{Kind: OpBeginPermit, UID: "s0", Token: token["s0"]}, "")
 	step("nothing else begins", Op{Kind: OpBeginPermit, UID: "s1", Token: token["s1"]}, CodeHalted)
 	step("it is given back", Op{Kind: OpReturnPermit, UID: "s1", Token: token["s1"]}, "")
 	step("what has begun is not", Op{Kind: OpReturnPermit, UID: "s0", Token: token["s0"]}, CodeNoPermit)
-	out(1)
+	unavailable(1)
 
 	step("its lease ends", Op{Kind: OpExpire, UID: "s0", Token: start("s0")}, "")
-	out(1)
+	unavailable(1)
 	again := &Instance{UID: "s0", Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}
 	step("the same process comes back", Op{Kind: OpRegister, Instance: again}, "")
 	if s.Get("s0").State != Draining || s.Budget().Permit("s0") == nil {
-		t.Error("a unit that is being taken out came back and serves")
+		t.Error("a unit whose permit has begun registered again and serves")
 	}
 	next := *again
 	next.StartTimeMS, next.Version = 5, "v2"
 	step("its next start", Op{Kind: OpRegister, Instance: &next}, "")
 	if s.Get("s0").WarmUpDeficit != 0.6 || s.Budget().Permit("s0") == nil {
-		t.Errorf("a start that is cold by %v frees its permit", s.Get("s0").WarmUpDeficit)
+		t.Errorf("a process that lacks %v of its capacity ends its permit", s.Get("s0").WarmUpDeficit)
 	}
-	out(1)
+	unavailable(1)
 	warm := 0.0
-	step("it is warm", Op{Kind: OpWarmUp, UID: "s0", Token: start("s0"), WarmUpDeficit: &warm}, "")
-	out(0)
+	step("it has warmed up", Op{Kind: OpWarmUp, UID: "s0", Token: start("s0"), WarmUpDeficit: &warm}, "")
+	unavailable(0)
 
 	step("a crash", Op{Kind: OpExpire, UID: "s3", Token: start("s3")}, "")
 	step("another", Op{Kind: OpRemove, UID: "s2", Token: start("s2")}, "")
-	out(2)
+	unavailable(2)
 	step("faults have taken all that may be out", ask("s1"), CodeOverBudget)
-	step("one is declared gone", Op{Kind: OpDecommission, UID: "s3"}, "")
-	out(1)
+	step("one is decommissioned", Op{Kind: OpDecommission, UID: "s3"}, "")
+	unavailable(1)
 	step("which is not there twice", Op{Kind: OpDecommission, UID: "s3"}, CodeNotFound)
 	step("a drain without a permit counts", Op{Kind: OpUpdate, UID: "s1", State: Draining}, "")
-	out(2)
+	unavailable(2)
 	if o := s.Budget().UnavailableUnits(); len(o) != 2 || o[0].Unit != "s1" || o[0].Permitted || o[0].Reason != "draining" {
 		t.Errorf("out: %+v", o)
 	}
 
 	step("a controller", Op{Kind: OpRegister, IfModRevision: Absent, Instance: &Instance{UID: "c", Endpoint: "one", State: Serving, Role: RoleController, StartTimeMS: 1}}, "")
 	step("another one", Op{Kind: OpRegister, IfModRevision: Absent, Instance: &Instance{UID: "c", Endpoint: "two", State: Serving, Role: RoleController, StartTimeMS: 2}}, CodeConflict)
-	lead := &Fence{"c", start("c")}
-	step("it acts", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`1`), Fence: lead}, "")
-	step("its lease ends", Op{Kind: OpExpire, UID: "c", Token: lead.Token}, "")
-	step("it acts no more", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`2`), Fence: lead}, CodeFenced)
+	leader := &Fence{"c", start("c")}
+	step("it acts", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`1`), Fence: leader}, "")
+	step("its lease ends", Op{Kind: OpExpire, UID: "c", Token: leader.Token}, "")
+	step("it acts no more", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`2`), Fence: leader}, CodeFenced)
 	step("a record that is there", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`2`), IfModRevision: Absent}, CodeConflict)
 	step("no JSON", Op{Kind: OpPutRecord, Key: "k", Value: json.RawMessage(`{`)}, CodeInvalid)
 }
 
-// A server counts as out while most of the nodes that send to its tier avoid it.
-func TestAvoided(t *testing.T) {
+// A server is unavailable while most of the nodes that send to its tier have ejected it.
+func TestServerEjectedByMajority(t *testing.T) {
 	s := site(2)
 	for i := range 3 {
 		s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Kind: "web", Capacity: 1}})
 	}
-	avoid := func(i int, l ...string) {
+	eject := func(i int, servers ...string) {
 		uid := fmt.Sprint("n", i)
-		if a, _ := s.Apply(Op{Kind: OpReportEjected, UID: uid, Token: s.Get(uid).Token, Ejected: l}); a.Code != "" {
+		if a, _ := s.Apply(Op{Kind: OpReportEjected, UID: uid, Token: s.Get(uid).Token, Ejected: servers}); a.Code != "" {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -128,22 +128,22 @@
 			t.Errorf("%s: %+v", when, o)
 		}
 	}
-	avoid(0, "s1", "s1")
+	eject(0, "s1", "s1")
 	is(false, "one of three")
-	avoid(1, "s1")
+	eject(1, "s1")
 	is(true, "two of three")
-	avoid(0)
+	eject(0)
 	is(false, "one again")
-	avoid(2, "s1")
+	eject(2, "s1")
 	s.Apply(Op{Kind: OpRemove, UID: "n2", Token: 0})
 	is(false, "one of two, as the third has gone")
 	s.Apply(Op{Kind: OpRemove, UID: "n0", Token: 0})
 	is(true, "the one that is left")
 }
 
-// Whatever was written, a State read from its snapshot goes on as the one that was kept: the same answers to the same
-// writes, whose sums were added up in another order. And a backup that takes a running State's place frees nothing that is out.
-func TestSnapshotGoesOn(t *testing.T) {
+// Whatever was written, a State loaded from its snapshot continues like the one that was stored: it gives the same results to
+// the same writes, though its sums were added up in another order. And restoring a backup ends no permit that has begun.
+func TestSnapshotContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := site(5)
 		op := func(s *State) Op {
@@ -174,19 +174,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := Load(text)
+		loaded, err := Load(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "after") {
 			o := op(s)
 			a, _ := s.Apply(o)
-			b, _ := read.Apply(o)
+			b, _ := loaded.Apply(o)
 			if a != b {
-				t.Fatalf("%+v: %+v, and read from its snapshot %+v", o, a, b)
+				t.Fatalf("%+v: %+v, and loaded from its snapshot %+v", o, a, b)
 			}
 		}
-		if d := cmp.Diff(s.Budget().Usages(), read.Budget().Usages()) + cmp.Diff(s.Budget().UnavailableUnits(), read.Budget().UnavailableUnits()); d != "" {
+		if d := cmp.Diff(s.Budget().Usages(), loaded.Budget().Usages()) + cmp.Diff(s.Budget().UnavailableUnits(), loaded.Budget().UnavailableUnits()); d != "" {
 			t.Fatal(d)
 		}
 		backup, err := Load(text)
@@ -206,14 +206,15 @@
 				t.Fatalf("the permit %+v was lost", p)
 			}
 			if restored.Unreachable(p.Unit) == nil && p.Begun && e.State != Draining {
-				t.Fatalf("%+v serves, though it may be out", e)
+				t.Fatalf("%+v serves, though its permit has begun", e)
 			}
 		}
 	})
 }
 
-// A backup in the running State's place does not bring back who led when it was taken: not its fences, whoever leads now.
-func TestRestoredLead(t *testing.T) {
+// Restoring a backup does not bring the controller back that led when it was taken, and its fence does not hold, whoever leads
+// now.
+func TestRestoreBackupKeepsController(t *testing.T) {
 	lead := func(s *State, boot float64) *Fence {
 		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: "controller", Endpoint: "c", State: Serving, Role: RoleController, StartTimeMS: boot, TTLMS: 1000}})
 		return &Fence{"controller", a.Token}
@@ -226,29 +227,31 @@
 	}
 	s.Apply(Op{Kind: OpExpire, UID: "controller", Token: old.Token})
 	for _, name := range []string{"nobody", "another"} {
-		running := s.clone(t)
-		var now *Fence
-		if name == "another" {
-			now = lead(running, 2)
-		}
-		backup, err := Load(text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := RestoreBackup(backup, running)
-		if a, _ := r.Apply(Op{Kind: OpNoop, Fence: old}); a.Code != CodeFenced {
-			t.Errorf("%s leads: the one before acts: %+v", name, a)
-		}
-		if now == nil {
-			continue
-		}
-		if a, _ := r.Apply(Op{Kind: OpNoop, Fence: now}); a.Code != "" {
-			t.Errorf("%s leads, and does no more: %+v", name, a)
-		}
+		t.Run(name+" leads", func(t *testing.T) {
+			running := s.clone(t)
+			var now *Fence
+			if name == "another" {
+				now = lead(running, 2)
+			}
+			backup, err := Load(text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := RestoreBackup(backup, running)
+			if a, _ := r.Apply(Op{Kind: OpNoop, Fence: old}); a.Code != CodeFenced {
+				t.Errorf("the one before acts: %+v", a)
+			}
+			if now == nil {
+				return
+			}
+			if a, _ := r.Apply(Op{Kind: OpNoop, Fence: now}); a.Code != "" {
+				t.Errorf("the present one does not: %+v", a)
+			}
+		})
 	}
 }
 
-// clone is a State read from another's snapshot.
+// clone is a State loaded from another's snapshot.
 func (s *State) clone(t *testing.T) *State {
 	t.Helper()
 	text, err := s.Snapshot()
@@ -262,7 +265,7 @@
 	return c
 }
 
-// fleet is a State with nodes that have said what they run: n0, n2 in zone a, n1, n3 in zone b, and so on.
+// fleet is a State with nodes that have reported what they run: n0, n2 in zone a, n1, n3 in zone b, and so on.
 func fleet(t *testing.T, nodes int) *State {
 	t.Helper()
 	s := New()
@@ -276,9 +279,9 @@
 	return s
 }
 
-// A node is out of touch from the write that its lease has ended, believed or not, and back in touch only by its own word after
-// that; the word of a start before, and what it says while it is not heard, count for nothing.
-func TestOutOfTouch(t *testing.T) {
+// A node is out of sync from the write that its lease has ended, believed or not, and in sync again only by its own report
+// after that; reports of an earlier incarnation, and while it is unreachable, do not count.
+func TestNodeOutOfSync(t *testing.T) {
 	s := fleet(t, 4)
 	start := map[string]int64{}
 	for uid, n := range s.Rollout().Nodes {
@@ -289,24 +292,24 @@
 	later.StartTimeMS = 2
 	report := Op{Kind: OpReport, UID: "n2", Token: start["n2"]}
 	for _, c := range []struct {
-		what           string
-		op             Op
-		fault          string
-		inTouch, heard bool
+		what              string
+		op                Op
+		code              string
+		inSync, reachable bool
 	}{
 		{"a lease that is not believed to have ended", Op{Kind: OpSuspect, UID: "n2", Token: start["n2"], WallTimeMS: 7000}, "", false, false},
-		{"its word meanwhile", report, "", false, false},
+		{"its report meanwhile", report, "", false, false},
 		{"it is renewed", Op{Kind: OpTrust, UID: "n2", Token: start["n2"]}, "", false, true},
-		{"its word", report, "", true, true},
+		{"its report", report, "", true, true},
 		{"an end that is believed", Op{Kind: OpExpire, UID: "n2", Token: start["n2"], WallTimeMS: 8000}, "", false, false},
 		{"the same process is back", Op{Kind: OpRegister, Instance: &again}, "", false, true},
 		{"it has caught up", report, "", true, true},
-		{"a fresh start", Op{Kind: OpRegister, Instance: &later}, "", false, true},
-		{"the word of the one before", report, CodeNotReady, false, true},
+		{"a new process", Op{Kind: OpRegister, Instance: &later}, "", false, true},
+		{"a report of the one before", report, CodeNotReady, false, true},
 	} {
 		a, _ := s.Apply(c.op)
 		n := s.Rollout().Nodes["n2"]
-		if a.Code != c.fault || n.InSync() != c.inTouch || n.Unreachable == c.heard {
+		if a.Code != c.code || n.InSync() != c.inSync || n.Unreachable == c.reachable {
 			t.Errorf("%s: %+v, %+v", c.what, a, n)
 		}
 		if c.op.WallTimeMS > 0 && (n.OutOfSyncSince.Revision != s.Revision() || n.OutOfSyncSince.UnixMS != c.op.WallTimeMS) {
@@ -318,8 +321,8 @@
 	}
 }
 
-// Whatever befell nodes, a State read from its snapshot knows the same of them, and goes on the same.
-func TestSnapshotOfBook(t *testing.T) {
+// Whatever happened to nodes, a State loaded from its snapshot knows the same of them, and continues the same.
+func TestSnapshotOfRollout(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := fleet(t, 4)
 		op := func(s *State) Op {
@@ -345,22 +348,22 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		read, err := Load(text)
+		loaded, err := Load(text)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 20).Draw(rt, "after") {
-			if d := cmp.Diff(s.Rollout(), read.Rollout(), cmpopts.EquateEmpty()); d != "" {
+			if d := cmp.Diff(s.Rollout(), loaded.Rollout(), cmpopts.EquateEmpty()); d != "" {
 				rt.Fatal(d)
 			}
 			o := op(s)
 			a, _ := s.Apply(o)
-			if b, _ := read.Apply(o); a != b {
-				rt.Fatalf("%+v: %+v, and read from its snapshot %+v", o, a, b)
+			if b, _ := loaded.Apply(o); a != b {
+				rt.Fatalf("%+v: %+v, and loaded from its snapshot %+v", o, a, b)
 			}
 		}
-		// A backup in the place of the running State takes nothing of what nodes were told back.
-		restored := RestoreBackup(read, s)
+		// Restoring a backup changes no target version, and brings no node in sync.
+		restored := RestoreBackup(loaded, s)
 		for uid, n := range s.Rollout().Nodes {
 			if r := restored.Rollout().Nodes[uid]; r == nil || r.TargetVersion != n.TargetVersion || r.InSync() && !n.InSync() {
 				rt.Fatalf("%s: %+v, restored %+v", uid, n, r)
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -98,7 +98,7 @@
 			t.Errorf("the content of version %d is not there", number)
 		}
 	}
-	if len(s.answers) == 0 || len(s.avoids) == 0 {
+	if len(s.replies.results) == 0 || len(s.ejections.byNode) == 0 {
 		t.Error("answers to repeats, or what nodes keep out, are not there")
 	}
 }
--- /dev/null
+++ b/internal/registry/state/permits.go
@@ -0,0 +1,103 @@
+package state
+
+import (
+	"errors"
+
+	"umberbank/internal/coordination/disruption"
+)
+
+// Budget returns the disruption budget. The caller must not change it.
+func (s *State) Budget() *disruption.Budget { return s.budget }
+
+// Limits returns the limits in force; nil: none were set.
+func (s *State) Limits() *disruption.Limits { return s.limits }
+
+func (s *State) setLimits(op Op) Result {
+	if op.Limits == nil || op.Limits.Validate() != nil {
+		return Result{Code: CodeInvalid}
+	}
+	s.revision++
+	s.limits = op.Limits
+	s.budget.SetLimits(*op.Limits)
+	return Result{}
+}
+
+// grantPermit grants a permit; its token is the revision of the write. A repeat for the same holder gets the token that it
+// has.
+func (s *State) grantPermit(op Op) Result {
+	before := s.budget.Permit(op.UID)
+	p, err := s.budget.Grant(disruption.Permit{
+		Unit: op.UID, Incarnation: op.Incarnation, Token: s.revision + 1, Holder: op.Holder, Plan: op.Plan, TargetVersion: op.TargetVersion,
+	}, op.ReplacesPlan)
+	if err != nil {
+		return Result{Code: CodeOverBudget, Reason: err.Error()}
+	}
+	if p != before {
+		s.revision++
+	}
+	return Result{Token: p.Token}
+}
+
+// beginPermit lets the holder of a permit take its unit out of service; a server drains from then on. A permit that has
+// begun may begin again, also while its release is halted: the first result may have been lost.
+func (s *State) beginPermit(op Op) (Result, *Instance) {
+	p := s.budget.Permit(op.UID)
+	hadBegun := p != nil && p.Begun
+	if p != nil && !hadBegun && p.Plan != "" && s.records[HaltKeyPrefix+p.Plan] != nil {
+		return Result{Code: CodeHalted}, nil
+	}
+	p, err := s.budget.Begin(op.UID, op.Token)
+	switch {
+	case errors.Is(err, disruption.ErrUnitRestarted):
+		return Result{Code: CodeFenced, Reason: err.Error()}, nil
+	case err != nil:
+		return Result{Code: CodeNoPermit, Reason: err.Error()}, nil
+	case hadBegun:
+		return Result{Token: p.Token}, nil
+	}
+	e := s.instances[op.UID]
+	if e == nil || e.Role != "" {
+		s.revision++
+		return Result{Token: p.Token}, nil
+	}
+	draining := *e
+	draining.State = Draining
+	return Result{Token: p.Token}, s.put(draining)
+}
+
+func (s *State) returnPermit(op Op) Result {
+	if !s.budget.Return(op.UID, op.Token) {
+		return Result{Code: CodeNoPermit}
+	}
+	s.revision++
+	return Result{}
+}
+
+// decommission removes a unit that will not come back, whether it is reachable or not.
+func (s *State) decommission(op Op) (Result, *Instance) {
+	if s.instances[op.UID] != nil {
+		return s.change(Op{Kind: OpRemove, UID: op.UID})
+	}
+	if s.unreachable[op.UID] == nil {
+		return Result{Code: CodeNotFound}, nil
+	}
+	s.forgetUnit(op.UID)
+	s.revision++
+	return Result{}, nil
+}
+
+// mustDrain reports whether a registering server belongs to a process that was taken out of service by a permit.
+func (s *State) mustDrain(e *Instance) bool {
+	p := s.budget.Permit(e.UID)
+	return p != nil && p.Begun && p.StartTimeMS == e.StartTimeMS && e.Role == ""
+}
+
+// changingRelease returns the plan of the release that is changing a unit to another version, if any. Until the unit runs
+// that version or the release is rolled back, it cannot be set to serve.
+func (s *State) changingRelease(e *Instance) (plan string, changing bool) {
+	p := s.budget.Permit(e.UID)
+	if p == nil || !p.Begun || p.TargetVersion == "" || p.TargetVersion == e.Version {
+		return "", false
+	}
+	return p.Plan, true
+}
--- /dev/null
+++ b/internal/registry/state/restore.go
@@ -0,0 +1,63 @@
+package state
+
+import (
+	"maps"
+	"slices"
+
+	"umberbank/internal/coordination/disruption"
+)
+
+// RestoreBackup returns the State that replaces running when a backup is restored. It has the instances of the backup, in
+// an epoch later than both, so that no revision is given twice and watchers take the whole list anew. What a restore
+// cannot undo stays as it is running: the replicas, the elected controller, the nodes' versions, and what is out of
+// service.
+func RestoreBackup(backup, running *State) *State {
+	epoch := max(Epoch(backup.revision), Epoch(running.revision)) + 1
+	s := New()
+	s.revision, s.instances, s.members = epoch<<epochShift, maps.Clone(backup.instances), maps.Clone(running.members)
+	s.keepController(running)
+	coordination := backup.coordinationSnapshot()
+	coordination.Ejected = nil
+	if len(running.rollout.Nodes) > 0 {
+		coordination.Rollout, coordination.Settings = running.rollout, running.settings
+	}
+	for _, e := range running.coordinationSnapshot().Unreachable {
+		if backup.unreachable[e.UID] == nil {
+			coordination.Unreachable = append(coordination.Unreachable, e)
+		}
+	}
+	coordination.Permits = s.mergePermits(coordination.Permits, running)
+	// Where both have a record, the later one in this list wins, the running State's. A halt that was lifted since the
+	// backup is back.
+	coordination.Records = append(coordination.Records, running.Records("")...)
+	s.loadCoordination(coordination)
+	return s
+}
+
+// keepController replaces the backup's elected controller by the present one: with the backup's, a controller that has
+// lost its lease since could write again.
+func (s *State) keepController(running *State) {
+	maps.DeleteFunc(s.instances, func(_ string, e *Instance) bool { return e.Role == RoleController })
+	for uid, e := range running.instances {
+		if e.Role == RoleController {
+			s.instances[uid] = e
+		}
+	}
+}
+
+// mergePermits returns the permits of the running State, and those of the backup whose units the running State does not
+// know. Servers that the running permits have taken out of service drain.
+func (s *State) mergePermits(ofBackup []*disruption.Permit, running *State) []*disruption.Permit {
+	permits := slices.DeleteFunc(ofBackup, func(p *disruption.Permit) bool { return running.unit(p.Unit) != nil })
+	for _, p := range running.budget.Permits() {
+		kept := *p
+		kept.SeenUnavailable = false // not yet in the new epoch
+		permits = append(permits, &kept)
+		if e := s.instances[p.Unit]; e != nil && p.Begun && p.StartTimeMS >= e.StartTimeMS && e.Role == "" {
+			draining := *e
+			draining.State, draining.ModRevision = Draining, s.revision
+			s.instances[p.Unit] = &draining
+		}
+	}
+	return permits
+}
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -12,7 +12,7 @@
 	return &Instance{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, StartTimeMS: boot}
 }
 
-// A server that was replaced cannot write over its successor, whatever comes in which order.
+// A process that was replaced cannot overwrite its successor, whatever comes in which order.
 func TestFencing(t *testing.T) {
 	s := New()
 	first, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
@@ -39,8 +39,8 @@
 	}
 }
 
-// A change with the revision compared is done only on that revision.
-func TestCompare(t *testing.T) {
+// A write with a modification revision is applied only to that revision.
+func TestIfModRevision(t *testing.T) {
 	s := New()
 	a, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
 	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: a.Revision, State: Draining}); b.Code != "" {
@@ -74,12 +74,12 @@
 	return op
 }
 
-// Revisions only grow, by one for each change and by none for what changes nothing; a repeat changes nothing and gets
-// the same answer; two States with the same writes are the same; and a snapshot read again goes on like the State.
-func TestProperties(t *testing.T) {
+// Revisions increase by one with each change and by none without; a repeat changes nothing and gets the same result; two
+// States with the same writes are the same; and a State loaded from a snapshot continues like the one that was stored.
+func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		answers := map[string]Result{}
+		results := map[string]Result{}
 		for range rapid.IntRange(0, 60).Draw(t, "writes") {
 			op, before := anyOp(t), a.Revision()
 			got, changed := a.Apply(op)
@@ -87,10 +87,10 @@
 			if !reflect.DeepEqual(got, twin) {
 				t.Fatalf("%+v: %+v and %+v", op, got, twin)
 			}
-			if was, repeat := answers[op.ID]; repeat && (was != got || changed != nil) {
+			if was, repeat := results[op.ID]; repeat && (was != got || changed != nil) {
 				t.Fatalf("the repeat %+v got %+v, before %+v", op, got, was)
 			}
-			answers[op.ID] = got
+			results[op.ID] = got
 			if step := a.Revision() - before; step != 0 && changed == nil || step != 1 && changed != nil {
 				t.Fatalf("%+v moved the revision by %d", op, step)
 			}
@@ -117,10 +117,10 @@
 	})
 }
 
-func TestLoadRefuses(t *testing.T) {
+func TestLoadRejects(t *testing.T) {
 	for _, text := range []string{"", "{}", `{"rev":5}`, `{"rev":1099511627776,"order":["a"]}`, `{"rev":1099511627776,"entries":[{"uid":""}]}`} {
 		if _, err := Load([]byte(text)); err == nil {
-			t.Errorf("%q was taken for a snapshot", text)
+			t.Errorf("%q was loaded", text)
 		}
 	}
 }
--- /dev/null
+++ b/internal/registry/state/units.go
@@ -0,0 +1,172 @@
+package state
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/coordination/rollout"
+)
+
+// Reasons of unavailable units, beside disruption.ReasonUnreachable.
+const (
+	reasonSuspect  = "suspect"
+	reasonDraining = "draining"
+	reasonEjected  = "avoided"
+	reasonWarmUp   = "cold"
+)
+
+// Units returns the instances that count in a disruption budget, unreachable ones included, by ascending UID.
+func (s *State) Units() []*Instance {
+	units := []*Instance{}
+	for _, from := range []map[string]*Instance{s.instances, s.unreachable} {
+		for _, e := range from {
+			if e.isUnit() {
+				units = append(units, e)
+			}
+		}
+	}
+	return sortedByUID(units)
+}
+
+// Unreachable returns a unit that counts as unreachable, or nil.
+func (s *State) Unreachable(uid string) *Instance { return s.unreachable[uid] }
+
+// unit returns a unit whether it is reachable or not, or nil.
+func (s *State) unit(uid string) *Instance { return cmp.Or(s.instances[uid], s.unreachable[uid]) }
+
+// updateUnit tells the budget, and for a node the rollout, how a unit is now.
+func (s *State) updateUnit(e *Instance) {
+	if !e.isUnit() {
+		return
+	}
+	if e.Role == RoleNode {
+		// A suspect is unreachable here: for the rollout it is enough that the lease has ended, believed or not.
+		unreachable := e.Suspect || s.unreachable[e.UID] != nil
+		s.rollout.SetNode(e.UID, e.Zone, e.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTime})
+	}
+	share, reason := s.unavailability(e)
+	s.budget.SetUnit(disruption.Unit{
+		ID: e.UID, Incarnation: e.Token, StartTimeMS: e.StartTimeMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack,
+		Capacity: e.Capacity, UnavailableShare: share, Reason: reason,
+	})
+}
+
+// unavailability returns the share of a unit's capacity that is unavailable, and why.
+func (s *State) unavailability(e *Instance) (share float64, reason string) {
+	switch {
+	case s.unreachable[e.UID] != nil:
+		return 1, disruption.ReasonUnreachable
+	case e.Suspect:
+		return 1, reasonSuspect
+	case e.State == Draining:
+		return 1, reasonDraining
+	case 2*s.ejections.count(e.UID) > s.tierNodes[e.Tier]:
+		return 1, reasonEjected
+	case e.WarmUpDeficit > 0:
+		return e.WarmUpDeficit, reasonWarmUp
+	}
+	return 0, ""
+}
+
+// forgetUnit drops a unit that will not come back.
+func (s *State) forgetUnit(uid string) {
+	delete(s.unreachable, uid)
+	s.budget.Decommission(uid)
+	s.rollout.Decommission(uid)
+}
+
+// initialWarmUpDeficit is the share of its capacity that an instance lacks when its process starts.
+func (s *State) initialWarmUpDeficit(e *Instance) float64 {
+	if s.limits == nil || s.limits.WarmUpMS == 0 || e.StartTimeMS == 0 {
+		return 0
+	}
+	return 1 - s.limits.InitialShare
+}
+
+// nodeChanged keeps up with a node that was put in place of old (nil: none), or removed: how many nodes send to a tier, and
+// which servers a process has ejected.
+func (s *State) nodeChanged(old, e *Instance) {
+	if e.Role != RoleNode {
+		return
+	}
+	s.countNode(old, -1)
+	s.countNode(e, 1)
+	if e.State == Deleted || old != nil && old.Token != e.Token {
+		s.setEjected(e.UID, nil)
+	}
+}
+
+// countNode adds n to the number of nodes that send to a node's tier. What most of them eject may change with it.
+func (s *State) countNode(e *Instance, n int) {
+	if e == nil || e.Role != RoleNode || e.State == Deleted {
+		return
+	}
+	s.tierNodes[e.Kind] += n
+	for uid := range s.ejections.byServer {
+		if server := s.instances[uid]; server != nil {
+			s.updateUnit(server)
+		}
+	}
+}
+
+// ejections are the servers that nodes have ejected as outliers. A server is unavailable while more than half of the nodes
+// that send to its tier have ejected it.
+type ejections struct {
+	byNode   map[string][]string // UIDs of servers, ascending and without repetition, by the node's UID
+	byServer map[string]int      // how many nodes have ejected a server
+}
+
+func newEjections() ejections {
+	return ejections{byNode: map[string][]string{}, byServer: map[string]int{}}
+}
+
+// count returns how many nodes have ejected a server.
+func (j *ejections) count(server string) int { return j.byServer[server] }
+
+// set replaces what a node has ejected, and returns the servers that it had or has ejected.
+func (j *ejections) set(node string, servers []string) (affected []string) {
+	before := j.byNode[node]
+	for _, uid := range before {
+		if j.byServer[uid]--; j.byServer[uid] == 0 {
+			delete(j.byServer, uid)
+		}
+	}
+	servers = slices.Compact(slices.Sorted(slices.Values(servers)))
+	if len(servers) == 0 {
+		delete(j.byNode, node)
+	} else {
+		j.byNode[node] = servers
+	}
+	for _, uid := range servers {
+		j.byServer[uid]++
+	}
+	return slices.Concat(before, servers)
+}
+
+// setEjected records which servers a node has ejected.
+func (s *State) setEjected(node string, servers []string) {
+	for _, uid := range s.ejections.set(node, servers) {
+		if e := s.instances[uid]; e != nil {
+			s.updateUnit(e)
+		}
+	}
+}
+
+// reportEjected applies a node's report of the servers that it has ejected.
+func (s *State) reportEjected(op Op) Result {
+	e := s.instances[op.UID]
+	switch {
+	case e == nil || e.Role != RoleNode:
+		return Result{Code: CodeNotFound}
+	case op.Token != e.Token:
+		return Result{Code: CodeFenced}
+	}
+	s.setEjected(op.UID, op.Ejected)
+	s.revision++
+	return Result{}
+}
+
+// sortedUIDs returns the keys of a map of instances in ascending order.
+func sortedUIDs(instances map[string]*Instance) []string { return slices.Sorted(maps.Keys(instances)) }
