--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -33,7 +33,7 @@
 	case "program":
 		os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 	case "reaper":
-		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+		wrong(ctx, func(w *client.Client, v *state.CoordinationView) {
 			for _, o := range v.Unavailable {
 				if o.Reason == "missing" { // the dead shall count no more
 					w.Write(ctx, state.Op{Kind: state.OpDecommission, UID: o.Unit})
@@ -47,7 +47,7 @@
 	case "revenant":
 		revenant(ctx)
 	case "gravedigger": // calls nodes dead that live
-		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+		wrong(ctx, func(w *client.Client, v *state.CoordinationView) {
 			for _, u := range v.Units {
 				if u.Role == state.RoleNode {
 					w.Write(ctx, state.Op{Kind: state.OpExpire, UID: u.UID, Token: u.Token})
@@ -56,15 +56,15 @@
 		})
 	case "ignorant": // a controller that holds no lead
 		m := &release.Scheduler{Holder: "ignorant"}
-		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+		wrong(ctx, func(w *client.Client, v *state.CoordinationView) {
 			for _, o := range m.NextWrites(release.View{Units: v.Units, Unavailable: v.Unavailable, Permits: v.Permits, Records: v.Records}, host.Now()) {
-				if a, err := w.One(ctx, o.Op); err == nil && a.Code == "" {
+				if a, err := w.WriteOne(ctx, o.Op); err == nil && a.Code == "" {
 					did(host.Event{At: host.Now(), Process: "ignorant", Kind: "act", Reason: o.Reason})
 				}
 			}
 		})
 	case "reckless":
-		wrong(ctx, func(w *client.Writer, v *state.CoordinationView) {
+		wrong(ctx, func(w *client.Client, v *state.CoordinationView) {
 			for _, u := range v.Units {
 				if u.Tier == "web" && u.State == state.Serving {
 					a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: u.UID, State: state.Draining})
@@ -79,8 +79,8 @@
 }
 
 // wrong is a process that does what none may, again and again.
-func wrong(ctx context.Context, do func(*client.Writer, *state.CoordinationView)) {
-	w, err := client.NewWriter(client.Options{Endpoints: strings.Split(os.Args[1], ",")})
+func wrong(ctx context.Context, do func(*client.Client, *state.CoordinationView)) {
+	w, err := client.New(client.Options{Endpoints: strings.Split(os.Args[1], ",")})
 	if err != nil {
 		panic(err)
 	}
@@ -105,7 +105,7 @@
 
 // wrongNode is what a wrong node of a trial knows: its name, its registry, and its entry, held or not yet.
 type wrongNode struct {
-	w     *client.Writer
+	w     *client.Client
 	entry state.Instance
 	keep  string
 }
@@ -125,7 +125,7 @@
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		panic(err)
 	}
-	w, err := client.NewWriter(client.Options{Endpoints: cfg.Agreed.Endpoints})
+	w, err := client.New(client.Options{Endpoints: cfg.Agreed.Endpoints})
 	if err != nil {
 		panic(err)
 	}
@@ -134,9 +134,9 @@
 }
 
 // hold registers the node, and holds its lease from then on.
-func (n *wrongNode) hold(ctx context.Context) *client.Holder {
-	h := client.NewHolder(n.w)
-	if err := h.Hold(ctx, &n.entry); err != nil {
+func (n *wrongNode) hold(ctx context.Context) *client.LeaseHolder {
+	h := client.NewLeaseHolder(n.w)
+	if err := h.Register(ctx, &n.entry); err != nil {
 		panic(err)
 	}
 	go h.Run(ctx, 600*time.Millisecond)
@@ -145,7 +145,7 @@
 
 // follow gives what the node is told, again and again, and says to the registry what of it do says that it runs. What is
 // proposed it acknowledges.
-func (n *wrongNode) follow(ctx context.Context, h *client.Holder, do func(start int64, c *state.NodeSettings) (number int64, hash string)) {
+func (n *wrongNode) follow(ctx context.Context, h *client.LeaseHolder, do func(start int64, c *state.NodeSettings) (number int64, hash string)) {
 	for rev := int64(0); ctx.Err() == nil; {
 		v, err := n.w.Agreed(ctx, url.Values{"node": {n.entry.UID}}, rev, 100*time.Millisecond)
 		if err != nil || v.NodeSettings == nil {
@@ -329,7 +329,7 @@
 	var at [2]string
 	for i := range at {
 		var err error
-		if at[i], err = cluster.Free(); err != nil {
+		if at[i], err = cluster.FreeAddress(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -350,7 +350,7 @@
 // What staff see of nodes that are out of touch, catch up, and of a zone that is lost.
 func TestConfigStatus(t *testing.T) {
 	one := oneReplica(t)
-	w, err := client.NewWriter(client.Options{Endpoints: []string{one.Addr()}})
+	w, err := client.New(client.Options{Endpoints: []string{one.Addr()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -205,7 +205,7 @@
 		"registry-status.json":    encodings[replica.Status](t, indented),
 		"registry-get.json":       encodings[instances](t, indented),
 		"registry-bench.json":     encodings[bench.Result](t, indented),
-		"registry-permits.json":   encodings[bench.Permits](t, indented),
+		"registry-permits.json":   encodings[bench.PermitResult](t, indented),
 		"registry-trial.json":     encodings[registrytrial.Result](t, indented),
 		"registry-put.json":       encodings[state.Instance](t, indented),
 		"fleet-status.json":       encodings[state.CoordinationView](t, indented),
--- a/cmd/umberbank/regbench.go
+++ b/cmd/umberbank/regbench.go
@@ -40,7 +40,7 @@
 	if c.Plot != "" {
 		return errors.New("--plot: only with --lengths")
 	}
-	r, err := bench.Measure(a.ctx, bench.Options{Instances: c.Instances, Watches: c.Watches, Step: func(s string) { a.log.Info(s) }})
+	r, err := bench.Measure(a.ctx, bench.Options{Instances: c.Instances, Watches: c.Watches, Progress: func(s string) { a.log.Info(s) }})
 	if err != nil {
 		return err
 	}
@@ -49,17 +49,17 @@
 	}
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "instances, watches\t%d, %d\n", r.Instances, r.Watches)
-	fmt.Fprintf(t, "a change comes to watchers\tp50 %.1f ms, p99 %.1f ms; the write alone %.1f ms\n", r.P50, r.P99, r.WriteMeanMS)
-	fmt.Fprintf(t, "durable writes\t%.0f/s\n", r.Writes)
-	fmt.Fprintf(t, "memory a watch\t%.1f KiB\n", r.PerWatch/1024)
+	fmt.Fprintf(t, "a change comes to watchers\tp50 %.1f ms, p99 %.1f ms; the write alone %.1f ms\n", r.PropagationP50MS, r.PropagationP99MS, r.WriteMeanMS)
+	fmt.Fprintf(t, "durable writes\t%.0f/s\n", r.WritesPerSecond)
+	fmt.Fprintf(t, "memory a watch\t%.1f KiB\n", r.BytesPerWatch/1024)
 	fmt.Fprintf(t, "writes again after the leader's death\t%.0f ms\n", r.FailoverMS)
-	fmt.Fprintf(t, "all watchers back\t%.2f s, %.1f%% without a whole list\n", r.StormS, 100*r.Resumed)
+	fmt.Fprintf(t, "all watchers back\t%.2f s, %.1f%% without a whole list\n", r.ReconnectStormSeconds, 100*r.ResumedShare)
 	return t.Flush()
 }
 
 // permits measures decisions about permits.
 func (c *registryBenchCmd) permits(a *app) error {
-	p, err := bench.MeasurePermits(a.ctx, bench.Options{Instances: c.Instances, Step: func(s string) { a.log.Info(s) }}, c.Permits, 10*time.Second)
+	p, err := bench.MeasurePermits(a.ctx, bench.Options{Instances: c.Instances, Progress: func(s string) { a.log.Info(s) }}, c.Permits, 10*time.Second)
 	if err != nil {
 		return err
 	}
@@ -67,13 +67,13 @@
 		return json.NewEncoder(a.out).Encode(p)
 	}
 	_, err = fmt.Fprintf(a.out, "%d units, %.0f decisions a second asked, %.0f made: p50 %.1f ms, p99 %.1f ms (%d granted, %d returned)\n",
-		p.Units, p.Rate, p.PerS, p.P50, p.P99, p.Granted, p.Returned)
+		p.Units, p.RequestedPerSecond, p.DecidedPerSecond, p.P50MS, p.P99MS, p.Granted, p.Returned)
 	return err
 }
 
 // lengths measures what a change costs over lists of several lengths.
 func (c *registryBenchCmd) lengths(a *app) error {
-	l, err := bench.Lengths(a.ctx, bench.Options{Watches: c.Watches, Step: func(s string) { a.log.Info(s) }}, c.Lengths)
+	l, err := bench.MeasureListLengths(a.ctx, bench.Options{Watches: c.Watches, Progress: func(s string) { a.log.Info(s) }}, c.Lengths)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(bench.Draw(f, l), f.Close()); err != nil {
+		if err := errors.Join(bench.Plot(f, l), f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", c.Plot, err)
 		}
 	}
@@ -98,7 +98,7 @@
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "instances\twrite ms\tto watchers p50 ms\tp99 ms\tprocessor ms\t")
 	for _, r := range l {
-		fmt.Fprintf(t, "%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", r.Instances, r.WriteMeanMS, r.P50, r.P99, r.CPUMS)
+		fmt.Fprintf(t, "%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", r.Instances, r.WriteMeanMS, r.PropagationP50MS, r.PropagationP99MS, r.CPUPerChangeMS)
 	}
 	return t.Flush()
 }
--- a/cmd/umberbank/registry.go
+++ b/cmd/umberbank/registry.go
@@ -55,8 +55,8 @@
 	Within time.Duration `name:"within" help:"How long to try." default:"5s"`
 }
 
-func (r registryAt) writer() (*client.Writer, error) {
-	return client.NewWriter(client.Options{Endpoints: r.At})
+func (r registryAt) writer() (*client.Client, error) {
+	return client.New(client.Options{Endpoints: r.At})
 }
 
 // call makes one call to the registry.
@@ -126,7 +126,7 @@
 			}
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t\n", st.ID, at, st.Leads, st.Term, st.Rev, st.Entries, st.Suspects, st.Watchers, st.StaleMS)
+		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t\n", st.ID, at, st.IsLeader, st.Term, st.Revision, st.Entries, st.Suspects, st.Watchers, st.StalenessMS)
 	}
 	return errors.Join(t.Flush(), failed)
 }
@@ -189,16 +189,16 @@
 }
 
 func (c *registryWatchCmd) Run(a *app) error {
-	r, err := client.NewReader(client.Options{Endpoints: c.At})
+	r, err := client.NewWatcher(client.Options{Endpoints: c.At})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	n := 0
-	err = r.Run(ctx, func(client.Update) {
+	err = r.Run(ctx, func(client.WatchEvent) {
 		v := r.View()
-		fmt.Fprintf(a.out, "revision %d: %d entries\n", v.Rev, len(v.Entries))
+		fmt.Fprintf(a.out, "revision %d: %d entries\n", v.Revision, len(v.Instances))
 		if n++; n == c.Count {
 			cancel()
 		}
@@ -293,7 +293,7 @@
 		if len(p) != 3 {
 			return fmt.Errorf("--add: %q is no ID,RAFT,ADDRESS", c.Add)
 		}
-		change["add"] = replica.Peer{ID: p[0], Raft: p[1], Address: p[2]}
+		change["add"] = replica.Peer{ID: p[0], RaftAddress: p[1], ClientAddress: p[2]}
 	}
 	if c.Remove != "" {
 		change["remove"] = c.Remove
@@ -310,8 +310,8 @@
 	}
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "replica\traft\taddress\tleads\t")
-	for _, id := range sortedKeys(st.Replicas) {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t\n", id, st.Replicas[id], st.Members[id], id == st.Leader)
+	for _, id := range sortedKeys(st.RaftAddresses) {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t\n", id, st.RaftAddresses[id], st.ClientAddresses[id], id == st.LeaderID)
 	}
 	return t.Flush()
 }
--- a/cmd/umberbank/trial.go
+++ b/cmd/umberbank/trial.go
@@ -87,19 +87,19 @@
 				return err
 			}
 		}
-		sum.Writes, sum.Unknown, sum.Reads, sum.Watched = sum.Writes+r.Writes, sum.Unknown+r.Unknown, sum.Reads+r.Reads, sum.Watched+r.Watched
+		sum.Writes, sum.UnknownWrites, sum.Reads, sum.WatchEvents = sum.Writes+r.Writes, sum.UnknownWrites+r.UnknownWrites, sum.Reads+r.Reads, sum.WatchEvents+r.WatchEvents
 		faults += len(r.Faults)
-		worst = max(worst, r.RecoverS)
-		if len(r.Broken) > 0 {
+		worst = max(worst, r.RecoverySeconds)
+		if len(r.Violations) > 0 {
 			failed++
 			if !c.JSON {
-				fmt.Fprintf(a.out, "BROKEN seed %d: %s\n  after %s\n", r.Seed, strings.Join(r.Broken, "; "), strings.Join(r.Faults, ", "))
+				fmt.Fprintf(a.out, "BROKEN seed %d: %s\n  after %s\n", r.Seed, strings.Join(r.Violations, "; "), strings.Join(r.Faults, ", "))
 			}
 		}
 	}
 	if !c.JSON {
 		fmt.Fprintf(a.out, "%d runs, %d failed; %d faults, %d writes (%d without an answer), %d consistent reads, %d states of watchers; back within %.1f s\n",
-			len(results), failed, faults, sum.Writes, sum.Unknown, sum.Reads, sum.Watched, worst)
+			len(results), failed, faults, sum.Writes, sum.UnknownWrites, sum.Reads, sum.WatchEvents, worst)
 	}
 	if failed > 0 {
 		return errNotHeld
--- a/internal/coordination/faulttest/config.go
+++ b/internal/coordination/faulttest/config.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		listen, err := cluster.Free()
+		listen, err := cluster.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -238,7 +238,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	if err := s.cluster.Await(ctx); err != nil {
+	if err := s.cluster.AwaitReady(ctx); err != nil {
 		return err
 	}
 	last := ""
@@ -339,7 +339,7 @@
 				}
 			}
 		}
-		s.cluster.Links(func(from, to int, l *relay.Relay) {
+		s.cluster.EachLink(func(from, to int, l *relay.Relay) {
 			if (from == zone) != (to == zone) {
 				links = append(links, l)
 			}
--- a/internal/coordination/faulttest/trial.go
+++ b/internal/coordination/faulttest/trial.go
@@ -217,7 +217,7 @@
 			return err
 		}
 	}
-	return s.cluster.Await(ctx)
+	return s.cluster.AwaitReady(ctx)
 }
 
 // program is a command line of the program.
@@ -311,7 +311,7 @@
 
 // await waits until what is agreed is so.
 func (s *site) await(ctx context.Context, what string, is func(*state.CoordinationView) bool) error {
-	w, err := client.NewWriter(client.Options{Endpoints: s.cluster.Addresses(), RestMost: 100 * time.Millisecond})
+	w, err := client.New(client.Options{Endpoints: s.cluster.Addresses(), MaxBackoff: 100 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -418,7 +418,7 @@
 	kind := []string{"kill", "stop", "cut", "one-way", "replica-kill", "replica-stop", "slow-disk", "restore"}[s.r.IntN(8)]
 	name := p.name
 	if strings.Contains(kind, "replica") || kind == "slow-disk" {
-		name = s.cluster.Name(replica)
+		name = s.cluster.ID(replica)
 	} else if p.off {
 		return nil
 	}
@@ -472,10 +472,10 @@
 	case "replica-stop":
 		registry(func() { s.cluster.Signal(replica, syscall.SIGSTOP) }, func() { s.cluster.Signal(replica, syscall.SIGCONT) })
 	case "slow-disk":
-		if err := s.cluster.SlowDisk(replica, time.Duration(50+s.r.IntN(300))*time.Millisecond); err != nil {
+		if err := s.cluster.SetSyncDelay(replica, time.Duration(50+s.r.IntN(300))*time.Millisecond); err != nil {
 			return err
 		}
-		registry(func() {}, func() { s.cluster.SlowDisk(replica, 0) })
+		registry(func() {}, func() { s.cluster.SetSyncDelay(replica, 0) })
 	case "restore":
 		registry(func() { s.restore(lasts) }, func() {})
 	}
@@ -487,7 +487,7 @@
 	s.undo.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), staffWithin)
 		defer cancel()
-		w, err := client.NewWriter(client.Options{Endpoints: s.cluster.Addresses()})
+		w, err := client.New(client.Options{Endpoints: s.cluster.Addresses()})
 		if err != nil {
 			return
 		}
@@ -502,7 +502,7 @@
 
 // heal lets every process run again.
 func (s *site) heal() error {
-	s.cluster.Heal()
+	s.cluster.ResumeAll()
 	for _, p := range append(s.units, s.controls...) {
 		if p.name == s.dead {
 			continue
@@ -521,7 +521,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleWithin)
 	defer cancel()
-	if err := s.cluster.Await(ctx); err != nil {
+	if err := s.cluster.AwaitReady(ctx); err != nil {
 		return err
 	}
 	version := "v2"
--- a/internal/coordination/host/agent.go
+++ b/internal/coordination/host/agent.go
@@ -34,10 +34,10 @@
 	Events      *Log
 	Log         *slog.Logger
 	Clock       func() time.Time // nil: the system's clock
-	Dial        client.Dial      // nil: the system's
+	Dial        client.DialFunc  // nil: the system's
 
-	writer *client.Writer
-	holder *client.Holder
+	writer *client.Client
+	holder *client.LeaseHolder
 	cmd    *exec.Cmd
 	ended  chan error         // of cmd
 	up     bool               // the process runs, or this is the unit itself
@@ -57,7 +57,7 @@
 	if a.Clock == nil {
 		a.Clock = time.Now
 	}
-	if a.writer, err = client.NewWriter(client.Options{Endpoints: a.Registry, RestMost: 300 * time.Millisecond, Dial: a.Dial}); err != nil {
+	if a.writer, err = client.New(client.Options{Endpoints: a.Registry, MaxBackoff: 300 * time.Millisecond, Dial: a.Dial}); err != nil {
 		return err
 	}
 	a.Instance.TTLMS = a.TTL.Milliseconds()
@@ -135,14 +135,14 @@
 func (a *Agent) follow(ctx context.Context, p *disruption.Permit, e *state.Instance) {
 	if p.TargetVersion == a.Instance.Version && p.Begun && e.State == state.Draining && e.StartTimeMS == a.Instance.StartTimeMS && a.stop != nil {
 		// It was taken back before anything had changed. Another look tells what came of it.
-		a.writer.One(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
+		a.writer.WriteOne(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
 		return
 	}
 	if p.TargetVersion == "" || p.TargetVersion == a.Instance.Version {
 		return
 	}
 	sent := Now()
-	answer, err := a.writer.One(ctx, state.Op{Kind: state.OpBeginPermit, UID: p.Unit, Token: p.Token})
+	answer, err := a.writer.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: p.Unit, Token: p.Token})
 	if err != nil || answer.Code != "" {
 		return // another look tells more
 	}
@@ -191,7 +191,7 @@
 // register enters the unit's start, and holds its lease from then on.
 func (a *Agent) register(ctx context.Context) error {
 	if a.Instance.StartTimeMS == 0 {
-		boot, err := a.writer.NextBoot(ctx, a.Instance.UID, a.Clock())
+		boot, err := a.writer.NextStartTime(ctx, a.Instance.UID, a.Clock())
 		if err != nil {
 			return err
 		}
@@ -199,10 +199,10 @@
 	}
 	a.Instance.State = state.Serving
 	entry := a.Instance
-	a.holder = client.NewHolder(a.writer)
+	a.holder = client.NewLeaseHolder(a.writer)
 	holding, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	if err := a.holder.Hold(holding, &entry); err != nil {
+	if err := a.holder.Register(holding, &entry); err != nil {
 		return err
 	}
 	running, stop := context.WithCancel(ctx)
--- a/internal/coordination/host/control.go
+++ b/internal/coordination/host/control.go
@@ -26,7 +26,7 @@
 	Events   *Log
 	Log      *slog.Logger
 
-	writer  *client.Writer
+	writer  *client.Client
 	token   int64 // of the lead; 0: another has it, or nobody
 	machine release.Scheduler
 	rollout rollout.BakeTimer
@@ -37,7 +37,7 @@
 
 // Run acts until ctx ends.
 func (c *Controller) Run(ctx context.Context) (err error) {
-	if c.writer, err = client.NewWriter(client.Options{Endpoints: c.Registry, RestMost: 300 * time.Millisecond}); err != nil {
+	if c.writer, err = client.New(client.Options{Endpoints: c.Registry, MaxBackoff: 300 * time.Millisecond}); err != nil {
 		return err
 	}
 	c.machine.Holder = c.Name
@@ -77,7 +77,7 @@
 // take asks for the lead.
 func (c *Controller) take(ctx context.Context) {
 	e := &state.Instance{UID: LeaderUID, Endpoint: c.Name, State: state.Serving, Role: state.RoleController, TTLMS: c.TTL.Milliseconds()}
-	a, err := c.writer.One(ctx, state.Op{Kind: state.OpRegister, Instance: e, IfModRevision: state.Absent})
+	a, err := c.writer.WriteOne(ctx, state.Op{Kind: state.OpRegister, Instance: e, IfModRevision: state.Absent})
 	if err == nil && a.Code == "" {
 		c.token = a.Token
 		c.Log.Info("leads", "controller", c.Name, "token", a.Token)
@@ -119,7 +119,7 @@
 		sent := Now()
 		c.note(Event{Kind: "asks", Version: strconv.FormatInt(p.Number, 10), Token: c.token}) // it may die before the answer
 		op := state.Op{Kind: state.OpAdvance, Number: p.Number, Stage: v.Rollout.Stage, Fence: &state.Fence{UID: LeaderUID, Token: c.token}}
-		if a, err := c.writer.One(ctx, op); err == nil && a.Code == "" {
+		if a, err := c.writer.WriteOne(ctx, op); err == nil && a.Code == "" {
 			why := "stage"
 			if a.Token == p.Number {
 				why = "in force"
@@ -132,7 +132,7 @@
 	for _, o := range orders {
 		o.Fence = &state.Fence{UID: LeaderUID, Token: c.token}
 		sent := Now()
-		a, err := c.writer.One(ctx, o.Op)
+		a, err := c.writer.WriteOne(ctx, o.Op)
 		if err != nil {
 			return
 		}
--- a/internal/coordination/host/host.go
+++ b/internal/coordination/host/host.go
@@ -18,7 +18,7 @@
 )
 
 // ReadView asks for all that is agreed, with all units, as of when it was called.
-func ReadView(ctx context.Context, w *client.Writer) (*state.CoordinationView, error) {
+func ReadView(ctx context.Context, w *client.Client) (*state.CoordinationView, error) {
 	var a state.CoordinationView
 	return &a, w.Call(ctx, "GET", "/registry/agreed?consistent=1&units=1&lead="+LeaderUID, nil, &a)
 }
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -67,12 +67,12 @@
 	for i := range f.w.Site.Servers {
 		r.index[f.w.Site.Servers[i].Name] = i
 	}
-	if err := c.Await(starting); err != nil {
+	if err := c.AwaitReady(starting); err != nil {
 		return err
 	}
 	if f.w.Site.Budget.Set() {
 		limits := f.w.Site.BudgetLimits()
-		w, err := client.NewWriter(client.Options{Endpoints: c.Addresses()})
+		w, err := client.New(client.Options{Endpoints: c.Addresses()})
 		if err != nil {
 			return err
 		}
@@ -129,13 +129,13 @@
 	r.holds[server] = &hold{cancel}
 	e := r.entry(server, st)
 	ttl := r.f.w.Site.Registry.TTL.D()
-	w, err := client.NewWriter(client.Options{Endpoints: r.cluster.Addresses()})
+	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return // there are endpoints
 	}
 	r.running.Go(func() {
-		h := client.NewHolder(w)
-		for h.Hold(ctx, e) != nil { // fenced, or it was told to stop
+		h := client.NewLeaseHolder(w)
+		for h.Register(ctx, e) != nil { // fenced, or it was told to stop
 			select {
 			case <-time.After(ttl / 4):
 			case <-ctx.Done():
@@ -177,7 +177,7 @@
 func (r *registry) take(uid string) error {
 	ctx, cancel := context.WithTimeout(r.ctx, takeWithin)
 	defer cancel()
-	w, err := client.NewWriter(client.Options{Endpoints: r.cluster.Addresses()})
+	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return err
 	}
@@ -197,8 +197,8 @@
 }
 
 // one has one write carried out; a fault is an error.
-func one(ctx context.Context, w *client.Writer, op state.Op) (state.Result, error) {
-	a, err := w.One(ctx, op)
+func one(ctx context.Context, w *client.Client, op state.Op) (state.Result, error) {
+	a, err := w.WriteOne(ctx, op)
 	if err == nil && a.Code != "" {
 		err = fmt.Errorf("%s: %s", a.Code, a.Reason)
 	}
@@ -264,7 +264,7 @@
 
 // eachLink does something to all links of a replica.
 func (r *registry) eachLink(i int, do func(*relay.Relay) error) {
-	r.cluster.Links(func(from, to int, l *relay.Relay) {
+	r.cluster.EachLink(func(from, to int, l *relay.Relay) {
 		if from == i || to == i {
 			if err := do(l); err != nil {
 				r.f.w.Loop.Post(func() { r.f.fail(err) })
@@ -275,7 +275,7 @@
 
 // follow lets a node's agent follow the registry, and returns once it has all servers of the node's tier.
 func (r *registry) follow(ctx context.Context, node int) error {
-	reader, err := client.NewReader(client.Options{Endpoints: r.cluster.Addresses()})
+	reader, err := client.NewWatcher(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return err
 	}
@@ -288,9 +288,9 @@
 	there := make(chan struct{})
 	first := true
 	r.running.Go(func() {
-		reader.Run(r.ctx, func(client.Update) {
+		reader.Run(r.ctx, func(client.WatchEvent) {
 			view := r.entries(node, reader.View())
-			rev := reader.View().Rev
+			rev := reader.View().Revision
 			if first {
 				if len(view) < want {
 					return
@@ -314,7 +314,7 @@
 // entries are the servers of a node's tier as the registry lists them.
 func (r *registry) entries(node int, v client.View) map[int]model.Entry {
 	l := map[int]model.Entry{}
-	for _, e := range v.Entries {
+	for _, e := range v.Instances {
 		i, known := r.index[e.UID]
 		if !known || r.f.w.Site.Servers[i].Tier != r.f.w.Site.Nodes[node].Tier {
 			continue
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -26,14 +26,14 @@
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
 			defer cancel()
 			at, raft := free(t), free(t)
-			r, err := replica.New(replica.Config{ID: "r0", Dir: t.TempDir(), Raft: raft, Address: at, Peers: []replica.Peer{{ID: "r0", Raft: raft, Address: at}},
-				Tick: 20 * time.Millisecond, Guard: replica.Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
+			r, err := replica.New(replica.Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: raft, ClientAddress: at, Peers: []replica.Peer{{ID: "r0", RaftAddress: raft, ClientAddress: at}},
+				Tick: 20 * time.Millisecond, Guard: replica.ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer r.Close()
 			var own meter
-			w, err := client.NewWriter(client.Options{Endpoints: []string{at}, RestFirst: time.Millisecond, RestMost: 10 * time.Millisecond, Dial: own.dial})
+			w, err := client.New(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, Dial: own.dial})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,18 +48,18 @@
 			}
 			rev := a[len(a)-1].Revision
 			meters, heard := make([]meter, n), make(chan int64, n*(changes+1))
-			var readers []*client.Reader
+			var readers []*client.Watcher
 			watching, end := context.WithCancel(ctx)
 			var running sync.WaitGroup
 			defer running.Wait()
 			defer end()
 			for i := range n {
-				reader, err := client.NewReader(client.Options{Endpoints: []string{at}, RestFirst: time.Millisecond, RestMost: 10 * time.Millisecond, Silence: limit, Dial: meters[i].dial})
+				reader, err := client.NewWatcher(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, IdleTimeout: limit, Dial: meters[i].dial})
 				if err != nil {
 					t.Fatal(err)
 				}
 				readers = append(readers, reader)
-				running.Go(func() { reader.Run(watching, func(u client.Update) { heard <- u.Rev }) })
+				running.Go(func() { reader.Run(watching, func(u client.WatchEvent) { heard <- u.Revision }) })
 			}
 			all := func(rev int64) {
 				for there := 0; there < n; {
@@ -89,8 +89,8 @@
 			most := int64(0)
 			for i, reader := range readers {
 				most = max(most, meters[i].traffic().bytes-before[i])
-				if v := reader.View(); v.Lines != changes || v.Wholes != 1 || meters[i].traffic().calls != 1 {
-					t.Errorf("%d nodes: %d lines and %d whole lists by %d calls", n, v.Lines, v.Wholes, meters[i].traffic().calls)
+				if v := reader.View(); v.Changes != changes || v.FullLists != 1 || meters[i].traffic().calls != 1 {
+					t.Errorf("%d nodes: %d lines and %d whole lists by %d calls", n, v.Changes, v.FullLists, meters[i].traffic().calls)
 				}
 			}
 			return most
@@ -105,7 +105,7 @@
 
 func free(t *testing.T) string {
 	t.Helper()
-	a, err := cluster.Free()
+	a, err := cluster.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -43,7 +43,7 @@
 type hollow struct {
 	place
 	list, versions, agent meter
-	reader                *client.Reader
+	reader                *client.Watcher
 	rev                   atomic.Int64 // of the list
 	cancel                context.CancelFunc
 	running               sync.WaitGroup
@@ -53,7 +53,7 @@
 func startHollow(ctx context.Context, i int, at []string, ran func(node string, settings []byte)) (*hollow, error) {
 	h := &hollow{place: placeOf(i)}
 	var err error
-	if h.reader, err = client.NewReader(client.Options{Endpoints: at, Dial: h.list.dial}); err != nil {
+	if h.reader, err = client.NewWatcher(client.Options{Endpoints: at, Dial: h.list.dial}); err != nil {
 		return nil, err
 	}
 	ctx, h.cancel = context.WithCancel(ctx)
@@ -69,7 +69,7 @@
 		}}
 	agent := &host.Agent{Registry: at, TTL: leaseTTL, Dial: h.agent.dial, Log: slog.New(slog.DiscardHandler),
 		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
-	h.running.Go(func() { h.reader.Run(ctx, func(u client.Update) { h.rev.Store(u.Rev) }) }) // it ends with ctx
+	h.running.Go(func() { h.reader.Run(ctx, func(u client.WatchEvent) { h.rev.Store(u.Revision) }) }) // it ends with ctx
 	h.running.Go(func() { node.Follow(ctx, follow) })
 	h.running.Go(func() { agent.Run(ctx) })
 	return h, nil
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -26,7 +26,7 @@
 	f      *Figures
 	dir    string
 	c      *cluster.Cluster
-	w      *client.Writer
+	w      *client.Client
 	launch *process.Launcher
 	guard  *guard
 
@@ -101,7 +101,7 @@
 func (p *play) pids() []int {
 	l := []int{os.Getpid()}
 	for i := range p.c.Len() {
-		l = append(l, p.c.Pid(i))
+		l = append(l, p.c.PID(i))
 	}
 	for _, x := range []*process.Process{p.control, p.with, p.without} {
 		l = append(l, x.Pid())
@@ -148,10 +148,10 @@
 			return err
 		}
 	}
-	if err := p.c.Await(ctx); err != nil {
+	if err := p.c.AwaitReady(ctx); err != nil {
 		return err
 	}
-	if p.w, err = client.NewWriter(client.Options{Endpoints: p.c.Addresses(), RestFirst: 5 * time.Millisecond, RestMost: 50 * time.Millisecond,
+	if p.w, err = client.New(client.Options{Endpoints: p.c.Addresses(), InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond,
 		Dial: new(net.Dialer).DialContext}); err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 
 // node starts a real node. Both know the same list from the start; the one with a control part follows the registry too.
 func (p *play) node(name string, control bool) (*process.Process, error) {
-	listen, err := cluster.Free()
+	listen, err := cluster.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -283,9 +283,9 @@
 	}
 	for i := range p.c.Len() {
 		select {
-		case <-p.c.Ended(i):
+		case <-p.c.Exited(i):
 			said := strings.TrimSpace(p.c.Logs(i))
-			p.f.Notes = append(p.f.Notes, fmt.Sprintf("replica %s had ended by itself: %s", p.c.Name(i), short(said[strings.LastIndexByte(said, '\n')+1:])))
+			p.f.Notes = append(p.f.Notes, fmt.Sprintf("replica %s had ended by itself: %s", p.c.ID(i), short(said[strings.LastIndexByte(said, '\n')+1:])))
 			p.c.Start(i) // one that cannot start shows in what follows
 		default:
 		}
@@ -301,7 +301,7 @@
 // spent is the processor time of all replicas.
 func (p *play) spent() (sum time.Duration) {
 	for i := range p.c.Len() {
-		sum += processor(p.c.Pid(i))
+		sum += processor(p.c.PID(i))
 	}
 	return sum
 }
@@ -342,7 +342,7 @@
 	}
 	whole := 0
 	if err := until(ctx, 20*time.Millisecond, startWithin, func(context.Context) (bool, string) {
-		for whole < p.n && len(p.hollows[whole].reader.View().Entries) == p.n {
+		for whole < p.n && len(p.hollows[whole].reader.View().Instances) == p.n {
 			whole++
 		}
 		return whole == p.n, fmt.Sprintf("%d of %d nodes hold the whole list", whole, p.n)
@@ -370,7 +370,7 @@
 	leader := p.c.Leader(0)
 	pids := []int{os.Getpid(), p.control.Pid(), p.with.Pid(), p.without.Pid()}
 	for i := range p.c.Len() {
-		pids = append(pids, p.c.Pid(i))
+		pids = append(pids, p.c.PID(i))
 	}
 	look := func() (l []time.Duration) {
 		for _, pid := range pids {
@@ -407,7 +407,7 @@
 		} else {
 			follower = max(follower, c)
 		}
-		mb = max(mb, resident(p.c.Pid(i)))
+		mb = max(mb, resident(p.c.PID(i)))
 	}
 	syncs, err := timeSyncs(p.dir)
 	if err != nil {
@@ -678,10 +678,10 @@
 	if _, err := p.note(ReplicaLost, s, err, time.Since(began)); err != nil {
 		return err
 	}
-	p.c.Heal()
+	p.c.ResumeAll()
 	waiting, cancel := context.WithTimeout(ctx, startWithin)
 	defer cancel()
-	if err := p.c.Await(waiting); err != nil {
+	if err := p.c.AwaitReady(waiting); err != nil {
 		return err
 	}
 	return p.settled(ctx)
@@ -781,7 +781,7 @@
 	silent := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 	var err error
 	var links []*relay.Relay
-	p.c.Links(func(from, to int, r *relay.Relay) {
+	p.c.EachLink(func(from, to int, r *relay.Relay) {
 		if (from == 2) != (to == 2) {
 			err = errors.Join(err, r.Add(silent))
 			links = append(links, r)
--- a/internal/node/agreed.go
+++ b/internal/node/agreed.go
@@ -60,7 +60,7 @@
 	CouldRun func(settings json.RawMessage) error // why it could not run them; nil: it could
 	Run      func(settings json.RawMessage) error // runs them from now on
 	Log      func(format string, args ...any)
-	Dial     client.Dial // nil: the system's
+	Dial     client.DialFunc // nil: the system's
 }
 
 // Follow follows what a site has agreed on until ctx ends or another process is this node. Name, Addr, CouldRun, Run, Log and
@@ -78,10 +78,10 @@
 // over settings as a reload does, in one step of the loop; traffic never waits for it.
 type follower struct {
 	Following
-	writer  *client.Writer
-	holder  *client.Holder // nil: an agent holds the entry
-	running kept           // number 0: what the node was started with
-	looked  kept           // the proposed version that was looked at last, and why it cannot be run
+	writer  *client.Client
+	holder  *client.LeaseHolder // nil: an agent holds the entry
+	running kept                // number 0: what the node was started with
+	looked  kept                // the proposed version that was looked at last, and why it cannot be run
 	refused string
 
 	reported int64         // revision at which this process's own word of what it runs was last taken; 0: it was not yet
@@ -99,7 +99,7 @@
 }
 
 func follow(o Following, run kept) (*follower, error) {
-	w, err := client.NewWriter(client.Options{Endpoints: o.Agreed.Endpoints, RestMost: 300 * time.Millisecond, Dial: o.Dial})
+	w, err := client.New(client.Options{Endpoints: o.Agreed.Endpoints, MaxBackoff: 300 * time.Millisecond, Dial: o.Dial})
 	if err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 		}
 		return nil
 	}
-	boot, err := f.writer.NextBoot(ctx, name, time.Now())
+	boot, err := f.writer.NextStartTime(ctx, name, time.Now())
 	if err != nil {
 		return err
 	}
@@ -218,10 +218,10 @@
 	if e.Capacity == 0 {
 		e.Capacity = 1
 	}
-	h := client.NewHolder(f.writer)
+	h := client.NewLeaseHolder(f.writer)
 	holding, cancel := context.WithTimeout(ctx, agreedWait)
 	defer cancel()
-	if err := h.Hold(holding, e); err != nil {
+	if err := h.Register(holding, e); err != nil {
 		return err
 	}
 	f.holder = h
@@ -238,7 +238,7 @@
 	}
 	caughtUp := c.Node.Syncing && !c.Node.Unreachable && c.Node.Violation == "" && c.Target.Number == f.running.Number
 	if !c.Node.Reported || caughtUp || c.Node.RunningVersion != f.running.Number || f.reported == 0 {
-		a, err := f.writer.One(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: start, Number: f.running.Number, Hash: f.running.Hash})
+		a, err := f.writer.WriteOne(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: start, Number: f.running.Number, Hash: f.running.Hash})
 		if err == nil && a.Code == "" {
 			f.reported = a.Revision
 		} // else another look tells whether it was heard
@@ -261,7 +261,7 @@
 	if f.refused == "" {
 		f.say("could run", f.looked)
 	}
-	f.writer.One(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: start, Number: p.Number, Hash: p.Hash, RejectReason: f.refused})
+	f.writer.WriteOne(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: start, Number: p.Number, Hash: p.Hash, RejectReason: f.refused})
 }
 
 // note takes down whether the registry counts this node as in touch, and lets it serve the first time that it does. What the
@@ -288,7 +288,7 @@
 	if f.holder == nil {
 		return 0
 	}
-	return f.holder.Span()
+	return f.holder.MaxRenewalGap()
 }
 
 // awaitCaughtUp waits until this start of the node is in touch, so that it never serves by what was in force before it; false:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,11 +27,11 @@
 	turn     *turn    // nil: the process is not replaced while it serves
 	control  *control // nil: no address was told
 	known    List
-	registry *client.Reader // nil: the node follows discovery
-	keeper   *keeper        // nil: it keeps nothing for the process after it
-	linger   time.Duration  // how long a stopping node goes on as before
-	patience atomic.Int64   // how long callers may wait for what a stopping node has taken
-	follower *follower      // nil: settings are not agreed on
+	registry *client.Watcher // nil: the node follows discovery
+	keeper   *keeper         // nil: it keeps nothing for the process after it
+	linger   time.Duration   // how long a stopping node goes on as before
+	patience atomic.Int64    // how long callers may wait for what a stopping node has taken
+	follower *follower       // nil: settings are not agreed on
 
 	reloading sync.Mutex      // of what follows, which a reload changes
 	shape     any             // of the configuration in force; see Config
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -28,26 +28,26 @@
 
 // Options say how large.
 type Options struct {
-	Instances int
-	Watches   int
-	Changes   int      // that are timed; 0: 100
-	Replica   []string // command of a replica; none: this program's own
-	Step      func(string)
+	Instances      int
+	Watches        int
+	Changes        int      // that are timed; 0: 100
+	ReplicaCommand []string // command of a replica; none: this program's own
+	Progress       func(string)
 }
 
 // Result is what was measured.
 type Result struct {
-	Instances   int     `json:"instances"`
-	Watches     int     `json:"watches"`
-	P50         float64 `json:"propagation_p50_ms"` // from the write's start to a watcher's line
-	P99         float64 `json:"propagation_p99_ms"`
-	Writes      float64 `json:"writes_per_s"`
-	PerWatch    float64 `json:"bytes_per_watch"` // of the replicas' memory
-	FailoverMS  float64 `json:"failover_ms"`     // from the leader's death to the next write that is answered
-	StormS      float64 `json:"reconnect_storm_s"`
-	Resumed     float64 `json:"resumed_share"`     // of the storm, without a whole list
-	WriteMeanMS float64 `json:"write_mean_ms"`     // of the changes, one at a time
-	CPUMS       float64 `json:"cpu_per_change_ms"` // of all replicas together, in steps of 10 ms over all changes
+	Instances             int     `json:"instances"`
+	Watches               int     `json:"watches"`
+	PropagationP50MS      float64 `json:"propagation_p50_ms"` // from the write's start to a watcher's line
+	PropagationP99MS      float64 `json:"propagation_p99_ms"`
+	WritesPerSecond       float64 `json:"writes_per_s"`
+	BytesPerWatch         float64 `json:"bytes_per_watch"` // of the replicas' memory
+	FailoverMS            float64 `json:"failover_ms"`     // from the leader's death to the next write that is answered
+	ReconnectStormSeconds float64 `json:"reconnect_storm_s"`
+	ResumedShare          float64 `json:"resumed_share"`     // of the storm, without a whole list
+	WriteMeanMS           float64 `json:"write_mean_ms"`     // of the changes, one at a time
+	CPUPerChangeMS        float64 `json:"cpu_per_change_ms"` // of all replicas together, in steps of 10 ms over all changes
 }
 
 const (
@@ -75,19 +75,19 @@
 	if o.Changes == 0 {
 		o.Changes = defaultChanges
 	}
-	if o.Step == nil {
-		o.Step = func(string) {}
+	if o.Progress == nil {
+		o.Progress = func(string) {}
 	}
-	if len(o.Replica) == 0 {
+	if len(o.ReplicaCommand) == 0 {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		o.Replica = []string{self, "registry", "serve"}
+		o.ReplicaCommand = []string{self, "registry", "serve"}
 	}
 	// Much of a process's memory is what waits to be collected; little of it with this, so that watches show.
-	o.Replica = append([]string{"/usr/bin/env", "GOGC=" + collect}, o.Replica...)
-	c, err := cluster.New(o.Replica, replicas, "")
+	o.ReplicaCommand = append([]string{"/usr/bin/env", "GOGC=" + collect}, o.ReplicaCommand...)
+	c, err := cluster.New(o.ReplicaCommand, replicas, "")
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 	}
-	w, err := client.NewWriter(client.Options{Endpoints: c.Addresses(), RestFirst: 5 * time.Millisecond, RestMost: 50 * time.Millisecond})
+	w, err := client.New(client.Options{Endpoints: c.Addresses(), InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 type measurement struct {
 	o Options
 	c *cluster.Cluster
-	w *client.Writer
+	w *client.Client
 	r *Result
 
 	at string // the step under way
@@ -126,7 +126,7 @@
 // step says what is measured now.
 func (m *measurement) step(name string) {
 	m.at = name
-	m.o.Step(name)
+	m.o.Progress(name)
 }
 
 func uid(i int) string { return fmt.Sprintf("s%05d", i) }
@@ -134,7 +134,7 @@
 // fill registers all instances, in batches side by side.
 func (m *measurement) fill(ctx context.Context) error {
 	m.step("writes")
-	if err := m.c.Await(ctx); err != nil {
+	if err := m.c.AwaitReady(ctx); err != nil {
 		return err
 	}
 	began := time.Now()
@@ -154,7 +154,7 @@
 	if err := all.Wait(); err != nil {
 		return err
 	}
-	m.r.Writes = float64(m.o.Instances) / time.Since(began).Seconds()
+	m.r.WritesPerSecond = float64(m.o.Instances) / time.Since(began).Seconds()
 	return nil
 }
 
@@ -233,7 +233,7 @@
 func (m *measurement) memory() float64 {
 	sum := 0.0
 	for i := range m.c.Len() {
-		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", m.c.Pid(i))); err == nil {
+		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", m.c.PID(i))); err == nil {
 			if f := strings.Fields(string(text)); len(f) > 1 {
 				pages, _ := strconv.ParseFloat(f[1], 64) // the system writes numbers
 				sum += pages * float64(os.Getpagesize())
@@ -246,7 +246,7 @@
 // spent is the processor time that the replicas have used, in steps of 10 ms.
 func (m *measurement) spent() (sum time.Duration) {
 	for i := range m.c.Len() {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.c.Pid(i)))
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.c.PID(i)))
 		if err != nil {
 			continue
 		}
@@ -337,14 +337,14 @@
 		}
 		if i == 0 {
 			spent = m.spent()
-			m.r.PerWatch = (m.memory() - before) / float64(m.o.Watches)
+			m.r.BytesPerWatch = (m.memory() - before) / float64(m.o.Watches)
 			writes = 0
 		}
 		time.Sleep(between)
 	}
-	m.r.P50, m.r.P99 = float64(latency.ValueAtQuantile(50))/1000, float64(latency.ValueAtQuantile(99))/1000
+	m.r.PropagationP50MS, m.r.PropagationP99MS = float64(latency.ValueAtQuantile(50))/1000, float64(latency.ValueAtQuantile(99))/1000
 	m.r.WriteMeanMS = writes.Seconds() * 1000 / float64(m.o.Changes)
-	m.r.CPUMS = (m.spent() - spent).Seconds() * 1000 / float64(m.o.Changes)
+	m.r.CPUPerChangeMS = (m.spent() - spent).Seconds() * 1000 / float64(m.o.Changes)
 	return then(ctx, watchers, addrs, &all)
 }
 
@@ -386,14 +386,14 @@
 			return fmt.Errorf("not all came back: %w", ctx.Err())
 		}
 	}
-	m.r.StormS = time.Since(began).Seconds()
+	m.r.ReconnectStormSeconds = time.Since(began).Seconds()
 	whole := 0
 	for _, x := range watchers {
 		if x.wholes.Load() > 0 {
 			whole++
 		}
 	}
-	m.r.Resumed = 1 - float64(whole)/float64(len(watchers))
+	m.r.ResumedShare = 1 - float64(whole)/float64(len(watchers))
 	return nil
 }
 
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Measure(t.Context(), Options{Instances: 200, Watches: 30, Changes: 10, Replica: []string{"/usr/bin/env", "BENCH_TEST_REPLICA=1", self}})
+	r, err := Measure(t.Context(), Options{Instances: 200, Watches: 30, Changes: 10, ReplicaCommand: []string{"/usr/bin/env", "BENCH_TEST_REPLICA=1", self}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.P50 <= 0 || r.P99 < r.P50 || r.Writes <= 0 || r.FailoverMS <= 0 || r.StormS <= 0 || r.Resumed != 1 {
+	if r.PropagationP50MS <= 0 || r.PropagationP99MS < r.PropagationP50MS || r.WritesPerSecond <= 0 || r.FailoverMS <= 0 || r.ReconnectStormSeconds <= 0 || r.ResumedShare != 1 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/registry/bench/lengths.go
+++ b/internal/registry/bench/lengths.go
@@ -15,9 +15,9 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Lengths measures what a change costs over lists of several lengths, each on a registry of its own. The Results have
+// MeasureListLengths measures what a change costs over lists of several lengths, each on a registry of its own. The Results have
 // only what changes show.
-func Lengths(ctx context.Context, o Options, lengths []int) ([]*Result, error) {
+func MeasureListLengths(ctx context.Context, o Options, lengths []int) ([]*Result, error) {
 	var l []*Result
 	alone := func(m *measurement, ctx context.Context) error {
 		return m.watched(ctx, func(context.Context, []*watcher, []string, *sync.WaitGroup) error { return nil })
@@ -33,8 +33,8 @@
 	return l, nil
 }
 
-// Draw draws what a change costs over the list's length, as SVG.
-func Draw(w io.Writer, l []*Result) error {
+// Plot draws what a change costs over the list's length, as SVG.
+func Plot(w io.Writer, l []*Result) error {
 	if len(l) == 0 {
 		return errors.New("nothing was measured")
 	}
@@ -47,8 +47,8 @@
 	for _, k := range []struct {
 		name string
 		of   func(*Result) float64
-	}{{"written durably", func(r *Result) float64 { return r.WriteMeanMS }}, {"with half of the watchers", func(r *Result) float64 { return r.P50 }},
-		{"processor time of three replicas", func(r *Result) float64 { return r.CPUMS }}} {
+	}{{"written durably", func(r *Result) float64 { return r.WriteMeanMS }}, {"with half of the watchers", func(r *Result) float64 { return r.PropagationP50MS }},
+		{"processor time of three replicas", func(r *Result) float64 { return r.CPUPerChangeMS }}} {
 		var xy plotter.XYs
 		for _, r := range l {
 			xy = append(xy, plotter.XY{X: float64(r.Instances), Y: k.of(r)})
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -13,26 +13,26 @@
 	"umberbank/internal/registry/state"
 )
 
-// Permits is what decisions about permits cost.
-type Permits struct {
-	Units    int     `json:"units"`
-	Rate     float64 `json:"asked_per_s"` // by an open loop
-	PerS     float64 `json:"decided_per_s"`
-	P50      float64 `json:"p50_ms"` // from when a decision was due until its answer
-	P99      float64 `json:"p99_ms"`
-	Granted  int     `json:"granted"`
-	Returned int     `json:"returned"`
+// PermitResult is what decisions about permits cost.
+type PermitResult struct {
+	Units              int     `json:"units"`
+	RequestedPerSecond float64 `json:"asked_per_s"` // by an open loop
+	DecidedPerSecond   float64 `json:"decided_per_s"`
+	P50MS              float64 `json:"p50_ms"` // from when a decision was due until its answer
+	P99MS              float64 `json:"p99_ms"`
+	Granted            int     `json:"granted"`
+	Returned           int     `json:"returned"`
 }
 
 // MeasurePermits asks for permits and gives them back, at a rate and one write each, beside so many units as instances.
-func MeasurePermits(ctx context.Context, o Options, rate int, lasts time.Duration) (*Permits, error) {
-	p := &Permits{Units: o.Instances, Rate: float64(rate)}
+func MeasurePermits(ctx context.Context, o Options, rate int, lasts time.Duration) (*PermitResult, error) {
+	p := &PermitResult{Units: o.Instances, RequestedPerSecond: float64(rate)}
 	o.Watches = 1
 	_, err := measure(ctx, o, (*measurement).fill, func(m *measurement, ctx context.Context) error { return m.permits(ctx, p, rate, lasts) })
 	return p, err
 }
 
-func (m *measurement) permits(ctx context.Context, p *Permits, rate int, lasts time.Duration) error {
+func (m *measurement) permits(ctx context.Context, p *PermitResult, rate int, lasts time.Duration) error {
 	m.step("permits")
 	whole := 0.5
 	if _, err := m.w.Write(ctx, state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: benchTier, Total: &whole, Zone: &whole}}, PermitExpiryMS: 60_000}}); err != nil {
@@ -89,8 +89,8 @@
 	if failed != nil {
 		return fmt.Errorf("a decision: %w", failed)
 	}
-	p.PerS = float64(n) / time.Since(began).Seconds()
-	p.P50, p.P99 = float64(latency.ValueAtQuantile(50))/1000, float64(latency.ValueAtQuantile(99))/1000
+	p.DecidedPerSecond = float64(n) / time.Since(began).Seconds()
+	p.P50MS, p.P99MS = float64(latency.ValueAtQuantile(50))/1000, float64(latency.ValueAtQuantile(99))/1000
 	p.Granted, p.Returned = int(granted.Load()), int(returned.Load())
 	return nil
 }
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -35,13 +35,13 @@
 }
 
 // load gives the Reader what the cache has, as far as it is whole.
-func (c *cache) load(r *Reader) {
+func (c *cache) load(r *Watcher) {
 	found, thrown := durable.Load(c.opt, func(s durable.Snapshot) error {
 		var m message
 		if err := json.Unmarshal(s.Payload, &m); err != nil {
 			return err
 		}
-		if !m.All || m.Targets == nil {
+		if !m.FullList || m.Instances == nil {
 			return errors.New("no whole list")
 		}
 		r.take(m)
@@ -53,7 +53,7 @@
 			if err := json.Unmarshal(record, &m); err != nil {
 				return err
 			}
-			if m.All || m.Targets == nil || !r.take(m) {
+			if m.FullList || m.Instances == nil || !r.take(m) {
 				return errors.New("no change that follows the one before")
 			}
 			return nil
@@ -69,7 +69,7 @@
 
 // add notes news that the Reader has taken; it holds its lock.
 func (c *cache) add(m message) {
-	if c.whole = c.whole || m.All || len(c.pending) == mostPending; c.whole {
+	if c.whole = c.whole || m.FullList || len(c.pending) == mostPending; c.whole {
 		c.pending = nil
 	} else {
 		c.pending = append(c.pending, m)
@@ -81,7 +81,7 @@
 }
 
 // run writes what there is to write until ctx ends, and then once more.
-func (c *cache) run(ctx context.Context, r *Reader) {
+func (c *cache) run(ctx context.Context, r *Watcher) {
 	defer func() {
 		if c.store != nil {
 			c.store.Close()
@@ -104,13 +104,13 @@
 }
 
 // write writes what has changed since the last time. After a fault the list itself is written with the next news.
-func (c *cache) write(r *Reader) (err error) {
+func (c *cache) write(r *Watcher) (err error) {
 	r.mu.Lock()
 	pending, whole := c.pending, c.whole
 	c.pending, c.whole = nil, false
 	var all message
 	if whole = whole || c.store != nil && c.store.LogSize() > max(leastLog, 2*c.store.SnapshotSize()); whole {
-		all = message{Rev: r.rev, All: true, Targets: r.sorted()}
+		all = message{Revision: r.rev, FullList: true, Instances: r.sorted()}
 	}
 	r.mu.Unlock()
 	defer func() {
@@ -120,7 +120,7 @@
 			r.mu.Unlock()
 		}
 	}()
-	if whole && all.Rev == 0 { // nothing was heard yet
+	if whole && all.Revision == 0 { // nothing was heard yet
 		r.mu.Lock()
 		c.whole = true
 		r.mu.Unlock()
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -28,28 +28,28 @@
 	"umberbank/internal/registry/state"
 )
 
-// Update is news from the registry: the whole list, or the entries that have changed, Deleted ones among them.
-type Update = message
+// WatchEvent is news from the registry: the whole list, or the entries that have changed, Deleted ones among them.
+type WatchEvent = message
 
 // message is a line of a watch, or a whole list.
 type message struct {
-	Rev     int64             `json:"rev"`
-	All     bool              `json:"all"`
-	Targets []*state.Instance `json:"targets"`
+	Revision  int64             `json:"rev"`
+	FullList  bool              `json:"all"`
+	Instances []*state.Instance `json:"targets"`
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
-type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Options say which registry, and how patient a client is.
 type Options struct {
-	Endpoints []string                         // host:port of the replicas
-	Cache     string                           // a folder that keeps the last list over restarts, for this client alone; "": none
-	Log       func(format string, args ...any) // what is wrong with the cache; nil: nobody hears
-	Silence   time.Duration                    // a watch that says nothing for so long is given up; 0: 5 s, over two heartbeats
-	RestFirst time.Duration                    // between tries, doubled up to RestMost, half of it by chance; 0: 50 ms
-	RestMost  time.Duration                    // 0: 2 s
-	Dial      Dial                             // with connections of its own then; nil: the system's
+	Endpoints      []string                         // host:port of the replicas
+	CacheDir       string                           // a folder that keeps the last list over restarts, for this client alone; "": none
+	Log            func(format string, args ...any) // what is wrong with the cache; nil: nobody hears
+	IdleTimeout    time.Duration                    // a watch that says nothing for so long is given up; 0: 5 s, over two heartbeats
+	InitialBackoff time.Duration                    // between tries, doubled up to MaxBackoff, half of it by chance; 0: 50 ms
+	MaxBackoff     time.Duration                    // 0: 2 s
+	Dial           DialFunc                         // with connections of its own then; nil: the system's
 }
 
 func (o *Options) complete() error {
@@ -62,7 +62,7 @@
 	for _, d := range []struct {
 		v  *time.Duration
 		to time.Duration
-	}{{&o.Silence, 5 * time.Second}, {&o.RestFirst, 50 * time.Millisecond}, {&o.RestMost, 2 * time.Second}} {
+	}{{&o.IdleTimeout, 5 * time.Second}, {&o.InitialBackoff, 50 * time.Millisecond}, {&o.MaxBackoff, 2 * time.Second}} {
 		if *d.v == 0 {
 			*d.v = d.to
 		}
@@ -72,7 +72,7 @@
 
 func (o *Options) rests() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = o.RestFirst, o.RestMost, 0.5
+	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = o.InitialBackoff, o.MaxBackoff, 0.5
 	b.Reset()
 	return b
 }
@@ -83,8 +83,8 @@
 	errWentBack = errors.New("the registry has gone back to an older revision")
 )
 
-// Reader follows the registry. Its methods may be called by any goroutine; Run by one.
-type Reader struct {
+// Watcher follows the registry. Its methods may be called by any goroutine; Run by one.
+type Watcher struct {
 	opt  Options
 	http *http.Client
 
@@ -97,14 +97,14 @@
 	cache   *cache    // nil: none
 }
 
-// NewReader returns a Reader that holds what its cache has, if that is whole.
-func NewReader(opt Options) (*Reader, error) {
+// NewWatcher returns a Reader that holds what its cache has, if that is whole.
+func NewWatcher(opt Options) (*Watcher, error) {
 	if err := opt.complete(); err != nil {
 		return nil, err
 	}
-	r := &Reader{opt: opt, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}}, entries: map[string]*state.Instance{}}
-	if opt.Cache != "" {
-		c := newCache(opt.Cache)
+	r := &Watcher{opt: opt, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}}, entries: map[string]*state.Instance{}}
+	if opt.CacheDir != "" {
+		c := newCache(opt.CacheDir)
 		c.load(r)
 		r.cache, r.wholes, r.lines = c, 0, 0
 	}
@@ -113,30 +113,30 @@
 
 // View is what a Reader holds.
 type View struct {
-	Rev     int64
-	Entries []*state.Instance // in the order of their uids
-	Heard   time.Time         // when the registry last said something; zero: not since the start
-	Wholes  int               // whole lists taken since the start
-	Lines   int               // and changes
+	Revision    int64
+	Instances   []*state.Instance // in the order of their uids
+	LastContact time.Time         // when the registry last said something; zero: not since the start
+	FullLists   int               // whole lists taken since the start
+	Changes     int               // and changes
 }
 
 // View is what the Reader holds now.
-func (r *Reader) View() View {
+func (r *Watcher) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := View{Rev: r.rev, Heard: r.heard, Wholes: r.wholes, Lines: r.lines}
-	v.Entries = r.sorted()
+	v := View{Revision: r.rev, LastContact: r.heard, FullLists: r.wholes, Changes: r.lines}
+	v.Instances = r.sorted()
 	return v
 }
 
 // sorted is the list in the order of uids.
-func (r *Reader) sorted() []*state.Instance {
+func (r *Watcher) sorted() []*state.Instance {
 	return slices.SortedFunc(maps.Values(r.entries), func(a, b *state.Instance) int { return strings.Compare(a.UID, b.UID) })
 }
 
 // Run follows the registry until ctx ends, and calls changed with each change, once it is applied. Whatever ends a watch, it goes on at
 // another replica after a rest.
-func (r *Reader) Run(ctx context.Context, changed func(Update)) error {
+func (r *Watcher) Run(ctx context.Context, changed func(WatchEvent)) error {
 	if r.cache != nil {
 		var keeping sync.WaitGroup
 		keeping.Go(func() { r.cache.run(ctx, r) })
@@ -148,7 +148,7 @@
 		began := time.Now()
 		r.watch(ctx, r.opt.Endpoints[at%len(r.opt.Endpoints)], changed) // its end is what follows, whatever the cause
 		at++
-		if time.Since(began) > r.opt.RestMost {
+		if time.Since(began) > r.opt.MaxBackoff {
 			rests.Reset()
 		}
 		select {
@@ -160,10 +160,10 @@
 }
 
 // watch follows one replica and returns why that ended.
-func (r *Reader) watch(ctx context.Context, endpoint string, changed func(Update)) error {
+func (r *Watcher) watch(ctx context.Context, endpoint string, changed func(WatchEvent)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	quiet := time.AfterFunc(r.opt.Silence, func() { cancel(errSilent) })
+	quiet := time.AfterFunc(r.opt.IdleTimeout, func() { cancel(errSilent) })
 	defer quiet.Stop()
 	r.mu.Lock()
 	since := r.rev
@@ -185,14 +185,14 @@
 		if err != nil {
 			return err // and what came of a line without its end is dropped
 		}
-		quiet.Reset(r.opt.Silence)
+		quiet.Reset(r.opt.IdleTimeout)
 		var m message
 		news := len(bytes.TrimSpace(text)) > 0
 		if news {
 			if err := json.Unmarshal(text, &m); err != nil {
 				return err
 			}
-			if m.Targets == nil {
+			if m.Instances == nil {
 				return errors.New("a list without targets")
 			}
 			if !r.take(m) {
@@ -209,26 +209,26 @@
 }
 
 // take applies news; false: they are older than what is held.
-func (r *Reader) take(m message) bool {
+func (r *Watcher) take(m message) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m.Rev < r.rev || m.Rev == r.rev && !m.All {
+	if m.Revision < r.rev || m.Revision == r.rev && !m.FullList {
 		return false
 	}
-	if m.All {
-		r.entries = make(map[string]*state.Instance, len(m.Targets))
+	if m.FullList {
+		r.entries = make(map[string]*state.Instance, len(m.Instances))
 		r.wholes++
 	} else {
 		r.lines++
 	}
-	for _, e := range m.Targets {
+	for _, e := range m.Instances {
 		if e.State == state.Deleted {
 			delete(r.entries, e.UID)
 		} else {
 			r.entries[e.UID] = e
 		}
 	}
-	r.rev = m.Rev
+	r.rev = m.Revision
 	if r.cache != nil {
 		r.cache.add(m)
 	}
@@ -237,8 +237,8 @@
 
 // ---- Writing ----
 
-// Writer writes over several replicas.
-type Writer struct {
+// Client writes over several replicas.
+type Client struct {
 	opt  Options
 	http *http.Client
 	mu   sync.Mutex
@@ -248,12 +248,12 @@
 // callWithin is how long one replica may take over a call.
 const callWithin = 4 * time.Second
 
-// NewWriter returns a Writer.
-func NewWriter(opt Options) (*Writer, error) {
+// New returns a Writer.
+func New(opt Options) (*Client, error) {
 	if err := opt.complete(); err != nil {
 		return nil, err
 	}
-	w := &Writer{opt: opt, http: &http.Client{Timeout: callWithin}, at: mrand.IntN(len(opt.Endpoints))}
+	w := &Client{opt: opt, http: &http.Client{Timeout: callWithin}, at: mrand.IntN(len(opt.Endpoints))}
 	if opt.Dial != nil {
 		own := http.DefaultTransport.(*http.Transport).Clone() // nobody puts another there
 		own.DialContext = opt.Dial
@@ -264,7 +264,7 @@
 
 // Write has ops carried out, in their order and each once, and gives what became of each. It repeats them until a
 // replica answers or ctx ends; in the latter case whether they were carried out is not known.
-func (w *Writer) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
+func (w *Client) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
 	for i := range ops {
 		if ops[i].ID == "" {
 			ops[i].ID = newID()
@@ -292,7 +292,7 @@
 type refused struct{ error }
 
 // Call calls replicas in turn until one answers other than that it cannot now, or ctx ends.
-func (w *Writer) Call(ctx context.Context, method, path string, body, into any) error {
+func (w *Client) Call(ctx context.Context, method, path string, body, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 	}
 }
 
-func (w *Writer) once(ctx context.Context, endpoint, method, path string, body []byte, into any) error {
+func (w *Client) once(ctx context.Context, endpoint, method, path string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+endpoint+path, bytes.NewReader(body))
 	if err != nil {
 		return refused{err}
@@ -352,10 +352,10 @@
 
 // ---- Holding ----
 
-// Holder keeps servers registered: it renews their leases together, and registers again what the registry does not
+// LeaseHolder keeps servers registered: it renews their leases together, and registers again what the registry does not
 // know.
-type Holder struct {
-	w      *Writer
+type LeaseHolder struct {
+	w      *Client
 	mu     sync.Mutex
 	held   map[string]*state.Instance
 	tokens map[string]int64
@@ -363,16 +363,16 @@
 	span   time.Duration // see Span
 }
 
-// NewHolder returns a Holder of nothing.
-func NewHolder(w *Writer) *Holder {
-	return &Holder{w: w, held: map[string]*state.Instance{}, tokens: map[string]int64{}}
+// NewLeaseHolder returns a Holder of nothing.
+func NewLeaseHolder(w *Client) *LeaseHolder {
+	return &LeaseHolder{w: w, held: map[string]*state.Instance{}, tokens: map[string]int64{}}
 }
 
 // ErrFenced says that another process has taken an entry over.
 var ErrFenced = errors.New("another process holds the entry")
 
-// Hold registers entries and keeps them from then on.
-func (h *Holder) Hold(ctx context.Context, entries ...*state.Instance) error {
+// Register registers entries and keeps them from then on.
+func (h *LeaseHolder) Register(ctx context.Context, entries ...*state.Instance) error {
 	var ops []state.Op
 	for _, e := range entries {
 		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
@@ -400,14 +400,14 @@
 }
 
 // Token is what an entry is held by; 0: it is not held.
-func (h *Holder) Token(uid string) int64 {
+func (h *LeaseHolder) Token(uid string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tokens[uid]
 }
 
 // Renew renews all leases once. What the registry does not know is registered again.
-func (h *Holder) Renew(ctx context.Context) error {
+func (h *LeaseHolder) Renew(ctx context.Context) error {
 	type lease struct {
 		UID   string `json:"uid"`
 		Token int64  `json:"token"`
@@ -443,12 +443,12 @@
 	if len(again) == 0 {
 		return nil
 	}
-	return h.Hold(ctx, again...)
+	return h.Register(ctx, again...)
 }
 
-// Span is the longest time, since it was last asked for, from sending one renewal to the answer to the next, or to now. A registry
+// MaxRenewalGap is the longest time, since it was last asked for, from sending one renewal to the answer to the next, or to now. A registry
 // that ended a lease of a longer time than that, less the time between its looks, has erred.
-func (h *Holder) Span() time.Duration {
+func (h *LeaseHolder) MaxRenewalGap() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	span := h.span
@@ -461,7 +461,7 @@
 
 // Run renews every now and then until ctx ends: about each third of ttl, by chance sooner or later so that many holders
 // do not call together.
-func (h *Holder) Run(ctx context.Context, ttl time.Duration) {
+func (h *LeaseHolder) Run(ctx context.Context, ttl time.Duration) {
 	for {
 		wait := time.Duration((0.8 + 0.4*mrand.Float64()) * float64(ttl) / 3)
 		select {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -72,8 +72,8 @@
 // follow runs a Reader until what it holds is as wanted.
 func follow(t *testing.T, opt Options, want func(View) bool) View {
 	t.Helper()
-	opt.RestFirst, opt.RestMost = time.Millisecond, 5*time.Millisecond
-	r, err := NewReader(opt)
+	opt.InitialBackoff, opt.MaxBackoff = time.Millisecond, 5*time.Millisecond
+	r, err := NewWatcher(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	done := make(chan error, 1)
 	reached := false
 	go func() {
-		done <- r.Run(ctx, func(Update) {
+		done <- r.Run(ctx, func(WatchEvent) {
 			if want(r.View()) {
 				reached = true
 				cancel()
@@ -100,13 +100,13 @@
 
 func uids(v View) string {
 	var l []string
-	for _, e := range v.Entries {
+	for _, e := range v.Instances {
 		l = append(l, e.UID)
 	}
 	return strings.Join(l, " ")
 }
 
-// Lines cut short, nonsense, older revisions, silence and half a list change nothing that is held, and the Reader goes
+// Changes cut short, nonsense, older revisions, silence and half a list change nothing that is held, and the Reader goes
 // on from its own revision.
 func TestReader(t *testing.T) {
 	f := &fake{scripts: [][]string{
@@ -118,8 +118,8 @@
 		{"\n", "hang"},
 		{list(12, false, "-a") + "\n", "\n", list(13, false, "d") + "\n", "hang"},
 	}}
-	v := follow(t, Options{Endpoints: []string{serve(t, f)}, Silence: 50 * time.Millisecond}, func(v View) bool { return v.Rev == 13 })
-	if uids(v) != "b c d" || v.Wholes != 1 || v.Heard.IsZero() {
+	v := follow(t, Options{Endpoints: []string{serve(t, f)}, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 13 })
+	if uids(v) != "b c d" || v.FullLists != 1 || v.LastContact.IsZero() {
 		t.Errorf("holds %q: %+v", uids(v), v)
 	}
 	if got := strings.Join(f.asked[:7], " "); got != "0 11 11 11 11 11 11" {
@@ -127,7 +127,7 @@
 	}
 }
 
-// One replica is gone, another silent: the third is found.
+// WriteOne replica is gone, another silent: the third is found.
 func TestMovesOn(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	gone.Close()
@@ -136,8 +136,8 @@
 	for range 20 {
 		good.scripts = append(good.scripts, []string{list(5, true, "a") + "\n", "hang"})
 	}
-	follow(t, Options{Endpoints: []string{strings.TrimPrefix(gone.URL, "http://"), serve(t, silent), serve(t, good)}, Silence: 50 * time.Millisecond},
-		func(v View) bool { return v.Rev == 5 })
+	follow(t, Options{Endpoints: []string{strings.TrimPrefix(gone.URL, "http://"), serve(t, silent), serve(t, good)}, IdleTimeout: 50 * time.Millisecond},
+		func(v View) bool { return v.Revision == 5 })
 }
 
 // The cache brings the last list over a restart, a snapshot with the changes since. However it is spoilt, what is taken
@@ -150,16 +150,16 @@
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}}
-	opt := Options{Endpoints: []string{serve(t, f)}, Cache: cache, Silence: 50 * time.Millisecond}
-	follow(t, opt, func(v View) bool { return v.Rev == 9 })
+	opt := Options{Endpoints: []string{serve(t, f)}, CacheDir: cache, IdleTimeout: 50 * time.Millisecond}
+	follow(t, opt, func(v View) bool { return v.Revision == 9 })
 	restart := func() View {
-		r, err := NewReader(Options{Endpoints: []string{"127.0.0.1:1"}, Cache: cache})
+		r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: cache})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r.View()
 	}
-	if v := restart(); v.Rev != 9 || uids(v) != had[9] || !v.Heard.IsZero() || v.Wholes != 0 {
+	if v := restart(); v.Revision != 9 || uids(v) != had[9] || !v.LastContact.IsZero() || v.FullLists != 0 {
 		t.Errorf("after a restart: %+v", v)
 	}
 	files, err := filepath.Glob(filepath.Join(cache, "registry-list-*"))
@@ -176,8 +176,8 @@
 				if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 					t.Fatal(err)
 				}
-				if v := restart(); uids(v) != had[v.Rev] {
-					t.Fatalf("%s spoilt at byte %d: revision %d of %q", path, i, v.Rev, uids(v))
+				if v := restart(); uids(v) != had[v.Revision] {
+					t.Fatalf("%s spoilt at byte %d: revision %d of %q", path, i, v.Revision, uids(v))
 				}
 			}
 		}
@@ -204,11 +204,11 @@
 		var mu sync.Mutex
 		said := ""
 		f := &fake{scripts: [][]string{{list(7, true, "a") + "\n", list(8, false, "b") + "\n", "hang"}}}
-		follow(t, Options{Endpoints: []string{serve(t, f)}, Cache: cache, Log: func(format string, args ...any) {
+		follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: cache, Log: func(format string, args ...any) {
 			mu.Lock()
 			defer mu.Unlock()
 			said += fmt.Sprintf(format, args...)
-		}}, func(v View) bool { return v.Rev == 8 })
+		}}, func(v View) bool { return v.Revision == 8 })
 		if !strings.Contains(said, want) {
 			t.Errorf("%s: said %q", cache, said)
 		}
@@ -219,13 +219,13 @@
 func BenchmarkCacheChange(b *testing.B) {
 	for _, n := range []int{10, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, err := NewReader(Options{Endpoints: []string{"127.0.0.1:1"}, Cache: b.TempDir()})
+			r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: b.TempDir()})
 			if err != nil {
 				b.Fatal(err)
 			}
-			all := message{Rev: 1, All: true}
+			all := message{Revision: 1, FullList: true}
 			for i := range n {
-				all.Targets = append(all.Targets, &state.Instance{UID: fmt.Sprintf("s-%08x", i*7919), Endpoint: "10.1.0.18:3000", Zone: "a", State: state.Serving, ModRevision: 1})
+				all.Instances = append(all.Instances, &state.Instance{UID: fmt.Sprintf("s-%08x", i*7919), Endpoint: "10.1.0.18:3000", Zone: "a", State: state.Serving, ModRevision: 1})
 			}
 			r.take(all)
 			if err := r.cache.write(r); err != nil {
@@ -233,9 +233,9 @@
 			}
 			b.ResetTimer()
 			for i := range b.N {
-				e := *all.Targets[i%n]
+				e := *all.Instances[i%n]
 				e.ModRevision = int64(i) + 2
-				r.take(message{Rev: e.ModRevision, Targets: []*state.Instance{&e}})
+				r.take(message{Revision: e.ModRevision, Instances: []*state.Instance{&e}})
 				if err := r.cache.write(r); err != nil {
 					b.Fatal(err)
 				}
@@ -271,7 +271,7 @@
 			fmt.Fprint(w, `{"error":"no"}`)
 		}
 	}))
-	w, err := NewWriter(Options{Endpoints: []string{first}, RestFirst: time.Millisecond, RestMost: time.Millisecond})
+	w, err := New(Options{Endpoints: []string{first}, InitialBackoff: time.Millisecond, MaxBackoff: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -64,7 +64,7 @@
 		"/registry/instances": `{"rev":12,"all":true,"targets":[{"uid":"a","endpoint":"a:1","state":"SERVING","mod":11}]}` + "\n",
 	}}
 	address := serve(t, r)
-	w, err := NewWriter(Options{Endpoints: []string{address}})
+	w, err := New(Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,27 +82,27 @@
 	if _, err := w.Agreed(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	boot, err := w.NextBoot(ctx, "u1", time.UnixMilli(1000))
+	boot, err := w.NextStartTime(ctx, "u1", time.UnixMilli(1000))
 	if err != nil || boot != 2001 {
 		t.Errorf("%v, %v", boot, err)
 	}
 	r.answers["/registry/write"] = `{"answers":[{"rev":3,"token":4}]}`
-	if _, err := w.One(ctx, state.Op{Kind: state.OpBeginPermit, UID: "u1", Token: 4}); err != nil {
+	if _, err := w.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: "u1", Token: 4}); err != nil {
 		t.Fatal(err)
 	}
-	h := NewHolder(w)
-	if err := h.Hold(ctx, &state.Instance{UID: "u1", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}); err != nil {
+	h := NewLeaseHolder(w)
+	if err := h.Register(ctx, &state.Instance{UID: "u1", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}); err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Renew(ctx); err != nil {
 		t.Fatal(err)
 	}
-	reader, err := NewReader(Options{Endpoints: []string{address}})
+	reader, err := NewWatcher(Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	watching, stop := context.WithCancel(ctx)
-	reader.Run(watching, func(u Update) {
+	reader.Run(watching, func(u WatchEvent) {
 		text, err := json.Marshal(u)
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -116,16 +116,16 @@
 
 // A cache folder that the program wrote before its names were changed gives the list that it held.
 func TestStoredCache(t *testing.T) {
-	r, err := NewReader(Options{Endpoints: []string{"127.0.0.1:1"}, Cache: golden.CopyDir(t, "cache"), Log: t.Errorf})
+	r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Log: t.Errorf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := r.View()
-	entries, err := json.Marshal(v.Entries)
+	entries, err := json.Marshal(v.Instances)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "cache.golden", fmt.Appendf(nil, "%d %s\n", v.Rev, entries))
+	golden.Check(t, "cache.golden", fmt.Appendf(nil, "%d %s\n", v.Revision, entries))
 }
 
 // cacheScript is what a registry says while a cache is written: the list, and changes one by one.
@@ -143,7 +143,7 @@
 func writeCache(t *testing.T, dir string) {
 	t.Helper()
 	f := &fake{scripts: cacheScript()}
-	follow(t, Options{Endpoints: []string{serve(t, f)}, Cache: dir, Silence: 50 * time.Millisecond}, func(v View) bool { return v.Rev == 9 })
+	follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: dir, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 9 })
 }
 
 // What a cache's files hold keeps its form, for an older version that is started again on them.
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -36,9 +36,9 @@
 // defaultTick is short, so that elections are.
 const defaultTick = "60ms"
 
-// Free is an address on loopback that nobody listens on now, on a host drawn from many: on 127.0.0.1 the system might
+// FreeAddress is an address on loopback that nobody listens on now, on a host drawn from many: on 127.0.0.1 the system might
 // give its port to a connection before it is used.
-func Free() (string, error) {
+func FreeAddress() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 220+rand.IntN(30), rand.IntN(250), 1+rand.IntN(250))
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -68,7 +68,7 @@
 		m.Launcher, m.Args, m.LogPath = c.launch, []string{"--config", m.config}, filepath.Join(c.dir, m.id+".log")
 		m.SetCommand(command)
 		for _, addr := range []*string{&m.raft, &m.address} {
-			if *addr, err = Free(); err != nil {
+			if *addr, err = FreeAddress(); err != nil {
 				return c, err
 			}
 		}
@@ -119,15 +119,15 @@
 // Signal gives a replica that runs a signal.
 func (c *Cluster) Signal(i int, s syscall.Signal) { c.nodes[i].Signal(s) }
 
-// SlowDisk makes each sync of a replica's log wait from now on; 0: as it was.
-func (c *Cluster) SlowDisk(i int, wait time.Duration) error {
+// SetSyncDelay makes each sync of a replica's log wait from now on; 0: as it was.
+func (c *Cluster) SetSyncDelay(i int, wait time.Duration) error {
 	return renameio.WriteFile(c.syncWait(i), []byte(wait.String()), 0o600)
 }
 
 func (c *Cluster) syncWait(i int) string { return filepath.Join(c.dir, c.nodes[i].id+".sync") }
 
-// Ended is closed when the process that a replica runs as has ended; nil: it does not run.
-func (c *Cluster) Ended(i int) <-chan struct{} { return c.nodes[i].Done() }
+// Exited is closed when the process that a replica runs as has ended; nil: it does not run.
+func (c *Cluster) Exited(i int) <-chan struct{} { return c.nodes[i].Done() }
 
 // Logs is the end of what a replica wrote.
 func (c *Cluster) Logs(i int) string { return c.nodes[i].LogTail() }
@@ -141,41 +141,41 @@
 	return l
 }
 
-// Command gives a replica a command of its own from its next start on.
-func (c *Cluster) Command(i int, command []string) { c.nodes[i].SetCommand(command) }
+// SetCommand gives a replica a command of its own from its next start on.
+func (c *Cluster) SetCommand(i int, command []string) { c.nodes[i].SetCommand(command) }
 
 // Len is how many replicas there are, and Name one's id.
 func (c *Cluster) Len() int { return len(c.nodes) }
 
-// Name is a replica's id.
-func (c *Cluster) Name(i int) string { return c.nodes[i].id }
+// ID is a replica's id.
+func (c *Cluster) ID(i int) string { return c.nodes[i].id }
 
-// Dir is where a replica keeps its data.
-func (c *Cluster) Dir(i int) string { return filepath.Join(c.dir, c.nodes[i].id) }
+// DataDir is where a replica keeps its data.
+func (c *Cluster) DataDir(i int) string { return filepath.Join(c.dir, c.nodes[i].id) }
 
-// Pid is a replica's process; 0: it does not run.
-func (c *Cluster) Pid(i int) int { return c.nodes[i].Pid() }
+// PID is a replica's process; 0: it does not run.
+func (c *Cluster) PID(i int) int { return c.nodes[i].Pid() }
 
-// Links calls f with the relay from each replica to each.
-func (c *Cluster) Links(f func(from, to int, r *relay.Relay)) {
+// EachLink calls f with the relay from each replica to each.
+func (c *Cluster) EachLink(f func(from, to int, r *relay.Relay)) {
 	for k, r := range c.links {
 		f(k[0], k[1], r)
 	}
 }
 
-// Heal lets every replica run again.
-func (c *Cluster) Heal() {
+// ResumeAll lets every replica run again.
+func (c *Cluster) ResumeAll() {
 	for i := range c.nodes {
 		c.Signal(i, syscall.SIGCONT)
 		c.Start(i) // one that cannot start shows in what follows
 	}
 }
 
-// Await waits until every replica answers and knows a leader. Two of three serve without the third, which may still be
+// AwaitReady waits until every replica answers and knows a leader. Two of three serve without the third, which may still be
 // starting, or never be.
-func (c *Cluster) Await(ctx context.Context) error {
+func (c *Cluster) AwaitReady(ctx context.Context) error {
 	for i, m := range c.nodes {
-		w, err := client.NewWriter(client.Options{Endpoints: []string{m.address}, RestMost: 50 * time.Millisecond})
+		w, err := client.New(client.Options{Endpoints: []string{m.address}, MaxBackoff: 50 * time.Millisecond})
 		if err != nil {
 			return err
 		}
@@ -184,7 +184,7 @@
 			if err := w.Call(ctx, "GET", "/registry/status", nil, &st); err != nil {
 				return fmt.Errorf("replica %s: %w: %s", m.id, err, c.Logs(i))
 			}
-			if led = st.Leader != ""; !led {
+			if led = st.LeaderID != ""; !led {
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
@@ -196,9 +196,9 @@
 func (c *Cluster) Leader(other int) int {
 	for i, m := range c.nodes {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		w, err := client.NewWriter(client.Options{Endpoints: []string{m.address}})
+		w, err := client.New(client.Options{Endpoints: []string{m.address}})
 		var st replica.Status
-		if err == nil && w.Call(ctx, "GET", "/registry/status", nil, &st) == nil && st.Leads {
+		if err == nil && w.Call(ctx, "GET", "/registry/status", nil, &st) == nil && st.IsLeader {
 			cancel()
 			return i
 		}
--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -39,7 +39,7 @@
 	// In blocks of 512 bytes: a little more than its log has now.
 	full := c.Leader(0)
 	c.Kill(full)
-	c.Command(full, append([]string{"/bin/sh", "-c", `ulimit -f 512; exec "$@"`, "sh"}, command(t)...))
+	c.SetCommand(full, append([]string{"/bin/sh", "-c", `ulimit -f 512; exec "$@"`, "sh"}, command(t)...))
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 	// Whether it died of it or turned entries down, it begins anew with room.
 	c.Kill(full)
-	c.Command(full, command(t))
+	c.SetCommand(full, command(t))
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err := w.Call(ctx, "GET", "/registry/instances?consistent=1", nil, &all); err != nil {
 		t.Fatal(err)
 	}
-	healed, err := client.NewWriter(client.Options{Endpoints: []string{c.Addresses()[full]}})
+	healed, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 }
 
 // mean is the mean time of some writes, one after another.
-func mean(t *testing.T, ctx context.Context, w *client.Writer, n int) time.Duration {
+func mean(t *testing.T, ctx context.Context, w *client.Client, n int) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for range n {
@@ -97,8 +97,8 @@
 			defer cancel()
 			mean(t, ctx, w, 5)
 			slow := c.Leader(0)
-			ended := c.Ended(slow)
-			if err := c.SlowDisk(slow, wait); err != nil {
+			ended := c.Exited(slow)
+			if err := c.SetSyncDelay(slow, wait); err != nil {
 				t.Fatal(err)
 			}
 			for c.Leader(slow) == slow { // who leads only knows its disk by writing
@@ -129,14 +129,14 @@
 	leader := c.Leader(0)
 	behind := (leader + 1) % c.Len()
 	c.Kill(behind)
-	ended := c.Ended(leader)
+	ended := c.Exited(leader)
 	const mark = "spoil-this-entry"
 	e := &state.Instance{UID: mark, Endpoint: "a:1", State: state.Serving}
 	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := spoil(t, filepath.Join(c.Dir(leader), "log.db"), mark); n == 0 {
+	if n := spoil(t, filepath.Join(c.DataDir(leader), "log.db"), mark); n == 0 {
 		t.Fatal("the entry is not in the log")
 	}
 	if err := c.Start(behind); err != nil {
@@ -150,7 +150,7 @@
 	if log := c.Logs(leader); !strings.Contains(log, "is not what was written") {
 		t.Errorf("the leader does not say why: %s", log)
 	}
-	late, err := client.NewWriter(client.Options{Endpoints: []string{c.Addresses()[behind]}})
+	late, err := client.New(client.Options{Endpoints: []string{c.Addresses()[behind]}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/faulttest/judge.go
+++ b/internal/registry/faulttest/judge.go
@@ -100,7 +100,7 @@
 
 // use writes and reads until ctx ends. Each write has a value of its own.
 func (h *history) use(ctx context.Context, user int, seed uint64, endpoints []string) {
-	w, err := client.NewWriter(client.Options{Endpoints: endpoints, RestFirst: 10 * time.Millisecond, RestMost: 200 * time.Millisecond})
+	w, err := client.New(client.Options{Endpoints: endpoints, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 200 * time.Millisecond})
 	if err != nil {
 		return // there are endpoints
 	}
@@ -138,7 +138,7 @@
 }
 
 // read reads one entry consistently. A read without an answer says nothing.
-func (h *history) read(ctx context.Context, w *client.Writer, user int, u string, seen map[string]int64) {
+func (h *history) read(ctx context.Context, w *client.Client, user int, u string, seen map[string]int64) {
 	call := time.Since(h.began)
 	one, cancel := context.WithTimeout(ctx, opWithin)
 	defer cancel()
@@ -167,7 +167,7 @@
 		h.result.Reads++
 	case !out.known:
 		h.result.Writes++
-		h.result.Unknown++
+		h.result.UnknownWrites++
 	default:
 		h.result.Writes++
 		if out.fault == "" {
@@ -178,18 +178,18 @@
 
 // watched notes what a watcher has come to.
 func (h *history) watched(watcher int, v client.View) {
-	text, err := json.Marshal(v.Entries)
+	text, err := json.Marshal(v.Instances)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.result.Watched++
-	if last := h.lastRev[watcher]; err != nil || v.Rev < last {
-		h.broken = append(h.broken, fmt.Sprintf("watcher %d went from revision %d back to %d (%v)", watcher, last, v.Rev, err))
+	h.result.WatchEvents++
+	if last := h.lastRev[watcher]; err != nil || v.Revision < last {
+		h.broken = append(h.broken, fmt.Sprintf("watcher %d went from revision %d back to %d (%v)", watcher, last, v.Revision, err))
 	}
-	h.lastRev[watcher] = v.Rev
-	if held, known := h.states[v.Rev]; known && held != string(text) {
-		h.broken = append(h.broken, fmt.Sprintf("two watchers hold different lists at revision %d", v.Rev))
+	h.lastRev[watcher] = v.Revision
+	if held, known := h.states[v.Revision]; known && held != string(text) {
+		h.broken = append(h.broken, fmt.Sprintf("two watchers hold different lists at revision %d", v.Revision))
 	}
-	h.states[v.Rev] = string(text)
+	h.states[v.Revision] = string(text)
 	h.views = append(h.views, v)
 }
 
@@ -200,17 +200,17 @@
 func (h *history) judge(res *Result, final *list) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res.Writes, res.Unknown, res.Reads, res.Watched = h.result.Writes, h.result.Unknown, h.result.Reads, h.result.Watched
+	res.Writes, res.UnknownWrites, res.Reads, res.WatchEvents = h.result.Writes, h.result.UnknownWrites, h.result.Reads, h.result.WatchEvents
 	switch porcupine.CheckOperationsTimeout(model, h.ops, maxJudging) {
 	case porcupine.Illegal:
-		res.Broken = append(res.Broken, "writes and consistent reads are not linearizable")
+		res.Violations = append(res.Violations, "writes and consistent reads are not linearizable")
 	case porcupine.Unknown:
-		res.Broken = append(res.Broken, "whether they are linearizable could not be told in time")
+		res.Violations = append(res.Violations, "whether they are linearizable could not be told in time")
 	}
-	res.Broken = append(res.Broken, h.gaps(final)...)
-	res.Broken = append(res.Broken, h.broken...)
-	if len(res.Broken) > 5 {
-		res.Broken = append(res.Broken[:5], fmt.Sprintf("and %d more", len(res.Broken)-5))
+	res.Violations = append(res.Violations, h.gaps(final)...)
+	res.Violations = append(res.Violations, h.broken...)
+	if len(res.Violations) > 5 {
+		res.Violations = append(res.Violations[:5], fmt.Sprintf("and %d more", len(res.Violations)-5))
 	}
 }
 
@@ -218,15 +218,15 @@
 func (h *history) gaps(final *list) (found []string) {
 	for _, v := range h.views {
 		mods := map[string]int64{}
-		for _, e := range v.Entries {
+		for _, e := range v.Instances {
 			mods[e.UID] = e.ModRevision
-			if e.ModRevision > v.Rev {
-				found = append(found, fmt.Sprintf("a watcher at revision %d holds %s of %d", v.Rev, e.UID, e.ModRevision))
+			if e.ModRevision > v.Revision {
+				found = append(found, fmt.Sprintf("a watcher at revision %d holds %s of %d", v.Revision, e.UID, e.ModRevision))
 			}
 		}
 		for _, a := range h.acks {
-			if a.mod <= v.Rev && mods[a.uid] < a.mod {
-				found = append(found, fmt.Sprintf("a watcher at revision %d has missed the write of %s at %d", v.Rev, a.uid, a.mod))
+			if a.mod <= v.Revision && mods[a.uid] < a.mod {
+				found = append(found, fmt.Sprintf("a watcher at revision %d has missed the write of %s at %d", v.Revision, a.uid, a.mod))
 			}
 		}
 	}
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -18,16 +18,16 @@
 // all that was answered is there, in an order that goes on.
 func TestReplace(t *testing.T) {
 	t.Parallel()
-	raft, err := cluster.Free()
+	raft, err := cluster.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, err := cluster.Free()
+	address, err := cluster.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := replica.New(replica.Config{ID: "r9", Dir: t.TempDir(), Raft: raft, Address: address, Tick: 60 * time.Millisecond,
-		Guard: replica.Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
+	next, err := replica.New(replica.Config{ID: "r9", DataDir: t.TempDir(), RaftAddress: raft, ClientAddress: address, Tick: 60 * time.Millisecond,
+		Guard: replica.ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,18 +48,18 @@
 	}
 	write(50)
 	old := c.Leader(0) // the one whose going hurts most
-	for _, change := range []map[string]any{{"add": replica.Peer{ID: "r9", Raft: raft, Address: address}}, {"remove": c.Name(old)}} {
+	for _, change := range []map[string]any{{"add": replica.Peer{ID: "r9", RaftAddress: raft, ClientAddress: address}}, {"remove": c.ID(old)}} {
 		if err := w.Call(ctx, "POST", "/registry/members", change, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
 		write(20)
 	}
 	c.Kill(old)
-	if err := os.RemoveAll(filepath.Join(c.Dir(old), "snapshots")); err != nil {
+	if err := os.RemoveAll(filepath.Join(c.DataDir(old), "snapshots")); err != nil {
 		t.Fatal(err)
 	}
 	write(20)
-	only, err := client.NewWriter(client.Options{Endpoints: []string{address}})
+	only, err := client.New(client.Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -83,7 +83,7 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "umberbank/cmd/umberbank-node").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	listen, err := cluster.Free()
+	listen, err := cluster.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/faulttest/trial.go
+++ b/internal/registry/faulttest/trial.go
@@ -20,25 +20,25 @@
 
 // Options say what is played.
 type Options struct {
-	Seed     uint64
-	Replicas int           // 1, 3 or 5
-	For      time.Duration // of faults; 0: 3 s
-	Replica  []string      // command of a replica, which takes --config FILE; none: this program's own
-	// Wrap stands in for a replica's address towards clients; nil: none does. Tests let it lie.
-	Wrap func(address string) string
-	Log  func(format string, args ...any) // may be nil
+	Seed           uint64
+	Replicas       int           // 1, 3 or 5
+	Duration       time.Duration // of faults; 0: 3 s
+	ReplicaCommand []string      // command of a replica, which takes --config FILE; none: this program's own
+	// Proxy stands in for a replica's address towards clients; nil: none does. Tests let it lie.
+	Proxy func(address string) string
+	Logf  func(format string, args ...any) // may be nil
 }
 
 // Result is what came of a run.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Writes   int      `json:"writes"`
-	Unknown  int      `json:"unknown"` // whose answer never came
-	Reads    int      `json:"reads"`
-	Watched  int      `json:"watched"` // states that watchers came to
-	Faults   []string `json:"faults"`
-	Broken   []string `json:"broken"`    // what did not hold
-	RecoverS float64  `json:"recover_s"` // from the end of the faults to the first write that was answered
+	Seed            uint64   `json:"seed"`
+	Writes          int      `json:"writes"`
+	UnknownWrites   int      `json:"unknown"` // whose answer never came
+	Reads           int      `json:"reads"`
+	WatchEvents     int      `json:"watched"` // states that watchers came to
+	Faults          []string `json:"faults"`
+	Violations      []string `json:"broken"`    // what did not hold
+	RecoverySeconds float64  `json:"recover_s"` // from the end of the faults to the first write that was answered
 }
 
 // keys is how many entries are written and read.
@@ -61,8 +61,8 @@
 func (o *Options) addresses(c *cluster.Cluster) []string {
 	l := c.Addresses()
 	for i := range l {
-		if o.Wrap != nil {
-			l[i] = o.Wrap(l[i])
+		if o.Proxy != nil {
+			l[i] = o.Proxy(l[i])
 		}
 	}
 	return l
@@ -70,20 +70,20 @@
 
 // Run plays one run.
 func Run(ctx context.Context, opt Options) (*Result, error) {
-	if opt.For == 0 {
-		opt.For = defaultFor
+	if opt.Duration == 0 {
+		opt.Duration = defaultFor
 	}
-	if opt.Log == nil {
-		opt.Log = func(string, ...any) {}
+	if opt.Logf == nil {
+		opt.Logf = func(string, ...any) {}
 	}
-	if len(opt.Replica) == 0 {
+	if len(opt.ReplicaCommand) == 0 {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		opt.Replica = []string{self, "registry", "serve"}
+		opt.ReplicaCommand = []string{self, "registry", "serve"}
 	}
-	c, err := cluster.New(opt.Replica, opt.Replicas, "")
+	c, err := cluster.New(opt.ReplicaCommand, opt.Replicas, "")
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	addresses := opt.addresses(c)
-	w, err := client.NewWriter(client.Options{Endpoints: addresses})
+	w, err := client.New(client.Options{Endpoints: addresses})
 	if err != nil {
 		return nil, err
 	}
@@ -121,35 +121,35 @@
 	var watching sync.WaitGroup
 	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	readers := make([]*client.Reader, 3)
+	readers := make([]*client.Watcher, 3)
 	for i := range readers {
-		if readers[i], err = client.NewReader(client.Options{Endpoints: addresses, Silence: 3 * time.Second, RestMost: 300 * time.Millisecond}); err != nil {
+		if readers[i], err = client.NewWatcher(client.Options{Endpoints: addresses, IdleTimeout: 3 * time.Second, MaxBackoff: 300 * time.Millisecond}); err != nil {
 			return nil, err
 		}
-		watching.Go(func() { readers[i].Run(watchCtx, func(client.Update) { h.watched(i, readers[i].View()) }) })
+		watching.Go(func() { readers[i].Run(watchCtx, func(client.WatchEvent) { h.watched(i, readers[i].View()) }) })
 	}
 	if err := play(ctx, c, opt, res); err != nil {
 		return nil, err
 	}
 	healed := time.Now()
-	c.Heal()
+	c.ResumeAll()
 	final, err := settle(ctx, w, readers)
 	if err == nil {
-		res.RecoverS = time.Since(healed).Seconds()
+		res.RecoverySeconds = time.Since(healed).Seconds()
 	}
 	stop()
 	users.Wait()
 	stopWatching()
 	watching.Wait()
 	if err != nil {
-		res.Broken = append(res.Broken, "after the faults: "+err.Error())
+		res.Violations = append(res.Violations, "after the faults: "+err.Error())
 	}
 	h.judge(res, final)
 	return res, ctx.Err()
 }
 
 // settle waits until the registry is written to again and all watchers hold what it holds, which it gives.
-func settle(ctx context.Context, w *client.Writer, readers []*client.Reader) (*list, error) {
+func settle(ctx context.Context, w *client.Client, readers []*client.Watcher) (*list, error) {
 	ctx, cancel := context.WithTimeout(ctx, healWithin)
 	defer cancel()
 	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "last", Endpoint: "10.0.0.9:3000", State: state.Serving}})
@@ -159,7 +159,7 @@
 	for {
 		behind := false
 		for _, r := range readers {
-			behind = behind || r.View().Rev < a[0].Revision
+			behind = behind || r.View().Revision < a[0].Revision
 		}
 		if !behind {
 			break
@@ -183,7 +183,7 @@
 // play plays faults drawn by the seed, one after another and over each other.
 func play(ctx context.Context, c *cluster.Cluster, opt Options, res *Result) error {
 	r := rand.New(rand.NewPCG(opt.Seed, 2))
-	end := time.Now().Add(opt.For)
+	end := time.Now().Add(opt.Duration)
 	var undo sync.WaitGroup
 	defer undo.Wait()
 	for time.Now().Before(end) {
@@ -193,8 +193,8 @@
 		}
 		lasts := time.Duration(200+r.IntN(1000)) * time.Millisecond
 		kind := []string{"kill", "stop", "isolate", "deaf", "mute", "cut", "kill-all", "slow", "slow-disk"}[r.IntN(9)]
-		res.Faults = append(res.Faults, fmt.Sprintf("%s %s %v", kind, c.Name(i), lasts))
-		opt.Log("%s %s for %v", kind, c.Name(i), lasts)
+		res.Faults = append(res.Faults, fmt.Sprintf("%s %s %v", kind, c.ID(i), lasts))
+		opt.Logf("%s %s for %v", kind, c.ID(i), lasts)
 		after := func(do func()) {
 			undo.Go(func() {
 				select {
@@ -221,10 +221,10 @@
 			c.Signal(i, syscall.SIGSTOP)
 			after(func() { c.Signal(i, syscall.SIGCONT) })
 		case "slow-disk":
-			if err := c.SlowDisk(i, time.Duration(50+r.IntN(500))*time.Millisecond); err != nil {
+			if err := c.SetSyncDelay(i, time.Duration(50+r.IntN(500))*time.Millisecond); err != nil {
 				return err
 			}
-			after(func() { c.SlowDisk(i, 0) })
+			after(func() { c.SetSyncDelay(i, 0) })
 		default:
 			e := &relay.Impairment{Stall: kind != "slow", ToTarget: true, FromTarget: true}
 			if kind == "slow" {
@@ -254,7 +254,7 @@
 // hit names the links of a fault: all of a replica's, only those by which it hears or calls others, or those to one.
 func hit(c *cluster.Cluster, kind string, i, j int) []*relay.Relay {
 	var l []*relay.Relay
-	c.Links(func(out, in int, r *relay.Relay) {
+	c.EachLink(func(out, in int, r *relay.Relay) {
 		to, from := in == i, out == i
 		switch {
 		case kind == "isolate" && (to || from), kind == "slow" && (to || from), kind == "deaf" && to, kind == "mute" && from,
--- a/internal/registry/faulttest/trial_test.go
+++ b/internal/registry/faulttest/trial_test.go
@@ -47,7 +47,7 @@
 }
 
 // started is a cluster of three that runs, with a writer over all of them and more, until the test's end.
-func started(t *testing.T, more ...string) (*cluster.Cluster, *client.Writer) {
+func started(t *testing.T, more ...string) (*cluster.Cluster, *client.Client) {
 	t.Helper()
 	c, err := cluster.New(command(t), 3, "")
 	if err != nil {
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 	}
-	w, err := client.NewWriter(client.Options{Endpoints: append(c.Addresses(), more...)})
+	w, err := client.New(client.Options{Endpoints: append(c.Addresses(), more...)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 
 func run(t *testing.T, opt Options) *Result {
 	t.Helper()
-	opt.Replica = command(t)
+	opt.ReplicaCommand = command(t)
 	r, err := Run(t.Context(), opt)
 	if err != nil {
 		t.Fatal(err)
@@ -83,10 +83,10 @@
 		t.Run(fmt.Sprint(replicas, " replicas, seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, Options{Seed: seed, Replicas: replicas})
-			if len(r.Broken) > 0 {
-				t.Errorf("%v, after %v", r.Broken, r.Faults)
+			if len(r.Violations) > 0 {
+				t.Errorf("%v, after %v", r.Violations, r.Faults)
 			}
-			if r.Writes-r.Unknown < 10 || r.Reads < 10 || r.Watched < 10 {
+			if r.Writes-r.UnknownWrites < 10 || r.Reads < 10 || r.WatchEvents < 10 {
 				t.Errorf("too little to judge: %+v", r)
 			}
 		})
@@ -170,9 +170,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Seed: 9, Replicas: 1, For: time.Second, Wrap: liar(t, c.spoil)})
-			if !strings.Contains(strings.Join(r.Broken, "\n"), c.want) {
-				t.Errorf("want %q, got %v", c.want, r.Broken)
+			r := run(t, Options{Seed: 9, Replicas: 1, Duration: time.Second, Proxy: liar(t, c.spoil)})
+			if !strings.Contains(strings.Join(r.Violations, "\n"), c.want) {
+				t.Errorf("want %q, got %v", c.want, r.Violations)
 			}
 		})
 	}
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -29,12 +29,12 @@
 
 // Headers.
 const (
-	// HeaderRev is the revision of what was read.
-	HeaderRev = "X-Registry-Revision"
-	// HeaderStale is how long ago, in milliseconds, the replica last heard from its leader: what it says is no older
+	// HeaderRevision is the revision of what was read.
+	HeaderRevision = "X-Registry-Revision"
+	// HeaderStaleness is how long ago, in milliseconds, the replica last heard from its leader: what it says is no older
 	// than that and one heartbeat of raft's.
-	HeaderStale = "X-Registry-Stale-Ms"
-	forwarded   = "X-Registry-Forwarded"
+	HeaderStaleness = "X-Registry-Stale-Ms"
+	forwarded       = "X-Registry-Forwarded"
 )
 
 // Lease names a lease to renew.
@@ -45,18 +45,18 @@
 
 // Status is what a replica says of itself.
 type Status struct {
-	ID       string            `json:"id"`
-	Leads    bool              `json:"leads"`
-	Leader   string            `json:"leader"`
-	Term     string            `json:"term"`
-	Rev      int64             `json:"rev"`
-	Epoch    int64             `json:"epoch"`
-	Entries  int               `json:"entries"`
-	Suspects int               `json:"suspects"`
-	Watchers int64             `json:"watchers"`
-	StaleMS  int64             `json:"stale_ms"`
-	Members  map[string]string `json:"members"`
-	Replicas map[string]string `json:"replicas"` // as raft has them, by id
+	ID              string            `json:"id"`
+	IsLeader        bool              `json:"leads"`
+	LeaderID        string            `json:"leader"`
+	Term            string            `json:"term"`
+	Revision        int64             `json:"rev"`
+	Epoch           int64             `json:"epoch"`
+	Entries         int               `json:"entries"`
+	Suspects        int               `json:"suspects"`
+	Watchers        int64             `json:"watchers"`
+	StalenessMS     int64             `json:"stale_ms"`
+	ClientAddresses map[string]string `json:"members"`
+	RaftAddresses   map[string]string `json:"replicas"` // as raft has them, by id
 }
 
 func (r *Replica) handler() http.Handler {
@@ -161,7 +161,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	for _, h := range []string{"Content-Type", HeaderRev, HeaderStale} {
+	for _, h := range []string{"Content-Type", HeaderRevision, HeaderStaleness} {
 		if v := resp.Header.Get(h); v != "" {
 			w.Header().Set(h, v)
 		}
@@ -180,11 +180,11 @@
 		return nil, badRequest{err}
 	}
 	switch {
-	case c.Add != nil && c.Add.ID != "" && c.Add.Raft != "" && c.Add.Address != "":
-		if err := r.raft.AddVoter(raft.ServerID(c.Add.ID), raft.ServerAddress(c.Add.Raft), 0, writeWithin).Error(); err != nil {
+	case c.Add != nil && c.Add.ID != "" && c.Add.RaftAddress != "" && c.Add.ClientAddress != "":
+		if err := r.raft.AddVoter(raft.ServerID(c.Add.ID), raft.ServerAddress(c.Add.RaftAddress), 0, writeWithin).Error(); err != nil {
 			return nil, err
 		}
-		_, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: c.Add.ID, Address: c.Add.Address}}})
+		_, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: c.Add.ID, Address: c.Add.ClientAddress}}})
 		return map[string]any{}, err
 	case c.Remove != "":
 		if _, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: c.Remove}}}); err != nil {
@@ -209,10 +209,10 @@
 
 func (r *Replica) status(w http.ResponseWriter, _ *http.Request) {
 	_, leader := r.raft.LeaderWithID()
-	st := Status{ID: r.cfg.ID, Leads: r.raft.State() == raft.Leader, Leader: string(leader), Term: r.raft.Stats()["term"],
-		Watchers: r.streams.len(), StaleMS: r.staleness().Milliseconds(), Replicas: map[string]string{}}
+	st := Status{ID: r.cfg.ID, IsLeader: r.raft.State() == raft.Leader, LeaderID: string(leader), Term: r.raft.Stats()["term"],
+		Watchers: r.streams.len(), StalenessMS: r.staleness().Milliseconds(), RaftAddresses: map[string]string{}}
 	r.fsm.read(func(s *state.State) {
-		st.Rev, st.Epoch, st.Entries, st.Members = s.Revision(), state.Epoch(s.Revision()), s.Len(), s.Members()
+		st.Revision, st.Epoch, st.Entries, st.ClientAddresses = s.Revision(), state.Epoch(s.Revision()), s.Len(), s.Members()
 		for _, e := range s.Instances() {
 			if e.Suspect {
 				st.Suspects++
@@ -221,7 +221,7 @@
 	})
 	if f := r.raft.GetConfiguration(); f.Error() == nil {
 		for _, s := range f.Configuration().Servers {
-			st.Replicas[string(s.ID)] = string(s.Address)
+			st.RaftAddresses[string(s.ID)] = string(s.Address)
 		}
 	}
 	reply(w, st, nil)
@@ -288,7 +288,7 @@
 		}
 		text, err = json.Marshal(a) // much of it changes in place
 	})
-	w.Header().Set(HeaderRev, strconv.FormatInt(a.Revision, 10))
+	w.Header().Set(HeaderRevision, strconv.FormatInt(a.Revision, 10))
 	reply(w, json.RawMessage(text), err)
 }
 
@@ -323,8 +323,8 @@
 		reply(w, nil, err)
 		return
 	}
-	w.Header().Set(HeaderRev, strconv.FormatInt(rev, 10))
-	w.Header().Set(HeaderStale, strconv.FormatInt(r.staleness().Milliseconds(), 10))
+	w.Header().Set(HeaderRevision, strconv.FormatInt(rev, 10))
+	w.Header().Set(HeaderStaleness, strconv.FormatInt(r.staleness().Milliseconds(), 10))
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(text)
 }
--- a/internal/registry/replica/compat_test.go
+++ b/internal/registry/replica/compat_test.go
@@ -337,11 +337,11 @@
 	for i := range addresses {
 		addresses[i] = freeAddr(t)
 	}
-	peers := []Peer{{ID: "r0", Raft: addresses[0], Address: addresses[1]}, {ID: "r1", Raft: addresses[2], Address: addresses[3]}}
+	peers := []Peer{{ID: "r0", RaftAddress: addresses[0], ClientAddress: addresses[1]}, {ID: "r1", RaftAddress: addresses[2], ClientAddress: addresses[3]}}
 	var replicas []*Replica
 	for i := range peers {
-		r, err := New(Config{ID: peers[i].ID, Dir: t.TempDir(), Raft: peers[i].Raft, Address: peers[i].Address, Peers: peers, Tick: 20 * time.Millisecond,
-			Guard: Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
+		r, err := New(Config{ID: peers[i].ID, DataDir: t.TempDir(), RaftAddress: peers[i].RaftAddress, ClientAddress: peers[i].ClientAddress, Peers: peers, Tick: 20 * time.Millisecond,
+			Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -429,8 +429,8 @@
 
 // A replica without a leader refuses what needs one.
 func TestNoLeaderGolden(t *testing.T) {
-	r, err := New(Config{ID: "r0", Dir: t.TempDir(), Raft: freeAddr(t), Address: freeAddr(t), Tick: 20 * time.Millisecond,
-		Guard: Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
+	r, err := New(Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: freeAddr(t), ClientAddress: freeAddr(t), Tick: 20 * time.Millisecond,
+		Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -505,16 +505,16 @@
 
 // writeConfig writes what a configuration says, value by value.
 func writeConfig(out *bytes.Buffer, c Config) {
-	fmt.Fprintf(out, "%s %s %s %s %v %d %q\n", c.ID, c.Dir, c.Raft, c.Address, c.Tick, c.SnapshotEvery, c.SyncWait)
-	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.Share, c.Guard.Least, c.Guard.Window, c.Guard.Confirm)
+	fmt.Fprintf(out, "%s %s %s %s %v %d %q\n", c.ID, c.DataDir, c.RaftAddress, c.ClientAddress, c.Tick, c.SnapshotThreshold, c.SyncDelayFile)
+	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.MaxZoneShare, c.Guard.MinExpired, c.Guard.Window, c.Guard.ConfirmAfter)
 	for _, p := range c.Peers {
-		fmt.Fprintf(out, "%s %s %s %q\n", p.ID, p.Raft, p.Address, p.Via)
+		fmt.Fprintf(out, "%s %s %s %q\n", p.ID, p.RaftAddress, p.ClientAddress, p.DialAddress)
 	}
 }
 
 // A peer keeps the names of its fields in a call that changes the members.
 func TestPeerJSON(t *testing.T) {
-	text, err := json.Marshal(Peer{ID: "r1", Raft: "a:1", Address: "a:2", Via: "a:3"})
+	text, err := json.Marshal(Peer{ID: "r1", RaftAddress: "a:1", ClientAddress: "a:2", DialAddress: "a:3"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/replica/config.go
+++ b/internal/registry/replica/config.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Log = log
+	cfg.Logger = log
 	r, err := New(cfg)
 	if err != nil {
 		return err
@@ -78,19 +78,19 @@
 	bad := func(key, reason string, args ...any) error {
 		return &stricttoml.Error{File: name, Key: key, Reason: fmt.Sprintf(reason, args...)}
 	}
-	c := Config{ID: f.ID, Dir: f.Dir, Raft: f.Raft, Address: f.Address, Peers: f.Peers, SyncWait: f.Wait,
-		Guard: Guard{Share: f.Guard.Share, Least: f.Guard.Least}}
+	c := Config{ID: f.ID, DataDir: f.Dir, RaftAddress: f.Raft, ClientAddress: f.Address, Peers: f.Peers, SyncDelayFile: f.Wait,
+		Guard: ExpiryGuard{MaxZoneShare: f.Guard.Share, MinExpired: f.Guard.Least}}
 	for _, d := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"tick", f.Tick, &c.Tick}, {"guard.window", f.Guard.Window, &c.Guard.Window}, {"guard.confirm", f.Guard.Confirm, &c.Guard.Confirm}} {
+	}{{"tick", f.Tick, &c.Tick}, {"guard.window", f.Guard.Window, &c.Guard.Window}, {"guard.confirm", f.Guard.Confirm, &c.Guard.ConfirmAfter}} {
 		v, err := time.ParseDuration(d.text)
 		if err != nil || v <= 0 {
 			return c, bad(d.key, "%q is no time above 0 with a unit", d.text)
 		}
 		*d.to = v
 	}
-	for key, addr := range map[string]string{"raft": c.Raft, "address": c.Address} {
+	for key, addr := range map[string]string{"raft": c.RaftAddress, "address": c.ClientAddress} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return c, bad(key, "%q is no host:port", addr)
 		}
@@ -98,15 +98,15 @@
 	switch {
 	case c.ID == "":
 		return c, bad("id", "missing")
-	case c.Dir == "":
+	case c.DataDir == "":
 		return c, bad("dir", "missing")
-	case c.Guard.Share <= 0 || c.Guard.Share > 1:
-		return c, bad("guard.share", "%v is no share above 0", c.Guard.Share)
-	case c.Guard.Least < 1:
-		return c, bad("guard.least", "%d is below 1", c.Guard.Least)
+	case c.Guard.MaxZoneShare <= 0 || c.Guard.MaxZoneShare > 1:
+		return c, bad("guard.share", "%v is no share above 0", c.Guard.MaxZoneShare)
+	case c.Guard.MinExpired < 1:
+		return c, bad("guard.least", "%d is below 1", c.Guard.MinExpired)
 	}
 	for i, p := range c.Peers {
-		if p.ID == "" || p.Raft == "" || p.Address == "" {
+		if p.ID == "" || p.RaftAddress == "" || p.ClientAddress == "" {
 			return c, bad(fmt.Sprintf("peer[%d]", i), "wants id, raft and address")
 		}
 	}
--- a/internal/registry/replica/disk_test.go
+++ b/internal/registry/replica/disk_test.go
@@ -40,13 +40,13 @@
 func open(t *testing.T, dir string) (*Replica, error) {
 	t.Helper()
 	a, b := freeAddr(t), freeAddr(t)
-	return New(Config{ID: "r0", Dir: dir, Raft: a, Address: b, Peers: []Peer{{ID: "r0", Raft: a, Address: b}}, Tick: 20 * time.Millisecond,
-		SnapshotEvery: 40, Guard: Guard{Share: 0.3, Least: 5, Window: time.Second, Confirm: time.Second}})
+	return New(Config{ID: "r0", DataDir: dir, RaftAddress: a, ClientAddress: b, Peers: []Peer{{ID: "r0", RaftAddress: a, ClientAddress: b}}, Tick: 20 * time.Millisecond,
+		SnapshotThreshold: 40, Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 }
 
 func write(t *testing.T, r *Replica, ops ...state.Op) []state.Result {
 	t.Helper()
-	w, err := client.NewWriter(client.Options{Endpoints: []string{r.Addr()}, RestFirst: time.Millisecond, RestMost: 10 * time.Millisecond})
+	w, err := client.New(client.Options{Endpoints: []string{r.Addr()}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -10,7 +10,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// Guard says when ended leases are not believed.
+// ExpiryGuard says when ended leases are not believed.
 //
 // A lease that ends is believed, and its entry goes, unless within Window at least Least leases have ended, and with them
 // those of more than Share of the zone's entries. Then that zone's entries stay as suspects. If every other zone (and
@@ -20,11 +20,11 @@
 //
 // Where it must fail: a cut between the registry and one zone alone looks like that zone's loss, and its servers go
 // after Confirm though clients may reach them; and when two zones are truly lost at once, their servers stay listed.
-type Guard struct {
-	Share   float64
-	Least   int
-	Window  time.Duration
-	Confirm time.Duration
+type ExpiryGuard struct {
+	MaxZoneShare float64
+	MinExpired   int
+	Window       time.Duration
+	ConfirmAfter time.Duration
 }
 
 // lease is what the leader knows of one entry's holder.
@@ -56,7 +56,7 @@
 // new leader gives every lease its whole time anew, as it cannot know what was renewed. What follows from an ending is
 // proposed as a write, so it comes to nothing when another leads by then.
 type leases struct {
-	guard Guard
+	guard ExpiryGuard
 	byUID map[string]*lease
 	last  time.Duration // the last look
 
@@ -66,7 +66,7 @@
 	permits  map[string]waiting
 }
 
-func newLeases(g Guard, entries []*state.Instance, now time.Duration) *leases {
+func newLeases(g ExpiryGuard, entries []*state.Instance, now time.Duration) *leases {
 	l := &leases{guard: g, byUID: map[string]*lease{}, last: now, warmings: map[string]*warming{}, permits: map[string]waiting{}}
 	for _, e := range entries {
 		l.hold(e, now)
@@ -198,7 +198,7 @@
 	}
 	massive := map[string]bool{}
 	for name, z := range zones {
-		if lost >= l.guard.Least && float64(z.lost) > l.guard.Share*float64(z.all) {
+		if lost >= l.guard.MinExpired && float64(z.lost) > l.guard.MaxZoneShare*float64(z.all) {
 			massive[name] = true
 		}
 	}
@@ -210,7 +210,7 @@
 			if now-h.ended >= l.settle() {
 				ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: h.token})
 			}
-		case len(massive) == 1 && len(zones) > 1 && now-h.ended >= l.guard.Confirm:
+		case len(massive) == 1 && len(zones) > 1 && now-h.ended >= l.guard.ConfirmAfter:
 			ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: h.token})
 		case !h.suspect:
 			ops = append(ops, state.Op{Kind: state.OpSuspect, UID: uid, Token: h.token})
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -30,17 +30,17 @@
 
 // Peer is a replica as a cluster begins.
 type Peer struct {
-	ID      string `toml:"id" json:"ID"`
-	Raft    string `toml:"raft" json:"Raft"`       // where the others call it
-	Address string `toml:"address" json:"Address"` // where writers and readers do
-	Via     string `toml:"via" json:"Via"`         // where this replica calls it, if not at Raft
+	ID            string `toml:"id" json:"ID"`
+	RaftAddress   string `toml:"raft" json:"Raft"`       // where the others call it
+	ClientAddress string `toml:"address" json:"Address"` // where writers and readers do
+	DialAddress   string `toml:"via" json:"Via"`         // where this replica calls it, if not at Raft
 }
 
 // ServerAddr is where to call a replica; raft asks for it before each connection.
 func (c *Config) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	for _, p := range c.Peers {
 		if p.ID == string(id) {
-			return raft.ServerAddress(cmp.Or(p.Via, p.Raft)), nil
+			return raft.ServerAddress(cmp.Or(p.DialAddress, p.RaftAddress)), nil
 		}
 	}
 	return "", fmt.Errorf("no other address of %s", id) // raft then takes the one it has
@@ -48,20 +48,20 @@
 
 // Config is what a replica is told.
 type Config struct {
-	ID      string
-	Dir     string // where it keeps its data
-	Raft    string // where it listens for the others
-	Address string // and for writers and readers
-	Peers   []Peer // all that a new cluster begins with, this one included; none: it waits to be taken in by one
-	Guard   Guard
+	ID            string
+	DataDir       string // where it keeps its data
+	RaftAddress   string // where it listens for the others
+	ClientAddress string // and for writers and readers
+	Peers         []Peer // all that a new cluster begins with, this one included; none: it waits to be taken in by one
+	Guard         ExpiryGuard
 	// Tick is what raft's times are multiples of; 0: 100 ms. An election takes five to ten.
 	Tick time.Duration
-	// SnapshotEvery is how many entries of the log make a snapshot; 0: 8,192.
-	SnapshotEvery uint64
-	// SyncWait is a file for trials of slow disks: each sync of the log first waits for as long as it says; "" or no such
+	// SnapshotThreshold is how many entries of the log make a snapshot; 0: 8,192.
+	SnapshotThreshold uint64
+	// SyncDelayFile is a file for trials of slow disks: each sync of the log first waits for as long as it says; "" or no such
 	// file: not at all.
-	SyncWait string
-	Log      *slog.Logger
+	SyncDelayFile string
+	Logger        *slog.Logger
 }
 
 // Replica is one that runs.
@@ -105,14 +105,14 @@
 
 // New starts a replica on the data that it finds, and begins a cluster if there is none and it was told of peers.
 func New(cfg Config) (r *Replica, err error) {
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+	if cfg.Logger == nil {
+		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
 	if cfg.Tick == 0 {
 		cfg.Tick = defaultTick
 	}
-	if cfg.SnapshotEvery == 0 {
-		cfg.SnapshotEvery = defaultSnapshots
+	if cfg.SnapshotThreshold == 0 {
+		cfg.SnapshotThreshold = defaultSnapshots
 	}
 	made := &Replica{cfg: cfg, fsm: newFSM(), asks: make(chan func(*leases)), done: make(chan struct{}), failed: make(chan error, 1),
 		forward: &http.Client{Timeout: writeWithin}}
@@ -124,43 +124,43 @@
 			made.closeFiles()
 		}
 	}()
-	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	if r.listener, err = net.Listen("tcp", cfg.Address); err != nil {
+	if r.listener, err = net.Listen("tcp", cfg.ClientAddress); err != nil {
 		return nil, err
 	}
-	advertised, err := net.ResolveTCPAddr("tcp", cfg.Raft)
+	advertised, err := net.ResolveTCPAddr("tcp", cfg.RaftAddress)
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	logs := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: slogWriter{cfg.Log}})
+	logs := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: slogWriter{cfg.Logger}})
 	tc := &raft.NetworkTransportConfig{Logger: logs, MaxPool: poolSize, Timeout: 20 * cfg.Tick}
-	if slices.ContainsFunc(cfg.Peers, func(p Peer) bool { return p.Via != "" }) {
+	if slices.ContainsFunc(cfg.Peers, func(p Peer) bool { return p.DialAddress != "" }) {
 		tc.ServerAddressProvider = &r.cfg
 	}
-	r.trans, err = raft.NewTCPTransportWithConfig(cfg.Raft, advertised, tc)
+	r.trans, err = raft.NewTCPTransportWithConfig(cfg.RaftAddress, advertised, tc)
 	if err != nil {
 		return nil, err
 	}
-	if err := begun(cfg.Dir); err != nil {
+	if err := begun(cfg.DataDir); err != nil {
 		return nil, err
 	}
-	if r.store, err = raftboltdb.NewBoltStore(filepath.Join(cfg.Dir, "log.db")); err != nil {
-		return nil, fmt.Errorf("%s: %w", filepath.Join(cfg.Dir, "log.db"), err)
+	if r.store, err = raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, "log.db")); err != nil {
+		return nil, fmt.Errorf("%s: %w", filepath.Join(cfg.DataDir, "log.db"), err)
 	}
-	if err := renameio.WriteFile(filepath.Join(cfg.Dir, marker), nil, 0o600); err != nil {
+	if err := renameio.WriteFile(filepath.Join(cfg.DataDir, marker), nil, 0o600); err != nil {
 		return nil, err
 	}
 	log := &checked{LogStore: r.store, base: time.Now(), spoilt: r.fail, limit: slowSync * cfg.Tick}
-	if cfg.SyncWait != "" {
-		log.wait = func() { time.Sleep(syncWait(cfg.SyncWait)) }
+	if cfg.SyncDelayFile != "" {
+		log.wait = func() { time.Sleep(syncWait(cfg.SyncDelayFile)) }
 	}
 	r.log = log
 	if err := log.verify(); err != nil {
-		return nil, fmt.Errorf("%s: %w", filepath.Join(cfg.Dir, "log.db"), err)
+		return nil, fmt.Errorf("%s: %w", filepath.Join(cfg.DataDir, "log.db"), err)
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(cfg.Dir, keptSnapshots, logs)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, keptSnapshots, logs)
 	if err != nil {
 		return nil, err
 	}
@@ -168,12 +168,12 @@
 	rc.LocalID = raft.ServerID(cfg.ID)
 	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = 5*cfg.Tick, 5*cfg.Tick, 4*cfg.Tick
 	rc.CommitTimeout = cfg.Tick / 10
-	rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = cfg.SnapshotEvery, cfg.SnapshotEvery, 50*cfg.Tick
+	rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = cfg.SnapshotThreshold, cfg.SnapshotThreshold, 50*cfg.Tick
 	rc.BatchApplyCh, rc.Logger = true, logs
 	if len(cfg.Peers) > 0 {
 		var all raft.Configuration
 		for _, p := range cfg.Peers {
-			all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+			all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddress)})
 		}
 		err := raft.BootstrapCluster(rc, log, r.store, snapshots, r.trans, all)
 		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // it has begun before
@@ -181,7 +181,7 @@
 		}
 	}
 	if r.raft, err = raft.NewRaft(rc, r.fsm, log, r.store, snapshots, r.trans); err != nil {
-		return nil, fmt.Errorf("%s: %w", cfg.Dir, err)
+		return nil, fmt.Errorf("%s: %w", cfg.DataDir, err)
 	}
 	go r.lead()
 	r.http = &http.Server{Handler: r.handler(), ReadHeaderTimeout: writeWithin}
@@ -220,7 +220,7 @@
 		return
 	}
 	if r.running.Load() { // else there is nobody yet to hear from it
-		r.cfg.Log.Error("this replica ends", "error", err)
+		r.cfg.Logger.Error("this replica ends", "error", err)
 		r.trans.Close()
 		r.http.Close()
 		r.streams.close()
@@ -310,7 +310,7 @@
 			}
 			looked = time.Now()
 			if d := r.log.hung(); d > hungSync*r.cfg.Tick {
-				r.fail(fmt.Errorf("%s: a sync has not ended for %v", r.cfg.Dir, d.Round(time.Millisecond)))
+				r.fail(fmt.Errorf("%s: a sync has not ended for %v", r.cfg.DataDir, d.Round(time.Millisecond)))
 				return
 			}
 			if kept == nil {
@@ -318,7 +318,7 @@
 			}
 			if r.log.slow.Load() >= slowSyncs && time.Since(handed) > handRest*r.cfg.Tick {
 				handed = time.Now()
-				r.cfg.Log.Warn("this replica's disk is slow: another shall lead")
+				r.cfg.Logger.Warn("this replica's disk is slow: another shall lead")
 				r.raft.LeadershipTransfer() // its end shows in leads; who cannot take over leaves things as they are
 			}
 			now := time.Since(began)
@@ -412,7 +412,7 @@
 	}
 	text, err := json.Marshal(command{Ops: ops})
 	if err != nil {
-		r.cfg.Log.Error("a write of the leader's own", "error", err)
+		r.cfg.Logger.Error("a write of the leader's own", "error", err)
 		return
 	}
 	r.raft.Apply(text, writeWithin)
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -99,7 +99,7 @@
 // What ended leases lead to: few go, a zone that is lost alone goes later, and what ends everywhere is suspected until it
 // renews.
 func TestGuard(t *testing.T) {
-	g := Guard{Share: 0.3, Least: 3, Window: 2 * time.Second, Confirm: 10 * time.Second}
+	g := ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: 2 * time.Second, ConfirmAfter: 10 * time.Second}
 	for name, c := range map[string]struct {
 		zones []string // one entry in each zone of the list
 		stops func(i int, zone string) bool
@@ -170,7 +170,7 @@
 func TestStalledLeader(t *testing.T) {
 	s := state.New()
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
-	l := newLeases(Guard{Share: 0.3, Least: 3, Window: time.Second, Confirm: time.Second}, s.Instances(), 0)
+	l := newLeases(ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: time.Second, ConfirmAfter: time.Second}, s.Instances(), 0)
 	if ops := l.look(10 * time.Second); len(ops) > 0 {
 		t.Errorf("after a stall of 10 s: %+v", ops)
 	}
