--- a/internal/coordination/release/golden_test.go
+++ b/internal/coordination/release/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // The files were written by the build of revision f63bdca: plan.json is the plan of plan.toml for units.json, and
-// looks.jsonl what a Machine saw and ordered at three looks, one second apart.
+// looks.jsonl what a Scheduler saw and wanted written at three polls, one second apart.
 
 func goldenUnits(t *testing.T) []*state.Instance {
 	t.Helper()
@@ -46,37 +46,37 @@
 	}
 }
 
-// goldenLook is what a Machine saw at one look, and what it ordered.
-type goldenLook struct {
+// goldenPoll is what a Scheduler saw at one poll, and what it wanted written.
+type goldenPoll struct {
 	Units   []*state.Instance            `json:"units"`
 	Outs    []disruption.UnavailableUnit `json:"outs"`
 	Permits []*disruption.Permit         `json:"permits"`
 	Records []*state.Record              `json:"records"`
-	Orders  []goldenOrder                `json:"orders"`
+	Writes  []goldenWrite                `json:"orders"`
 }
 
-type goldenOrder struct {
+type goldenWrite struct {
 	Op      json.RawMessage `json:"op"`
 	Why     string          `json:"why"`
 	Granted bool            `json:"granted"` // the registry let it through
 }
 
-func TestGoldenOrders(t *testing.T) {
+func TestGoldenWrites(t *testing.T) {
 	m := &Scheduler{Holder: "c0"}
 	for i, line := range golden.Lines(t, "testdata/looks.jsonl") {
-		look := golden.Decode[goldenLook](t, line)
-		view := View{Units: look.Units, Unavailable: look.Outs, Permits: look.Permits, Records: look.Records}
-		orders := m.NextWrites(view, time.Duration(i)*time.Second)
-		if len(orders) != len(look.Orders) {
-			t.Fatalf("look %d: %d orders, want %d", i, len(orders), len(look.Orders))
+		poll := golden.Decode[goldenPoll](t, line)
+		view := View{Units: poll.Units, Unavailable: poll.Outs, Permits: poll.Permits, Records: poll.Records}
+		writes := m.NextWrites(view, time.Duration(i)*time.Second)
+		if len(writes) != len(poll.Writes) {
+			t.Fatalf("poll %d: %d writes, want %d", i, len(writes), len(poll.Writes))
 		}
-		for k, want := range look.Orders {
-			golden.Encodes(t, orders[k].Op, want.Op)
-			if orders[k].Reason != want.Why {
-				t.Errorf("look %d: why %q, want %q", i, orders[k].Reason, want.Why)
+		for k, want := range poll.Writes {
+			golden.Encodes(t, writes[k].Op, want.Op)
+			if writes[k].Reason != want.Why {
+				t.Errorf("poll %d: reason %q, want %q", i, writes[k].Reason, want.Why)
 			}
 			if want.Granted {
-				m.PermitGranted(orders[k])
+				m.PermitGranted(writes[k])
 			}
 		}
 	}
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -14,84 +14,86 @@
 	"umberbank/internal/registry/state"
 )
 
-// world is a registry's State on a clock of its own, with agents that follow permits at once and what leases would do.
-type world struct {
+// site is a registry's State on a clock of its own, with agents that follow permits at once and what leases would do.
+type site struct {
 	*state.State
 	now time.Duration
 }
 
-func newWorld(units int, whole float64) *world {
-	w := &world{State: state.New()}
-	w.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &whole}}, InitialShare: 0.5, WarmUpMS: 1}})
+func newSite(units int, whole float64) *site {
+	s := &site{State: state.New()}
+	s.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &whole}}, InitialShare: 0.5, WarmUpMS: 1}})
 	for i := range units {
-		w.Apply(state.Op{Kind: state.OpRegister, Instance: w.entry(fmt.Sprintf("s%02d", i), "v1", 0)})
+		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(fmt.Sprintf("s%02d", i), "v1", 0)})
 	}
-	return w
+	return s
 }
 
-func (w *world) entry(uid, version string, boot float64) *state.Instance {
-	return &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Tier: "web", Zone: uid[2:], Capacity: 1, Version: version, StartTimeMS: boot}
+func (s *site) instance(uid, version string, startTimeMS float64) *state.Instance {
+	return &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Tier: "web", Zone: uid[2:], Capacity: 1, Version: version, StartTimeMS: startTimeMS}
 }
 
-func (w *world) view() View {
-	return View{Units: w.Units(), Unavailable: w.Budget().UnavailableUnits(), Permits: w.Budget().Permits(), Records: w.Records("")}
+func (s *site) view() View {
+	return View{Units: s.Units(), Unavailable: s.Budget().UnavailableUnits(), Permits: s.Budget().Permits(), Records: s.Records("")}
 }
 
-func (w *world) plan(t interface{ Fatal(...any) }, text string) *Plan {
-	p, _, err := ParsePlan("plan.toml", []byte(text), w.Units())
+// plan stores the plan of a plan file.
+func (s *site) plan(t rapid.TB, text string) *Plan {
+	t.Helper()
+	p, _, err := ParsePlan("plan.toml", []byte(text), s.Units())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.enter(p)
+	s.store(p)
 	return p
 }
 
-func (w *world) enter(p *Plan) {
+func (s *site) store(p *Plan) {
 	value, _ := json.Marshal(p)
-	w.Apply(state.Op{Kind: state.OpPutRecord, Key: PlanKeyPrefix + p.Name, Value: value, IfModRevision: state.Absent})
+	s.Apply(state.Op{Kind: state.OpPutRecord, Key: PlanKeyPrefix + p.Name, Value: value, IfModRevision: state.Absent})
 }
 
-// follow carries orders out, the first so many of them, and gives how many there were.
-func (w *world) follow(m *Scheduler, most int) int {
-	orders := m.NextWrites(w.view(), w.now)
-	for _, o := range orders[:min(most, len(orders))] {
-		if a, _ := w.Apply(o.Op); a.Code != "" {
+// send applies what a scheduler wants written, the first so many writes, and returns how many there were.
+func (s *site) send(m *Scheduler, most int) int {
+	writes := m.NextWrites(s.view(), s.now)
+	for _, w := range writes[:min(most, len(writes))] {
+		if a, _ := s.Apply(w.Op); a.Code != "" {
 			break
 		}
-		m.PermitGranted(o)
+		m.PermitGranted(w)
 	}
-	return len(orders)
+	return len(writes)
 }
 
-// agent begins a unit's permit and starts its next version. Each is a step of its own.
-func (w *world) agent(uid string, starts bool) {
-	p := w.Budget().Permit(uid)
+// agent begins a unit's permit, or starts its next version.
+func (s *site) agent(uid string, starts bool) {
+	p := s.Budget().Permit(uid)
 	if p == nil {
 		return
 	}
 	if !p.Begun {
-		w.Apply(state.Op{Kind: state.OpBeginPermit, UID: uid, Token: p.Token})
+		s.Apply(state.Op{Kind: state.OpBeginPermit, UID: uid, Token: p.Token})
 		return
 	}
-	e := w.Get(uid)
+	e := s.Get(uid)
 	switch {
 	case e == nil:
 	case e.Version == p.TargetVersion && e.State == state.Draining:
-		w.Apply(state.Op{Kind: state.OpUpdate, UID: uid, Token: e.Token, State: state.Serving})
+		s.Apply(state.Op{Kind: state.OpUpdate, UID: uid, Token: e.Token, State: state.Serving})
 	case starts && e.Version != p.TargetVersion:
-		w.Apply(state.Op{Kind: state.OpRegister, Instance: w.entry(uid, p.TargetVersion, e.StartTimeMS+1)})
+		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(uid, p.TargetVersion, e.StartTimeMS+1)})
 	}
 }
 
-func (w *world) warm(uid string) {
-	if e := w.Get(uid); e != nil && e.WarmUpDeficit > 0 {
+func (s *site) warmUp(uid string) {
+	if e := s.Get(uid); e != nil && e.WarmUpDeficit > 0 {
 		zero := 0.0
-		w.Apply(state.Op{Kind: state.OpWarmUp, UID: uid, Token: e.Token, WarmUpDeficit: &zero})
+		s.Apply(state.Op{Kind: state.OpWarmUp, UID: uid, Token: e.Token, WarmUpDeficit: &zero})
 	}
 }
 
-func (w *world) versions() (l []string) {
-	for _, u := range w.Units() {
+func (s *site) versions() (l []string) {
+	for _, u := range s.Units() {
 		l = append(l, u.Version)
 	}
 	return slices.Compact(slices.Sorted(slices.Values(l)))
@@ -99,40 +101,40 @@
 
 const inStages = "name = \"p\"\nversion = \"v2\"\nbake = \"1s\"\nback_within = \"1h\"\n[[stage]]\ntier = \"web\"\nshare = 0.2\n[[stage]]\ntier = \"web\"\nshare = 1.0\n"
 
-// Any number of controllers act in any order, die at any step and are followed by fresh ones; agents begin, start and warm up
-// when they like; somebody may halt it and take it back. Never is more out than may be, nothing begins after the halt,
-// and when all get their turn every unit runs the new version, or the old one.
-func TestAnyControllerGoesOn(t *testing.T) {
+// Any number of controllers act in any order, die at any step and are replaced; agents begin, start and warm up at any time; an
+// operator may halt the release and roll it back. No limit is exceeded, nothing begins after the halt, and when all get their
+// turn every unit runs the new version, or after a rollback the old one.
+func TestAnyControllerContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(3, 12).Draw(t, "units"), 0.4)
-		p := w.plan(t, inStages)
-		machines := []*Scheduler{{Holder: "a"}, {Holder: "b"}}
-		back := false
+		s := newSite(rapid.IntRange(3, 12).Draw(t, "units"), 0.4)
+		p := s.plan(t, inStages)
+		schedulers := []*Scheduler{{Holder: "a"}, {Holder: "b"}}
+		rolledBack := false
 		turn := func() {
-			uid := w.Units()[rapid.IntRange(0, len(w.Units())-1).Draw(t, "unit")].UID
+			uid := s.Units()[rapid.IntRange(0, len(s.Units())-1).Draw(t, "unit")].UID
 			i := rapid.IntRange(0, 1).Draw(t, "controller")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				w.follow(machines[i], rapid.IntRange(0, 5).Draw(t, "orders"))
+				s.send(schedulers[i], rapid.IntRange(0, 5).Draw(t, "orders"))
 			case 2:
-				machines[i] = &Scheduler{Holder: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "name"))}
+				schedulers[i] = &Scheduler{Holder: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "name"))}
 			case 3, 4:
-				w.agent(uid, true)
+				s.agent(uid, true)
 			case 5:
-				w.warm(uid)
+				s.warmUp(uid)
 			case 6:
-				if pt := w.Budget().Permit(uid); pt != nil {
-					w.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // it lapsed, if it had not begun
+				if pt := s.Budget().Permit(uid); pt != nil {
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // it expires, if it has not begun
 				}
 			case 7:
-				if !back && rapid.IntRange(0, 9).Draw(t, "back") == 0 {
-					back = true
-					w.Apply(HaltOp("p", "taken back"))
-					w.enter(RollbackPlan(p, ProgressOf(w.view(), "p")))
+				if !rolledBack && rapid.IntRange(0, 9).Draw(t, "back") == 0 {
+					rolledBack = true
+					s.Apply(HaltOp("p", "taken back"))
+					s.store(RollbackPlan(p, ProgressOf(s.view(), "p")))
 				}
 			}
-			w.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			if u := w.Budget().Usages()[0]; u.Unavailable > u.Allowed+1e-6 {
+			s.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
+			if u := s.Budget().Usages()[0]; u.Unavailable > u.Allowed+1e-6 {
 				t.Fatalf("%+v", u)
 			}
 		}
@@ -140,59 +142,59 @@
 			turn()
 		}
 		end := &Scheduler{Holder: "end"}
-		for i := 0; len(ActivePlans(w.view())) > 0 || len(w.Budget().Permits()) > 0; i++ {
+		for i := 0; len(ActivePlans(s.view())) > 0 || len(s.Budget().Permits()) > 0; i++ {
 			if i > 1000 {
-				t.Fatalf("it does not come to its end: %+v", w.view())
+				t.Fatalf("the release does not end: %+v", s.view())
 			}
-			w.follow(end, 1000)
-			for _, u := range w.Units() {
-				w.agent(u.UID, true)
-				w.warm(u.UID)
-				if pt := w.Budget().Permit(u.UID); pt != nil {
-					w.Apply(state.Op{Kind: state.OpReturnPermit, UID: u.UID, Token: pt.Token})
+			s.send(end, 1000)
+			for _, u := range s.Units() {
+				s.agent(u.UID, true)
+				s.warmUp(u.UID)
+				if pt := s.Budget().Permit(u.UID); pt != nil {
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: u.UID, Token: pt.Token})
 				}
 			}
-			w.now += time.Second
+			s.now += time.Second
 		}
 		want := "v2"
-		if back {
+		if rolledBack {
 			want = "v1"
 		}
-		if v := w.versions(); len(v) != 1 || v[0] != want {
+		if v := s.versions(); len(v) != 1 || v[0] != want {
 			t.Fatalf("in the end units run %v, want %s", v, want)
 		}
 	})
 }
 
-// A unit that does not come back halts its release, and taking it back brings the unit back too, though its new
-// version never served.
-func TestHaltsByItself(t *testing.T) {
-	w := newWorld(5, 0.4)
-	p := w.plan(t, strings.Replace(inStages, "1h", "10s", 1))
+// A unit that does not recover halts its release, and the rollback brings the unit back too, though its new version never
+// served.
+func TestHaltsOnRecoveryTimeout(t *testing.T) {
+	s := newSite(5, 0.4)
+	p := s.plan(t, strings.Replace(inStages, "1h", "10s", 1))
 	m := &Scheduler{Holder: "a"}
-	w.follow(m, 10)
-	w.agent("s00", false)
-	w.follow(m, 10)
-	e := w.Get("s00")
-	w.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: e.Token}) // its new version ends again and again
-	if w.now = 9 * time.Second; w.follow(m, 10) > 0 && HaltReason(w.view(), "p") != "" {
-		t.Error("it halted before its time")
+	s.send(m, 10)
+	s.agent("s00", false)
+	s.send(m, 10)
+	e := s.Get("s00")
+	s.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: e.Token}) // its new version ends again and again
+	if s.now = 9 * time.Second; s.send(m, 10) > 0 && HaltReason(s.view(), "p") != "" {
+		t.Error("it halted before the timeout")
 	}
-	w.now = 11 * time.Second
-	if w.follow(m, 10); !strings.Contains(HaltReason(w.view(), "p"), "s00 has not come back within 10000 ms") {
-		t.Fatalf("halt %q", HaltReason(w.view(), "p"))
+	s.now = 11 * time.Second
+	if s.send(m, 10); !strings.Contains(HaltReason(s.view(), "p"), "s00 has not come back within 10000 ms") {
+		t.Fatalf("halt %q", HaltReason(s.view(), "p"))
 	}
-	w.enter(RollbackPlan(p, ProgressOf(w.view(), "p")))
-	w.follow(m, 10)
-	if pt := w.Budget().Permit("s00"); pt == nil || pt.TargetVersion != "v1" || !pt.Begun {
+	s.store(RollbackPlan(p, ProgressOf(s.view(), "p")))
+	s.send(m, 10)
+	if pt := s.Budget().Permit("s00"); pt == nil || pt.TargetVersion != "v1" || !pt.Begun {
 		t.Fatalf("permit %+v", pt)
 	}
-	w.Apply(state.Op{Kind: state.OpRegister, Instance: w.entry("s00", "v1", 5)})
-	w.warm("s00")
+	s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance("s00", "v1", 5)})
+	s.warmUp("s00")
 	for range 3 {
-		w.follow(m, 10)
+		s.send(m, 10)
 	}
-	if len(ActivePlans(w.view())) > 0 || len(w.Budget().Permits()) > 0 || w.versions()[0] != "v1" {
-		t.Errorf("%+v", w.view())
+	if len(ActivePlans(s.view())) > 0 || len(s.Budget().Permits()) > 0 || s.versions()[0] != "v1" {
+		t.Errorf("%+v", s.view())
 	}
 }
--- /dev/null
+++ b/internal/coordination/release/view.go
@@ -0,0 +1,63 @@
+package release
+
+import (
+	"encoding/json"
+	"strings"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
+)
+
+// View is what a controller knows of the registry, as of one revision.
+type View struct {
+	Units       []*state.Instance
+	Unavailable []disruption.UnavailableUnit
+	Permits     []*disruption.Permit
+	Records     []*state.Record
+}
+
+// record decodes the value of a record into value. It returns the record's modification revision, 0 if there is none, and
+// whether the value was decoded.
+func (v *View) record(key string, value any) (modRevision int64, decoded bool) {
+	for _, r := range v.Records {
+		if r.Key == key {
+			return r.ModRevision, json.Unmarshal(r.Value, value) == nil
+		}
+	}
+	return 0, false
+}
+
+// ActivePlans returns the plans of the releases that are neither done nor halted, by name.
+func ActivePlans(v View) []*Plan {
+	var plans []*Plan
+	for _, r := range v.Records {
+		var p Plan
+		if len(r.Key) <= len(PlanKeyPrefix) || !strings.HasPrefix(r.Key, PlanKeyPrefix) || json.Unmarshal(r.Value, &p) != nil {
+			continue
+		}
+		var progress Progress
+		if _, started := v.record(ProgressKeyPrefix+p.Name, &progress); started && progress.Done || HaltReason(v, p.Name) != "" {
+			continue
+		}
+		plans = append(plans, &p)
+	}
+	return plans
+}
+
+// HaltReason returns why a release is halted; empty: it is not.
+func HaltReason(v View, name string) string {
+	var h halt
+	if _, halted := v.record(state.HaltKeyPrefix+name, &h); !halted {
+		return ""
+	}
+	if h.Reason == "" {
+		return "halted"
+	}
+	return h.Reason
+}
+
+// ProgressOf returns how far a release has come; the zero value if it has not started.
+func ProgressOf(v View, name string) (p Progress) {
+	v.record(ProgressKeyPrefix+name, &p)
+	return p
+}
