--- a/cmd/umberbank/lab.go
+++ b/cmd/umberbank/lab.go
@@ -127,7 +127,7 @@
 		return errors.New("the run was broken off")
 	case !r.Valid:
 		return errors.New("the run is not valid: this machine could not send the load in time")
-	case !r.Held():
+	case !r.Passed():
 		return errNotHeld
 	}
 	return nil
@@ -162,19 +162,19 @@
 		clock = "virtual clock"
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%s, seed %d, %s, %.0f s of load, %d requests\n", r.Scenario, r.Seed, clock, r.Seconds, r.Asked)
+	fmt.Fprintf(w, "%s, seed %d, %s, %.0f s of load, %d requests\n", r.Scenario, r.Seed, clock, r.Seconds, r.Requests)
 	fmt.Fprintln(t, "class\tasked\tserved\tlate\trefused\tfailed\tleft\tshare\tp50 ms\tp90 ms\tp99 ms\t")
 	for _, name := range r.ClassNames {
 		c := r.Classes[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.Gone, c.Share, c.P50MS, c.P90MS, c.P99MS)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, c.Requests, c.Served, c.Late, c.Rejected, c.Failed, c.Abandoned, c.ServedShare, c.P50MS, c.P90MS, c.P99MS)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "served %.3f, worth %.3f, last quarter %.3f; %.2f tries and %.2f attempts a request\n", r.Served, r.Worth, r.TailServed, r.Tries, r.Attempts)
-	fmt.Fprintf(w, "loader late (over 5 ms): %.4f of requests, worst %.1f ms\n", r.LateShare, r.LateWorstMS)
+	fmt.Fprintf(w, "served %.3f, worth %.3f, last quarter %.3f; %.2f tries and %.2f attempts a request\n", r.ServedShare, r.WeightedServedShare, r.LastQuarterServedShare, r.ClientAttemptsPerRequest, r.AttemptsPerRequest)
+	fmt.Fprintf(w, "loader late (over 5 ms): %.4f of requests, worst %.1f ms\n", r.LoaderLateShare, r.LoaderMaxDelayMS)
 	for _, f := range r.Faults {
-		fmt.Fprintf(w, "fault %s from %.1f s to %.1f s: %s\n", f.Kind, f.From, f.To, few(append(f.Nodes, f.Servers...)))
+		fmt.Fprintf(w, "fault %s from %.1f s to %.1f s: %s\n", f.Kind, f.FromSeconds, f.ToSeconds, few(append(f.Nodes, f.Servers...)))
 	}
 	for i, v := range r.Violations {
 		if i == 5 {
@@ -186,13 +186,13 @@
 			fmt.Fprintf(w, "    %s\n", line)
 		}
 	}
-	for _, f := range r.Failed {
+	for _, f := range r.FailedExpectations {
 		fmt.Fprintf(w, "NOT HELD %s\n", f)
 	}
 	switch {
 	case r.Partial:
 		fmt.Fprintln(w, "broken off: this is what came until then")
-	case r.Held():
+	case r.Passed():
 		fmt.Fprintln(w, "held: all that the scenario expects")
 	}
 	return nil
--- a/internal/lab/bench_test.go
+++ b/internal/lab/bench_test.go
@@ -20,7 +20,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				events, asked = events+float64(r.Events), asked+float64(r.Asked)
+				events, asked = events+float64(r.Events), asked+float64(r.Requests)
 			}
 			b.ReportMetric(events/b.Elapsed().Seconds(), "events/s")
 			b.ReportMetric(asked/b.Elapsed().Seconds(), "requests/s")
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -18,13 +18,13 @@
 
 // Measures are the figures that are compared.
 var Measures = []Measure{
-	{"served_share", func(r *lab.Result) float64 { return r.Served }},
-	{"worth_share", func(r *lab.Result) float64 { return r.Worth }},
-	{"tail_served", func(r *lab.Result) float64 { return r.TailServed }},
-	{"after_restart", func(r *lab.Result) float64 { return r.AfterKill }},
+	{"served_share", func(r *lab.Result) float64 { return r.ServedShare }},
+	{"worth_share", func(r *lab.Result) float64 { return r.WeightedServedShare }},
+	{"tail_served", func(r *lab.Result) float64 { return r.LastQuarterServedShare }},
+	{"after_restart", func(r *lab.Result) float64 { return r.RecoveryAfterRestart }},
 	{"p99_ms", worstP99},
-	{"attempts_per_request", func(r *lab.Result) float64 { return r.Attempts }},
-	{"tries_per_request", func(r *lab.Result) float64 { return r.Tries }},
+	{"attempts_per_request", func(r *lab.Result) float64 { return r.AttemptsPerRequest }},
+	{"tries_per_request", func(r *lab.Result) float64 { return r.ClientAttemptsPerRequest }},
 	{"rules_broken", func(r *lab.Result) float64 { return float64(r.RulesBroken) }},
 }
 
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -11,7 +11,7 @@
 func runs(n int, served func(i int) float64) []*lab.Result {
 	l := make([]*lab.Result, n)
 	for i := range l {
-		l[i] = &lab.Result{Served: served(i)}
+		l[i] = &lab.Result{ServedShare: served(i)}
 	}
 	return l
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -106,8 +106,8 @@
 					s.Nodes, s.Tiers[0].Servers, s.Load.Rate = s.Nodes/100, s.Tiers[0].Servers/100, s.Load.Rate/100
 				}
 				r := play(t, s, Options{Virtual: true, Seed: 4})
-				if !r.Held() {
-					t.Errorf("not held: %v %v", r.Failed, r.Violations)
+				if !r.Passed() {
+					t.Errorf("not held: %v %v", r.FailedExpectations, r.Violations)
 				}
 				text, err := json.Marshal(r)
 				if err != nil {
@@ -194,8 +194,8 @@
 				defer mu.Unlock()
 				log = append(log, fmt.Sprintf(format, args...))
 			}})
-			if r.RulesBroken > 0 || r.Valid && r.TailServed < 0.8 {
-				t.Errorf("served %.3f, in the end %.3f, broken %v: %+v", r.Served, r.TailServed, r.Rules, r.Violations)
+			if r.RulesBroken > 0 || r.Valid && r.LastQuarterServedShare < 0.8 {
+				t.Errorf("served %.3f, in the end %.3f, broken %v: %+v", r.ServedShare, r.LastQuarterServedShare, r.ViolationsByRule, r.Violations)
 			}
 			all := strings.Join(log, "\n")
 			for _, node := range []string{"n1-0", "n1-1", "n1-2"} {
@@ -236,8 +236,8 @@
 count = 1
 `
 	r := play(t, parse(t, text), Options{Node: nodeCommand(t, "right"), Replica: nodeCommand(t, "replica")})
-	if r.RulesBroken > 0 || r.Valid && r.Served < 0.8 {
-		t.Errorf("served %.3f, broken %v: %+v", r.Served, r.Rules, r.Violations)
+	if r.RulesBroken > 0 || r.Valid && r.ServedShare < 0.8 {
+		t.Errorf("served %.3f, broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
 	}
 	if _, err := Run(t.Context(), parse(t, text), Options{Seed: 1, Virtual: true}); err == nil {
 		t.Error("a registry was played on the virtual clock")
@@ -268,8 +268,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.RulesBroken > 0 || r.Asked < 20_000 {
-			t.Errorf("seed %d: %d requests, broken %v: %+v", seed, r.Asked, r.Rules, r.Violations)
+		if r.RulesBroken > 0 || r.Requests < 20_000 {
+			t.Errorf("seed %d: %d requests, broken %v: %+v", seed, r.Requests, r.ViolationsByRule, r.Violations)
 		}
 	}
 }
@@ -295,8 +295,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.RulesBroken > 0 || r.Asked < 1000 {
-				t.Errorf("%s nodes, seed %d: %d requests, broken %v: %+v", nodes, seed, r.Asked, r.Rules, r.Violations)
+			if r.RulesBroken > 0 || r.Requests < 1000 {
+				t.Errorf("%s nodes, seed %d: %d requests, broken %v: %+v", nodes, seed, r.Requests, r.ViolationsByRule, r.Violations)
 			}
 		}
 	}
@@ -310,14 +310,14 @@
 		s.Shorten(9 * time.Second)
 		return s
 	}
-	if r := play(t, s(), Options{Node: nodeCommand(t, "right"), Replica: nodeCommand(t, "replica")}); r.RulesBroken > 0 || r.Valid && r.Served < 0.95 {
-		t.Errorf("served %.3f, broken %v: %+v", r.Served, r.Rules, r.Violations)
+	if r := play(t, s(), Options{Node: nodeCommand(t, "right"), Replica: nodeCommand(t, "replica")}); r.RulesBroken > 0 || r.Valid && r.ServedShare < 0.95 {
+		t.Errorf("served %.3f, broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
 	}
-	if r := play(t, s("registry.replicas=0"), Options{Virtual: true}); r.RulesBroken > 0 || r.Served < 0.95 {
-		t.Errorf("on the virtual clock served %.3f, broken %v", r.Served, r.Rules)
+	if r := play(t, s("registry.replicas=0"), Options{Virtual: true}); r.RulesBroken > 0 || r.ServedShare < 0.95 {
+		t.Errorf("on the virtual clock served %.3f, broken %v", r.ServedShare, r.ViolationsByRule)
 	}
-	if r := play(t, s("registry.replicas=0", "budget.whole=0", "budget.zone=0"), Options{Virtual: true}); r.Served > 0.9 {
-		t.Errorf("without a budget two zones out of three were drained, and %.3f served", r.Served)
+	if r := play(t, s("registry.replicas=0", "budget.whole=0", "budget.zone=0"), Options{Virtual: true}); r.ServedShare > 0.9 {
+		t.Errorf("without a budget two zones out of three were drained, and %.3f served", r.ServedShare)
 	}
 }
 
@@ -329,24 +329,24 @@
 	killed := "\n[[fault]]\nkind = \"kill\"\nat = \"500ms\"\nfor = \"200ms\"\nevery = \"600ms\"\nrepeat = 3\ncount = 1\n"
 	slow := "\n[[fault]]\nkind = \"slow\"\nat = \"100ms\"\nfor = \"2s\"\ntier = \"web\"\nfactor = 60\n" // so that much is in hand
 	for mode, c := range map[string]struct{ rule, fault, set string }{
-		"silent":    {rule: oracle.Lost},
-		"hang-up":   {rule: oracle.Lost},
-		"twice":     {rule: oracle.Twice},
-		"elsewhere": {rule: oracle.Keyed},
-		"many":      {rule: oracle.Copies},
-		"beside":    {rule: oracle.Copies, set: "limits.second_copies=false"},
-		"promise":   {rule: oracle.Promised},
-		"deaf":      {rule: oracle.Drained, fault: drain},
-		"patient":   {rule: oracle.Drained, fault: "\n[[fault]]\nkind = \"mute\"\nat = \"200ms\"\n" + drain, set: "discovery.missed=500ms"},
-		"lingering": {rule: oracle.Drained, fault: cutDrain, set: "load.rate=300"},
-		"crowd":     {rule: oracle.Cold, fault: fresh, set: "load.rate=1000"},
-		"invent":    {rule: oracle.Phantom},
-		"alter":     {rule: oracle.Phantom},
-		"make-up":   {rule: oracle.Spoilt},
-		"late":      {rule: oracle.Gone, set: "clients.impatient=0.9"},
-		"die":       {rule: oracle.Crash},
-		"hoard":     {rule: oracle.Limits, set: "limits.sockets=64"},
-		"resend":    {rule: oracle.Twice, fault: killed + slow, set: "state.keep=true"},
+		"silent":    {rule: oracle.RuleLost},
+		"hang-up":   {rule: oracle.RuleLost},
+		"twice":     {rule: oracle.RuleRepeated},
+		"elsewhere": {rule: oracle.RuleIdempotencyKey},
+		"many":      {rule: oracle.RuleAttemptLimit},
+		"beside":    {rule: oracle.RuleAttemptLimit, set: "limits.second_copies=false"},
+		"promise":   {rule: oracle.RuleRejection},
+		"deaf":      {rule: oracle.RuleDraining, fault: drain},
+		"patient":   {rule: oracle.RuleDraining, fault: "\n[[fault]]\nkind = \"mute\"\nat = \"200ms\"\n" + drain, set: "discovery.missed=500ms"},
+		"lingering": {rule: oracle.RuleDraining, fault: cutDrain, set: "load.rate=300"},
+		"crowd":     {rule: oracle.RuleSlowStart, fault: fresh, set: "load.rate=1000"},
+		"invent":    {rule: oracle.RuleUnsolicited},
+		"alter":     {rule: oracle.RuleUnsolicited},
+		"make-up":   {rule: oracle.RuleCorruptResponse},
+		"late":      {rule: oracle.RuleDisconnected, set: "clients.impatient=0.9"},
+		"die":       {rule: oracle.RuleCrash},
+		"hoard":     {rule: oracle.RuleResourceLimit, set: "limits.sockets=64"},
+		"resend":    {rule: oracle.RuleRepeated, fault: killed + slow, set: "state.keep=true"},
 		"right":     {fault: drain + fresh + killed + slow, set: "state.keep=true"},
 		"right too": {fault: cutDrain, set: "load.rate=300"},
 		"right 3":   {fault: slow + "\n[[fault]]\nkind = \"delay\"\nat = \"100ms\"\nfor = \"2s\"\ndelay = \"60ms\"\n", set: "clients.impatient=0.9"},
@@ -367,14 +367,14 @@
 				}
 				return
 			}
-			if r.Rules[c.rule] == 0 {
-				t.Fatalf("rule %s not named; broken: %v", c.rule, r.Rules)
+			if r.ViolationsByRule[c.rule] == 0 {
+				t.Fatalf("rule %s not named; broken: %v", c.rule, r.ViolationsByRule)
 			}
-			if r.Held() {
+			if r.Passed() {
 				t.Error("the run counts as held")
 			}
 			for _, v := range r.Violations {
-				if v.Rule == c.rule && v.Detail != "" && (len(v.Trace) > 0 || c.rule == oracle.Cold || c.rule == oracle.Phantom || c.rule == oracle.Crash || c.rule == oracle.Limits) {
+				if v.Rule == c.rule && v.Detail != "" && (len(v.Trace) > 0 || c.rule == oracle.RuleSlowStart || c.rule == oracle.RuleUnsolicited || c.rule == oracle.RuleCrash || c.rule == oracle.RuleResourceLimit) {
 					return
 				}
 			}
@@ -396,11 +396,11 @@
 	if real.RulesBroken > 0 {
 		t.Errorf("rules broken: %+v", real.Violations)
 	}
-	if real.Asked != virtual.Asked {
-		t.Errorf("%d requests on the machine's clock, %d on the virtual one", real.Asked, virtual.Asked)
+	if real.Requests != virtual.Requests {
+		t.Errorf("%d requests on the machine's clock, %d on the virtual one", real.Requests, virtual.Requests)
 	}
-	if d := real.Served - virtual.Served; real.Valid && (d > 0.05 || d < -0.05) {
-		t.Errorf("served %.3f on the machine's clock, %.3f on the virtual one", real.Served, virtual.Served)
+	if d := real.ServedShare - virtual.ServedShare; real.Valid && (d > 0.05 || d < -0.05) {
+		t.Errorf("served %.3f on the machine's clock, %.3f on the virtual one", real.ServedShare, virtual.ServedShare)
 	}
 }
 
@@ -435,13 +435,13 @@
 			}
 			r := play(t, parse(t, text, c.set...), Options{Virtual: true})
 			if r.RulesBroken > 0 {
-				t.Errorf("rules broken: %v %+v", r.Rules, r.Violations[0])
+				t.Errorf("rules broken: %v %+v", r.ViolationsByRule, r.Violations[0])
 			}
-			if r.Served < c.least || r.Served > c.most {
-				t.Errorf("served %.3f, want %v to %v", r.Served, c.least, c.most)
+			if r.ServedShare < c.least || r.ServedShare > c.most {
+				t.Errorf("served %.3f, want %v to %v", r.ServedShare, c.least, c.most)
 			}
 			for name, k := range r.Classes {
-				if k.Asked != k.Served+k.Late+k.Refused+k.Failed+k.Gone || k.Asked == 0 {
+				if k.Requests != k.Served+k.Late+k.Rejected+k.Failed+k.Abandoned || k.Requests == 0 {
 					t.Errorf("%s: %+v does not add up", name, k)
 				}
 			}
@@ -474,8 +474,8 @@
 		}
 	}()
 	r := play(t, parse(t, small, "duration=\"1s\""), Options{Node: nodeCommand(t, "right")})
-	if r.Asked == 0 || r.RulesBroken > 0 {
-		t.Errorf("asked %d, broken %v", r.Asked, r.Rules)
+	if r.Requests == 0 || r.RulesBroken > 0 {
+		t.Errorf("asked %d, broken %v", r.Requests, r.ViolationsByRule)
 	}
 }
 
@@ -492,7 +492,7 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v", err)
 	}
-	if r == nil || !r.Partial || r.Valid || r.Asked == 0 {
+	if r == nil || !r.Partial || r.Valid || r.Requests == 0 {
 		t.Errorf("result %+v", r)
 	}
 	text, err := os.ReadFile(pids)
@@ -517,7 +517,7 @@
 		r := play(t, parse(t, small, "duration=\"4s\""), Options{Node: nodeCommand(t, "right"), Progress: func(done, _ time.Duration) {
 			fmt.Println("PROGRESS")
 		}})
-		fmt.Printf("\nRESULT valid=%v late=%.3f lost=%d\n", r.Valid, r.LateShare, r.Rules[oracle.Lost])
+		fmt.Printf("\nRESULT valid=%v late=%.3f lost=%d\n", r.Valid, r.LoaderLateShare, r.ViolationsByRule[oracle.RuleLost])
 		return
 	}
 	self, err := os.Executable()
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -13,22 +13,22 @@
 
 // The rules, by the name that a Violation gives.
 const (
-	Lost     = "lost"     // a request that was taken gets one final answer in time
-	Twice    = "twice"    // an unsafe request goes out again only if it is proven that it never ran
-	Keyed    = "keyed"    // a keyed one only within its scope and window
-	Copies   = "copies"   // no more attempts than allowed, nor a second beside the first where that is not
-	Promised = "promised" // a refusal promises that a retry does no harm
-	Drained  = "drained"  // nothing new to a server that drains or is gone
-	Cold     = "cold"     // no cold server is pushed over
-	Phantom  = "phantom"  // nothing arrives that no client sent
-	Spoilt   = "spoilt"   // a served answer is one that a server made for this request
-	Gone     = "gone"     // nothing begins to go out for a sender that has left
-	Crash    = "crash"    // no node's process ends by itself, or fails to start
-	Limits   = "limits"   // no node's process holds more memory or descriptors than it may
+	RuleLost            = "lost"     // attempt request that was taken gets one final answer in time
+	RuleRepeated        = "twice"    // an unsafe request goes out again only if it is proven that it never ran
+	RuleIdempotencyKey  = "keyed"    // attempt keyed one only within its scope and window
+	RuleAttemptLimit    = "copies"   // no more attempts than allowed, nor a second beside the first where that is not
+	RuleRejection       = "promised" // attempt refusal promises that a retry does no harm
+	RuleDraining        = "drained"  // nothing new to a server that drains or is gone
+	RuleSlowStart       = "cold"     // no cold server is pushed over
+	RuleUnsolicited     = "phantom"  // nothing arrives that no client sent
+	RuleCorruptResponse = "spoilt"   // attempt served answer is one that a server made for this request
+	RuleDisconnected    = "gone"     // nothing begins to go out for a sender that has left
+	RuleCrash           = "crash"    // no node's process ends by itself, or fails to start
+	RuleResourceLimit   = "limits"   // no node's process holds more memory or descriptors than it may
 )
 
 // Rules are the names of all rules.
-var Rules = []string{Lost, Twice, Keyed, Copies, Promised, Drained, Cold, Phantom, Spoilt, Gone, Crash, Limits}
+var Rules = []string{RuleLost, RuleRepeated, RuleIdempotencyKey, RuleAttemptLimit, RuleRejection, RuleDraining, RuleSlowStart, RuleUnsolicited, RuleCorruptResponse, RuleDisconnected, RuleCrash, RuleResourceLimit}
 
 // Violation is a rule broken, by which request and how it went.
 type Violation struct {
@@ -39,107 +39,107 @@
 	Trace   []string      `json:"trace,omitempty"`
 }
 
-// kept is how many violations are kept whole; all are counted. remembered is how long a request that has ended
+// maxRecordedViolations is how many violations are kept whole; all are counted. remembered is how long a request that has ended
 // is known.
 const (
-	kept       = 50
-	remembered = 30 * time.Second
+	maxRecordedViolations = 50
+	endedCallRetention    = 30 * time.Second
 )
 
-// goneWithin is how long after its sender has left an attempt may still begin. Up to goneChance cases of more in a run
+// disconnectGrace is how long after its sender has left an attempt may still begin. Up to disconnectTolerance cases of more in a run
 // are chance.
 const (
-	goneWithin = 100 * time.Millisecond
-	goneChance = 2
+	disconnectGrace     = 100 * time.Millisecond
+	disconnectTolerance = 2
 )
 
 // Oracle is a model.Observer. It belongs to the loop.
 type Oracle struct {
-	Violations []Violation
-	Broken     map[string]int // by rule
-	Attempts   int            // that arrived at servers
-	Calls      int            // that were sent to nodes
+	Violations      []Violation
+	ViolationCounts map[string]int // by rule
+	Attempts        int            // that arrived at servers
+	Calls           int            // that were sent to nodes
 
-	loop    *sim.Loop
-	site    *scenario.Site
-	world   *model.World
-	calls   map[string]*record
-	old     []ended
-	told    map[pair]news
-	outages [][]outage // by node
-	cold    map[int]*warming
-	gone    int // attempts that began too long after their sender had left
+	loop                *sim.Loop
+	site                *scenario.Site
+	world               *model.World
+	calls               map[string]*callRecord
+	endedCalls          []endedCall
+	notified            map[nodeServer]notification
+	outages             [][]outage // by node
+	slowStarts          map[int]*slowStartLoad
+	lateAfterDisconnect int // attempts that began too long after their sender had left
 }
 
-type pair struct{ node, server int }
+type nodeServer struct{ node, server int }
 
-// news is what a node was last told of a server.
-type news struct {
-	state   model.State
-	at      time.Duration
-	serving time.Duration // when it was last told that it serves
+// notification is what a node was last told of a server.
+type notification struct {
+	state     model.State
+	at        time.Duration
+	servingAt time.Duration // when it was last told that it serves
 }
 
 // outage is a span in which a node's process did not run, or was not sure to.
 type outage struct {
 	from, to time.Duration // to 0: not over
-	why      model.ProcessAct
+	action   model.ProcessAct
 }
 
-// warming is what a cold server got within the time in which it falls over.
-type warming struct {
-	boot        time.Duration
-	sent        []share
-	knew, total time.Duration // of sent
+// slowStartLoad is what a cold server got within the time in which it falls over.
+type slowStartLoad struct {
+	startTime       time.Duration
+	arrivals        []arrival
+	informed, total time.Duration // of sent
 }
 
-// share is a request's work, and whether its node knew of the server's start.
-type share struct {
+// arrival is a request's work, and whether its node knew of the server's start.
+type arrival struct {
 	at, work time.Duration
-	knew     bool
+	informed bool
 }
 
-type ended struct {
+type endedCall struct {
 	id string
 	at time.Duration
 }
 
-// record is all that is known of a call.
-type record struct {
-	call   *model.Call
-	end    time.Duration // when it was answered or left; 0: open
-	left   bool          // by its sender
-	reply  string
-	seen   []*sight
-	answer bool
+// callRecord is all that is known of a call.
+type callRecord struct {
+	call      *model.Call
+	endedAt   time.Duration // when it was answered or left; 0: open
+	abandoned bool          // by its sender
+	reply     string
+	attempts  []*observedAttempt
+	answered  bool
 }
 
-// sight is an attempt as its server saw it.
-type sight struct {
-	a       *model.Attempt
-	server  int
-	at      time.Duration
-	outcome model.Outcome
-	end     time.Duration // 0: not over
+// observedAttempt is an attempt as its server saw it.
+type observedAttempt struct {
+	attempt   *model.Attempt
+	server    int
+	arrivedAt time.Duration
+	outcome   model.Outcome
+	endedAt   time.Duration // 0: not over
 }
 
 // mayHaveRun tells whether the attempt was, at time t, not proven to have never run.
-func (s *sight) mayHaveRun(t time.Duration) bool {
-	return s.end == 0 || s.end > t || s.outcome != model.TurnedAway
+func (s *observedAttempt) mayHaveRun(t time.Duration) bool {
+	return s.endedAt == 0 || s.endedAt > t || s.outcome != model.TurnedAway
 }
 
 // New returns an oracle for a run on the loop. See Watch.
 func New(loop *sim.Loop, site *scenario.Site) *Oracle {
-	return &Oracle{Broken: map[string]int{}, loop: loop, site: site, calls: map[string]*record{},
-		told: map[pair]news{}, outages: make([][]outage, len(site.Nodes)), cold: map[int]*warming{}}
+	return &Oracle{ViolationCounts: map[string]int{}, loop: loop, site: site, calls: map[string]*callRecord{},
+		notified: map[nodeServer]notification{}, outages: make([][]outage, len(site.Nodes)), slowStarts: map[int]*slowStartLoad{}}
 }
 
-// Watch lets the oracle ask the world for the true state of servers.
-func (o *Oracle) Watch(w *model.World) { o.world = w }
+// SetWorld lets the oracle ask the world for the true state of servers.
+func (o *Oracle) SetWorld(w *model.World) { o.world = w }
 
-func (o *Oracle) violated(rule string, r *record, detail string, args ...any) {
-	o.Broken[rule]++
-	if len(o.Violations) >= kept {
+func (o *Oracle) recordViolation(rule string, r *callRecord, detail string, args ...any) {
+	o.ViolationCounts[rule]++
+	if len(o.Violations) >= maxRecordedViolations {
 		return
 	}
 	v := Violation{Rule: rule, At: o.loop.Now(), Detail: fmt.Sprintf(detail, args...)}
@@ -150,27 +150,27 @@
 }
 
 // trace words what is known of a call, step by step.
-func (o *Oracle) trace(r *record) []string {
+func (o *Oracle) trace(r *callRecord) []string {
 	c := r.call
 	t := []string{fmt.Sprintf("%v sent to %s as %s, to be answered within %v", c.Sent, o.site.Nodes[c.Node].Name, o.site.Classes[c.Class].Name, c.Left)}
-	for i, s := range r.seen {
-		line := fmt.Sprintf("%v attempt %d arrived at %s (rack %d) from %s", s.at, i, o.site.Servers[s.server].Name,
-			o.site.Servers[s.server].Rack, o.site.Nodes[s.a.Node].Name)
-		if s.end > 0 {
-			line += fmt.Sprintf(", %v %v", s.end, s.outcome)
+	for i, s := range r.attempts {
+		line := fmt.Sprintf("%v attempt %d arrived at %s (rack %d) from %s", s.arrivedAt, i, o.site.Servers[s.server].Name,
+			o.site.Servers[s.server].Rack, o.site.Nodes[s.attempt.Node].Name)
+		if s.endedAt > 0 {
+			line += fmt.Sprintf(", %v %v", s.endedAt, s.outcome)
 		}
 		t = append(t, line)
 	}
-	if r.end > 0 {
-		t = append(t, fmt.Sprintf("%v %s", r.end, r.reply))
+	if r.endedAt > 0 {
+		t = append(t, fmt.Sprintf("%v %s", r.endedAt, r.reply))
 	}
 	return t
 }
 
-// RulesBroken is how many times any rule was broken.
-func (o *Oracle) RulesBroken() int {
+// ViolationCount is how many times any rule was broken.
+func (o *Oracle) ViolationCount() int {
 	n := 0
-	for _, k := range o.Broken {
+	for _, k := range o.ViolationCounts {
 		n += k
 	}
 	return n
@@ -181,91 +181,91 @@
 // Sent notes a call that is about to be written to its node.
 func (o *Oracle) Sent(c *model.Call) {
 	o.Calls++
-	o.calls[c.ID] = &record{call: c}
+	o.calls[c.ID] = &callRecord{call: c}
 }
 
 // Answered notes the final answer to a call.
 func (o *Oracle) Answered(c *model.Call, a model.Answer) {
 	r := o.calls[c.ID]
 	now := o.loop.Now()
-	r.end, r.reply, r.answer = now, a.Reply.String(), true
+	r.endedAt, r.reply, r.answered = now, a.Reply.String(), true
 	switch a.Reply {
 	case model.Served:
-		o.checkBody(r, a.Body)
+		o.checkResponseBody(r, a.Body)
 		fallthrough
 	case model.Failed:
-		o.checkTime(r, a.Late)
+		o.checkInTime(r, a.Late)
 	case model.Refused:
-		o.checkPromise(r)
-		o.checkTime(r, a.Late)
+		o.checkRejection(r)
+		o.checkInTime(r, a.Late)
 	case model.Lost:
 		if !o.excused(c, now) {
-			o.violated(Lost, r, "its connection ended without a whole answer while the node ran")
+			o.recordViolation(RuleLost, r, "its connection ended without a whole answer while the node ran")
 		}
 	}
-	o.forget(c.ID, now)
+	o.expireCalls(c.ID, now)
 }
 
 // Left notes that the sender of a call has gone, of itself or because its time was over.
 func (o *Oracle) Left(c *model.Call) {
 	r := o.calls[c.ID]
 	now := o.loop.Now()
-	r.end, r.reply, r.left = now, "its sender left", true
-	if now > o.due(c, now) && !o.excused(c, now) {
-		o.violated(Lost, r, "no answer %v after it was sent, with %v to answer it", now-c.Sent, c.Left)
+	r.endedAt, r.reply, r.abandoned = now, "its sender left", true
+	if now > o.deadline(c, now) && !o.excused(c, now) {
+		o.recordViolation(RuleLost, r, "no answer %v after it was sent, with %v to answer it", now-c.Sent, c.Left)
 	}
-	o.forget(c.ID, now)
+	o.expireCalls(c.ID, now)
 }
 
-// due is the last moment for a call's answer, as this machine kept time.
-func (o *Oracle) due(c *model.Call, now time.Duration) time.Duration {
+// deadline is the last moment for a call's answer, as this machine kept time.
+func (o *Oracle) deadline(c *model.Call, now time.Duration) time.Duration {
 	return c.Sent + c.Left + o.site.Limits.Slack.D() + o.loop.Stalled(c.Sent, now)
 }
 
-func (o *Oracle) checkTime(r *record, late time.Duration) {
+func (o *Oracle) checkInTime(r *callRecord, late time.Duration) {
 	now := o.loop.Now()
-	if due := o.due(r.call, now) + late; now > due && !o.excused(r.call, now) {
-		o.violated(Lost, r, "answered %v too late", now-due)
+	if due := o.deadline(r.call, now) + late; now > due && !o.excused(r.call, now) {
+		o.recordViolation(RuleLost, r, "answered %v too late", now-due)
 	}
 }
 
-// checkBody wants an answer that a server made for this very call.
-func (o *Oracle) checkBody(r *record, body string) {
-	for _, s := range r.seen {
-		if s.end > 0 && s.outcome == model.Done && body == model.Body(r.call, o.site.Servers[s.server].Name) {
+// checkResponseBody wants an answer that a server made for this very call.
+func (o *Oracle) checkResponseBody(r *callRecord, body string) {
+	for _, s := range r.attempts {
+		if s.endedAt > 0 && s.outcome == model.Done && body == model.Body(r.call, o.site.Servers[s.server].Name) {
 			return
 		}
 	}
-	o.violated(Spoilt, r, "served with %q, which no server made for it", clip(body))
+	o.recordViolation(RuleCorruptResponse, r, "served with %q, which no server made for it", truncate(body))
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "..."
 	}
 	return s
 }
 
-// checkPromise wants that a refused call can be repeated without harm.
-func (o *Oracle) checkPromise(r *record) {
+// checkRejection wants that a refused call can be repeated without harm.
+func (o *Oracle) checkRejection(r *callRecord) {
 	class := &o.site.Classes[r.call.Class]
 	if class.Effect == "safe" || class.Effect == "keyed" && class.Scope == "all" {
 		return
 	}
-	for i, s := range r.seen {
+	for i, s := range r.attempts {
 		if s.mayHaveRun(o.loop.Now()) {
-			o.violated(Promised, r, "refused, though attempt %d may have run", i)
+			o.recordViolation(RuleRejection, r, "refused, though attempt %d may have run", i)
 			return
 		}
 	}
 }
 
-// forget drops calls that ended long ago.
-func (o *Oracle) forget(id string, now time.Duration) {
-	o.old = append(o.old, ended{id, now})
-	for len(o.old) > 0 && o.old[0].at < now-remembered {
-		delete(o.calls, o.old[0].id)
-		o.old = o.old[1:]
+// expireCalls drops calls that ended long ago.
+func (o *Oracle) expireCalls(id string, now time.Duration) {
+	o.endedCalls = append(o.endedCalls, endedCall{id, now})
+	for len(o.endedCalls) > 0 && o.endedCalls[0].at < now-endedCallRetention {
+		delete(o.calls, o.endedCalls[0].id)
+		o.endedCalls = o.endedCalls[1:]
 	}
 }
 
@@ -275,60 +275,60 @@
 func (o *Oracle) Arrived(a *model.Attempt, server int) {
 	o.Attempts++
 	now := o.loop.Now()
-	o.checkCold(a, server)
+	o.recordSlowStartLoad(a, server)
 	r := o.calls[a.Call.ID]
 	if r == nil {
 		o.Stray(a.Node, server, a.Call.ID, "its call ended long ago or never was")
 		return
 	}
 	if a.Node != r.call.Node {
-		o.violated(Phantom, r, "it came from %s, which it was not sent to", o.site.Nodes[a.Node].Name)
+		o.recordViolation(RuleUnsolicited, r, "it came from %s, which it was not sent to", o.site.Nodes[a.Node].Name)
 	}
-	r.seen = append(r.seen, &sight{a: a, server: server, at: now})
-	o.checkDrained(r, a, server)
-	o.checkRepeat(r)
-	o.checkGone(r, a)
+	r.attempts = append(r.attempts, &observedAttempt{attempt: a, server: server, arrivedAt: now})
+	o.checkDraining(r, a, server)
+	o.checkRepeatedAttempt(r)
+	o.checkDisconnected(r, a)
 }
 
-// checkGone wants that no attempt begins for a sender that has left; from the third case on it is a break.
-func (o *Oracle) checkGone(r *record, a *model.Attempt) {
-	if late := a.First - r.end - o.loop.Stalled(r.end, o.loop.Now()); r.left && late > goneWithin {
-		if o.gone++; o.gone > goneChance {
-			o.violated(Gone, r, "sent on %v after its sender had left, the %dth of its kind", late, o.gone)
+// checkDisconnected wants that no attempt begins for a sender that has left; from the third case on it is a break.
+func (o *Oracle) checkDisconnected(r *callRecord, a *model.Attempt) {
+	if late := a.First - r.endedAt - o.loop.Stalled(r.endedAt, o.loop.Now()); r.abandoned && late > disconnectGrace {
+		if o.lateAfterDisconnect++; o.lateAfterDisconnect > disconnectTolerance {
+			o.recordViolation(RuleDisconnected, r, "sent on %v after its sender had left, the %dth of its kind", late, o.lateAfterDisconnect)
 		}
 	}
 }
 
 // Stray notes something that arrived at a server and that no client sent.
 func (o *Oracle) Stray(node, server int, id, why string) {
-	o.violated(Phantom, nil, "request %q at %s from %s: %s", clip(id), o.site.Servers[server].Name, o.site.Nodes[node].Name, why)
+	o.recordViolation(RuleUnsolicited, nil, "request %q at %s from %s: %s", truncate(id), o.site.Servers[server].Name, o.site.Nodes[node].Name, why)
 }
 
-// checkRepeat looks at the last attempt against those before.
-func (o *Oracle) checkRepeat(r *record) {
+// checkRepeatedAttempt looks at the last attempt against those before.
+func (o *Oracle) checkRepeatedAttempt(r *callRecord) {
 	class := &o.site.Classes[r.call.Class]
-	last := r.seen[len(r.seen)-1]
-	if n := o.site.Limits.MaxAttempts; len(r.seen) > n {
-		o.violated(Copies, r, "attempt %d, with %d allowed", len(r.seen)-1, n)
+	last := r.attempts[len(r.attempts)-1]
+	if n := o.site.Limits.MaxAttempts; len(r.attempts) > n {
+		o.recordViolation(RuleAttemptLimit, r, "attempt %d, with %d allowed", len(r.attempts)-1, n)
 	}
-	for i, s := range r.seen[:len(r.seen)-1] {
-		if !s.mayHaveRun(last.at) {
+	for i, s := range r.attempts[:len(r.attempts)-1] {
+		if !s.mayHaveRun(last.arrivedAt) {
 			continue
 		}
-		if s.end == 0 && !o.site.Limits.SecondCopies {
-			o.violated(Copies, r, "sent again while attempt %d was out", i)
+		if s.endedAt == 0 && !o.site.Limits.SecondCopies {
+			o.recordViolation(RuleAttemptLimit, r, "sent again while attempt %d was out", i)
 		}
 		switch class.Effect {
 		case "unsafe":
-			o.violated(Twice, r, "sent again though attempt %d may have run", i)
+			o.recordViolation(RuleRepeated, r, "sent again though attempt %d may have run", i)
 			return
 		case "keyed":
 			if !o.sameScope(class, s.server, last.server) {
-				o.violated(Keyed, r, "sent outside its %s though attempt %d may have run", class.Scope, i)
+				o.recordViolation(RuleIdempotencyKey, r, "sent outside its %s though attempt %d may have run", class.Scope, i)
 				return
 			}
-			if gap := last.at - s.at; gap > class.Window.D()+o.site.Limits.Slack.D()+o.loop.Stalled(s.at, last.at) {
-				o.violated(Keyed, r, "sent %v after attempt %d, past its window of %v", gap, i, class.Window.D())
+			if gap := last.arrivedAt - s.arrivedAt; gap > class.Window.D()+o.site.Limits.Slack.D()+o.loop.Stalled(s.arrivedAt, last.arrivedAt) {
+				o.recordViolation(RuleIdempotencyKey, r, "sent %v after attempt %d, past its window of %v", gap, i, class.Window.D())
 				return
 			}
 		}
@@ -352,9 +352,9 @@
 	if r == nil {
 		return
 	}
-	for _, s := range r.seen {
-		if s.a == a && s.end == 0 {
-			s.end, s.outcome = max(o.loop.Now(), 1), out
+	for _, s := range r.attempts {
+		if s.attempt == a && s.endedAt == 0 {
+			s.endedAt, s.outcome = max(o.loop.Now(), 1), out
 		}
 	}
 }
@@ -363,65 +363,65 @@
 
 // Told notes what a node's discovery holds of a server.
 func (o *Oracle) Told(node, server int, st model.State) {
-	n := o.told[pair{node, server}]
+	n := o.notified[nodeServer{node, server}]
 	n.state, n.at = st, o.loop.Now()
 	if st == model.Serving {
-		n.serving = n.at
+		n.servingAt = n.at
 	}
-	o.told[pair{node, server}] = n
+	o.notified[nodeServer{node, server}] = n
 }
 
-func (o *Oracle) checkDrained(r *record, a *model.Attempt, server int) {
-	n, told := o.told[pair{a.Node, server}]
+func (o *Oracle) checkDraining(r *callRecord, a *model.Attempt, server int) {
+	n, told := o.notified[nodeServer{a.Node, server}]
 	if !told || n.state == model.Serving {
 		return
 	}
 	from := n.at
-	for _, out := range o.outages[a.Node] { // a process that stood still heard nothing
+	for _, out := range o.outages[a.Node] { // attempt process that stood still heard nothing
 		from = max(from, out.to)
 	}
 	late := a.First - from
 	if grace := o.site.Limits.DrainWithin.D() + o.site.Limits.Slack.D() + o.loop.Stalled(from, o.loop.Now()); late > grace {
-		o.violated(Drained, r, "sent to %s %v after %s was told that it is %s", o.site.Servers[server].Name, late, o.site.Nodes[a.Node].Name, n.state)
+		o.recordViolation(RuleDraining, r, "sent to %s %v after %s was told that it is %s", o.site.Servers[server].Name, late, o.site.Nodes[a.Node].Name, n.state)
 	}
 }
 
-// checkCold adds up who sent what to a server since it started.
-func (o *Oracle) checkCold(a *model.Attempt, server int) {
+// recordSlowStartLoad adds up who sent what to a server since it started.
+func (o *Oracle) recordSlowStartLoad(a *model.Attempt, server int) {
 	if o.world == nil || !o.world.Servers[server].Cold() {
 		return
 	}
 	boot := o.world.Servers[server].Boot()
-	w := o.cold[server]
-	if w == nil || w.boot != boot {
-		w = &warming{boot: boot}
-		o.cold[server] = w
+	w := o.slowStarts[server]
+	if w == nil || w.startTime != boot {
+		w = &slowStartLoad{startTime: boot}
+		o.slowStarts[server] = w
 	}
 	now := o.loop.Now()
-	n := o.told[pair{a.Node, server}]
-	w.add(share{now, a.Call.Work, n.serving >= boot}, 1)
-	w.sent = append(w.sent, share{now, a.Call.Work, n.serving >= boot})
-	for ; now-w.sent[0].at > o.site.Limits.FallFor.D(); w.sent = w.sent[1:] {
-		w.add(w.sent[0], -1)
+	n := o.notified[nodeServer{a.Node, server}]
+	w.add(arrival{now, a.Call.Work, n.servingAt >= boot}, 1)
+	w.arrivals = append(w.arrivals, arrival{now, a.Call.Work, n.servingAt >= boot})
+	for ; now-w.arrivals[0].at > o.site.Limits.FallFor.D(); w.arrivals = w.arrivals[1:] {
+		w.add(w.arrivals[0], -1)
 	}
 }
 
-func (w *warming) add(s share, sign time.Duration) {
+func (w *slowStartLoad) add(s arrival, sign time.Duration) {
 	w.total += sign * s.work
-	if s.knew {
-		w.knew += sign * s.work
+	if s.informed {
+		w.informed += sign * s.work
 	}
 }
 
 // Fell notes that a cold server was pushed over. It is a break when nodes that knew of its start sent over two thirds of
 // what did it.
 func (o *Oracle) Fell(server int) {
-	w := o.cold[server]
-	if w == nil || 3*w.knew <= 2*w.total {
+	w := o.slowStarts[server]
+	if w == nil || 3*w.informed <= 2*w.total {
 		return
 	}
-	o.violated(Cold, nil, "%s fell over %v after its start; nodes that knew of it had sent %v of %v of work",
-		o.site.Servers[server].Name, o.loop.Now()-w.boot, w.knew.Round(time.Millisecond), w.total.Round(time.Millisecond))
+	o.recordViolation(RuleSlowStart, nil, "%s fell over %v after its start; nodes that knew of it had sent %v of %v of work",
+		o.site.Servers[server].Name, o.loop.Now()-w.startTime, w.informed.Round(time.Millisecond), w.total.Round(time.Millisecond))
 }
 
 // ---- Nodes ----
@@ -433,7 +433,7 @@
 	switch act {
 	case model.Kill, model.Pause:
 		if !open {
-			o.outages[node] = append(l, outage{from: o.loop.Now(), why: act})
+			o.outages[node] = append(l, outage{from: o.loop.Now(), action: act})
 		}
 	case model.Start, model.Resume:
 		if open {
@@ -444,12 +444,12 @@
 
 // Crashed notes that a node's process has ended by itself, or did not start.
 func (o *Oracle) Crashed(node int, why string) {
-	o.violated(Crash, nil, "%s: %s", o.site.Nodes[node].Name, why)
+	o.recordViolation(RuleCrash, nil, "%s: %s", o.site.Nodes[node].Name, why)
 }
 
 // Exceeded notes that a node's process holds more than it may.
 func (o *Oracle) Exceeded(node int, what string) {
-	o.violated(Limits, nil, "%s holds %s", o.site.Nodes[node].Name, what)
+	o.recordViolation(RuleResourceLimit, nil, "%s holds %s", o.site.Nodes[node].Name, what)
 }
 
 // excused tells whether a call's node was killed or stood still at any time while the call was out.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -58,7 +58,7 @@
 type chart struct {
 	title, note, unit string
 	lines             []line
-	marks             []lab.Mark
+	marks             []lab.FaultSpan
 	most              float64 // the axis reaches at least so far
 }
 
@@ -91,16 +91,16 @@
 	served := chart{title: "Served by class", note: "share of the requests that came in a second and were served within the aim", unit: "share", most: 1}
 	lost := chart{title: "Refused and failed by class", note: "share of the requests that came in a second; dashed: failed", unit: "share", most: 0.1}
 	for i, name := range names {
-		served.lines = append(served.lines, line{name: name, values: over(func(s *lab.Second) (float64, bool) { return part(s.Served, s.Asked, i) })})
+		served.lines = append(served.lines, line{name: name, values: over(func(s *lab.Second) (float64, bool) { return part(s.Served, s.Requests, i) })})
 		lost.lines = append(lost.lines,
-			line{name: name + " refused", values: over(func(s *lab.Second) (float64, bool) { return part(s.Refused, s.Asked, i) })},
-			line{name: name + " failed", values: over(func(s *lab.Second) (float64, bool) { return part(s.Failed, s.Asked, i) }), dashed: true})
+			line{name: name + " refused", values: over(func(s *lab.Second) (float64, bool) { return part(s.Rejected, s.Requests, i) })},
+			line{name: name + " failed", values: over(func(s *lab.Second) (float64, bool) { return part(s.Failed, s.Requests, i) }), dashed: true})
 	}
 	l = append(l, served, lost)
 	if len(r.ZoneNames) > 1 {
 		zones := chart{title: "Served by the clients' zone", note: "share of the requests that came in a second", unit: "share", most: 1}
 		for i, name := range r.ZoneNames {
-			zones.lines = append(zones.lines, line{name: name, values: over(func(s *lab.Second) (float64, bool) { return part(s.ByZone, s.AskZone, i) })})
+			zones.lines = append(zones.lines, line{name: name, values: over(func(s *lab.Second) (float64, bool) { return part(s.ServedByZone, s.RequestsByZone, i) })})
 		}
 		l = append(l, zones)
 	}
@@ -109,7 +109,7 @@
 		{name: "99 in 100", values: over(func(s *lab.Second) (float64, bool) { return s.P99MS, s.P99MS > 0 })}}})
 	asked := func(s *lab.Second) float64 {
 		n := 0
-		for _, k := range s.Asked {
+		for _, k := range s.Requests {
 			n += k
 		}
 		return float64(n)
@@ -119,8 +119,8 @@
 		{name: "attempts", values: over(func(s *lab.Second) (float64, bool) { return float64(s.Attempts), s.Attempts > 0 })},
 		{name: "clients' retries", values: over(func(s *lab.Second) (float64, bool) { return float64(s.Retries), true }), dashed: true}}})
 	l = append(l, inFlight(r))
-	if len(r.NodeNames) > 0 && r.Series[0].Memory != nil {
-		l = append(l, perNode(r, "Memory of nodes", "resident, by process", "MB", func(s *lab.Second) []float64 { return s.Memory }),
+	if len(r.NodeNames) > 0 && r.Series[0].MemoryMB != nil {
+		l = append(l, perNode(r, "Memory of nodes", "resident, by process", "MB", func(s *lab.Second) []float64 { return s.MemoryMB }),
 			perNode(r, "Descriptors of nodes", "open, by process", "descriptors", func(s *lab.Second) []float64 { return s.Descriptors }))
 	}
 	for i := range l {
@@ -256,7 +256,7 @@
 
 // marks draws faults as bands with their kinds on top, in as many rows as it takes.
 type marks struct {
-	l   []lab.Mark
+	l   []lab.FaultSpan
 	end float64 // of the run
 }
 
@@ -271,11 +271,11 @@
 	style.Color = color.NRGBA{110, 70, 0, 255}
 	ends := make([]vg.Length, rows) // of the last word in each row
 	for _, f := range m.l {
-		if f.From > m.end {
+		if f.FromSeconds > m.end {
 			continue
 		}
-		from := x(f.From)
-		to := max(x(math.Min(m.end, f.To)), from+1)
+		from := x(f.FromSeconds)
+		to := max(x(math.Min(m.end, f.ToSeconds)), from+1)
 		c.FillPolygon(color.NRGBA{230, 159, 0, 45}, []vg.Point{{X: from, Y: c.Min.Y}, {X: to, Y: c.Min.Y}, {X: to, Y: c.Max.Y}, {X: from, Y: c.Max.Y}})
 		// The word stands in the first row where it covers no other; where there is none, the band must do.
 		for row := range ends {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run.Failed = []string{"a <wish>"}
+	run.FailedExpectations = []string{"a <wish>"}
 	kept, err := json.Marshal(run)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 // Odd runs can be drawn too: one second, nothing served, a fault that outlasts the run.
 func TestOddRuns(t *testing.T) {
 	r := &lab.Result{Scenario: "x", ClassNames: []string{"a"}, ZoneNames: []string{"z", "y"}, Classes: map[string]*lab.ClassResult{"a": {}},
-		Series: []lab.Second{{Asked: []int{0}}}, Faults: []lab.Mark{{Kind: "slow", From: 0, To: 99}, {Kind: "late", From: 50, To: 60}}}
+		Series: []lab.Second{{Requests: []int{0}}}, Faults: []lab.FaultSpan{{Kind: "slow", FromSeconds: 0, ToSeconds: 99}, {Kind: "late", FromSeconds: 50, ToSeconds: 60}}}
 	if err := Write(&bytes.Buffer{}, r); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/report/served.go
+++ b/internal/lab/report/served.go
@@ -35,8 +35,8 @@
 			if i == len(asked) {
 				asked, served = append(asked, 0), append(served, 0)
 			}
-			for k := range r.Series[i].Asked {
-				asked[i] += r.Series[i].Asked[k]
+			for k := range r.Series[i].Requests {
+				asked[i] += r.Series[i].Requests[k]
 				served[i] += r.Series[i].Served[k]
 			}
 		}
--- /dev/null
+++ b/internal/lab/virtual/attempt.go
@@ -0,0 +1,212 @@
+package virtual
+
+import (
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/sim"
+)
+
+// attempt is one attempt of a call, as a Send of the Balancer asked for it.
+type attempt struct {
+	call     *call
+	index    int // among the call's attempts
+	server   int
+	sent     time.Duration
+	delivery *model.Attempt // nil until it is written
+	timer    *sim.Timer
+	ended    bool
+	reusable bool // its connection may be used again
+}
+
+// send starts an attempt. Every Send gets exactly one Outcome.
+func (n *node) send(s balancer.Send) {
+	c := n.calls[s.ID]
+	if c == nil {
+		return
+	}
+	f, loop := n.fleet, n.fleet.world.Loop
+	server, known := f.serverIndex[s.Endpoint]
+	a := &attempt{call: c, index: len(c.attempts), server: server, sent: loop.Now()}
+	c.attempts = append(c.attempts, a)
+	c.outstanding++
+	timeout := c.deadline - loop.Now()
+	if s.Timeout != 0 {
+		timeout = min(timeout, s.Timeout)
+	}
+	if !known || c.finished || timeout <= 0 || n.excluded[server] || a.index >= f.world.Site.Limits.MaxAttempts {
+		n.finishAttempt(a, balancer.NotSent, false, "")
+		return
+	}
+	a.timer = loop.After(timeout, func() { n.run(func() { n.finishAttempt(a, balancer.TimedOut, true, "") }) })
+	if n.reuseIdleConnection(server) {
+		n.write(a, false)
+		return
+	}
+	n.connect(a)
+}
+
+// connect opens a connection for an attempt and writes it there.
+func (n *node) connect(a *attempt) {
+	f, server := n.fleet, a.server
+	l := f.link(n.index, server)
+	roundTrip := l.forward + l.backward
+	fail := func() { n.finishAttempt(a, balancer.Unreachable, false, "") }
+	switch {
+	case l.refused || f.stopped[server] && !f.unreachable[server]:
+		n.afterDelay(a, roundTrip, fail)
+	case f.unreachable[server] || l.lostForward || l.lostBackward:
+		n.afterDelay(a, f.world.Site.Limits.Connect.D(), fail)
+	case f.openConnections[server] >= f.world.Servers[server].Kind.Connections:
+		n.afterDelay(a, roundTrip, fail)
+	default:
+		f.openConnections[server]++
+		n.afterDelay(a, roundTrip, func() { n.write(a, true) })
+	}
+}
+
+// afterDelay calls do for an attempt after a delay, unless the attempt has ended by then.
+func (n *node) afterDelay(a *attempt, d time.Duration, do func()) {
+	incarnation := n.incarnation
+	n.fleet.world.Loop.After(d, func() {
+		n.run(func() {
+			if n.incarnation == incarnation && !a.ended {
+				do()
+			}
+		})
+	})
+}
+
+// write sends an attempt on its connection.
+func (n *node) write(a *attempt, fresh bool) {
+	f, loop := n.fleet, n.fleet.world.Loop
+	if n.excluded[a.server] {
+		n.finishAttempt(a, balancer.Unreachable, true, "")
+		return
+	}
+	l := f.link(n.index, a.server)
+	a.reusable = true
+	a.delivery = &model.Attempt{Call: a.call.Call, Node: n.index, First: loop.Now(), Fresh: fresh, Done: n.responder(a)}
+	if l.lostForward || f.unreachable[a.server] {
+		a.reusable = false
+		return
+	}
+	if f.stopped[a.server] {
+		a.reusable = false
+		n.afterDelay(a, l.backward, func() { n.finishAttempt(a, balancer.ConnectionLost, true, "") })
+		return
+	}
+	delivery := a.delivery
+	loop.After(l.forward, func() {
+		if f.unreachable[a.server] {
+			return
+		}
+		delivery.First = loop.Now()
+		f.world.Servers[a.server].Arrive(delivery)
+		if a.ended { // cancelled on its way
+			f.world.Servers[a.server].Cancel(delivery)
+		}
+	})
+}
+
+// responder returns the function by which a server answers an attempt.
+func (n *node) responder(a *attempt) func(model.Outcome, string) {
+	f, incarnation := n.fleet, n.incarnation
+	return func(o model.Outcome, body string) {
+		l := f.link(n.index, a.server)
+		if l.lostBackward || f.unreachable[a.server] {
+			return // the answer is lost: the attempt times out
+		}
+		f.world.Loop.After(l.backward, func() {
+			n.run(func() {
+				if n.incarnation == incarnation {
+					n.finishAttempt(a, resultOf[o], o == model.Reset, body)
+				}
+			})
+		})
+	}
+}
+
+// resultOf maps what a server did with an attempt to what its node sees.
+var resultOf = map[model.Outcome]balancer.Result{
+	model.Done: balancer.Success, model.Errored: balancer.Failure, model.TurnedAway: balancer.Overloaded,
+	model.Reset: balancer.ConnectionLost, model.Dropped: balancer.Cancelled,
+}
+
+// finishAttempt ends an attempt and passes its outcome to the Balancer. With broken its connection is not used again.
+func (n *node) finishAttempt(a *attempt, result balancer.Result, broken bool, body string) {
+	if a.ended {
+		return
+	}
+	n.abandonAttempt(a)
+	if a.reusable && !broken {
+		n.idleConnections[a.server] = append(n.idleConnections[a.server], n.fleet.world.Loop.Now())
+	} else if a.reusable {
+		n.fleet.openConnections[a.server] = max(0, n.fleet.openConnections[a.server]-1)
+	}
+	c := a.call
+	c.outstanding--
+	if result == balancer.Success {
+		n.respond(c.id, model.Answer{Reply: model.Served, Body: body})
+	}
+	n.forget(c)
+	n.handle(balancer.Outcome{
+		ID:          c.id,
+		Attempt:     a.index,
+		Endpoint:    n.fleet.world.Site.Servers[a.server].Name,
+		Result:      result,
+		Latency:     n.fleet.world.Loop.Now() - a.sent,
+		RequestDone: c.finished,
+	})
+}
+
+// abandonAttempt stops waiting for an attempt. Its server learns of it by the closed connection.
+func (n *node) abandonAttempt(a *attempt) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	n.fleet.world.Loop.Stop(a.timer)
+	if a.delivery != nil {
+		l := n.fleet.link(n.index, a.server)
+		delivery := a.delivery
+		if !l.lostForward {
+			n.fleet.world.Loop.After(l.forward, func() { n.fleet.world.Servers[a.server].Cancel(delivery) })
+		}
+	}
+}
+
+// reuseIdleConnection takes the connection to a server that was used last, and returns false if there is none. Connections
+// that have been idle for three quarters of the server's idle timeout are closed.
+func (n *node) reuseIdleConnection(server int) bool {
+	idle := n.idleConnections[server]
+	if len(idle) == 0 {
+		return false
+	}
+	oldest := n.fleet.world.Loop.Now() - n.fleet.world.Site.Limits.Idle.D()*3/4
+	if idle[len(idle)-1] < oldest {
+		n.closeIdleConnections(server)
+		return false
+	}
+	n.idleConnections[server] = idle[:len(idle)-1]
+	return true
+}
+
+// closeIdleConnections closes the node's idle connections to a server.
+func (n *node) closeIdleConnections(server int) {
+	n.fleet.openConnections[server] = max(0, n.fleet.openConnections[server]-len(n.idleConnections[server]))
+	delete(n.idleConnections, server)
+}
+
+// resetConnections resets the node's connections to a server.
+func (n *node) resetConnections(server int) {
+	n.closeIdleConnections(server)
+	for _, c := range n.openCalls() {
+		for _, a := range c.attempts {
+			if !a.ended && a.server == server && a.delivery != nil {
+				n.finishAttempt(a, balancer.ConnectionLost, true, "")
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/virtual/backend.go
@@ -0,0 +1,151 @@
+package virtual
+
+import (
+	"slices"
+	"time"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/lab/model"
+)
+
+// Process applies an action to a node's process.
+func (f *Fleet) Process(i int, act model.ProcessAct) {
+	n := f.nodes[i]
+	switch act {
+	case model.Start:
+		f.world.Loop.After(processStartTime, n.start)
+	case model.Kill:
+		n.kill()
+	case model.Terminate:
+		n.terminate()
+	case model.Pause:
+		n.paused = true
+	case model.Resume:
+		n.paused = false
+		deferred := n.deferred
+		n.deferred = nil
+		for _, do := range deferred {
+			n.run(do)
+		}
+	}
+}
+
+// Send delivers a call to its node and calls done with the answer. The function that it returns disconnects the client.
+func (f *Fleet) Send(c *model.Call, done func(model.Answer)) func() {
+	n := f.nodes[c.Node]
+	var accepted *call
+	disconnected := false
+	f.world.Loop.After(f.localLatency(), func() {
+		if disconnected {
+			return
+		}
+		if !n.running {
+			f.world.Loop.After(f.localLatency(), func() {
+				if !disconnected {
+					done(model.Answer{Reply: model.Unreached})
+				}
+			})
+			return
+		}
+		incarnation := n.incarnation
+		n.run(func() {
+			if !disconnected && n.incarnation == incarnation {
+				accepted = n.accept(c, done)
+			}
+		})
+	})
+	return func() {
+		disconnected = true
+		if accepted != nil {
+			n.run(func() { n.clientDisconnected(accepted) })
+		}
+	}
+}
+
+// localLatency is the one-way time between a client and its node.
+func (f *Fleet) localLatency() time.Duration { return f.world.Site.Net.Same.D() }
+
+// Tell delivers an endpoint update to a node.
+func (f *Fleet) Tell(i int, l model.List) {
+	n := f.nodes[i]
+	if n.running && !n.watchSilent {
+		n.run(func() { n.applyUpdate(l, false) })
+	}
+}
+
+// Take requests a disruption permit for a server, with the state of all servers as it is now.
+func (f *Fleet) Take(server int, done func(error)) {
+	budget := disruption.NewBudget()
+	budget.SetLimits(f.world.Site.BudgetLimits())
+	for i, s := range f.world.Servers {
+		u := f.world.Site.Unit(i)
+		switch {
+		case !s.Up():
+			u.UnavailableShare, u.Reason = 1, disruption.ReasonUnreachable
+		case s.Drains():
+			u.UnavailableShare, u.Reason = 1, "draining"
+		case s.Cold():
+			u.UnavailableShare, u.Reason = 1-s.Warmth(), "cold"
+		}
+		budget.SetUnit(u)
+	}
+	_, err := budget.Grant(disruption.Permit{Unit: f.world.Site.Servers[server].Name, Incarnation: 1}, "")
+	done(err)
+}
+
+// Mute starts or ends the silence of a node's watch.
+func (f *Fleet) Mute(i int, on bool) {
+	n := f.nodes[i]
+	n.discoverySilent = on
+	if on && !n.watchSilent {
+		n.watchSilent = true
+		f.world.Loop.After(watchTimeout, n.reopenWatch)
+	}
+}
+
+// Links adds an effect to links, or removes it.
+func (f *Fleet) Links(nodes, servers []int, e *model.Effect, on bool) {
+	for _, n := range nodes {
+		for _, s := range servers {
+			k := nodeServer{n, s}
+			l := f.links[k]
+			if on {
+				f.links[k] = append(l, e)
+				if e.Reset {
+					f.nodes[n].resetConnections(s)
+				}
+				continue
+			}
+			if i := slices.Index(l, e); i >= 0 {
+				f.links[k] = append(l[:i:i], l[i+1:]...)
+			}
+			if len(f.links[k]) == 0 {
+				delete(f.links, k)
+			}
+		}
+	}
+}
+
+// ServerDown closes a server's connections. With silent its machine answers nothing from then on.
+func (f *Fleet) ServerDown(s int, silent bool) {
+	f.stopped[s], f.unreachable[s] = true, silent
+	f.openConnections[s] = 0
+	for _, n := range f.nodes {
+		delete(n.idleConnections, s)
+	}
+}
+
+// ServerUp accepts connections to a server again.
+func (f *Fleet) ServerUp(s int) {
+	delete(f.stopped, s)
+	delete(f.unreachable, s)
+}
+
+// Publish does nothing: there is no registry on the virtual clock.
+func (f *Fleet) Publish(int, model.State) bool { return false }
+
+// Lease does nothing: there is no registry on the virtual clock.
+func (f *Fleet) Lease(int, bool) {}
+
+// Replicas does nothing: there is no registry on the virtual clock.
+func (f *Fleet) Replicas([]int, string, bool) {}
--- /dev/null
+++ b/internal/lab/virtual/call.go
@@ -0,0 +1,122 @@
+package virtual
+
+import (
+	"strconv"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/lab/model"
+)
+
+// call is a request that the node has accepted.
+type call struct {
+	*model.Call
+	id          string
+	sequence    uint64 // in the order of arrival
+	done        func(model.Answer)
+	deadline    time.Duration // by the loop's clock
+	finished    bool          // it was answered, or its client has disconnected
+	attempts    []*attempt
+	outstanding int // attempts that have not ended
+}
+
+// responseMargin is the part of a client's timeout that a node reserves for the way back.
+const responseMargin = 20 * time.Millisecond
+
+// handle passes an event to the Balancer and executes its actions. Events that an action causes at once wait until the actions
+// before it are done.
+func (n *node) handle(e balancer.Event) {
+	n.queue = append(n.queue, e)
+	if n.dispatching {
+		return
+	}
+	n.dispatching = true
+	for len(n.queue) > 0 {
+		e := n.queue[0]
+		n.queue = n.queue[1:]
+		for _, a := range n.balancer.Handle(n.clock(), e) {
+			n.execute(a)
+		}
+	}
+	n.dispatching = false
+}
+
+// execute carries out one action of the Balancer.
+func (n *node) execute(a balancer.Action) {
+	switch a := a.(type) {
+	case balancer.Send:
+		n.send(a)
+	case balancer.Cancel:
+		if c := n.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
+			n.finishAttempt(c.attempts[a.Attempt], balancer.Cancelled, true, "")
+		}
+	case balancer.Reject:
+		n.respond(a.ID, model.Answer{Reply: model.Refused, RetryAfter: a.RetryAfter})
+	case balancer.Fail:
+		n.respond(a.ID, model.Answer{Reply: model.Failed})
+	case balancer.SetTimer:
+		n.setTimer(a)
+	case balancer.Subscribe: // discovery pushes its updates
+	}
+}
+
+// setTimer schedules a timer of the Balancer. It ends with the process.
+func (n *node) setTimer(a balancer.SetTimer) {
+	incarnation := n.incarnation
+	n.fleet.world.Loop.At(a.At-epoch, func() {
+		n.run(func() {
+			if n.incarnation == incarnation {
+				n.handle(balancer.TimerFired{Token: a.Token})
+			}
+		})
+	})
+}
+
+// accept starts a call and passes its request to the Balancer.
+func (n *node) accept(request *model.Call, done func(model.Answer)) *call {
+	w := n.fleet.world
+	n.nextID++
+	margin := min(responseMargin, request.Left/4)
+	c := &call{
+		Call:     request,
+		id:       strconv.FormatUint(n.nextID, 10),
+		sequence: n.nextID,
+		done:     done,
+		deadline: w.Loop.Now() + request.Left - margin,
+	}
+	n.calls[c.id] = c
+	n.handle(balancer.Request{
+		ID:          c.id,
+		Class:       w.Site.Classes[request.Class].Name,
+		Deadline:    epoch + c.deadline,
+		ClientRetry: request.Repeat,
+	})
+	return c
+}
+
+// clientDisconnected ends a call whose client has closed its connection.
+func (n *node) clientDisconnected(c *call) {
+	if n.calls[c.id] == c && !c.finished {
+		c.finished = true
+		n.handle(balancer.ClientDisconnected{ID: c.id})
+		n.forget(c)
+	}
+}
+
+// respond sends a call's final answer, unless it has been answered.
+func (n *node) respond(id string, a model.Answer) {
+	c := n.calls[id]
+	if c == nil || c.finished {
+		return
+	}
+	c.finished = true
+	n.fleet.world.Loop.After(n.fleet.localLatency(), func() { c.done(a) })
+	n.forget(c)
+}
+
+// forget removes a call that is finished and has no attempt left.
+func (n *node) forget(c *call) {
+	if c.finished && c.outstanding == 0 {
+		delete(n.calls, c.id)
+	}
+}
--- /dev/null
+++ b/internal/lab/virtual/link.go
@@ -0,0 +1,39 @@
+package virtual
+
+import "time"
+
+// link is the present state of a link between a node and a server: the latency of a message in each direction, and whether it
+// arrives.
+type link struct {
+	forward, backward         time.Duration
+	lostForward, lostBackward bool
+	refused                   bool
+}
+
+// messageBytes is the assumed size of a request or a response on links with a limited rate.
+const messageBytes = 300
+
+// link returns the state of a link with all effects on it.
+func (f *Fleet) link(n, s int) link {
+	base := f.world.Site.Net.Same.D()
+	if f.world.Site.Nodes[n].Zone != f.world.Site.Servers[s].Zone {
+		base = f.world.Site.Net.Cross.D()
+	}
+	l := link{forward: base, backward: base}
+	for _, e := range f.links[nodeServer{n, s}] {
+		extra := e.Delay + e.Jitter/2
+		if e.Rate > 0 {
+			extra += messageBytes * time.Second / time.Duration(e.Rate)
+		}
+		if e.There {
+			l.forward += extra
+			l.lostForward = l.lostForward || e.Silent
+		}
+		if e.Back {
+			l.backward += extra
+			l.lostBackward = l.lostBackward || e.Silent
+		}
+		l.refused = l.refused || e.Refuse
+	}
+	return l
+}
