--- a/cmd/umberbank-sim/main.go
+++ b/cmd/umberbank-sim/main.go
@@ -36,15 +36,15 @@
 			return err
 		}
 		switch m.Kind {
-		case simwire.Sync:
+		case simwire.BatchStart:
 			now = m.Now
-		case simwire.Hello:
+		case simwire.InstanceInit:
 			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case simwire.Stop:
+		case simwire.InstanceKill:
 			delete(hosted, m.Instance)
 		case simwire.Event:
 			b := hosted[m.Instance]
@@ -54,7 +54,7 @@
 			for _, a := range b.Handle(now, m.Event) {
 				enc.Action(m.Instance, a)
 			}
-		case simwire.End:
+		case simwire.BatchEnd:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -123,11 +123,11 @@
 		return Config{}, err
 	}
 	c.Settings.SnapshotMaxAge = c.State.Age
-	if c.Conns.Idle <= 0 {
-		c.Conns.Idle = defaultConnIdle
+	if c.Conns.IdleTimeout <= 0 {
+		c.Conns.IdleTimeout = defaultConnIdle
 	}
-	if c.Conns.ConnectWithin <= 0 {
-		c.Conns.ConnectWithin = defaultConnectTimeout
+	if c.Conns.ConnectTimeout <= 0 {
+		c.Conns.ConnectTimeout = defaultConnectTimeout
 	}
 	return c, c.Settings.Validate()
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Rev != 41 ||
-		len(c.Known.Targets) != 1 || c.Conns.Idle != 30*time.Second || c.Conns.ConnectWithin != 200*time.Millisecond ||
+		len(c.Known.Targets) != 1 || c.Conns.IdleTimeout != 30*time.Second || c.Conns.ConnectTimeout != 200*time.Millisecond ||
 		!c.Settings.PollDiscovery || c.Settings.Classes[0].Effect != balancer.Idempotent {
 		t.Errorf("%+v", c)
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -472,7 +472,7 @@
 		if shaken {
 			u.distrust(4 * time.Second)
 		}
-		u.retune(simwire.Connections{Idle: time.Hour, ConnectWithin: time.Second})
+		u.retune(simwire.Connections{IdleTimeout: time.Hour, ConnectTimeout: time.Second})
 		if u.distrustful() != shaken {
 			t.Errorf("shaken %v: trusted for %v of %v", shaken, u.trusted, u.idleFor)
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,7 +35,7 @@
 				class("order", balancer.NonIdempotent)},
 			Replicas: 1, MaxAttempts: 6, Cancellation: true, PollDiscovery: true,
 			PollInterval: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
-		Conns: simwire.Connections{Idle: time.Minute, ConnectWithin: limit}}
+		Conns: simwire.Connections{IdleTimeout: time.Minute, ConnectTimeout: limit}}
 }
 
 func serving(uid, addr string) Target {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -101,8 +101,8 @@
 
 func newUpstream(cfg Config, most int, counts *metrics, room *budget) *upstream {
 	return &upstream{
-		idleFor:        usable(cfg.Conns.Idle),
-		connectTimeout: cfg.Conns.ConnectWithin,
+		idleFor:        usable(cfg.Conns.IdleTimeout),
+		connectTimeout: cfg.Conns.ConnectTimeout,
 		metrics:        counts,
 		budget:         room,
 		connect: func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
@@ -110,7 +110,7 @@
 		},
 		idle:    map[*server][]*conn{},
 		most:    most,
-		trusted: usable(cfg.Conns.Idle),
+		trusted: usable(cfg.Conns.IdleTimeout),
 	}
 }
 
@@ -123,9 +123,9 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.trusted == u.idleFor {
-		u.trusted = usable(set.Idle)
+		u.trusted = usable(set.IdleTimeout)
 	}
-	u.idleFor, u.connectTimeout = usable(set.Idle), set.ConnectWithin
+	u.idleFor, u.connectTimeout = usable(set.IdleTimeout), set.ConnectTimeout
 	u.trusted = min(u.trusted, u.idleFor)
 }
 
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -255,7 +255,7 @@
 	for _, c := range []*conn{a, b} {
 		c.since = c.since.Add(-u.idleFor)
 	}
-	if u.idleFor >= testConfig("").Conns.Idle {
+	if u.idleFor >= testConfig("").Conns.IdleTimeout {
 		t.Errorf("connections idle for %v", u.idleFor)
 	}
 	if c, err := u.get(ctx, s); err != nil || c == a || c == b {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -40,7 +40,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
-	if want := (Connections{Idle: 15 * ms1, ConnectWithin: 16 * ms1}); conns != want {
+	if want := (Connections{IdleTimeout: 15 * ms1, ConnectTimeout: 16 * ms1}); conns != want {
 		t.Errorf("got %+v, want %+v", conns, want)
 	}
 	for name, kind := range map[string]balancer.WeightKind{"nominal": balancer.WeightNominal, "rough": balancer.WeightApproximate,
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -20,12 +20,12 @@
 
 // Message kinds.
 const (
-	Sync  Kind = iota // a batch begins; Now is set
-	Hello             // a new instance; Seed and Settings are set
-	Event             // Event is set
-	Stop              // the instance was killed
-	Other             // known, but of no use to the module
-	End               // the batch is over; a reply is due
+	BatchStart   Kind = iota // a batch begins; Now is set
+	InstanceInit             // a new instance; Seed and Settings are set
+	Event                    // Event is set
+	InstanceKill             // the instance was killed
+	Ignored                  // known, but of no use to the module
+	BatchEnd                 // the batch is over; a reply is due
 )
 
 // Message is one line of a batch, resolved.
@@ -109,10 +109,10 @@
 	m.Kind = Event
 	switch name {
 	case "sync":
-		m.Kind, m.Now = Sync, f.ms(0)
+		m.Kind, m.Now = BatchStart, f.ms(0)
 		d.inBatch, d.instance = true, -1
 	case "eob":
-		m.Kind = End
+		m.Kind = BatchEnd
 		d.inBatch = false
 	case "about":
 		d.instance = f.num(0)
@@ -123,7 +123,7 @@
 	case "list":
 		return m, true, d.readList(f)
 	case "hello":
-		m.Kind = Hello
+		m.Kind = InstanceInit
 		seed, text, ok := strings.Cut(rest, "\t")
 		if !ok {
 			return m, false, fmt.Errorf("hello lacks its settings")
@@ -165,9 +165,9 @@
 	case "flowing":
 		m.Event = balancer.ResponseStarted{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
-		m.Kind = Stop
+		m.Kind = InstanceKill
 	case "checked", "mail":
-		m.Kind = Other
+		m.Kind = Ignored
 	default:
 		return m, false, fmt.Errorf("unknown message %s", quote(name))
 	}
@@ -400,8 +400,8 @@
 // Connections holds the settings of connections to servers. On the wire the simulator keeps to them;
 // a real node does so itself. 0: not told.
 type Connections struct {
-	Idle          time.Duration // a server closes one that stood idle for so long
-	ConnectWithin time.Duration // one not established within it counts as unreachable
+	IdleTimeout    time.Duration // a server closes one that stood idle for so long
+	ConnectTimeout time.Duration // one not established within it counts as unreachable
 }
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
@@ -429,7 +429,7 @@
 			IdempotencyScope: scopes[l.Scope], IdempotencyWindow: fromMS(l.Window), LatencyObjective: fromMS(l.Target),
 			Deadline: fromMS(l.Deadline), LateCredit: l.LateShare, PriorityWeight: l.Worth, Streaming: l.Stream})
 	}
-	c := Connections{Idle: fromMS(p.Limits.ConnIdle), ConnectWithin: fromMS(p.Limits.ConnectWithin)}
+	c := Connections{IdleTimeout: fromMS(p.Limits.ConnIdle), ConnectTimeout: fromMS(p.Limits.ConnectWithin)}
 	return s, c, nil
 }
 
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	want := []Message{
-		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.EndpointUpdate{Full: true, Cached: true,
 			Endpoints: []balancer.Endpoint{{ID: "s:1", Zone: "z", Cell: 4, Weight: 1.5, StartTime: 6100500 * time.Microsecond}}}},
 		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true, CostHint: 12 * time.Millisecond,
 			Deadline: 8652250 * time.Microsecond}},
 		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Endpoint: "s:1", RequestDone: true,
 			Latency: 18500 * time.Microsecond, Load: &balancer.LoadReport{ActiveRequests: 3, ServiceTime: -1}}},
-		{Kind: End, Instance: 3},
+		{Kind: BatchEnd, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
 		t.Fatalf("got %+v\nwant %+v", l, want)
