--- a/cmd/umberbank-sim/main.go
+++ b/cmd/umberbank-sim/main.go
@@ -1,9 +1,11 @@
-// Command umberbank-sim hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command umberbank-sim hosts Balancers for the simulator: it reads batches of events from standard input and
+// writes one reply for each to standard output. It exits with 0 at the end of the input, and with 1 at an input
+// that it cannot read.
 package main
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -22,45 +24,86 @@
 
 // run serves batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(in)
-	var reply bytes.Buffer
-	enc := simwire.NewEncoder(&reply)
-	hosted := map[int]*balancer.Balancer{}
-	var now time.Duration
+	decoder := simwire.NewDecoder(in)
+	h := newHost(out)
 	for {
-		m, err := dec.Next()
-		if err == io.EOF {
+		m, err := decoder.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
-		case simwire.BatchStart:
-			now = m.Now
-		case simwire.InstanceInit:
-			b, err := balancer.New(m.Settings, m.Seed)
-			if err != nil {
-				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
-			}
-			hosted[m.Instance] = b
-		case simwire.InstanceKill:
-			delete(hosted, m.Instance)
-		case simwire.Event:
-			b := hosted[m.Instance]
-			if b == nil {
-				return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
-			}
-			for _, a := range b.Handle(now, m.Event) {
-				enc.Action(m.Instance, a)
-			}
-		case simwire.BatchEnd:
-			if err := enc.Flush(); err != nil {
-				return err
-			}
-			if _, err := reply.WriteTo(out); err != nil {
-				return err
-			}
+		if err := h.handle(m); err != nil {
+			return err
 		}
 	}
 }
+
+// host holds the Balancers of the instances that run.
+type host struct {
+	balancers map[int]*balancer.Balancer
+	now       time.Duration // clock time of the batch in hand
+	encoder   *simwire.Encoder
+	reply     *bytes.Buffer // of the batch in hand
+	out       io.Writer
+}
+
+func newHost(out io.Writer) *host {
+	reply := &bytes.Buffer{}
+	return &host{
+		balancers: map[int]*balancer.Balancer{},
+		encoder:   simwire.NewEncoder(reply),
+		reply:     reply,
+		out:       out,
+	}
+}
+
+// handle carries out one message.
+func (h *host) handle(m simwire.Message) error {
+	switch m.Kind {
+	case simwire.BatchStart:
+		h.now = m.Now
+	case simwire.InstanceInit:
+		return h.start(m)
+	case simwire.InstanceKill:
+		delete(h.balancers, m.Instance)
+	case simwire.Event:
+		return h.event(m)
+	case simwire.Ignored:
+	case simwire.BatchEnd:
+		return h.flush()
+	}
+	return nil
+}
+
+// start begins a new instance; an earlier one of its number is forgotten.
+func (h *host) start(m simwire.Message) error {
+	b, err := balancer.New(m.Settings, m.Seed)
+	if err != nil {
+		return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
+	}
+	h.balancers[m.Instance] = b
+	return nil
+}
+
+// event gives an event to its instance and adds the actions to the reply.
+func (h *host) event(m simwire.Message) error {
+	b := h.balancers[m.Instance]
+	if b == nil {
+		return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
+	}
+	for _, action := range b.Handle(h.now, m.Event) {
+		h.encoder.Action(m.Instance, action)
+	}
+	return nil
+}
+
+// flush writes the reply to the batch.
+func (h *host) flush() error {
+	if err := h.encoder.Flush(); err != nil {
+		return err
+	}
+	_, err := h.reply.WriteTo(h.out)
+	return err
+}
--- a/cmd/umberbank-sim/main_test.go
+++ b/cmd/umberbank-sim/main_test.go
@@ -9,7 +9,7 @@
 const hello = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
-func TestRunAnswersABatch(t *testing.T) {
+func TestRunRepliesToBatch(t *testing.T) {
 	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + hello + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
 	var out bytes.Buffer
@@ -22,23 +22,29 @@
 	}
 }
 
-func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
-	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
-		"sync\t2\nabout\t0\nring\tx\neob\n", "sync\t2\nabout\t0\n" + hello + "\ncrash_now\nring\tx\neob\n"} {
-		var out bytes.Buffer
-		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
-		if err == nil {
-			t.Errorf("%q: no error", bad)
-		}
-		if out.String() != "yield\n" {
-			t.Errorf("%q: wrote %q", bad, out.String())
-		}
+func TestRunWritesNoPartialReply(t *testing.T) {
+	for name, input := range map[string]string{
+		"unknown message":        "nonsense\n",
+		"missing values":         "sync\t2\nabout\t0\njob_in\n",
+		"empty settings":         "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
+		"event before its hello": "sync\t2\nabout\t0\nring\tx\neob\n",
+		"event after its kill":   "sync\t2\nabout\t0\n" + hello + "\ncrash_now\nring\tx\neob\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(strings.NewReader("sync\t1\neob\n"+input), &out); err == nil {
+				t.Error("no error")
+			}
+			if out.String() != "yield\n" {
+				t.Errorf("wrote %q", out.String())
+			}
+		})
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is held.
-func TestKillAndFreshStart(t *testing.T) {
+// A killed instance forgets everything: what comes after its new start for an old request is ignored, and with
+// an empty endpoint list a new request stays pending.
+func TestRestartedInstanceForgetsRequests(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
 		"sync\t4\nabout\t0\ncrash_now\n" + hello + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
--- /dev/null
+++ b/internal/simwire/settings.go
@@ -0,0 +1,140 @@
+package simwire
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"umberbank/balancer"
+)
+
+// settingsObject is the settings object on the wire. Times are in milliseconds.
+type settingsObject struct {
+	Replicas int `json:"balancers"`
+	Weights  struct {
+		TotalValue float64 `json:"whole"`
+		WorstClass float64 `json:"worst-class"`
+	} `json:"blend"`
+	Classes []classObject `json:"lanes"`
+	Limits  struct {
+		Cancellation   bool    `json:"cancelling"`
+		IdleTimeout    float64 `json:"conn-idle-ms"`
+		ConnectTimeout float64 `json:"connect-timeout-ms"`
+		MaxAttempts    int     `json:"max-attempts"`
+		MaxRetryAfter  float64 `json:"max-retry-after-ms"`
+		Hedging        bool    `json:"second-copies"`
+		RetryAfter     bool    `json:"retry-after"`
+	} `json:"limits"`
+	DiscoveryMode string `json:"registry-mode"`
+	Rules         struct {
+		PollInterval     float64 `json:"ask-within-ms"`
+		InitialFraction  float64 `json:"cold-from"`
+		OverloadWindow   float64 `json:"fall-ms"`
+		OverloadMultiple float64 `json:"fall-multiple"`
+		WarmUpTime       float64 `json:"warm-after-ms"`
+	} `json:"rules"`
+	ReplicaIndex int     `json:"me"`
+	Tick         float64 `json:"tick-ms"`
+	Tier         int     `json:"tier"`
+	WeightKind   string  `json:"weights"`
+}
+
+// classObject is a class of requests on the wire.
+type classObject struct {
+	Deadline          float64 `json:"deadline-ms"`
+	Effect            string  `json:"effect"`
+	IdempotencyScope  string  `json:"key-scope"`
+	LateCredit        float64 `json:"late-share"`
+	Name              string  `json:"name"`
+	Streaming         bool    `json:"stream"`
+	LatencyObjective  float64 `json:"target-ms"`
+	IdempotencyWindow float64 `json:"window-ms"`
+	PriorityWeight    float64 `json:"worth"`
+}
+
+// pollMode is the discovery mode in which the endpoint list comes only after a Subscribe.
+const pollMode = "on_request"
+
+// Words of the wire. Any other means the zero value: the narrowest scope, a weight of no meaning, and an
+// effect that is not idempotent.
+var (
+	effects = map[string]balancer.Effect{
+		"read_like":       balancer.Idempotent,
+		"idempotency_key": balancer.WithIdempotencyKey,
+	}
+	scopes = map[string]balancer.IdempotencyScope{
+		"all":  balancer.ScopeAll,
+		"zone": balancer.ScopeZone,
+		"cell": balancer.ScopeCell,
+	}
+	weightKinds = map[string]balancer.WeightKind{
+		"nominal": balancer.WeightNominal,
+		"rough":   balancer.WeightApproximate,
+		"live":    balancer.WeightLive,
+	}
+)
+
+// Connections holds the settings of connections to endpoints. The simulator keeps to them by itself; a real
+// node must. 0: not told.
+type Connections struct {
+	IdleTimeout    time.Duration // an endpoint closes a connection that was idle for so long
+	ConnectTimeout time.Duration // an endpoint that does not accept one within it counts as unreachable
+}
+
+// ParseSettings reads the settings object. Unknown keys are ignored, an unknown effect is NonIdempotent and an
+// unknown scope is the narrowest. The settings are not validated.
+func ParseSettings(text []byte) (balancer.Settings, Connections, error) {
+	var o settingsObject
+	if err := json.Unmarshal(text, &o); err != nil {
+		return balancer.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
+	}
+	connections := Connections{
+		IdleTimeout:    fromMilliseconds(o.Limits.IdleTimeout),
+		ConnectTimeout: fromMilliseconds(o.Limits.ConnectTimeout),
+	}
+	return o.settings(), connections, nil
+}
+
+func (o *settingsObject) settings() balancer.Settings {
+	s := balancer.Settings{
+		Replicas:         o.Replicas,
+		ReplicaIndex:     o.ReplicaIndex,
+		Tier:             o.Tier,
+		TotalValueWeight: o.Weights.TotalValue,
+		WorstClassWeight: o.Weights.WorstClass,
+		MaxAttempts:      o.Limits.MaxAttempts,
+		Hedging:          o.Limits.Hedging,
+		Cancellation:     o.Limits.Cancellation,
+		WeightKind:       weightKinds[o.WeightKind],
+		PollDiscovery:    o.DiscoveryMode == pollMode,
+		PollInterval:     fromMilliseconds(o.Rules.PollInterval),
+		Tick:             fromMilliseconds(o.Tick),
+		SlowStart: balancer.SlowStart{
+			InitialFraction:  o.Rules.InitialFraction,
+			Duration:         fromMilliseconds(o.Rules.WarmUpTime),
+			OverloadMultiple: o.Rules.OverloadMultiple,
+			OverloadWindow:   fromMilliseconds(o.Rules.OverloadWindow),
+		},
+	}
+	if o.Limits.RetryAfter {
+		s.MaxRetryAfter = fromMilliseconds(o.Limits.MaxRetryAfter)
+	}
+	for _, c := range o.Classes {
+		s.Classes = append(s.Classes, c.class())
+	}
+	return s
+}
+
+func (o classObject) class() balancer.Class {
+	return balancer.Class{
+		Name:              o.Name,
+		Effect:            effects[o.Effect],
+		IdempotencyScope:  scopes[o.IdempotencyScope],
+		IdempotencyWindow: fromMilliseconds(o.IdempotencyWindow),
+		LatencyObjective:  fromMilliseconds(o.LatencyObjective),
+		Deadline:          fromMilliseconds(o.Deadline),
+		LateCredit:        o.LateCredit,
+		PriorityWeight:    o.PriorityWeight,
+		Streaming:         o.Streaming,
+	}
+}
