--- a/internal/durable/faultfs/fs.go
+++ b/internal/durable/faultfs/fs.go
@@ -1,6 +1,8 @@
-// Package faultfs is a file system in memory that fails as disks and power do. What was not synced may be lost, torn or
-// kept, each by itself and in any order; a sync that failed once lets go of what it should have written, as Linux
-// does, although the next one succeeds.
+// Package faultfs is an in-memory file system that fails as disks and power supplies do, for tests of package durable.
+//
+// What was not synced may be lost, torn or kept, each file and each directory entry by itself and in any order. A sync that
+// failed drops what it should have written although the next one succeeds, as Linux does. Every call except reads is a step;
+// a step can be made to fail, or to be the first one after a power loss. An FS is for one goroutine.
 package faultfs
 
 import (
@@ -15,154 +17,164 @@
 	"umberbank/internal/durable"
 )
 
-// ErrCrashed is what every call gets once the power is gone.
-var ErrCrashed = errors.New("faultfs: the power is gone")
+// ErrPowerLost is returned by every step from CrashAt on.
+var ErrPowerLost = errors.New("faultfs: the power is gone")
 
-// inode is a file's content, by now and on the disk.
-type inode struct {
-	now, disk []byte
-	dirty     bool
-}
-
-// dirOp is a change of a folder that is not synced.
-type dirOp struct {
-	dir, name string
-	to        *inode // nil: it is gone
-}
+// Never as CrashAt or FailAt means that the fault does not occur.
+const Never = -1
 
-// FS is a durable.FS. Crash after so many steps, or fail one of them; -1: never. Reading is no step.
+// FS is a durable.FS in memory. Set its faults before the first step.
 type FS struct {
-	CrashAt int
-	FailAt  int
-	Fail    error // what step FailAt returns
-	Steps   int
-
-	names   map[string]*inode // by path, as processes see them
-	disk    map[string]*inode // and as they are on the disk
-	pending []dirOp
+	CrashAt int   // index of the first step after the power loss
+	FailAt  int   // index of the step that fails
+	FailErr error // what step FailAt returns
+	Steps   int   // steps taken so far
+
+	visible map[string]*inode // by path, as processes see the files
+	onDisk  map[string]*inode // by path, as a power loss now would leave the directories at the least
+	pending []dirChange       // changes of directories that were not synced
 	locked  map[string]bool
 }
 
 var _ durable.FS = (*FS)(nil)
 
+// inode is the content of a file.
+type inode struct {
+	current []byte // as processes see it
+	synced  []byte // as it is on the disk for certain
+	dirty   bool   // it was written since the last sync
+}
+
+// dirChange is a change of a directory that was not synced.
+type dirChange struct {
+	dir, path string
+	target    *inode // nil: the entry is removed
+}
+
+func (c dirChange) applyTo(files map[string]*inode) {
+	if c.target == nil {
+		delete(files, c.path)
+	} else {
+		files[c.path] = c.target
+	}
+}
+
 // New returns an empty FS without faults.
 func New() *FS {
-	return &FS{CrashAt: -1, FailAt: -1, Fail: syscall.EIO, names: map[string]*inode{}, disk: map[string]*inode{}, locked: map[string]bool{}}
+	return &FS{
+		CrashAt: Never,
+		FailAt:  Never,
+		FailErr: syscall.EIO,
+		visible: map[string]*inode{},
+		onDisk:  map[string]*inode{},
+		locked:  map[string]bool{},
+	}
 }
 
-// step counts a step and says how it fails.
+// step counts a step and returns the error it fails with.
 func (f *FS) step() error {
-	at := f.Steps
+	index := f.Steps
 	f.Steps++
 	switch {
-	case f.CrashAt >= 0 && at >= f.CrashAt:
-		return ErrCrashed
-	case at == f.FailAt:
-		return f.Fail
+	case f.CrashAt >= 0 && index >= f.CrashAt:
+		return ErrPowerLost
+	case index == f.FailAt:
+		return f.FailErr
 	}
 	return nil
 }
 
-// MkdirAll does nothing: folders are there.
-func (f *FS) MkdirAll(string) error { return f.step() }
-
-func (f *FS) set(path string, to *inode) {
-	if to == nil {
-		delete(f.names, path)
-	} else {
-		f.names[path] = to
-	}
-	f.pending = append(f.pending, dirOp{filepath.Dir(path), path, to})
+// change changes a directory entry, for processes at once and on the disk with the next SyncDir.
+func (f *FS) change(path string, target *inode) {
+	c := dirChange{dir: filepath.Dir(path), path: path, target: target}
+	c.applyTo(f.visible)
+	f.pending = append(f.pending, c)
 }
 
-// Create makes a file.
+// MkdirAll only counts as a step: every directory exists.
+func (f *FS) MkdirAll(string) error { return f.step() }
+
+// Create creates an empty file.
 func (f *FS) Create(name string) (durable.File, error) {
 	if err := f.step(); err != nil {
 		return nil, err
 	}
-	if f.names[name] != nil {
+	if f.visible[name] != nil {
 		return nil, fs.ErrExist
 	}
 	n := &inode{}
-	f.set(name, n)
-	return &file{f, n}, nil
+	f.change(name, n)
+	return &file{fs: f, inode: n}, nil
 }
 
-// Rename moves a file over whatever has the name.
+// Rename moves a file, replacing the one that has the new name.
 func (f *FS) Rename(from, to string) error {
 	if err := f.step(); err != nil {
 		return err
 	}
-	n := f.names[from]
+	n := f.visible[from]
 	if n == nil {
 		return fs.ErrNotExist
 	}
-	f.set(to, n)
-	f.set(from, nil)
+	f.change(to, n)
+	f.change(from, nil)
 	return nil
 }
 
-// Remove takes a name away.
+// Remove removes a file.
 func (f *FS) Remove(name string) error {
 	if err := f.step(); err != nil {
 		return err
 	}
-	if f.names[name] == nil {
+	if f.visible[name] == nil {
 		return fs.ErrNotExist
 	}
-	f.set(name, nil)
+	f.change(name, nil)
 	return nil
 }
 
-// SyncDir makes the changes of a folder last.
+// SyncDir makes the changes of a directory durable.
 func (f *FS) SyncDir(dir string) error {
 	if err := f.step(); err != nil {
 		return err
 	}
-	f.pending = slices.DeleteFunc(f.pending, func(o dirOp) bool {
-		if o.dir == dir {
-			apply(f.disk, o)
+	f.pending = slices.DeleteFunc(f.pending, func(c dirChange) bool {
+		if c.dir == dir {
+			c.applyTo(f.onDisk)
 		}
-		return o.dir == dir
+		return c.dir == dir
 	})
 	return nil
 }
 
-func apply(m map[string]*inode, o dirOp) {
-	if o.to == nil {
-		delete(m, o.name)
-	} else {
-		m[o.name] = o.to
-	}
-}
-
-// ReadDir names the files.
-func (f *FS) ReadDir(dir string) (l []string, err error) {
-	for name := range f.names {
-		if filepath.Dir(name) == dir {
-			l = append(l, filepath.Base(name))
+// ReadDir lists the names of the files in a directory, sorted.
+func (f *FS) ReadDir(dir string) ([]string, error) {
+	var names []string
+	for path := range f.visible {
+		if filepath.Dir(path) == dir {
+			names = append(names, filepath.Base(path))
 		}
 	}
-	slices.Sort(l)
-	return l, nil
+	slices.Sort(names)
+	return names, nil
 }
 
-// ReadFile reads a file.
+// ReadFile returns a file's content.
 func (f *FS) ReadFile(name string) ([]byte, error) {
-	n := f.names[name]
+	n := f.visible[name]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(n.now), nil
+	return slices.Clone(n.current), nil
 }
 
-// Put puts a file on the disk, whatever is in it.
-func (f *FS) Put(name string, text []byte) {
-	n := &inode{now: slices.Clone(text), disk: slices.Clone(text)}
-	f.names[name], f.disk[name] = n, n
+// Put places a file on the disk, synced. It is no step.
+func (f *FS) Put(name string, content []byte) {
+	n := &inode{current: slices.Clone(content), synced: slices.Clone(content)}
+	f.visible[name], f.onDisk[name] = n, n
 }
 
-// Lock takes a lock until the power goes or it is closed.
+// Lock takes a lock, which lasts until it is closed or the power is lost.
 func (f *FS) Lock(name string) (io.Closer, error) {
 	if err := f.step(); err != nil {
 		return nil, err
@@ -171,107 +183,57 @@
 		return nil, durable.ErrInUse
 	}
 	f.locked[name] = true
-	return unlock(func() { f.locked[name] = false }), nil
+	return unlocker(func() { f.locked[name] = false }), nil
 }
 
-type unlock func()
+// unlocker is a function that releases a lock.
+type unlocker func()
+
+// Close releases the lock.
+func (u unlocker) Close() error { u(); return nil }
 
-func (u unlock) Close() error { u(); return nil }
+// String lists the files with a mark for each byte, up to eight.
+func (f *FS) String() string {
+	const maxMarks = 8
+	var files []string
+	for path, n := range f.visible {
+		files = append(files, path+" "+strings.Repeat("x", min(maxMarks, len(n.current))))
+	}
+	slices.Sort(files)
+	return strings.Join(files, ", ")
+}
 
-// file is one that is open for writing.
+// file is a file open for writing.
 type file struct {
-	f *FS
-	n *inode
+	fs    *FS
+	inode *inode
 }
 
-// Write adds to the file. When it fails, half may have come.
+// Write appends to the file. When it fails the first half was written, unless the power is gone.
 func (w *file) Write(p []byte) (int, error) {
-	err := w.f.step()
+	err := w.fs.step()
 	n := len(p)
 	if err != nil {
 		n /= 2
 	}
-	if !errors.Is(err, ErrCrashed) {
-		w.n.now, w.n.dirty = append(w.n.now, p[:n]...), true
+	if !errors.Is(err, ErrPowerLost) {
+		w.inode.current, w.inode.dirty = append(w.inode.current, p[:n]...), true
 	}
 	return n, err
 }
 
-// Sync makes what was written last. When it fails that is let go, and the next one has nothing to do.
+// Sync makes what was written durable. When it fails that is dropped, and the next Sync has nothing to do.
 func (w *file) Sync() error {
-	err := w.f.step()
-	if errors.Is(err, ErrCrashed) {
+	err := w.fs.step()
+	if errors.Is(err, ErrPowerLost) {
 		return err
 	}
-	if err == nil && w.n.dirty {
-		w.n.disk = slices.Clone(w.n.now)
+	if err == nil && w.inode.dirty {
+		w.inode.synced = slices.Clone(w.inode.current)
 	}
-	w.n.dirty = false
+	w.inode.dirty = false
 	return err
 }
 
-func (w *file) Close() error { return w.f.step() }
-
-// Ways a file that was not synced may look after the power went.
-const (
-	lost  = iota // as it last was on the disk
-	half         // the first half of what was added since has come
-	holes        // all of its length, and zeros for the first half of that
-	kept         // all of it
-	ways
-)
-
-func (n *inode) after(way int) []byte {
-	if !n.dirty {
-		return n.disk
-	}
-	switch way {
-	case lost:
-		return n.disk
-	case half:
-		return n.now[:(len(n.disk)+len(n.now))/2]
-	case holes:
-		b := slices.Clone(n.now)
-		clear(b[len(n.disk) : (len(n.disk)+len(b))/2])
-		return b
-	}
-	return n.now
-}
-
-// Outcomes calls do with every state in which the disk may be after the power went now: each change of a folder that was not
-// synced has come or not, and files that were not synced look in one of four ways.
-func (f *FS) Outcomes(do func(after *FS)) {
-	for mask := range 1 << len(f.pending) {
-		disk := map[string]*inode{}
-		for name, n := range f.disk {
-			disk[name] = n
-		}
-		for i, o := range f.pending {
-			if mask>>i&1 == 1 {
-				apply(disk, o)
-			}
-		}
-		for way := range ways {
-			next := New()
-			dirty := false
-			for name, n := range disk {
-				next.Put(name, n.after(way))
-				dirty = dirty || n.dirty
-			}
-			do(next)
-			if !dirty {
-				break // the ways are all the same
-			}
-		}
-	}
-}
-
-// String lists the files.
-func (f *FS) String() string {
-	var l []string
-	for name, n := range f.names {
-		l = append(l, name+" "+strings.Repeat("x", min(8, len(n.now))))
-	}
-	slices.Sort(l)
-	return strings.Join(l, ", ")
-}
+// Close only counts as a step.
+func (w *file) Close() error { return w.fs.step() }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -9,43 +9,67 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what a folder's files are reached through; tests put faults there. Names are paths.
+// FS is the file system that a Store and the readers use; tests inject faults through it. All names are paths.
 type FS interface {
+	// MkdirAll creates a directory and its parents unless they exist.
 	MkdirAll(dir string) error
-	Create(name string) (File, error) // fails if there is one
+	// Create creates a file for writing and fails with fs.ErrExist if the name is taken.
+	Create(name string) (File, error)
+	// Rename moves a file, replacing the one that has the new name.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(name string) error
-	SyncDir(dir string) error // makes renames, creations and removals in it last
+	// SyncDir makes earlier creations, renames and removals in a directory durable.
+	SyncDir(dir string) error
+	// ReadDir lists the names of the regular files in a directory.
 	ReadDir(dir string) ([]string, error)
+	// ReadFile returns a file's content.
 	ReadFile(name string) ([]byte, error)
-	// Lock takes a lock that the system frees however a process ends; ErrInUse: another has it.
+	// Lock takes an exclusive lock that the system releases when the process ends. It fails with ErrInUse if it is held.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is one that is written.
+// File is a file open for writing.
 type File interface {
 	io.WriteCloser
+	// Sync makes what was written durable.
 	Sync() error
 }
 
-// ErrInUse says that another process keeps its state in the folder.
+// ErrInUse is returned if another process holds the lock of a directory.
 var ErrInUse = errors.New("another process keeps its state there")
 
-// OS is the machine's files.
-var OS FS = machine{}
+// OS is the operating system's file system.
+var OS FS = osFS{}
 
-type machine struct{}
+// osFS implements FS with package os.
+type osFS struct{}
 
-func (machine) MkdirAll(dir string) error            { return os.MkdirAll(dir, 0o700) }
-func (machine) Rename(from, to string) error         { return os.Rename(from, to) }
-func (machine) Remove(name string) error             { return os.Remove(name) }
-func (machine) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
+// Permissions of what is created: state is nobody else's to read.
+const (
+	directoryMode = 0o700
+	fileMode      = 0o600
+)
+
+// MkdirAll implements FS.
+func (osFS) MkdirAll(dir string) error { return os.MkdirAll(dir, directoryMode) }
+
+// Rename implements FS.
+func (osFS) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove implements FS.
+func (osFS) Remove(name string) error { return os.Remove(name) }
+
+// ReadFile implements FS.
+func (osFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
-func (machine) Create(name string) (File, error) {
-	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+// Create implements FS.
+func (osFS) Create(name string) (File, error) {
+	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
-func (machine) SyncDir(dir string) error {
+// SyncDir implements FS with fsync of the directory.
+func (osFS) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -53,13 +77,14 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-func (machine) ReadDir(dir string) ([]string, error) {
-	l, err := os.ReadDir(dir)
+// ReadDir implements FS.
+func (osFS) ReadDir(dir string) ([]string, error) {
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, e := range l {
+	for _, e := range entries {
 		if e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
@@ -67,13 +92,14 @@
 	return names, nil
 }
 
-func (machine) Lock(name string) (io.Closer, error) {
-	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
+// Lock implements FS with flock.
+func (osFS) Lock(name string) (io.Closer, error) {
+	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		f.Close()
+		f.Close() // the lock's error is the one to report
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrInUse
 		}
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -11,40 +11,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Snapshot is a state as it is kept.
+// Snapshot is one saved state.
 type Snapshot struct {
-	Kind    string // what it is a state of
+	Kind    string // what the payload is a state of, 1 to 64 bytes
 	Schema  uint32 // version of the payload's form
-	Seq     uint64 // counts the snapshots of a folder, from 1
+	Seq     uint64 // sequence number in its directory, from 1
 	Taken   time.Time
 	Payload []byte
 }
 
-// magic begins each file, and format is the version of what stands around the payload.
+// The form of a snapshot file. All integers are little endian.
 const (
-	magic   = "umbrstat"
-	format  = 1
-	maxKind = 64
-	fixed   = len(magic) + 4 + 2 + 4 + 8 + 8 + 8 + 8 // all but kind and payload
+	snapshotMagic   = "umbrstat"
+	snapshotVersion = 1 // of what surrounds the payload
+	maxKindSize     = 64
+
+	versionSize    = 4
+	kindLengthSize = 2
+	schemaSize     = 4
+	seqSize        = 8
+	takenSize      = 8
+	lengthSize     = 8
+	checksumSize   = 8
+	// snapshotOverhead is the size of a file with an empty kind and an empty payload.
+	snapshotOverhead = len(snapshotMagic) + versionSize + kindLengthSize + schemaSize + seqSize + takenSize + lengthSize + checksumSize
 )
 
-// Why a file is no whole snapshot.
+// Reasons why a file cannot be used.
 var (
-	errNoState = errors.New("no state of this program")
-	errShort   = errors.New("cut short or longer than it says")
-	errSum     = errors.New("the checksum does not fit: what is in it is not what was written")
-	errNewer   = errors.New("written by a newer version of this program")
+	// ErrUnrecognized is returned for a file that is no snapshot or log of this package.
+	ErrUnrecognized = errors.New("no state of this program")
+	// ErrTruncated is returned for a file whose size contradicts the lengths in it.
+	ErrTruncated = errors.New("cut short or longer than it says")
+	// ErrChecksum is returned for a file whose content changed after it was written.
+	ErrChecksum = errors.New("the checksum does not fit: what is in it is not what was written")
+	// ErrNewerVersion is returned for a file in a form that only a later version of the program knows.
+	ErrNewerVersion = errors.New("written by a newer version of this program")
 )
 
-// Encode words a snapshot as a file: magic, format, kind, schema, number, time, length, payload, and the xxhash of all
-// that, numbers in little endian.
+// Encode returns a snapshot as the content of a file: magic, version, kind, schema, sequence number, time in nanoseconds
+// since 1970, payload length, payload, and the xxhash of all that. It fails if the kind is empty or too long.
 func Encode(s Snapshot) ([]byte, error) {
-	if len(s.Kind) == 0 || len(s.Kind) > maxKind {
-		return nil, fmt.Errorf("durable: kind %q is empty or over %d bytes", s.Kind, maxKind)
+	if len(s.Kind) == 0 || len(s.Kind) > maxKindSize {
+		return nil, fmt.Errorf("durable: kind %q is empty or over %d bytes", s.Kind, maxKindSize)
 	}
-	b := make([]byte, 0, fixed+len(s.Kind)+len(s.Payload))
-	b = append(b, magic...)
-	b = binary.LittleEndian.AppendUint32(b, format)
+	b := make([]byte, 0, snapshotOverhead+len(s.Kind)+len(s.Payload))
+	b = append(b, snapshotMagic...)
+	b = binary.LittleEndian.AppendUint32(b, snapshotVersion)
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(s.Kind)))
 	b = append(b, s.Kind...)
 	b = binary.LittleEndian.AppendUint32(b, s.Schema)
@@ -55,40 +68,68 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
-// Decode reads what Encode wrote, and nothing else: the error says what is wrong with the file. The payload is a part
-// of text.
-func Decode(text []byte) (Snapshot, error) {
-	var s Snapshot
-	rest, is := bytes.CutPrefix(text, []byte(magic))
-	if !is {
-		return s, errNoState
-	}
-	if len(text) < fixed {
-		return s, errShort
+// Decode parses the content of a snapshot file. The error is ErrUnrecognized, ErrTruncated, ErrChecksum or ErrNewerVersion.
+// The returned payload aliases content.
+func Decode(content []byte) (Snapshot, error) {
+	body, checksumFits, err := splitChecksum(content)
+	if err != nil {
+		return Snapshot{}, err
 	}
-	body, sum := text[:len(text)-8], binary.LittleEndian.Uint64(text[len(text)-8:])
-	whole := xxhash.Sum64(body) == sum
-	if v := binary.LittleEndian.Uint32(rest); v > format && whole {
-		return s, errNewer // as far as can be told: a later format may put its checksum elsewhere
-	} else if v != format {
-		return s, errNoState
+	rest, err := checkVersion(body[len(snapshotMagic):], checksumFits)
+	if err != nil {
+		return Snapshot{}, err
 	}
-	kind := int(binary.LittleEndian.Uint16(rest[4:]))
-	rest = rest[6:]
-	if kind == 0 || kind > maxKind || len(text) < fixed+kind {
-		return s, errShort
+	s, payloadLength, rest, err := decodeHeader(rest)
+	if err != nil {
+		return Snapshot{}, err
 	}
-	s.Kind, rest = string(rest[:kind]), rest[kind:]
-	s.Schema, s.Seq = binary.LittleEndian.Uint32(rest), binary.LittleEndian.Uint64(rest[4:])
-	s.Taken = time.Unix(0, int64(binary.LittleEndian.Uint64(rest[12:])))
-	n := binary.LittleEndian.Uint64(rest[20:])
-	rest = rest[28:]
-	if n > math.MaxInt64 || int64(n) != int64(len(rest)-8) {
-		return s, errShort
+	if payloadLength > math.MaxInt64 || int64(payloadLength) != int64(len(rest)) {
+		return s, ErrTruncated
 	}
-	if !whole {
-		return s, errSum
+	if !checksumFits {
+		return s, ErrChecksum
 	}
-	s.Payload = rest[:n:n]
+	s.Payload = rest[:payloadLength:payloadLength]
 	return s, nil
 }
+
+// splitChecksum takes the checksum off a file's content and reports whether it fits.
+func splitChecksum(content []byte) (body []byte, fits bool, err error) {
+	if !bytes.HasPrefix(content, []byte(snapshotMagic)) {
+		return nil, false, ErrUnrecognized
+	}
+	if len(content) < snapshotOverhead {
+		return nil, false, ErrTruncated
+	}
+	body = content[:len(content)-checksumSize]
+	return body, binary.LittleEndian.Uint64(content[len(body):]) == xxhash.Sum64(body), nil
+}
+
+// checkVersion reads the version of the form and returns what follows it.
+func checkVersion(b []byte, checksumFits bool) (rest []byte, err error) {
+	version := binary.LittleEndian.Uint32(b)
+	switch {
+	case version == snapshotVersion:
+		return b[versionSize:], nil
+	case version > snapshotVersion && checksumFits:
+		return nil, ErrNewerVersion // as far as can be told: a later form may have its checksum elsewhere
+	default:
+		return nil, ErrUnrecognized
+	}
+}
+
+// decodeHeader reads all that stands between the version and the payload.
+func decodeHeader(b []byte) (s Snapshot, payloadLength uint64, payload []byte, err error) {
+	const fixedSize = schemaSize + seqSize + takenSize + lengthSize
+	kindLength := int(binary.LittleEndian.Uint16(b))
+	b = b[kindLengthSize:]
+	if kindLength == 0 || kindLength > maxKindSize || len(b) < kindLength+fixedSize {
+		return s, 0, nil, ErrTruncated
+	}
+	s.Kind, b = string(b[:kindLength]), b[kindLength:]
+	s.Schema, b = binary.LittleEndian.Uint32(b), b[schemaSize:]
+	s.Seq, b = binary.LittleEndian.Uint64(b), b[seqSize:]
+	s.Taken, b = time.Unix(0, int64(binary.LittleEndian.Uint64(b))), b[takenSize:]
+	payloadLength, b = binary.LittleEndian.Uint64(b), b[lengthSize:]
+	return s, payloadLength, b, nil
+}
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,6 +1,3 @@
-// Package durable keeps a state in files so that whatever ends the process, or the machine, what is read afterwards
-// is a state that was once written whole: the last one whose Save returned, or a later one. What is damaged is named and
-// passed over, never loaded, and never a reason not to start. docs/durability.md says what is promised.
 package durable
 
 import (
@@ -8,144 +5,31 @@
 	"fmt"
 	"io"
 	"io/fs"
-	"os"
 	"path/filepath"
-	"slices"
-	"strconv"
 	"strings"
 	"time"
 )
 
-// Options say where a state is kept and what it is.
-type Options struct {
-	Dir        string
-	Kind       string // of the state; other kinds in the folder are let be
-	Schema     uint32 // the newest version of the payload that is understood
-	Retain     int    // snapshots that are kept; 0: 3
-	MaxPayload int    // bytes of a payload; 0: 64 MiB
-	FS         FS     // nil: OS
-}
-
-const (
-	defaultKeep = 3
-	defaultMost = 64 << 20
-	unfinished  = ".tmp"
-	lockFile    = "lock"
-)
-
-// SnapshotSuffix ends the names of a Store's snapshots.
-const SnapshotSuffix = ".state"
-
-func (o *Options) complete() {
-	if o.Retain == 0 {
-		o.Retain = defaultKeep
-	}
-	if o.MaxPayload == 0 {
-		o.MaxPayload = defaultMost
-	}
-	if o.FS == nil {
-		o.FS = OS
-	}
-}
-
-func (o *Options) path(seq uint64) string {
-	return filepath.Join(o.Dir, fmt.Sprintf("%s-%016x%s", o.Kind, seq, SnapshotSuffix))
-}
-
-// seqOf is the number in a snapshot's name; false: it is none of this kind.
-func (o *Options) seqOf(name string) (uint64, bool) {
-	text, is := strings.CutSuffix(name, SnapshotSuffix)
-	text, of := strings.CutPrefix(text, o.Kind+"-")
-	if !is || !of || len(text) != 16 {
-		return 0, false
-	}
-	seq, err := strconv.ParseUint(text, 16, 64)
-	return seq, err == nil
-}
-
-// SkippedFile is a file that was passed over.
-type SkippedFile struct {
-	File   string
-	Reason error
-}
-
-func (t SkippedFile) String() string { return fmt.Sprintf("%s: %v", t.File, t.Reason) }
-
-// Load returns the newest whole snapshot that take accepts, nil if there is none, and what was passed over on the
-// way. It takes no lock: another process may go on saving meanwhile.
-func Load(o Options, take func(Snapshot) error) (*Snapshot, []SkippedFile) {
-	o.complete()
-	names, err := o.FS.ReadDir(o.Dir)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, []SkippedFile{{o.Dir, err}}
-	}
-	var thrown []SkippedFile
-	for _, seq := range o.numbers(names) {
-		s, err := o.read(seq)
-		if err == nil {
-			err = take(s)
-		}
-		switch {
-		case err == nil:
-			return &s, thrown
-		case errors.Is(err, fs.ErrNotExist): // its writer has a newer one
-		default:
-			thrown = append(thrown, SkippedFile{o.path(seq), err})
-		}
-	}
-	return nil, thrown
-}
-
-// numbers are those of the snapshots among names, the newest first.
-func (o *Options) numbers(names []string) (l []uint64) {
-	for _, n := range names {
-		if seq, is := o.seqOf(n); is {
-			l = append(l, seq)
-		}
-	}
-	slices.Sort(l)
-	slices.Reverse(l)
-	return l
-}
-
-func (o *Options) read(seq uint64) (Snapshot, error) {
-	text, err := o.FS.ReadFile(o.path(seq))
-	if err != nil {
-		return Snapshot{}, err
-	}
-	s, err := Decode(text)
-	switch {
-	case err != nil:
-	case s.Kind != o.Kind || s.Seq != seq:
-		err = fmt.Errorf("it is number %d of kind %q under another's name", s.Seq, s.Kind)
-	case s.Schema > o.Schema:
-		err = fmt.Errorf("%w: form %d, this one knows up to %d", errNewer, s.Schema, o.Schema)
-	}
-	return s, err
-}
-
-// Store saves snapshots in a folder that it has to itself. Its methods are for one goroutine.
+// Store writes snapshots and their logs into a directory whose lock it holds. Its methods are for one goroutine at a time.
 type Store struct {
-	opt  Options
-	lock io.Closer
-	next uint64
-	old  []uint64 // that are there, the newest last
-
-	base    uint64 // of the snapshot that Append goes with; 0: none was saved yet
-	log     File   // nil: nothing was appended to it
-	size    int    // of its payload
-	records uint64
-	logSize int
-	failed  bool // what was last written may or may not be there
-}
-
-// Open makes the folder if there is none and takes its lock; ErrInUse: another process has it. What a process that died
-// left unfinished is taken away.
+	opt      Options
+	lock     io.Closer
+	lastSeq  uint64   // the highest sequence number given out
+	retained []uint64 // sequence numbers of the snapshots in the directory, rising
+
+	// The log that follows the last saved snapshot.
+	snapshotSeq  uint64 // 0: none was saved yet
+	snapshotSize int    // of its payload
+	log          File   // nil: nothing was appended yet
+	recordCount  uint64
+	logSize      int  // of its records, in bytes
+	logFailed    bool // the content of the log is unknown
+}
+
+// Open creates the directory if need be and takes its lock; it fails with ErrInUse if another process holds it. Temporary
+// files that a process left when it died are removed.
 func Open(o Options) (*Store, error) {
-	o.complete()
+	o.setDefaults()
 	if err := o.FS.MkdirAll(o.Dir); err != nil {
 		return nil, err
 	}
@@ -155,74 +39,75 @@
 	}
 	names, err := o.FS.ReadDir(o.Dir)
 	if err != nil {
-		lock.Close()
-		return nil, err
+		return nil, errors.Join(err, lock.Close())
 	}
-	s := &Store{opt: o, lock: lock, old: o.numbers(names)}
-	slices.Reverse(s.old)
-	// One that is damaged or from a newer version counts too: no number is given twice.
-	if n := len(s.old); n > 0 {
-		s.next = s.old[n-1]
+	s := &Store{opt: o, lock: lock, retained: o.sequences(names)}
+	// A snapshot that is damaged or from a newer version counts too, so that no number is used twice.
+	if n := len(s.retained); n > 0 {
+		s.lastSeq = s.retained[n-1]
 	}
-	for _, n := range names {
-		if strings.HasPrefix(n, o.Kind+"-") && strings.HasSuffix(n, unfinished) {
-			o.FS.Remove(filepath.Join(o.Dir, n)) // else it only takes room
+	s.removeTemporary(names)
+	return s, nil
+}
+
+// removeTemporary removes unfinished files. One that cannot be removed only takes space.
+func (s *Store) removeTemporary(names []string) {
+	for _, name := range names {
+		if strings.HasPrefix(name, s.opt.Kind+"-") && strings.HasSuffix(name, temporarySuffix) {
+			_ = s.opt.FS.Remove(filepath.Join(s.opt.Dir, name))
 		}
 	}
-	return s, nil
 }
 
-// Save keeps a payload as the newest snapshot. When it returns nil the snapshot outlives a crash and a power loss; after an
-// error the older ones stand, and the new one may or may not. Each call writes a file of its own from its beginning:
-// what a failed sync leaves behind is never relied on.
+// Save writes a payload as the newest snapshot and begins an empty log. When it returns nil the snapshot is durable; after an
+// error the older ones stand, and the new one may or may not be there. Each call writes a new file from its beginning, so
+// that nothing depends on what an earlier failed sync left behind.
 func (s *Store) Save(payload []byte, taken time.Time) error {
 	if len(payload) > s.opt.MaxPayload {
 		return fmt.Errorf("%s: a state of %d bytes, over the %d allowed", s.opt.Dir, len(payload), s.opt.MaxPayload)
 	}
-	s.next++
-	text, err := Encode(Snapshot{s.opt.Kind, s.opt.Schema, s.next, taken, payload})
+	s.lastSeq++
+	content, err := Encode(Snapshot{Kind: s.opt.Kind, Schema: s.opt.Schema, Seq: s.lastSeq, Taken: taken, Payload: payload})
 	if err != nil {
 		return err
 	}
-	path := s.opt.path(s.next)
-	if err := writeFile(s.opt.FS, path, path+unfinished, text); err != nil {
-		s.failed = true // it may be there all the same, and then the log before it counts for nothing
+	path := s.opt.snapshotPath(s.lastSeq)
+	if err := replaceFile(s.opt.FS, path, path+temporarySuffix, content); err != nil {
+		s.logFailed = true // the new snapshot may be there all the same, and would make the log before it void
 		return err
 	}
-	if s.log != nil {
-		s.log.Close() // all that counts in it is synced
-	}
-	s.base, s.size, s.log, s.records, s.logSize, s.failed = s.next, len(payload), nil, 0, 0, false
-	s.old = append(s.old, s.next)
+	s.beginLog(len(payload))
+	s.retained = append(s.retained, s.lastSeq)
 	s.prune()
 	return nil
 }
 
-// SnapshotSize is how many bytes the payload of the last Save had; 0: there was none.
-func (s *Store) SnapshotSize() int { return s.size }
+// beginLog makes the snapshot just saved the one that Append continues.
+func (s *Store) beginLog(snapshotSize int) {
+	if s.log != nil {
+		s.log.Close() // every record that counts was synced
+	}
+	s.snapshotSeq, s.snapshotSize = s.lastSeq, snapshotSize
+	s.log, s.recordCount, s.logSize, s.logFailed = nil, 0, 0, false
+}
+
+// SnapshotSize returns the size of the last saved payload in bytes; 0 before the first Save.
+func (s *Store) SnapshotSize() int { return s.snapshotSize }
 
-// prune removes what is older than what is to be kept. What cannot be removed is tried again with the next.
+// prune removes snapshots beyond those to retain, each after its log. What cannot be removed is tried again at the next Save.
 func (s *Store) prune() {
-	for len(s.old) > s.opt.Retain {
-		for _, name := range []string{s.opt.logPath(s.old[0]), s.opt.path(s.old[0])} { // no log outlives its snapshot
-			if err := s.opt.FS.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	for len(s.retained) > s.opt.Retain {
+		oldest := s.retained[0]
+		for _, path := range []string{s.opt.logPath(oldest), s.opt.snapshotPath(oldest)} {
+			if err := s.opt.FS.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return
 			}
 		}
-		s.old = s.old[1:]
+		s.retained = s.retained[1:]
 	}
 }
 
-// LockDir takes the lock of a folder of the machine, as Open does; ErrInUse: a process has it.
-func LockDir(dir string) (io.Closer, error) {
-	lock, err := OS.Lock(filepath.Join(dir, lockFile))
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, err)
-	}
-	return lock, nil
-}
-
-// Close lets others have the folder.
+// Close closes the log and releases the directory's lock.
 func (s *Store) Close() error {
 	var err error
 	if s.log != nil {
@@ -231,53 +116,11 @@
 	return errors.Join(err, s.lock.Close())
 }
 
-// writeFile puts a file in place at once or not at all, by way of tmp, and returns when it lasts.
-func writeFile(fsys FS, path, tmp string, text []byte) error {
-	f, err := fsys.Create(tmp)
-	if errors.Is(err, fs.ErrExist) { // of a try that could not clear up
-		if err = fsys.Remove(tmp); err == nil {
-			f, err = fsys.Create(tmp)
-		}
-	}
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(text)
-	if err == nil {
-		err = f.Sync()
-	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
-	}
-	if err == nil {
-		err = fsys.Rename(tmp, path)
-	}
-	if err != nil {
-		fsys.Remove(tmp) // else the next Open does
-		return err
-	}
-	return fsys.SyncDir(filepath.Dir(path))
-}
-
-// WriteFile keeps a single snapshot in a file, in the place of the one before. It lasts when it returns nil; after an
-// error the one before stands, or the new one does. Several processes may write the same file: the last one counts.
-func WriteFile(path string, s Snapshot) error {
-	text, err := Encode(s)
-	if err != nil {
-		return err
-	}
-	return writeFile(OS, path, fmt.Sprintf("%s.%d%s", path, os.Getpid(), unfinished), text)
-}
-
-// ReadFile reads a file as WriteFile or a Store writes it, whatever its kind.
-func ReadFile(path string) (Snapshot, error) {
-	text, err := OS.ReadFile(path)
-	if err != nil {
-		return Snapshot{}, err
-	}
-	s, err := Decode(text)
+// LockDir takes the lock of a directory of the operating system as Open does; it fails with ErrInUse if a Store holds it.
+func LockDir(dir string) (io.Closer, error) {
+	lock, err := OS.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	return s, nil
+	return lock, nil
 }
