--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -8,86 +8,99 @@
 	"syscall"
 )
 
-// Process is a program that can be killed, stopped and started again. Its methods may be called by any goroutine.
+// Process is a program that can be killed, signalled and started again. Set the exported fields before the first Start; the
+// methods may then be called by any goroutine.
 type Process struct {
 	Launcher *Launcher
-	Args     []string // of its command
-	LogPath  string   // a file for what it writes, over all its starts
+	Args     []string // arguments, after the command of SetCommand
+	LogPath  string   // file to which the output of every run is appended
 
 	mu      sync.Mutex
 	command []string
 	cmd     *exec.Cmd // nil: it does not run
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// SetCommand says what its next start runs, before Args.
+// logTailSize is how much of the output LogTail returns, in bytes.
+const logTailSize = 800
+
+// SetCommand sets the program that the next Start runs, with its leading arguments. It must not be empty.
 func (p *Process) SetCommand(command []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.command = command
 }
 
-// Start starts it if it does not run, or has ended by itself.
+// Start starts the process unless it runs.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil {
-		select {
-		case <-p.ended:
-		default:
-			return nil
-		}
+	if p.running() {
+		return nil
 	}
 	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer log.Close() // the child has a descriptor of its own
 	cmd := exec.Command(p.command[0], append(p.command[1:len(p.command):len(p.command)], p.Args...)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := p.Launcher.Start(cmd); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.ended = cmd, ended
+	done := make(chan struct{})
+	p.cmd, p.done = cmd, done
 	go func() {
-		cmd.Wait() // killed, or ended by itself: nothing is served then, which the run shows
-		close(ended)
+		_ = cmd.Wait() // however it ended, it serves nothing any more, which whoever uses it notices
+		close(done)
 	}()
 	return nil
 }
 
-// Kill kills it, as a crash does.
+// running reports whether the process was started and has not ended by itself. p.mu is held.
+func (p *Process) running() bool {
+	if p.cmd == nil {
+		return false
+	}
+	select {
+	case <-p.done:
+		return false
+	default:
+		return true
+	}
+}
+
+// Kill kills the process and waits for its end. It does nothing if the process does not run.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Kill()
-		<-p.ended
+		p.cmd.Process.Kill() // fails only if it has ended already
+		<-p.done
 		p.cmd = nil
 	}
 }
 
-// Signal gives it a signal, if it runs.
+// Signal sends the process a signal if it runs.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Signal(s)
+		p.cmd.Process.Signal(s) // fails only if it has ended already
 	}
 }
 
-// Done is closed when the process that it runs as has ended; nil: it does not run.
+// Done returns a channel that is closed when the process that runs now ends; nil if none was started or it was killed.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil
 	}
-	return p.ended
+	return p.done
 }
 
-// Pid is the process that it runs as; 0: it does not run.
+// Pid returns the process identifier; 0 if none was started or it was killed.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,11 +110,11 @@
 	return p.cmd.Process.Pid
 }
 
-// LogTail is the end of what it wrote.
+// LogTail returns the end of what the process wrote, or why that cannot be read.
 func (p *Process) LogTail() string {
 	text, err := os.ReadFile(p.LogPath)
 	if err != nil {
 		return err.Error()
 	}
-	return strings.TrimSpace(string(text[max(0, len(text)-800):]))
+	return strings.TrimSpace(string(text[max(0, len(text)-logTailSize):]))
 }
--- a/internal/process/relay/relay_test.go
+++ b/internal/process/relay/relay_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -15,17 +16,27 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// limit is how long anything may take that has to happen.
-const limit = 20 * time.Second
+const (
+	// testTimeout is how long anything may take that has to happen.
+	testTimeout = 20 * time.Second
+	// quietTime is how long nothing is to arrive that must not.
+	quietTime = 50 * time.Millisecond
+)
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// startEcho starts a server that returns what it receives, and returns its address.
+func startEcho(t *testing.T) string {
+	t.Helper()
+	ln := listen(t)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -34,16 +45,22 @@
 			}
 			go func() {
 				defer c.Close()
-				io.Copy(c, c)
+				_, _ = io.Copy(c, c) // ends with the connection
 			}()
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func start(t *testing.T) *Relay {
+// startRelay starts a relay in front of an echo server.
+func startRelay(t *testing.T) *Relay {
 	t.Helper()
-	r, err := Listen("127.0.0.1", echo(t))
+	return startRelayTo(t, startEcho(t))
+}
+
+func startRelayTo(t *testing.T, target string) *Relay {
+	t.Helper()
+	r, err := Listen("127.0.0.1", target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,183 +68,210 @@
 	return r
 }
 
-func dial(t *testing.T, r *Relay) net.Conn {
+func dial(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", r.Addr(), limit)
+	c, err := net.DialTimeout("tcp", r.Addr(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return c
+	return c.(*net.TCPConn)
 }
 
-// ask sends a line and gives what comes back within d.
-func ask(c net.Conn, line string, d time.Duration) (string, error) {
-	if _, err := io.WriteString(c, line+"\n"); err != nil {
-		return "", err
+func send(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
 	}
-	return hear(c, d)
 }
 
-func hear(c net.Conn, d time.Duration) (string, error) {
-	c.SetReadDeadline(time.Now().Add(d))
+// receive returns the line that arrives within d.
+func receive(t *testing.T, c net.Conn, d time.Duration) (string, error) {
+	t.Helper()
+	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
+		t.Fatal(err)
+	}
 	s, err := bufio.NewReader(c).ReadString('\n')
 	return strings.TrimSuffix(s, "\n"), err
 }
 
-func put(t *testing.T, r *Relay, e *Impairment) *Impairment {
+func add(t *testing.T, r *Relay, i *Impairment) *Impairment {
 	t.Helper()
-	if err := r.Add(e); err != nil {
+	if err := r.Add(i); err != nil {
 		t.Fatal(err)
 	}
-	return e
+	return i
 }
 
-func take(t *testing.T, r *Relay, e *Impairment) {
+func remove(t *testing.T, r *Relay, i *Impairment) {
 	t.Helper()
-	if err := r.Remove(e); err != nil {
+	if err := r.Remove(i); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func want(t *testing.T, c net.Conn, line string) {
+// checkEcho sends a line and checks that it comes back.
+func checkEcho(t *testing.T, c net.Conn, line string) {
 	t.Helper()
-	if got, err := ask(c, line, limit); err != nil || got != line {
-		t.Fatalf("got %q, %v, want %q", got, err, line)
+	send(t, c, line+"\n")
+	if got, err := receive(t, c, testTimeout); err != nil || got != line {
+		t.Fatalf("received %q, %v, want %q", got, err, line)
 	}
 }
 
-// While a link is silent either way nothing comes through and no connection comes up. Afterwards what was
-// written arrives, once.
-func TestSilence(t *testing.T) {
-	for _, e := range []*Impairment{{Stall: true, ToTarget: true}, {Stall: true, FromTarget: true}, {Stall: true, ToTarget: true, FromTarget: true}} {
-		r := start(t)
-		c := dial(t, r)
-		want(t, c, "before")
-		put(t, r, e)
-		if got, err := ask(c, "during", 50*time.Millisecond); err == nil {
-			t.Errorf("%+v: heard %q", e, got)
-		}
-		if c, err := net.DialTimeout("tcp", r.Addr(), 100*time.Millisecond); err == nil {
-			c.Close()
-			t.Errorf("%+v: a connection came up", e)
-		}
-		take(t, r, e)
-		if got, err := hear(c, limit); err != nil || got != "during" {
-			t.Errorf("%+v: after it %q, %v", e, got, err)
-		}
-		want(t, dial(t, r), "new")
+// checkSilent sends a line and checks that nothing comes back for a while.
+func checkSilent(t *testing.T, c net.Conn, line string) {
+	t.Helper()
+	send(t, c, line+"\n")
+	if got, err := receive(t, c, quietTime); err == nil {
+		t.Errorf("received %q", got)
 	}
 }
 
-// What is written into a silence arrives after it, though its sender has closed by then; one that has reset its
-// connection has taken it back.
-func TestTakenBack(t *testing.T) {
-	for reset, want := range map[bool]string{false: "before\nduring\n", true: "before\n"} {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer ln.Close()
-		got := make(chan string, 100)
-		go func() {
-			c, err := ln.Accept()
-			if err != nil {
-				return
+// checkReceives checks that a line arrives.
+func checkReceives(t *testing.T, c net.Conn, line string) {
+	t.Helper()
+	if got, err := receive(t, c, testTimeout); err != nil || got != line {
+		t.Errorf("received %q, %v, want %q", got, err, line)
+	}
+}
+
+// While a link stalls in either direction nothing comes back and no connection is established. Afterwards what was written
+// arrives, once.
+func TestStall(t *testing.T) {
+	for _, i := range []*Impairment{{Stall: true, ToTarget: true}, {Stall: true, FromTarget: true}, {Stall: true, ToTarget: true, FromTarget: true}} {
+		t.Run(fmt.Sprintf("to target %v, from target %v", i.ToTarget, i.FromTarget), func(t *testing.T) {
+			r := startRelay(t)
+			c := dial(t, r)
+			checkEcho(t, c, "before")
+			add(t, r, i)
+			checkSilent(t, c, "during")
+			if c, err := net.DialTimeout("tcp", r.Addr(), 2*quietTime); err == nil {
+				c.Close()
+				t.Error("a connection was established")
 			}
-			defer c.Close()
-			var all strings.Builder
-			for buf := make([]byte, 100); ; {
-				n, err := c.Read(buf)
-				all.Write(buf[:n])
-				if n > 0 || err != nil {
-					got <- all.String()
-				}
-				if err != nil {
-					close(got)
-					return
-				}
+			remove(t, r, i)
+			checkReceives(t, c, "during")
+			checkEcho(t, dial(t, r), "new")
+		})
+	}
+}
+
+// What is written into a stall arrives after it though its sender has closed by then. A sender that has reset its connection
+// has taken it back.
+func TestCloseDuringStall(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		reset bool
+		want  string
+	}{
+		{"closed", false, "before\nduring\n"},
+		{"reset", true, "before\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			ln := listen(t)
+			received := make(chan string, 100)
+			go receiveAll(ln, received)
+			r := startRelayTo(t, ln.Addr().String())
+			conn := dial(t, r)
+			send(t, conn, "before\n")
+			<-received
+			i := add(t, r, &Impairment{Stall: true, ToTarget: true})
+			send(t, conn, "during\n")
+			waitForStalledCopy(t, r)
+			if c.reset {
+				conn.SetLinger(0)
+			}
+			conn.Close()
+			remove(t, r, i)
+			all := ""
+			for all = range received {
+			}
+			if all != c.want {
+				t.Errorf("%q arrived, want %q", all, c.want)
 			}
-		}()
-		r, err := Listen("127.0.0.1", ln.Addr().String())
+		})
+	}
+}
+
+// receiveAll accepts one connection and reports all that has arrived on it, after each read, until it ends.
+func receiveAll(ln net.Listener, received chan<- string) {
+	defer close(received)
+	c, err := ln.Accept()
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	var all strings.Builder
+	for buf := make([]byte, 100); ; {
+		n, err := c.Read(buf)
+		all.Write(buf[:n])
+		received <- all.String()
 		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(r.Close)
-		c := dial(t, r)
-		io.WriteString(c, "before\n")
-		<-got
-		e := put(t, r, &Impairment{Stall: true, ToTarget: true})
-		io.WriteString(c, "during\n")
-		for held, end := 0, time.Now().Add(limit); held == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			r.mu.Lock()
-			held = r.stalledCopies
-			r.mu.Unlock()
-		}
-		if reset {
-			c.(*net.TCPConn).SetLinger(0)
+			return
 		}
-		c.Close()
-		take(t, r, e)
-		last := ""
-		for s := range got {
-			last = s
-		}
-		if last != want {
-			t.Errorf("reset %v: %q arrived, want %q", reset, last, want)
+	}
+}
+
+// waitForStalledCopy waits until a direction holds bytes.
+func waitForStalledCopy(t *testing.T, r *Relay) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		r.mu.Lock()
+		stalled := r.stalledCopies
+		r.mu.Unlock()
+		if stalled > 0 {
+			return
 		}
 	}
+	t.Fatal("nothing was stalled")
 }
 
-// A silence within another lasts as long as either, and a refusal ends when its own time does.
-func TestOverlap(t *testing.T) {
-	r := start(t)
+// A stall within another lasts as long as either, and a refusal ends when it is removed itself.
+func TestOverlappingImpairments(t *testing.T) {
+	r := startRelay(t)
 	c := dial(t, r)
-	want(t, c, "before") // it has been taken, and does not wait in the backlog that a refusal empties
-	first, second := put(t, r, &Impairment{Stall: true, ToTarget: true}), put(t, r, &Impairment{Stall: true, ToTarget: true})
-	refuse := put(t, r, &Impairment{Refuse: true})
-	take(t, r, first)
-	if got, err := ask(c, "held", 50*time.Millisecond); err == nil {
-		t.Errorf("heard %q in the second silence", got)
-	}
-	take(t, r, second)
-	if got, err := hear(c, limit); err != nil || got != "held" {
-		t.Errorf("after both silences %q, %v", got, err)
-	}
-	if _, err := net.DialTimeout("tcp", r.Addr(), limit); !errors.Is(err, syscall.ECONNREFUSED) {
+	checkEcho(t, c, "before") // it is accepted, and not in the backlog that a refusal empties
+	first, second := add(t, r, &Impairment{Stall: true, ToTarget: true}), add(t, r, &Impairment{Stall: true, ToTarget: true})
+	refuse := add(t, r, &Impairment{Refuse: true})
+	remove(t, r, first)
+	checkSilent(t, c, "held")
+	remove(t, r, second)
+	checkReceives(t, c, "held")
+	if _, err := net.DialTimeout("tcp", r.Addr(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while it refuses: %v", err)
 	}
-	take(t, r, refuse)
-	want(t, dial(t, r), "open again")
-	take(t, r, refuse) // twice is none too many
+	remove(t, r, refuse)
+	checkEcho(t, dial(t, r), "open again")
+	remove(t, r, refuse) // a second time, which does nothing
 }
 
 func TestReset(t *testing.T) {
-	r := start(t)
+	r := startRelay(t)
 	c := dial(t, r)
-	want(t, c, "before")
+	checkEcho(t, c, "before")
 	r.Reset()
-	if _, err := hear(c, limit); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := receive(t, c, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection ended with %v", err)
 	}
-	want(t, dial(t, r), "after")
+	checkEcho(t, dial(t, r), "after")
 }
 
-// Delays add up, each way that is hit; a rate holds bytes back.
+// Delays add up in each direction that they apply to; a rate limit holds bytes back.
 func TestDelayAndRate(t *testing.T) {
-	r := start(t)
+	r := startRelay(t)
 	c := dial(t, r)
-	put(t, r, &Impairment{Delay: 30 * time.Millisecond, ToTarget: true})
-	put(t, r, &Impairment{Delay: 20 * time.Millisecond, ToTarget: true, FromTarget: true})
-	began := time.Now()
-	want(t, c, "delayed")
-	if took := time.Since(began); took < 70*time.Millisecond {
+	add(t, r, &Impairment{Delay: 30 * time.Millisecond, ToTarget: true})
+	add(t, r, &Impairment{Delay: 20 * time.Millisecond, ToTarget: true, FromTarget: true})
+	start := time.Now()
+	checkEcho(t, c, "delayed")
+	if took := time.Since(start); took < 70*time.Millisecond {
 		t.Errorf("%v there and back, want 70ms or more", took)
 	}
-	put(t, r, &Impairment{BytesPerSecond: 1000, FromTarget: true})
-	began = time.Now()
-	want(t, c, strings.Repeat("x", 100))
-	if took := time.Since(began); took < 150*time.Millisecond {
+	add(t, r, &Impairment{BytesPerSecond: 1000, FromTarget: true})
+	start = time.Now()
+	checkEcho(t, c, strings.Repeat("x", 100))
+	if took := time.Since(start); took < 150*time.Millisecond {
 		t.Errorf("101 bytes took %v at 1000 bytes/s", took)
 	}
 }
