--- /dev/null
+++ b/internal/stricttoml/stricttoml.go
@@ -0,0 +1,56 @@
+// Package stricttoml decodes TOML files in which an unknown key is an error, and reports what is wrong with a file on one
+// line that names the file, the line, the key and the reason.
+package stricttoml
+
+import (
+	"bytes"
+	"errors"
+	"strconv"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Error says what is wrong with a file.
+type Error struct {
+	File   string
+	Line   int    // from 1; 0: unknown, or the fault is not in the file's text
+	Key    string // with its tables, separated by dots; "": no single key is at fault
+	Reason string
+}
+
+// Error returns "FILE:LINE: KEY: REASON", without the parts that are unknown.
+func (e *Error) Error() string {
+	text := e.File
+	if e.Line > 0 {
+		text += ":" + strconv.Itoa(e.Line)
+	}
+	if e.Key != "" {
+		text += ": " + e.Key
+	}
+	return text + ": " + e.Reason
+}
+
+// Decode decodes content into a pointer to a struct with toml tags. file is the name to give in errors. Every error is an
+// *Error for the first fault found.
+func Decode(file string, content []byte, into any) error {
+	err := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields().Decode(into)
+	if err == nil {
+		return nil
+	}
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := &unknownKeys.Errors[0]
+		line, _ := first.Position()
+		return &Error{File: file, Line: line, Key: strings.Join(first.Key(), "."), Reason: "unknown key"}
+	}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return &Error{File: file, Line: line, Key: strings.Join(invalid.Key(), "."), Reason: reason(invalid)}
+	}
+	return &Error{File: file, Reason: reason(err)}
+}
+
+// reason returns an error's text without the decoder's own prefix.
+func reason(err error) string { return strings.TrimPrefix(err.Error(), "toml: ") }
