--- /dev/null
+++ b/internal/registry/replica/api_write.go
@@ -0,0 +1,125 @@
+package replica
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"github.com/hashicorp/raft"
+
+	"umberbank/internal/registry/state"
+)
+
+// maxOpsPerWrite is how many writes one call may have.
+const maxOpsPerWrite = 10_000
+
+var (
+	errOpCount = errors.New("a write wants 1 to 10,000 ops")
+	errNoPeer  = errors.New("want add (id, raft, address) or remove (id)")
+)
+
+// writeRequest and writeResponse are the bodies of a call that writes.
+type (
+	writeRequest struct {
+		Ops []state.Op `json:"ops"`
+	}
+	writeResponse struct {
+		Answers []state.Result `json:"answers"`
+	}
+)
+
+// handleWrite carries writes out, in their order.
+func (r *Replica) handleWrite(_ context.Context, body []byte) (any, error) {
+	var c writeRequest
+	if err := json.Unmarshal(body, &c); err != nil {
+		return nil, badRequestError{err}
+	}
+	if len(c.Ops) == 0 || len(c.Ops) > maxOpsPerWrite {
+		return nil, badRequestError{errOpCount}
+	}
+	answers, err := r.write(command{Ops: c.Ops})
+	return writeResponse{answers}, err
+}
+
+// handleRestore replaces the state by a backup.
+func (r *Replica) handleRestore(_ context.Context, body []byte) (any, error) {
+	if _, err := state.Load(body); err != nil {
+		return nil, badRequestError{err}
+	}
+	_, err := r.write(command{Restore: body})
+	return emptyResponse{}, err
+}
+
+// renewCall and renewResponse are the bodies of a call that renews leases.
+type (
+	renewCall struct {
+		Leases []Lease `json:"leases"`
+	}
+	renewResponse struct {
+		Unknown []string `json:"unknown"` // uids of leases that are not held by these tokens
+	}
+)
+
+// handleRenew renews leases.
+func (r *Replica) handleRenew(ctx context.Context, body []byte) (any, error) {
+	var c renewCall
+	if err := json.Unmarshal(body, &c); err != nil {
+		return nil, badRequestError{err}
+	}
+	unknown, err := r.renew(ctx, c.Leases)
+	return renewResponse{unknown}, err
+}
+
+// membersRequest is the body of a call that changes the members.
+type membersRequest struct {
+	Add    *Peer  `json:"add"`
+	Remove string `json:"remove"`
+}
+
+// handleMembers adds or removes a replica.
+func (r *Replica) handleMembers(_ context.Context, body []byte) (any, error) {
+	var c membersRequest
+	if err := json.Unmarshal(body, &c); err != nil {
+		return nil, badRequestError{err}
+	}
+	switch p := c.Add; {
+	case p != nil && p.ID != "" && p.RaftAddress != "" && p.ClientAddress != "":
+		return emptyResponse{}, r.addMember(p)
+	case c.Remove != "":
+		return emptyResponse{}, r.removeMember(c.Remove)
+	}
+	return nil, badRequestError{errNoPeer}
+}
+
+func (r *Replica) addMember(p *Peer) error {
+	if err := r.raft.AddVoter(raft.ServerID(p.ID), raft.ServerAddress(p.RaftAddress), 0, callTimeout).Error(); err != nil {
+		return err
+	}
+	_, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: p.ID, Address: p.ClientAddress}}})
+	return err
+}
+
+func (r *Replica) removeMember(id string) error {
+	if _, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: id}}}); err != nil {
+		return err
+	}
+	return r.raft.RemoveServer(raft.ServerID(id), 0, callTimeout).Error()
+}
+
+// onLeader carries a call out if this replica leads, and else forwards it to the leader.
+func (r *Replica) onLeader(do func(ctx context.Context, body []byte) (any, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, q *http.Request) {
+		body, err := readBody(q.Body)
+		if err != nil {
+			reply(w, nil, badRequestError{err})
+			return
+		}
+		if r.raft.State() != raft.Leader {
+			r.forwardToLeader(w, q, body)
+			return
+		}
+		v, err := do(q.Context(), body)
+		reply(w, v, err)
+	}
+}
--- a/internal/registry/replica/compat_test.go
+++ b/internal/registry/replica/compat_test.go
@@ -10,8 +10,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
-	"net/http/httputil"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -200,7 +198,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.Close() })
-	waitFor(t, "the replica to lead", func() bool { return r.raft.State() == raft.Leader && r.upToDate() == nil })
+	waitFor(t, "the replica to lead", func() bool { return r.raft.State() == raft.Leader && r.catchUp() == nil })
 	return r
 }
 
@@ -225,13 +223,13 @@
 	r := opened(t, t.TempDir())
 	play(t, r, history...)
 	var out bytes.Buffer
-	last, err := r.log.LastIndex()
+	last, err := r.logStore.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(1); i <= last; i++ {
 		var l raft.Log
-		if err := r.log.GetLog(i, &l); err != nil {
+		if err := r.logStore.GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
 		if l.Type == raft.LogCommand {
@@ -330,188 +328,6 @@
 	golden.Check(t, "metrics.golden", out.Bytes())
 }
 
-// A replica that does not lead hands writes and consistent reads to the one that does, once, with its id in a header, and
-// passes the answer on; without a leader it says so.
-func TestForwardGolden(t *testing.T) {
-	addresses := make([]string, 4)
-	for i := range addresses {
-		addresses[i] = freeAddr(t)
-	}
-	peers := []Peer{{ID: "r0", RaftAddress: addresses[0], ClientAddress: addresses[1]}, {ID: "r1", RaftAddress: addresses[2], ClientAddress: addresses[3]}}
-	var replicas []*Replica
-	for i := range peers {
-		r, err := New(Config{ID: peers[i].ID, DataDir: t.TempDir(), RaftAddress: peers[i].RaftAddress, ClientAddress: peers[i].ClientAddress, Peers: peers, Tick: 20 * time.Millisecond,
-			Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer r.Close()
-		replicas = append(replicas, r)
-	}
-	var out bytes.Buffer
-	leader := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		text, err := httputil.DumpRequest(q, true)
-		if err != nil {
-			t.Error(err)
-		}
-		text = bytes.ReplaceAll(text, []byte(q.Host), []byte("HOST"))
-		out.Write(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")))
-		out.WriteString("\n")
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("X-Registry-Revision", "7")
-		w.Header().Set("X-Registry-Stale-Ms", "8")
-		w.Header().Set("X-Other", "9")
-		w.WriteHeader(http.StatusTeapot)
-		fmt.Fprint(w, `{"said":"by the leader"}`)
-	})
-	stub := httptest.NewServer(leader)
-	defer stub.Close()
-	// The leader's entry among the members is made to name the stub. A new leader writes its own, so wait for that first.
-	var lead, other *Replica
-	waitFor(t, "a leader that has entered itself", func() bool {
-		for i, r := range replicas {
-			if r.raft.State() == raft.Leader && memberAddress(t, replicas[1-i], r.cfg.ID) == r.Addr() {
-				lead, other = r, replicas[1-i]
-				return true
-			}
-		}
-		return false
-	})
-	play(t, lead, step{"POST", "/registry/write", `{"ops":[{"kind":"member","uid":"` + lead.cfg.ID + `","address":"` + strings.TrimPrefix(stub.URL, "http://") + `"}]}`})
-	waitFor(t, "the follower to know the stub", func() bool {
-		return memberAddress(t, other, lead.cfg.ID) == strings.TrimPrefix(stub.URL, "http://")
-	})
-	answers := play(t, other,
-		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing","id":"x"}]}`},
-		step{"POST", "/registry/renew", `{"leases":[]}`},
-		step{"POST", "/registry/restore", `{}`},
-		step{"POST", "/registry/members", `{"remove":"r9"}`},
-		step{"GET", "/registry/instances?consistent=1", ""},
-		step{"GET", "/registry/agreed?consistent=1&units=1", ""})
-	out.Write(answers)
-	// One that was handed over already goes no further.
-	req, err := http.NewRequest(http.MethodPost, "http://"+other.Addr()+"/registry/write", strings.NewReader(`{"ops":[{"kind":"nothing"}]}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	req.Header.Set("X-Registry-Forwarded", "r7")
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintf(&out, "forwarded twice: %d %s", resp.StatusCode, body)
-	// The roles of the two are drawn by an election.
-	text := strings.NewReplacer(`X-Registry-Forwarded: `+other.cfg.ID, "X-Registry-Forwarded: FOLLOWER").Replace(out.String())
-	golden.Check(t, "forward.golden", []byte(text))
-}
-
-// memberAddress is where a replica takes another's writers and readers to call.
-func memberAddress(t *testing.T, r *Replica, id string) string {
-	t.Helper()
-	resp, err := http.Get("http://" + r.Addr() + "/registry/status")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	var status struct {
-		Members map[string]string `json:"members"`
-	}
-	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
-		t.Fatal(err)
-	}
-	return status.Members[id]
-}
-
-// A replica without a leader refuses what needs one.
-func TestNoLeaderGolden(t *testing.T) {
-	r, err := New(Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: freeAddr(t), ClientAddress: freeAddr(t), Tick: 20 * time.Millisecond,
-		Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer r.Close()
-	golden.Check(t, "noleader.golden", play(t, r,
-		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing"}]}`},
-		step{"POST", "/registry/renew", `{"leases":[]}`},
-		step{"GET", "/registry/instances", ""},
-		step{"GET", "/registry/instances?consistent=1", ""},
-		step{"GET", "/registry/instances?at_least=@1", ""},
-		step{"GET", "/registry/agreed", ""},
-		step{"GET", "/registry/status", ""},
-		step{"GET", "/registry/backup", ""}))
-}
-
-// goFieldPattern finds a field of a Go type in the error of a value of the wrong type; its name is no part of the form.
-var goFieldPattern = regexp.MustCompile("struct field .* of type")
-
-// The configuration file keeps its keys, and what it says to bad values.
-func TestConfigKeysGolden(t *testing.T) {
-	const whole = `id = "r1"
-dir = "data"
-raft = "10.0.0.1:7401"
-address = "10.0.0.1:7400"
-tick = "50ms"
-sync_wait = "wait"
-[guard]
-share = 0.4
-least = 6
-window = "4s"
-confirm = "16s"
-[[peer]]
-id = "r1"
-raft = "10.0.0.1:7401"
-address = "10.0.0.1:7400"
-[[peer]]
-id = "r2"
-raft = "10.0.0.2:7401"
-address = "10.0.0.2:7400"
-via = "127.0.0.1:9"
-`
-	path := filepath.Join(t.TempDir(), "r1.toml")
-	var out bytes.Buffer
-	read := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		c, err := ReadConfig(path)
-		if err != nil {
-			text := strings.ReplaceAll(err.Error(), path, "FILE")
-			fmt.Fprintln(&out, goFieldPattern.ReplaceAllString(text, "struct field FIELD of type"))
-			return
-		}
-		writeConfig(&out, c)
-	}
-	builtIn, err := ReadConfig("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	writeConfig(&out, builtIn)
-	read(whole)
-	read("id = \"r0\"\n")
-	for _, c := range [][2]string{{`id = "r1"` + "\ndir", `id = ""` + "\ndir"}, {`"data"`, `""`}, {`"10.0.0.1:7401"`, `"x"`}, {`"10.0.0.1:7400"`, `"x"`}, {`"50ms"`, `"5"`}, {`"50ms"`, `"-1s"`},
-		{"0.4", "0.0"}, {"0.4", "1.5"}, {"6", "0"}, {`"4s"`, `"4"`}, {`"16s"`, `""`}, {`id = "r2"`, `id = ""`}, {"[[peer]]\nid = \"r1\"", "[[peer]]\nid = \"r3\""},
-		{"tick", "tack"}, {"[guard]\nshare", "[guard]\nchair"}, {"via", "vai"}, {"least = 6", `least = "six"`}, {"[guard]", "[guard"}} {
-		fmt.Fprintf(&out, "%q -> %q: ", c[0], c[1])
-		read(strings.Replace(whole, c[0], c[1], 1))
-	}
-	golden.Check(t, "config.golden", out.Bytes())
-}
-
-// writeConfig writes what a configuration says, value by value.
-func writeConfig(out *bytes.Buffer, c Config) {
-	fmt.Fprintf(out, "%s %s %s %s %v %d %q\n", c.ID, c.DataDir, c.RaftAddress, c.ClientAddress, c.Tick, c.SnapshotThreshold, c.SyncDelayFile)
-	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.MaxZoneShare, c.Guard.MinExpired, c.Guard.Window, c.Guard.ConfirmAfter)
-	for _, p := range c.Peers {
-		fmt.Fprintf(out, "%s %s %s %q\n", p.ID, p.RaftAddress, p.ClientAddress, p.DialAddress)
-	}
-}
-
 // A peer keeps the names of its fields in a call that changes the members.
 func TestPeerJSON(t *testing.T) {
 	text, err := json.Marshal(Peer{ID: "r1", RaftAddress: "a:1", ClientAddress: "a:2", DialAddress: "a:3"})
--- a/internal/registry/replica/disk_test.go
+++ b/internal/registry/replica/datadir_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// A byte that is flipped in the log never becomes part of the State: the replica names the entry and does not start, or
-// the byte was of no matter.
-func TestFlippedByte(t *testing.T) {
+// A byte that is flipped in the log never becomes part of the state: the replica names the entry and does not start, or
+// the byte did not matter.
+func TestCorruptLogEntry(t *testing.T) {
 	dir := t.TempDir()
 	r, err := open(t, dir)
 	if err != nil {
@@ -114,11 +114,11 @@
 	for i := range 30 {
 		write(t, r, register(i))
 	}
-	held := func(r *Replica) (l []*state.Instance) {
+	entriesOf := func(r *Replica) (l []*state.Instance) {
 		r.fsm.read(func(s *state.State) { l = s.Instances() })
 		return l
 	}
-	want := held(r)
+	want := entriesOf(r)
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -129,22 +129,21 @@
 	}
 	named := 0
 	for at := bytes.Index(text, []byte("zone-of-the-test")); at >= 0 && named < 10; {
-		spoilt := bytes.Clone(text)
-		spoilt[at] ^= 1
-		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+		corrupt := bytes.Clone(text)
+		corrupt[at] ^= 1
+		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		r, err := open(t, dir)
-		var bad errSpoilt
 		switch {
-		case errors.As(err, &bad):
+		case errors.Is(err, ErrCorruptEntry):
 			named++
 		case err != nil:
 			t.Fatalf("byte %d: %v", at, err)
-		default: // a page that was let go: nothing may be other than it was
+		default: // a page that is free: nothing may have changed
 			write(t, r, state.Op{Kind: state.OpNoop})
-			if got := held(r); !reflect.DeepEqual(got, want) {
-				t.Errorf("byte %d: the State is another", at)
+			if got := entriesOf(r); !reflect.DeepEqual(got, want) {
+				t.Errorf("byte %d: the state differs", at)
 			}
 			r.Close()
 		}
@@ -186,11 +185,11 @@
 
 // What a crash or a bad disk may leave: a log that ends early, a snapshot with a byte flipped or cut short. A replica
 // alone either holds all that was answered or says that it cannot start; never less, and never something else.
-func TestSpoiltFolder(t *testing.T) {
+func TestDamagedDataDir(t *testing.T) {
 	if os.Getenv("REPLICA_TEST_OPEN") != "" { // a process of its own: bbolt may end one that reads behind a file's end
 		r, err := open(t, os.Getenv("REPLICA_TEST_OPEN"))
 		if err != nil {
-			fmt.Println("SAID", err)
+			fmt.Println("REFUSED", err)
 			return
 		}
 		write(t, r, state.Op{Kind: state.OpNoop})
@@ -241,8 +240,8 @@
 			t.Fatal(err)
 		}
 	}
-	for name, spoil := range map[string]func(dir string){
-		"whole":               func(string) {},
+	for name, damage := range map[string]func(dir string){
+		"intact":              func(string) {},
 		"newest snapshot bad": func(d string) { l := snapshots(t, d); flip(l[len(l)-1]) },
 		"newest snapshot cut": func(d string) { l := snapshots(t, d); cut(l[len(l)-1], 0.5) },
 		"all snapshots bad": func(d string) {
@@ -261,37 +260,37 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := copyDir(t, dir)
-			spoil(data)
+			damage(data)
 			self, err := os.Executable()
 			if err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command(self, "-test.run=^TestSpoiltFolder$")
+			cmd := exec.Command(self, "-test.run=^TestDamagedDataDir$")
 			cmd.Env = append(os.Environ(), "REPLICA_TEST_OPEN="+data)
 			out, err := cmd.CombinedOutput()
-			held := strings.Contains(string(out), want)
-			said := strings.Contains(string(out), "SAID") || err != nil
-			if name == "whole" && !held || !held && !said {
+			holds := strings.Contains(string(out), want)
+			refused := strings.Contains(string(out), "REFUSED") || err != nil
+			if name == "intact" && !holds || !holds && !refused {
 				t.Errorf("want %s or a reason, got %v:\n%.1500s", want, err, out)
 			}
 		})
 	}
 }
 
-// A sync lasts by the monotonic clock, and not for as long as this process stood still.
-func TestStoodStill(t *testing.T) {
-	c := &checked{base: time.Now().Add(-time.Minute)}
-	if c.hung() != 0 {
+// A sync is timed by the monotonic clock, less the time in which this process was suspended.
+func TestSyncMonitorDiscountsSuspension(t *testing.T) {
+	c := &syncMonitor{base: time.Now().Add(-time.Minute)}
+	if c.pending() != 0 {
 		t.Error("no sync is under way")
 	}
-	c.stood(time.Second)
+	c.discount(time.Second)
 	c.began.Store(int64(50 * time.Second)) // ten seconds ago
-	if d := c.hung(); d < 10*time.Second || d > 40*time.Second {
+	if d := c.pending(); d < 10*time.Second || d > 40*time.Second {
 		t.Errorf("it lasts %v", d)
 	}
-	before := c.hung()
-	c.stood(9 * time.Second)
-	if d := c.hung(); d < before-9*time.Second || d > before {
-		t.Errorf("without 9 s of standstill it lasts %v, before %v", d, before)
+	before := c.pending()
+	c.discount(9 * time.Second)
+	if d := c.pending(); d < before-9*time.Second || d > before {
+		t.Errorf("without 9 s of suspension it lasts %v, before %v", d, before)
 	}
 }
--- /dev/null
+++ b/internal/registry/replica/forward.go
@@ -0,0 +1,40 @@
+package replica
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+
+	"umberbank/internal/registry/state"
+)
+
+// forwardToLeader forwards a call to the leader, and its answer to the caller. A call that was forwarded before goes no
+// further.
+func (r *Replica) forwardToLeader(w http.ResponseWriter, q *http.Request, body []byte) {
+	_, id := r.raft.LeaderWithID()
+	var address string
+	r.fsm.read(func(s *state.State) { address = s.Members()[string(id)] })
+	if address == "" || q.Header.Get(headerForwarded) != "" {
+		reply(w, nil, ErrNotLeader)
+		return
+	}
+	out, err := http.NewRequestWithContext(q.Context(), q.Method, "http://"+address+q.URL.RequestURI(), bytes.NewReader(body))
+	if err != nil {
+		reply(w, nil, err)
+		return
+	}
+	out.Header.Set(headerForwarded, r.cfg.ID)
+	resp, err := r.forward.Do(out)
+	if err != nil {
+		reply(w, nil, err)
+		return
+	}
+	defer resp.Body.Close()
+	for _, h := range []string{"Content-Type", HeaderRevision, HeaderStaleness} {
+		if v := resp.Header.Get(h); v != "" {
+			w.Header().Set(h, v)
+		}
+	}
+	w.WriteHeader(resp.StatusCode)
+	io.Copy(w, resp.Body) //nolint:errcheck // a caller that has disconnected needs no answer
+}
--- /dev/null
+++ b/internal/registry/replica/forward_test.go
@@ -0,0 +1,134 @@
+package replica
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"umberbank/internal/registry/golden"
+)
+
+// A replica that does not lead hands writes and consistent reads to the one that does, once, with its id in a header, and
+// passes the answer on; without a leader it says so.
+func TestForwardGolden(t *testing.T) {
+	addresses := make([]string, 4)
+	for i := range addresses {
+		addresses[i] = freeAddr(t)
+	}
+	peers := []Peer{{ID: "r0", RaftAddress: addresses[0], ClientAddress: addresses[1]}, {ID: "r1", RaftAddress: addresses[2], ClientAddress: addresses[3]}}
+	var replicas []*Replica
+	for i := range peers {
+		r, err := New(Config{ID: peers[i].ID, DataDir: t.TempDir(), RaftAddress: peers[i].RaftAddress, ClientAddress: peers[i].ClientAddress, Peers: peers, Tick: 20 * time.Millisecond,
+			Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer r.Close()
+		replicas = append(replicas, r)
+	}
+	var out bytes.Buffer
+	leader := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		text, err := httputil.DumpRequest(q, true)
+		if err != nil {
+			t.Error(err)
+		}
+		text = bytes.ReplaceAll(text, []byte(q.Host), []byte("HOST"))
+		out.Write(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")))
+		out.WriteString("\n")
+		w.Header().Set("Content-Type", "application/json")
+		w.Header().Set("X-Registry-Revision", "7")
+		w.Header().Set("X-Registry-Stale-Ms", "8")
+		w.Header().Set("X-Other", "9")
+		w.WriteHeader(http.StatusTeapot)
+		fmt.Fprint(w, `{"said":"by the leader"}`)
+	})
+	stub := httptest.NewServer(leader)
+	defer stub.Close()
+	// The leader's entry among the members is made to name the stub. A new leader writes its own, so wait for that first.
+	var lead, other *Replica
+	waitFor(t, "a leader that has entered itself", func() bool {
+		for i, r := range replicas {
+			if r.raft.State() == raft.Leader && memberAddress(t, replicas[1-i], r.cfg.ID) == r.Addr() {
+				lead, other = r, replicas[1-i]
+				return true
+			}
+		}
+		return false
+	})
+	play(t, lead, step{"POST", "/registry/write", `{"ops":[{"kind":"member","uid":"` + lead.cfg.ID + `","address":"` + strings.TrimPrefix(stub.URL, "http://") + `"}]}`})
+	waitFor(t, "the follower to know the stub", func() bool {
+		return memberAddress(t, other, lead.cfg.ID) == strings.TrimPrefix(stub.URL, "http://")
+	})
+	answers := play(t, other,
+		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing","id":"x"}]}`},
+		step{"POST", "/registry/renew", `{"leases":[]}`},
+		step{"POST", "/registry/restore", `{}`},
+		step{"POST", "/registry/members", `{"remove":"r9"}`},
+		step{"GET", "/registry/instances?consistent=1", ""},
+		step{"GET", "/registry/agreed?consistent=1&units=1", ""})
+	out.Write(answers)
+	// One that was handed over already goes no further.
+	req, err := http.NewRequest(http.MethodPost, "http://"+other.Addr()+"/registry/write", strings.NewReader(`{"ops":[{"kind":"nothing"}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	req.Header.Set("X-Registry-Forwarded", "r7")
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&out, "forwarded twice: %d %s", resp.StatusCode, body)
+	// The roles of the two are drawn by an election.
+	text := strings.NewReplacer(`X-Registry-Forwarded: `+other.cfg.ID, "X-Registry-Forwarded: FOLLOWER").Replace(out.String())
+	golden.Check(t, "forward.golden", []byte(text))
+}
+
+// memberAddress is where a replica takes another's writers and readers to call.
+func memberAddress(t *testing.T, r *Replica, id string) string {
+	t.Helper()
+	resp, err := http.Get("http://" + r.Addr() + "/registry/status")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	var status struct {
+		Members map[string]string `json:"members"`
+	}
+	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
+		t.Fatal(err)
+	}
+	return status.Members[id]
+}
+
+// A replica without a leader refuses what needs one.
+func TestNoLeaderGolden(t *testing.T) {
+	r, err := New(Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: freeAddr(t), ClientAddress: freeAddr(t), Tick: 20 * time.Millisecond,
+		Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	golden.Check(t, "noleader.golden", play(t, r,
+		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing"}]}`},
+		step{"POST", "/registry/renew", `{"leases":[]}`},
+		step{"GET", "/registry/instances", ""},
+		step{"GET", "/registry/instances?consistent=1", ""},
+		step{"GET", "/registry/instances?at_least=@1", ""},
+		step{"GET", "/registry/agreed", ""},
+		step{"GET", "/registry/status", ""},
+		step{"GET", "/registry/backup", ""}))
+}
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -11,22 +11,22 @@
 	"umberbank/internal/registry/state"
 )
 
-// command is one entry of the log: writes that stand together.
+// command is the data of one entry of the log: writes that are applied together.
 type command struct {
 	Ops     []state.Op      `json:"ops,omitempty"`
-	Restore json.RawMessage `json:"restore,omitempty"` // a backup that takes the State's place
+	Restore json.RawMessage `json:"restore,omitempty"` // a backup that replaces the state
 }
 
-// answers is what Apply gives for a command.
-type answers struct {
-	list []state.Result
-	err  error
+// commandResult is what Apply returns for a command.
+type commandResult struct {
+	answers []state.Result
+	err     error
 }
 
-// fsm applies the log to the State and tells the hub. Raft calls it from one goroutine.
+// fsm applies the log to the state and publishes what changes. Raft calls its exported methods from one goroutine.
 type fsm struct {
-	hub     *hub
-	applied func(kind, fault string) // hears of every write
+	events    *broadcaster
+	onApplied func(kind, fault string) // called for each write
 
 	mu    checkedsync.RWMutex
 	state *state.State
@@ -34,69 +34,83 @@
 
 func newFSM() *fsm {
 	s := state.New()
-	return &fsm{state: s, hub: newHub(s.Revision()), applied: func(string, string) {}}
+	return &fsm{state: s, events: newBroadcaster(s.Revision()), onApplied: func(string, string) {}}
 }
 
-// read gives the State to f, which must not keep it.
-func (f *fsm) read(look func(*state.State)) {
+// read calls view with the state, which it must not keep or change.
+func (f *fsm) read(view func(*state.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	look(f.state)
+	view(f.state)
+}
+
+// list returns all entries and the revision that they are of.
+func (f *fsm) list() (revision int64, entries []*state.Instance) {
+	f.read(func(s *state.State) { revision, entries = s.Revision(), s.Instances() })
+	return revision, entries
 }
 
 // Apply applies one entry of the log.
-func (f *fsm) Apply(l *raft.Log) any { return f.ApplyBatch([]*raft.Log{l})[0] }
+func (f *fsm) Apply(entry *raft.Log) any { return f.ApplyBatch([]*raft.Log{entry})[0] }
 
-// ApplyBatch applies entries of the log that were committed together; readers hear of them in one line.
-func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
-	out := make([]any, len(logs))
-	var changed []*state.Instance
-	restored := false
+// ApplyBatch applies entries of the log that were committed together, and publishes one event for them.
+func (f *fsm) ApplyBatch(entries []*raft.Log) []any {
+	b := batch{results: make([]any, len(entries))}
 	f.mu.Lock()
 	before := f.state.Revision()
-	for i, l := range logs {
-		if l.Type != raft.LogCommand {
-			continue
-		}
-		var c command
-		if err := json.Unmarshal(l.Data, &c); err != nil {
-			out[i] = answers{err: fmt.Errorf("entry %d of the log: %w", l.Index, err)}
-			continue
+	for i, e := range entries {
+		if e.Type == raft.LogCommand {
+			b.results[i] = f.applyCommand(e, &b)
 		}
-		if c.Restore != nil {
-			backup, err := state.Load(c.Restore)
-			if err == nil {
-				f.state = state.RestoreBackup(backup, f.state)
-				restored, changed = true, nil
-			}
-			out[i] = answers{err: err}
-			continue
+	}
+	revision := f.state.Revision()
+	f.mu.Unlock()
+	// Only this goroutine changes the state, so events are published in the order of changes.
+	switch {
+	case b.restored:
+		f.events.reset(revision)
+	case revision != before: // an event even if no entry changes, for watches to go on from its revision
+		if err := f.events.publish(revision, b.changed); err != nil {
+			f.events.reset(revision) // watches take the full list instead
 		}
-		var a answers
-		for _, op := range c.Ops {
-			answer, entry := f.state.Apply(op)
-			a.list = append(a.list, answer)
-			f.applied(op.Kind, answer.Code)
-			if entry != nil {
-				changed = append(changed, entry)
-			}
+	}
+	return b.results
+}
+
+// batch is what entries of the log that are applied together lead to.
+type batch struct {
+	results  []any
+	changed  []*state.Instance
+	restored bool // the state was replaced; changed is what changed since
+}
+
+// applyCommand applies one command. f.mu is held.
+func (f *fsm) applyCommand(entry *raft.Log, b *batch) commandResult {
+	var c command
+	if err := json.Unmarshal(entry.Data, &c); err != nil {
+		return commandResult{err: fmt.Errorf("entry %d of the log: %w", entry.Index, err)}
+	}
+	if c.Restore != nil {
+		backup, err := state.Load(c.Restore)
+		if err == nil {
+			f.state = state.RestoreBackup(backup, f.state)
+			b.restored, b.changed = true, nil
 		}
-		out[i] = a
+		return commandResult{err: err}
 	}
-	rev := f.state.Revision()
-	f.mu.Unlock()
-	// Only this goroutine changes the State, so the hub hears of changes in their order.
-	if restored {
-		f.hub.reset(rev)
-	} else if rev != before { // a line even if it changes no entry, for readers to go on from its revision
-		if err := f.hub.publish(rev, changed); err != nil {
-			f.hub.reset(rev) // readers take the whole list instead
+	var result commandResult
+	for _, op := range c.Ops {
+		answer, changed := f.state.Apply(op)
+		result.answers = append(result.answers, answer)
+		f.onApplied(op.Kind, answer.Code)
+		if changed != nil {
+			b.changed = append(b.changed, changed)
 		}
 	}
-	return out
+	return result
 }
 
-// Snapshot takes the State as it is.
+// Snapshot encodes the state.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -104,7 +118,7 @@
 	return snapshot(text), err
 }
 
-// Restore reads a snapshot in the State's place.
+// Restore replaces the state by a snapshot.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(r)
@@ -118,19 +132,21 @@
 	f.mu.Lock()
 	f.state = s
 	f.mu.Unlock()
-	f.hub.reset(s.Revision())
+	f.events.reset(s.Revision())
 	return nil
 }
 
-// snapshot is a State's text; raft's store adds the checksum.
+// snapshot is an encoded state. Raft's store adds the checksum.
 type snapshot []byte
 
+// Persist writes the snapshot.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		sink.Cancel()
+		sink.Cancel() //nolint:errcheck // the first error counts
 		return err
 	}
 	return sink.Close()
 }
 
+// Release frees nothing: the snapshot is in memory.
 func (s snapshot) Release() {}
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -22,7 +22,7 @@
 	}
 	order.Lock()
 	defer order.Unlock()
-	return f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(answers).list
+	return f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult).answers
 }
 
 func enter(uid string) state.Op {
@@ -30,36 +30,30 @@
 }
 
 // A writer publishes, or restores a backup, while readers follow. Each reader comes to the last revision, whatever it had
-// missed, and none sleeps through a change.
-func TestInterleaveHub(t *testing.T) {
-	follow := func(f *fsm, last func() int64, wakeAfter bool) {
+// missed, and none waits through a change.
+func TestInterleaveBroadcaster(t *testing.T) {
+	follow := func(f *fsm, last func() int64, waitsForLater bool) {
 		since := int64(1) << 40
 		for since != last() {
-			lines, rev, whole, wake, err := f.hub.after(since)
+			missed, err := f.events.eventsSince(since)
 			switch {
 			case err != nil:
 				modelcheck.Failf("%v", err)
-			case whole:
-				if _, rev, err = f.hub.wholeList(func() (rev int64, l []*state.Instance) {
-					f.read(func(s *state.State) { rev, l = s.Revision(), s.Instances() })
-					return rev, l
-				}); err != nil {
+			case missed.fullList:
+				if _, since, err = f.events.encodedList(f.list); err != nil {
 					modelcheck.Failf("%v", err)
 				}
-				since = rev
-			case len(lines) > 0:
-				since = rev
+			case len(missed.frames) > 0:
+				since = missed.revision
 			default:
-				if wakeAfter { // the planted fault
-					f.hub.mu.Lock()
-					wake = f.hub.wake
-					f.hub.mu.Unlock()
+				if waitsForLater { // the planted fault
+					_, missed.next = f.events.current()
 				}
-				modelcheck.Wait(wake)
+				modelcheck.Wait(missed.next)
 			}
 		}
 	}
-	body := func(restore, wakeAfter bool) func(x *modelcheck.Execution) {
+	body := func(restore, waitsForLater bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			want := int64(1)<<40 + 2
@@ -77,7 +71,7 @@
 				}
 				apply(f, order, enter("b"))
 			})
-			x.Go("reader", func() { follow(f, func() int64 { return want }, wakeAfter) })
+			x.Go("reader", func() { follow(f, func() int64 { return want }, waitsForLater) })
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false, false))
@@ -86,23 +80,23 @@
 }
 
 // A whole list and the revision that it is given at belong together, while entries come.
-func TestInterleaveWholeList(t *testing.T) {
+func TestInterleaveFullList(t *testing.T) {
 	body := func(twice bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			x.Go("writer", func() { apply(f, order, enter("a")); apply(f, order, enter("b")) })
 			for i := range 2 {
 				x.Go(fmt.Sprint("reader ", i), func() {
-					text, rev, err := f.hub.wholeList(func() (rev int64, l []*state.Instance) {
+					text, rev, err := f.events.encodedList(func() (rev int64, l []*state.Instance) {
 						f.read(func(s *state.State) { rev, l = s.Revision(), s.Instances() })
 						if twice { // the planted fault
 							f.read(func(s *state.State) { l = s.Instances() })
 						}
 						return rev, l
 					})
-					var m message
-					if err != nil || json.Unmarshal(text, &m) != nil || int64(len(m.Targets)) != rev-1<<40 || m.Rev != rev {
-						modelcheck.Failf("%d entries at revision %d", len(m.Targets), rev-1<<40)
+					var m watchEvent
+					if err != nil || json.Unmarshal(text, &m) != nil || int64(len(m.Instances)) != rev-1<<40 || m.Revision != rev {
+						modelcheck.Failf("%d entries at revision %d", len(m.Instances), rev-1<<40)
 					}
 				})
 			}
@@ -232,7 +226,7 @@
 // and staff and controllers bring one more version into force and propose a third, in every order. Whoever is in touch when
 // that one is proposed runs what was in force. Where n2 is one of three in its zone it holds nothing up; where it is alone
 // there, what waits for it goes on in the end, by its word or as its zone is lost.
-func TestInterleaveTouch(t *testing.T) {
+func TestInterleaveReachability(t *testing.T) {
 	node := func(uid, zone string, boot float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: boot}}
 	}
--- /dev/null
+++ b/internal/registry/replica/leader.go
@@ -0,0 +1,176 @@
+package replica
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/state"
+)
+
+// leaseCheckInterval is how often the leader looks at its leases, and every replica at its disk.
+const leaseCheckInterval = 100 * time.Millisecond
+
+// leaderLoop is the state of the goroutine that keeps the leases while this replica leads. It alone touches them.
+type leaderLoop struct {
+	*Replica
+	started      time.Time // origin of the clock of leases
+	lastCheck    time.Time
+	lastTransfer time.Time // when this replica last gave up leadership for its disk
+
+	leases   *leaseTable     // nil: this replica does not lead
+	revision int64           // up to which leases holds all changes
+	changed  <-chan struct{} // closed at the next change
+}
+
+// runLeaderLoop runs until raft has shut down or this replica fails.
+func (r *Replica) runLeaderLoop() {
+	defer close(r.leaderDone)
+	now := time.Now()
+	l := &leaderLoop{Replica: r, started: now, lastCheck: now}
+	leads := r.raft.LeaderCh()
+	ticker := time.NewTicker(leaseCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case is, open := <-leads:
+			if !open {
+				return
+			}
+			l.leases, l.changed = nil, nil
+			if is {
+				l.takeOver()
+			}
+		case <-l.changed:
+			l.applyChanges()
+		case <-ticker.C:
+			if r.raft.State() == raft.Shutdown || !l.checkDisk() {
+				return
+			}
+			if l.leases != nil {
+				l.checkLeases()
+			}
+		case request := <-r.renewals:
+			request.reply <- l.renewLeases(request.leases)
+		}
+	}
+}
+
+// now is the time on the clock of leases.
+func (l *leaderLoop) now() time.Duration { return time.Since(l.started) }
+
+// takeOver makes a new leader's leases, once it has all that was committed before it.
+func (l *leaderLoop) takeOver() {
+	now := l.now()
+	if l.raft.Barrier(callTimeout).Error() != nil {
+		return // it leads no more
+	}
+	var entries []*state.Instance
+	var address string
+	l.fsm.read(func(s *state.State) {
+		entries, l.revision, address = s.Instances(), s.Revision(), s.Members()[l.cfg.ID]
+	})
+	if address != l.Addr() {
+		l.propose([]state.Op{{Kind: state.OpSetMember, UID: l.cfg.ID, Address: l.Addr()}})
+	}
+	_, l.changed = l.fsm.events.current()
+	l.leases = newLeaseTable(l.cfg.Guard, entries, now)
+}
+
+// applyChanges brings the leases up to date with the state.
+func (l *leaderLoop) applyChanges() {
+	now := l.now()
+	revision, changed, entries, complete := l.fsm.events.entriesSince(l.revision)
+	if complete {
+		for _, e := range entries {
+			l.leases.track(e, now)
+		}
+	} else {
+		l.fsm.read(func(s *state.State) { entries, revision = s.Instances(), s.Revision() })
+		*l.leases = *newLeaseTable(l.leases.guard, entries, now)
+	}
+	l.revision, l.changed = revision, changed
+}
+
+// checkDisk looks at the sync under way; false: it hangs, and this replica has failed.
+func (l *leaderLoop) checkDisk() bool {
+	if gap := time.Since(l.lastCheck); gap > suspendedAfter {
+		l.logStore.syncs.discount(gap)
+	}
+	l.lastCheck = time.Now()
+	if d := l.logStore.syncs.pending(); d > hungSyncTicks*l.cfg.Tick {
+		l.fail(fmt.Errorf("%s: a sync has not ended for %v", l.cfg.DataDir, d.Round(time.Millisecond)))
+		return false
+	}
+	return true
+}
+
+// checkLeases transfers leadership if this replica's disk is slow, and proposes what leases and permits lead to.
+func (l *leaderLoop) checkLeases() {
+	if l.logStore.syncs.slowInARow() >= slowSyncsToTransfer && time.Since(l.lastTransfer) > transferCooldownTicks*l.cfg.Tick {
+		l.lastTransfer = time.Now()
+		l.cfg.Logger.Warn("this replica's disk is slow: transferring leadership")
+		l.raft.LeadershipTransfer() // its end shows at LeaderCh; if nobody can take over, this replica goes on
+	}
+	now := l.now()
+	waiting := l.waitingPermits()
+	if ops := append(l.leases.check(now), l.leases.expirePermits(waiting, now)...); len(ops) > 0 {
+		l.propose(ops)
+	}
+}
+
+// waitingPermits takes over the limits' times, and returns copies of the permits that have not begun.
+func (l *leaderLoop) waitingPermits() (waiting []*disruption.Permit) {
+	l.fsm.read(func(s *state.State) {
+		limits := s.Limits()
+		if limits == nil {
+			l.leases.warmUpTime, l.leases.permitTimeout = 0, defaultPermitTimeout
+			return
+		}
+		l.leases.warmUpTime = time.Duration(limits.WarmUpMS) * time.Millisecond
+		l.leases.permitTimeout = time.Duration(limits.PermitExpiryMS) * time.Millisecond
+		if l.leases.permitTimeout == 0 {
+			l.leases.permitTimeout = defaultPermitTimeout
+		}
+		for _, p := range s.Budget().Permits() {
+			if !p.Begun {
+				c := *p
+				waiting = append(waiting, &c)
+			}
+		}
+	})
+	return waiting
+}
+
+// propose writes without waiting for the outcome, which the next check sees. Ends of leases carry the wall clock, for
+// people to read.
+func (l *leaderLoop) propose(ops []state.Op) {
+	for i := range ops {
+		if k := ops[i].Kind; k == state.OpExpire || k == state.OpSuspect {
+			ops[i].WallTimeMS = time.Now().UnixMilli()
+		}
+	}
+	text, err := json.Marshal(command{Ops: ops})
+	if err != nil {
+		l.cfg.Logger.Error("encoding a write of the leader failed", "error", err)
+		return
+	}
+	l.raft.Apply(text, callTimeout)
+}
+
+// renewLeases renews leases as of the last check.
+func (l *leaderLoop) renewLeases(renewals []Lease) renewReply {
+	if l.leases == nil {
+		return renewReply{err: ErrNotLeader}
+	}
+	var unknown []string
+	for _, renewal := range renewals {
+		if !l.leases.renew(renewal.UID, renewal.Token, l.leases.lastCheck) {
+			unknown = append(unknown, renewal.UID)
+		}
+	}
+	return renewReply{unknown: unknown}
+}
--- /dev/null
+++ b/internal/registry/replica/leases_test.go
@@ -0,0 +1,102 @@
+package replica
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"umberbank/internal/registry/state"
+)
+
+// leaseSimulation drives the leases of servers named s0, s1, ... on a state of their own.
+type leaseSimulation struct {
+	state  *state.State
+	leases *leaseTable
+}
+
+// newLeaseSimulation registers one server in each zone of the list, with a lease of one second.
+func newLeaseSimulation(guard ExpiryGuard, zones []string) *leaseSimulation {
+	s := state.New()
+	for i, zone := range zones {
+		s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "a:1", Zone: zone, State: state.Serving, TTLMS: 1000}})
+	}
+	return &leaseSimulation{s, newLeaseTable(guard, s.Instances(), 0)}
+}
+
+// check applies what the leases lead to at a time.
+func (s *leaseSimulation) check(now time.Duration) {
+	for _, op := range s.leases.check(now) {
+		if _, changed := s.state.Apply(op); changed != nil {
+			s.leases.track(changed, now)
+		}
+	}
+}
+
+// What expired leases lead to: few go, a zone that is lost alone goes later, and what expires everywhere is suspected until
+// it renews.
+func TestExpiryGuard(t *testing.T) {
+	guard := ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: 2 * time.Second, ConfirmAfter: 10 * time.Second}
+	for name, c := range map[string]struct {
+		zones    []string // one server in each zone of the list
+		stops    func(i int, zone string) bool
+		gone     int // in the end
+		early    int // that are gone 4 s after they stopped
+		suspects int // in the end
+	}{
+		"none":           {slices.Repeat([]string{"a", "b", "c"}, 10), func(int, string) bool { return false }, 0, 0, 0},
+		"two":            {slices.Repeat([]string{"a", "b", "c"}, 10), func(i int, _ string) bool { return i < 2 }, 2, 2, 0},
+		"a zone":         {slices.Repeat([]string{"a", "b", "c"}, 10), func(_ int, z string) bool { return z == "b" }, 10, 0, 0},
+		"two zones":      {slices.Repeat([]string{"a", "b", "c"}, 10), func(_ int, z string) bool { return z != "b" }, 0, 0, 20},
+		"everything":     {slices.Repeat([]string{"a", "b", "c"}, 10), func(int, string) bool { return true }, 0, 0, 30},
+		"the only zone":  {slices.Repeat([]string{"a"}, 10), func(int, string) bool { return true }, 0, 0, 10},
+		"a small zone":   {append(slices.Repeat([]string{"a"}, 10), "b", "b"), func(_ int, z string) bool { return z == "b" }, 2, 2, 0},
+		"half of a zone": {slices.Repeat([]string{"a", "b"}, 10), func(i int, z string) bool { return z == "a" && i < 10 }, 5, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newLeaseSimulation(guard, c.zones)
+			early := 0
+			for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
+				for i, zone := range c.zones {
+					stopped := now > 5*time.Second && c.stops(i, zone)
+					if e := s.state.Get(fmt.Sprint("s", i)); e != nil && !stopped {
+						s.leases.renew(e.UID, e.Token, now)
+					}
+				}
+				s.check(now)
+				if now == 10*time.Second { // they stopped at 5 s, and their leases expired at 6
+					early = len(c.zones) - s.state.Len()
+				}
+			}
+			gone, suspects := len(c.zones)-s.state.Len(), countSuspects(s.state)
+			if gone != c.gone || early != c.early || suspects != c.suspects {
+				t.Errorf("%d gone and %d of them early, %d suspects; want %d, %d, %d", gone, early, suspects, c.gone, c.early, c.suspects)
+			}
+			// It was the way to the registry: they renew, and are trusted again.
+			for now := 40 * time.Second; now < 42*time.Second; now += 100 * time.Millisecond {
+				for _, e := range s.state.Instances() {
+					s.leases.renew(e.UID, e.Token, now)
+				}
+				s.check(now)
+			}
+			for _, e := range s.state.Instances() {
+				if e.Suspect {
+					t.Errorf("%s is still suspect", e.UID)
+				}
+			}
+		})
+	}
+}
+
+// A leader that was suspended expires no lease for it. Its wall clock plays no part.
+func TestSuspendedLeader(t *testing.T) {
+	s := state.New()
+	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
+	l := newLeaseTable(ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: time.Second, ConfirmAfter: time.Second}, s.Instances(), 0)
+	if ops := l.check(10 * time.Second); len(ops) > 0 {
+		t.Errorf("after a stall of 10 s: %+v", ops)
+	}
+	if !l.renew("a", s.Get("a").Token, 10*time.Second) || l.renew("a", 1, 10*time.Second) || l.renew("b", 1, 10*time.Second) {
+		t.Error("a lease is renewed by its token alone")
+	}
+}
