--- a/balancer/candidates_test.go
+++ b/balancer/candidates_test.go
@@ -2,128 +2,143 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
 
-// Where the list tells sizes, a server is drawn in proportion; where it does not, or tells a load of
-// a while ago, all alike.
+// Where the list tells weights, draws are in proportion to them; where it does not, or tells a load of some time
+// ago, they are uniform.
 func TestDrawsFollowWeights(t *testing.T) {
-	for kind, want := range map[WeightKind]float64{WeightNominal: 3, WeightApproximate: 3, WeightUnknown: 1, WeightLive: 1} {
-		b := newTestBalancer(t, func(s *Settings) { s.WeightKind = kind })
-		list := testEndpoints(8)
-		for i := range list {
-			list[i].Weight = []float64{1, 3}[i%2]
-		}
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-		got, large, small := sendRequests(b, 8000, "get", func(string) Result { return Success }), 0, 0
-		for i, s := range list {
-			if i%2 == 1 {
-				large += got[s.ID]
-			} else {
-				small += got[s.ID]
+	for kind, wantRatio := range map[WeightKind]float64{
+		WeightNominal: 3, WeightApproximate: 3, WeightUnknown: 1, WeightLive: 1,
+	} {
+		t.Run(fmt.Sprint("kind ", kind), func(t *testing.T) {
+			b := newTestBalancer(t, func(s *Settings) { s.WeightKind = kind })
+			endpoints := testEndpoints(8)
+			for i := range endpoints {
+				endpoints[i].Weight = []float64{1, 3}[i%2]
 			}
-		}
-		if ratio := float64(large) / float64(small); ratio < 0.75*want || ratio > 1.25*want {
-			t.Errorf("sizes %d: large to small %.2f, want %.0f", kind, ratio, want)
-		}
+			b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+			draws := sendRequests(b, 8000, "get", alwaysSucceed)
+			byWeight := map[float64]int{}
+			for _, e := range endpoints {
+				byWeight[e.Weight] += draws[e.ID]
+			}
+			ratio := float64(byWeight[3]) / float64(byWeight[1])
+			if ratio < 0.75*wantRatio || ratio > 1.25*wantRatio {
+				t.Errorf("heavy to light %.2f, want %.0f", ratio, wantRatio)
+			}
+		})
 	}
 }
 
-// A server half as quick as its peers is drawn less, though not ejected; one that got heavy requests,
-// as their hints say, is not taken for slow.
+// An endpoint that takes twice as long as the others is drawn less, though not ejected; one that gets expensive
+// requests, as their cost hints say, is not taken for slow.
 func TestDrawsFollowMeasuredLatency(t *testing.T) {
-	for _, heavy := range []time.Duration{0, 16} {
-		b := newTestBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
-		got, n, now := 0, 0, time.Duration(0)
-		for i := range 4000 {
-			id, cost := fmt.Sprint(i), 10*ms
-			if heavy > 0 && i%40 < 4 {
-				cost *= heavy
-			}
-			now += time.Second
-			for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, CostHint: cost})) {
-				took := 100 * ms
-				if s.Endpoint == "s03" && (heavy == 0 || cost > 10*ms) {
-					took *= 2
+	const cheap = 10 * ms
+	for _, c := range []struct {
+		name               string
+		costMultiple       time.Duration // of one request in ten; 0: all are cheap
+		minShare, maxShare float64
+	}{
+		{"slow endpoint", 0, 0.03, 0.14},
+		{"expensive requests", 16, 0.2, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newServingBalancer(t, 4, nil)
+			draws, total, now := 0, 0, time.Duration(0)
+			for i := range 4000 {
+				cost := cheap
+				if c.costMultiple > 0 && i%40 < 4 {
+					cost *= c.costMultiple
 				}
-				if n++; s.Endpoint == "s03" {
-					got++
+				now += time.Second
+				request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second, CostHint: cost}
+				for _, s := range sendsOf(b.Handle(now, request)) {
+					total++
+					latency := 100 * ms
+					if s.Endpoint == "s03" {
+						draws++
+						if c.costMultiple == 0 || cost > cheap {
+							latency *= 2
+						}
+					}
+					endFirstAttempt(b, now+latency, s, Success)
 				}
-				endAttempt(b, now+took, id, s, Success)
 			}
-		}
-		share := float64(got) / float64(n)
-		if heavy == 0 && (share > 0.14 || share < 0.03) || heavy > 0 && share < 0.2 {
-			t.Errorf("heavy %d: the server got %.3f of the draws", heavy, share)
-		}
+			if share := float64(draws) / float64(total); share < c.minShare || share > c.maxShare {
+				t.Errorf("the endpoint got %.3f of the draws, want %.2f to %.2f", share, c.minShare, c.maxShare)
+			}
+		})
 	}
 }
 
-// A server that holds more own calls than the subset's mean, and two at the least, is passed over while
-// others are not; one call never rules a server out, for the comparison is the pick's.
-func TestCrowdedEndpointsPassedOver(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(6)})
-	for _, tc := range []struct{ calls, ok [6]int }{
-		{[6]int{2, 1, 0, 0, 1, 0}, [6]int{0, 1, 1, 1, 1, 1}},
-		{[6]int{3, 2, 2, 1, 2, 3}, [6]int{0, 1, 1, 1, 1, 0}},
-		{[6]int{1, 1, 1, 1, 1, 1}, [6]int{1, 1, 1, 1, 1, 1}},
+// An endpoint with more own attempts than the subset's mean, and two at the least, is passed over while others are
+// not; a single attempt never excludes an endpoint, as comparing them is up to the pick.
+func TestBusierEndpointsPassedOver(t *testing.T) {
+	b := newServingBalancer(t, 6, nil)
+	for _, c := range []struct {
+		name           string
+		activeAttempts []int
+		want           []int // ranks of the candidates
+	}{
+		{"two above the mean", []int{2, 1, 0, 0, 1, 0}, []int{1, 2, 3, 4, 5}},
+		{"three above the mean", []int{3, 2, 2, 1, 2, 3}, []int{1, 2, 3, 4}},
+		{"one each", []int{1, 1, 1, 1, 1, 1}, []int{0, 1, 2, 3, 4, 5}},
 	} {
-		b.limiter.inFlight = 0
-		for i, s := range b.endpoints.ready {
-			s.activeAttempts = tc.calls[i]
-			b.limiter.inFlight += s.activeAttempts
-		}
-		var ok [6]int
-		for _, s := range b.candidates(&request{class: b.classes.byName["get"]}) {
-			for i := range b.endpoints.ready {
-				if b.endpoints.ready[i] == s {
-					ok[i] = 1
-				}
+		t.Run(c.name, func(t *testing.T) {
+			b.limiter.inFlight = 0
+			for i, e := range b.endpoints.ready {
+				e.activeAttempts = c.activeAttempts[i]
+				b.limiter.inFlight += e.activeAttempts
 			}
-		}
-		if ok != tc.ok {
-			t.Errorf("own calls %v: may be drawn %v, want %v", tc.calls, ok, tc.ok)
-		}
+			var got []int
+			for _, e := range b.candidates(requestOf(b, "get")) {
+				got = append(got, e.rank)
+			}
+			slices.Sort(got)
+			if !slices.Equal(got, c.want) {
+				t.Errorf("active attempts %v: candidates %v, want %v", c.activeAttempts, got, c.want)
+			}
+		})
 	}
 }
 
-// Connection tables filled by other copies refuse at once: a server that refused gets no more own
-// calls than it had, however many others refuse too, and is tried again later.
+// Connection tables that other replicas fill reject at once: an endpoint that rejected gets no more own attempts
+// than it had, however many others reject too, and is tried again later.
 func TestRejectionLimitsEndpoint(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
+	full := []string{"s00", "s02", "s03", "s05", "s06", "s08"}
 	now, id := ms, 0
-	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
-	refused := func(n int) (count int) {
-		for range n {
+	rejections := func(requests int) (count int) {
+		for range requests {
 			now += 5 * ms
 			id++
-			todo := sendsOf(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
-			for try := 0; len(todo) > 0; try++ {
-				end := Success
-				if full[todo[0].Endpoint] {
-					end = Unreachable
+			sends := sendsOf(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			for attempt := 0; len(sends) > 0; attempt++ {
+				result := Success
+				if slices.Contains(full, sends[0].Endpoint) {
+					result = Unreachable
 					count++
 				}
 				now += 2 * ms
-				todo = sendsOf(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
-					Result: end, RequestDone: end == Success}))
+				sends = sendsOf(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: attempt,
+					Endpoint: sends[0].Endpoint, Result: result, RequestDone: result == Success}))
 			}
 		}
 		return count
 	}
-	first := refused(20)
-	if first < 5 {
-		t.Fatalf("only %d refusals, want the full servers found", first)
+	atFirst := rejections(20)
+	if atFirst < 5 {
+		t.Fatalf("only %d rejections, want the full endpoints found", atFirst)
 	}
-	if got := refused(20); got > first/2 {
-		t.Errorf("%d refusals after %d: full servers are still drawn", got, first)
+	if got := rejections(20); got > atFirst/2 {
+		t.Errorf("%d rejections after %d: full endpoints are still drawn", got, atFirst)
 	}
 	now += time.Minute
-	if refused(20) == 0 {
-		t.Error("full servers were never tried again")
+	if rejections(20) == 0 {
+		t.Error("full endpoints were never tried again")
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -7,99 +7,94 @@
 )
 
 func TestReplicasAgreeOnSharedOrder(t *testing.T) {
-	a, b := newTestBalancer(t, nil), newTestBalancer(t, nil)
-	l := testEndpoints(7)
-	a.Handle(0, EndpointUpdate{Full: true, Endpoints: l})
-	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
+	const count = 7
+	endpoints := testEndpoints(count)
+	atOnce := newServingBalancer(t, count, nil)
+	oneByOne := newTestBalancer(t, nil)
+	for i := count - 1; i >= 0; i-- {
+		oneByOne.Handle(0, EndpointUpdate{Endpoints: endpoints[i : i+1]})
 	}
-	for i := range l {
-		if a.endpoints.ready[i].ID != b.endpoints.ready[i].ID {
-			t.Fatalf("order differs at %d: %s, %s", i, a.endpoints.ready[i].ID, b.endpoints.ready[i].ID)
+	for i := range endpoints {
+		if x, y := atOnce.endpoints.ready[i].ID, oneByOne.endpoints.ready[i].ID; x != y {
+			t.Fatalf("order differs at %d: %s, %s", i, x, y)
 		}
 	}
 }
 
-// At full size the copies' subsets must cover all servers about evenly, span the pods, and hold
-// servers of both groups; a list no longer than a subset is drawn from whole.
+// Of a large fleet the replicas' subsets must cover all endpoints about evenly, span the cells, and hold
+// endpoints of both groups.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
-	const copies, fleet = 300, 90
-	list := testEndpoints(fleet)
-	for i := range list {
-		list[i].Cell = i / 6
+	const replicas, count = 300, 90
+	endpoints := testEndpoints(count)
+	for i := range endpoints {
+		endpoints[i].Cell = i / 6
 	}
-	drawn := map[string]int{}
-	for me := range copies {
-		b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = copies, me })
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-		right, cells := 0, map[int]int{}
-		for _, s := range b.endpoints.subset {
-			drawn[s.ID]++
-			cells[s.Cell]++
-			if s.secondGroup {
-				right++
+	members := map[string]int{}
+	for index := range replicas {
+		b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = replicas, index })
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+		subset, inSecondGroup, cells := b.endpoints.subset, 0, map[int]int{}
+		for _, e := range subset {
+			members[e.ID]++
+			cells[e.Cell]++
+			if e.secondGroup {
+				inSecondGroup++
 			}
 		}
-		if len(b.endpoints.subset) != minSubset || right != len(b.endpoints.subset)/2 {
-			t.Fatalf("copy %d draws from %d servers, %d of them right", me, len(b.endpoints.subset), right)
+		if len(subset) != minSubset || inSecondGroup != len(subset)/2 {
+			t.Fatalf("replica %d has %d endpoints, %d in the second group", index, len(subset), inSecondGroup)
 		}
 		for cell, n := range cells {
 			if n > 2 {
-				t.Errorf("copy %d has %d servers of pod %d", me, n, cell)
+				t.Errorf("replica %d has %d endpoints of cell %d", index, n, cell)
 			}
 		}
 	}
-	for _, s := range list {
-		mean := float64(copies*minSubset) / fleet
-		if n := float64(drawn[s.ID]); n < 0.8*mean || n > 1.2*mean {
-			t.Errorf("server %s is drawn from by %.0f copies, mean %.0f", s.ID, n, mean)
+	for _, e := range endpoints {
+		mean := float64(replicas*minSubset) / count
+		if n := float64(members[e.ID]); n < 0.8*mean || n > 1.2*mean {
+			t.Errorf("endpoint %s is in %.0f subsets, mean %.0f", e.ID, n, mean)
 		}
 	}
-	b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = copies, 7 })
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: list[:minSubset]})
+	b := newServingBalancer(t, minSubset, func(s *Settings) { s.Replicas, s.ReplicaIndex = replicas, 7 })
 	if len(b.endpoints.subset) != minSubset {
 		t.Errorf("a list of a subset's length is cut to %d", len(b.endpoints.subset))
 	}
 }
 
-// A server that comes back with a new start time is another one: what was held against it is forgotten.
+// An endpoint that comes back with a new start time is another process: its history is forgotten.
 func TestRestartResetsEndpoint(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	list := testEndpoints(4)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-	s := b.endpoints.byID["s01"]
-	s.ejectedUntil, s.ejectionLevel, s.slowness = time.Hour, 3, 1
-	list[1].StartTime = time.Second
-	b.Handle(2*time.Second, EndpointUpdate{Endpoints: list[1:2]})
-	if s := b.endpoints.byID["s01"]; s.ejectedUntil != 0 || s.ejectionLevel != 0 || s.slowness != 0 {
-		t.Errorf("after its restart: %+v", s)
+	b := newServingBalancer(t, 4, nil)
+	e := b.endpoints.byID["s01"]
+	e.ejectedUntil, e.ejectionLevel, e.slowness = time.Hour, 3, 1
+	restarted := testEndpoints(4)[1:2]
+	restarted[0].StartTime = time.Second
+	b.Handle(2*time.Second, EndpointUpdate{Endpoints: restarted})
+	if e := b.endpoints.byID["s01"]; e.ejectedUntil != 0 || e.ejectionLevel != 0 || e.slowness != 0 {
+		t.Errorf("after its restart: %+v", e)
 	}
 }
 
-// How the cost of a request, and of one server's news, grows with the list.
+// How the cost of a request, and of an update of one endpoint, grows with the list.
 func BenchmarkEndpointCount(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
-		start := func() *Balancer {
-			bal := newTestBalancer(b, func(s *Settings) { s.Replicas = max(2, n/10) })
-			bal.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(n)})
-			return bal
-		}
+		replicas := func(s *Settings) { s.Replicas = max(2, n/10) }
 		b.Run(fmt.Sprintf("request/%d", n), func(b *testing.B) {
-			bal, now := start(), time.Duration(0)
+			bal, now := newServingBalancer(b, n, replicas), time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				id := fmt.Sprint(i)
-				for _, s := range sendsOf(bal.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
-					endAttempt(bal, now, id, s, Success)
+				request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Minute}
+				for _, s := range sendsOf(bal.Handle(now, request)) {
+					endFirstAttempt(bal, now, s, Success)
 				}
 			}
 		})
-		b.Run(fmt.Sprintf("news/%d", n), func(b *testing.B) {
-			bal, now, list := start(), time.Duration(0), testEndpoints(n)
+		b.Run(fmt.Sprintf("update/%d", n), func(b *testing.B) {
+			bal, now, endpoints := newServingBalancer(b, n, replicas), time.Duration(0), testEndpoints(n)
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				list[0].State = EndpointState(i % 2)
-				bal.Handle(now, EndpointUpdate{Endpoints: list[:1]})
+				endpoints[0].State = EndpointState(i % 2)
+				bal.Handle(now, EndpointUpdate{Endpoints: endpoints[:1]})
 			}
 		})
 	}
--- a/balancer/helper_test.go
+++ b/balancer/helper_test.go
@@ -12,10 +12,12 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Idempotent, IdempotencyScope: ScopeAll, LatencyObjective: 500 * ms, Deadline: 1500 * ms, PriorityWeight: 1},
-			{Name: "post", Effect: WithIdempotencyKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 900 * ms, LatencyObjective: 500 * ms,
-				Deadline: 1500 * ms, PriorityWeight: 2},
-			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 1500 * ms, PriorityWeight: 3},
+			{Name: "get", Effect: Idempotent, IdempotencyScope: ScopeAll,
+				LatencyObjective: 500 * ms, Deadline: 1500 * ms, PriorityWeight: 1},
+			{Name: "post", Effect: WithIdempotencyKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 900 * ms,
+				LatencyObjective: 500 * ms, Deadline: 1500 * ms, PriorityWeight: 2},
+			{Name: "pay", Effect: NonIdempotent,
+				LatencyObjective: 500 * ms, Deadline: 1500 * ms, PriorityWeight: 3},
 		},
 		Replicas: 2, Tier: 0, TotalValueWeight: 0.6, WorstClassWeight: 0.3,
 		MaxAttempts: 5, Hedging: true, Cancellation: true, Tick: 2 * ms,
@@ -25,6 +27,8 @@
 	}
 }
 
+// newTestBalancer returns a Balancer with the test settings, changed by change unless that is nil. It knows no
+// endpoints yet.
 func newTestBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -38,50 +42,63 @@
 	return b
 }
 
+// newServingBalancer returns a Balancer that has heard at the time 0 of so many endpoints.
+func newServingBalancer(t testing.TB, endpoints int, change func(*Settings)) *Balancer {
+	t.Helper()
+	b := newTestBalancer(t, change)
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(endpoints)})
+	return b
+}
+
+// testEndpoints returns n ready endpoints of two cells, named s00 and so on.
 func testEndpoints(n int) []Endpoint {
-	var l []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
-		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
-	return l
+	return endpoints
 }
 
-// sendsOf returns the Send actions among acts.
-func sendsOf(acts []Action) []Send {
-	var l []Send
-	for _, a := range acts {
+// requestOf returns a request of a class that has no attempts.
+func requestOf(b *Balancer, class string) *request {
+	return &request{class: b.classes.find(class)}
+}
+
+// sendsOf returns the Send actions among actions.
+func sendsOf(actions []Action) []Send {
+	var sends []Send
+	for _, a := range actions {
 		if s, ok := a.(Send); ok {
-			l = append(l, s)
+			sends = append(sends, s)
 		}
 	}
-	return l
+	return sends
 }
 
-// endAttempt answers the single attempt of a request.
-func endAttempt(b *Balancer, now time.Duration, id string, s Send, e Result) []Action {
-	return b.Handle(now, Outcome{ID: id, Endpoint: s.Endpoint, Result: e, RequestDone: e == Success})
+// endFirstAttempt ends the first attempt of a request.
+func endFirstAttempt(b *Balancer, now time.Duration, s Send, r Result) []Action {
+	return b.Handle(now, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: r, RequestDone: r == Success})
 }
 
-// sendRequests sends n requests one after another; fate decides how attempts at a server end. It
-// returns how many first tries each server got in the second half.
-func sendRequests(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
-	got := map[string]int{}
+// sendRequests sends n requests one after another; resultOf decides how attempts at an endpoint end. It returns
+// how many first attempts each endpoint got in the second half.
+func sendRequests(b *Balancer, n int, class string, resultOf func(endpoint string) Result) map[string]int {
+	firstAttempts := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*ms
-		for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
-			if i >= n/2 {
-				got[s.Endpoint]++
-			}
-			for k := 0; k < 5; k++ {
-				e := fate(s.Endpoint)
-				now += 10 * ms
-				again := sendsOf(b.Handle(now, Outcome{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, RequestDone: e == Success}))
-				if len(again) == 0 {
-					break
-				}
-				s = again[0]
-			}
+		sends := sendsOf(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second}))
+		if len(sends) > 0 && i >= n/2 {
+			firstAttempts[sends[0].Endpoint]++
+		}
+		for attempt := 0; attempt < 5 && len(sends) > 0; attempt++ {
+			now += 10 * ms
+			result := resultOf(sends[0].Endpoint)
+			sends = sendsOf(b.Handle(now, Outcome{ID: id, Attempt: attempt, Endpoint: sends[0].Endpoint,
+				Result: result, RequestDone: result == Success}))
 		}
 	}
-	return got
+	return firstAttempts
 }
+
+// alwaysSucceed is a resultOf of sendRequests.
+func alwaysSucceed(string) Result { return Success }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -8,172 +8,198 @@
 	"time"
 )
 
-// In overload the window must shrink, and never under its floor.
+// limitFloor is the least concurrency limit of b.
+func limitFloor(b *Balancer) float64 { return minLimitPerEndpoint * b.endpoints.perReplica() }
+
+// attemptOf returns an attempt of a request of a class, sent at the time 0.
+func attemptOf(b *Balancer, class string) *attempt { return &attempt{request: requestOf(b, class)} }
+
+// Under overload the limit must fall, and never below its floor.
 func TestLimitFollowsLatency(t *testing.T) {
-	for _, tc := range []struct {
-		took time.Duration
-		grow bool
+	for _, c := range []struct {
+		latency time.Duration
+		grows   bool
 	}{{450 * ms, false}, {40 * ms, true}} {
-		b := newTestBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
-		start, now := b.limiter.limit, time.Duration(0)
-		var open []Send
-		for i := range 3000 {
-			now += 4 * ms
-			open = append(open, sendsOf(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sentAt+tc.took <= now {
-				s := open[0]
-				open = append(open[1:], sendsOf(endAttempt(b, now, s.ID, s, Success))...)
+		t.Run(c.latency.String(), func(t *testing.T) {
+			b := newServingBalancer(t, 4, nil)
+			initial, now := b.limiter.limit, time.Duration(0)
+			var active []Send
+			for i := range 3000 {
+				now += 4 * ms
+				request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
+				active = append(active, sendsOf(b.Handle(now, request))...)
+				for len(active) > 0 && b.requests[active[0].ID].attempts[0].sentAt+c.latency <= now {
+					s := active[0]
+					active = append(active[1:], sendsOf(endFirstAttempt(b, now, s, Success))...)
+				}
 			}
-		}
-		if grew := b.limiter.limit > start; grew != tc.grow && tc.grow || b.limiter.limit < minLimitPerEndpoint*b.endpoints.perReplica() {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.limiter.limit, start)
-		}
-		if !tc.grow && b.limiter.limit > minLimitPerEndpoint*b.endpoints.perReplica()+1 {
-			t.Errorf("late answers left the window at %.1f", b.limiter.limit)
-		}
+			limit := b.limiter.limit
+			if limit < limitFloor(b) {
+				t.Errorf("limit %.1f below its floor %.1f", limit, limitFloor(b))
+			}
+			if c.grows && limit <= initial {
+				t.Errorf("limit %.1f from %.1f, want growth", limit, initial)
+			}
+			if !c.grows && limit > limitFloor(b)+1 {
+				t.Errorf("limit %.1f after late answers, want about the floor %.1f", limit, limitFloor(b))
+			}
+		})
 	}
 }
 
-// Crowding is judged against the latency of quiet times: an answer at half the aim is bare work where
-// it always was so, and a crowd where it took an eighth before.
+// Overload is judged by the baseline: an answer at half the latency objective is the work alone where it always
+// took so long, and overload where it took an eighth before.
 func TestLimitComparesLatencyWithBaseline(t *testing.T) {
-	window := func(before, after time.Duration) float64 {
+	const initial = 40
+	limitAfter := func(before, after time.Duration) float64 {
 		b := newTestBalancer(t, nil)
 		b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
-		b.limiter.limit = 40
-		a := &attempt{request: &request{class: b.classes.byName["get"]}}
+		b.limiter.limit = initial
+		a := attemptOf(b, "get")
 		for i := range 400 {
 			b.now, b.limiter.inFlight = before, 5
 			if i >= 300 {
-				b.now, b.limiter.inFlight = after, 40
+				b.now, b.limiter.inFlight = after, initial
 			}
-			if b.adjustLimit(a, Success); i == 300 {
-				b.limiter.limit = 40
+			b.adjustLimit(a, Success)
+			if i == 300 {
+				b.limiter.limit = initial
 			}
 		}
 		return b.limiter.limit
 	}
-	if slow, crowded := window(250*ms, 250*ms), window(60*ms, 250*ms); slow <= 40 || crowded >= 40 {
-		t.Errorf("window from 40: slow work %.1f, want growth; crowded %.1f, want shrinking", slow, crowded)
+	if slowWork := limitAfter(250*ms, 250*ms); slowWork <= initial {
+		t.Errorf("slow work: limit %.1f from %d, want growth", slowWork, initial)
+	}
+	if overload := limitAfter(60*ms, 250*ms); overload >= initial {
+		t.Errorf("overload: limit %.1f from %d, want it lower", overload, initial)
 	}
 }
 
-// A thousand copies with one call each are a crowd: where there are many more copies than servers,
-// what a copy has out stays under one on the average, though two may go at once after a rest. A call
-// that timed out is held against it as well, for the server may still work on it.
+// A thousand replicas with one attempt each are an overload: where there are many more replicas than endpoints, a
+// replica has less than one attempt in flight on the average, though two may be sent at once after a rest. An
+// attempt that timed out counts as well, for the endpoint may still be working on it.
 func TestPacingBelowOneAttempt(t *testing.T) {
-	for _, end := range []Result{Success, TimedOut} {
-		b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.MaxAttempts = 100, 1 })
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-		const took, gap, n = 300 * ms, 25 * ms, 1200
-		type call struct {
-			Send
-			at time.Duration
-		}
-		var open []call
-		var out time.Duration // time that calls were out
-		most := 0
-		for i := range n {
-			now := time.Duration(i) * gap
-			for len(open) > 0 && open[0].at+took <= now {
-				s := open[0]
-				open = open[1:]
-				for _, s := range sendsOf(endAttempt(b, now, s.ID, s.Send, end)) {
-					open = append(open, call{s, now})
+	const latency, interval, requests = 300 * ms, 25 * ms, 1200
+	type timedSend struct {
+		Send
+		at time.Duration
+	}
+	for name, result := range map[string]Result{"success": Success, "timed out": TimedOut} {
+		t.Run(name, func(t *testing.T) {
+			b := newServingBalancer(t, 10, func(s *Settings) { s.Replicas, s.MaxAttempts = 100, 1 })
+			var active []timedSend
+			var total time.Duration // of the times that attempts were active
+			most := 0
+			for i := range requests {
+				now := time.Duration(i) * interval
+				for len(active) > 0 && active[0].at+latency <= now {
+					oldest := active[0]
+					active = active[1:]
+					for _, s := range sendsOf(endFirstAttempt(b, now, oldest.Send, result)) {
+						active = append(active, timedSend{s, now})
+					}
+				}
+				request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
+				for _, s := range sendsOf(b.Handle(now, request)) {
+					active = append(active, timedSend{s, now})
 				}
+				total += time.Duration(len(active)) * interval
+				most = max(most, len(active))
 			}
-			for _, s := range sendsOf(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second})) {
-				open = append(open, call{s, now})
+			mean, floor := float64(total)/float64(requests*interval), limitFloor(b)
+			if mean > 1.25*floor || mean < 0.25*floor || most < 2 {
+				t.Errorf("%.2f attempts active on the average, %d at most, floor of the limit %.2f", mean, most, floor)
 			}
-			out += time.Duration(len(open)) * gap
-			most = max(most, len(open))
-		}
-		mean := float64(out) / float64(n*gap)
-		if limit := minLimitPerEndpoint * b.endpoints.perReplica(); mean > 1.25*limit || mean < 0.25*limit || most < 2 {
-			t.Errorf("ending %d: %.2f calls out on the average, %d at most, window floor %.2f", end, mean, most, limit)
-		}
+		})
 	}
 }
 
-// What was sent under a wide window is not owed when the fleet shrinks and the window with it: the
-// copies of incident i587823 refused nearly all for five seconds.
+// What was sent under a high limit does not delay attempts when the limit falls with the number of endpoints.
 func TestPacingForgetsHighLimit(t *testing.T) {
-	b := newTestBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(1)})
+	b := newServingBalancer(t, 1, func(s *Settings) { s.MaxAttempts = 1 })
 	for i := range 400 {
 		now := time.Duration(i) * 5 * ms
 		b.limiter.limit = 3
-		for _, s := range sendsOf(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second})) {
-			endAttempt(b, now+ms, s.ID, s, Failure) // quicker than the mean that a send owes
+		request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
+		for _, s := range sendsOf(b.Handle(now, request)) {
+			endFirstAttempt(b, now+ms, s, Failure) // before the mean latency that a send is charged with
 		}
 	}
 	b.limiter.limit = 1
 	now := b.now + 100*ms
 	if len(sendsOf(b.Handle(now, Request{ID: "next", Class: "get", Deadline: now + time.Second}))) != 1 {
-		t.Errorf("a copy at rest holds a request until %v", b.limiter.pacedUntil()-now)
+		t.Errorf("a replica without active attempts keeps a request pending for %v", b.limiter.pacedUntil()-now)
 	}
 }
 
-// An answer that broke off says nothing of how crowded the servers are, however soon it came.
+// A lost connection does not show how loaded the endpoints are, however soon it was lost.
 func TestLostConnectionsKeepLimit(t *testing.T) {
+	const initial = 100
 	b := newTestBalancer(t, nil)
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-	b.limiter.limit = 100
-	a := &attempt{request: &request{class: b.classes.byName["get"]}}
+	b.limiter.limit = initial
+	a := attemptOf(b, "get")
 	for range 50 {
 		b.now, b.limiter.inFlight = 200*ms, int(b.limiter.limit)
 		before := b.limiter.utilization
-		if b.adjustLimit(a, ConnectionLost); b.limiter.utilization != before {
-			t.Fatalf("a broken answer took fill from %.2f to %.2f", before, b.limiter.utilization)
+		b.adjustLimit(a, ConnectionLost)
+		if b.limiter.utilization != before {
+			t.Fatalf("a lost connection took the utilization from %.2f to %.2f", before, b.limiter.utilization)
 		}
 	}
-	if b.limiter.limit != 100 {
-		t.Errorf("window from 100 to %.1f", b.limiter.limit)
+	if b.limiter.limit != initial {
+		t.Errorf("limit %.1f from %d", b.limiter.limit, initial)
 	}
 }
 
-// What is shed must not hold the window down: a smaller window sheds more, and the copy would stay at
-// its floor long after the crowd has gone. Unevenness does not either: fast and slow machines differ.
+// Shedding must not hold the limit down: a lower limit sheds more, and the replica would stay at its floor long
+// after the overload. Neither must the difference between fast and slow machines.
 func TestSheddingKeepsLimit(t *testing.T) {
-	window := func(shed, spread float64) float64 {
+	const initial = 100
+	limitAfter := func(t *testing.T, shedRate, spread float64) float64 {
+		t.Helper()
 		b := newTestBalancer(t, nil)
 		b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-		b.limiter.limit, b.limiter.utilization = 100, 0.4
-		a := &attempt{request: &request{class: b.classes.byName["get"]}}
+		b.limiter.limit, b.limiter.utilization = initial, 0.4
+		a := attemptOf(b, "get")
 		for i := range 50 {
-			b.queue.shedRate = shed
-			for k, s := range b.endpoints.ready {
-				s.latencySamples, s.slowness = 5, spread*float64(k%2)
+			b.queue.shedRate = shedRate
+			for k, e := range b.endpoints.ready {
+				e.latencySamples, e.slowness = 5, spread*float64(k%2)
 			}
 			b.now, b.limiter.inFlight = 200*ms, int(b.limiter.limit)
-			if b.adjustLimit(a, Success); b.limiter.utilization < 0.39 {
-				t.Fatalf("fill fell to %.2f at answer %d", b.limiter.utilization, i)
+			b.adjustLimit(a, Success)
+			if b.limiter.utilization < 0.39 {
+				t.Fatalf("utilization fell to %.2f at answer %d", b.limiter.utilization, i)
 			}
 		}
 		return b.limiter.limit
 	}
 	for _, spread := range []float64{0, 0.7, 1} {
-		if none, much := window(0, spread), window(0.8, spread); none <= 100 || much != none {
-			t.Errorf("spread %.1f: window from 100: %.1f with nothing shed, %.1f with much", spread, none, much)
-		}
+		t.Run(fmt.Sprint("spread ", spread), func(t *testing.T) {
+			none, much := limitAfter(t, 0, spread), limitAfter(t, 0.8, spread)
+			if none <= initial || much != none {
+				t.Errorf("limit from %d: %.1f with nothing shed, %.1f with much", initial, none, much)
+			}
+		})
 	}
 }
 
-// Requests differ, so a mean of few answers wavers; the least of it must not pass for the quiet level,
-// or a steady mean looks like a crowd half of the time and holds the window at its floor.
+// Requests differ, so a mean of few answers varies; the least of it must not pass for the baseline, or a steady
+// mean looks like overload half of the time and holds the limit at its floor.
 func TestLimitToleratesVariance(t *testing.T) {
 	b := newTestBalancer(t, nil)
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
 	rng := rand.New(rand.NewPCG(1, 2))
-	a := &attempt{request: &request{class: b.classes.byName["get"]}}
-	start := b.limiter.limit
+	a := attemptOf(b, "get")
+	initial := b.limiter.limit
 	for range 2000 {
 		b.now = time.Duration(math.Exp(rng.NormFloat64()) * float64(60*ms))
 		b.limiter.inFlight = int(b.limiter.limit)
 		b.adjustLimit(a, Success)
 	}
-	if b.limiter.limit < 4*start {
-		t.Errorf("steady uneven work took the window from %.1f to %.1f", start, b.limiter.limit)
+	if b.limiter.limit < 4*initial {
+		t.Errorf("steady work of uneven cost took the limit from %.1f to %.1f", initial, b.limiter.limit)
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -10,241 +10,270 @@
 	"pgregory.net/rapid"
 )
 
-// A server that errs at once drains its count; without ejection it would win every draw.
+// An endpoint that fails at once has few active attempts; without ejection it would win every pick.
 func TestFastFailuresAreEjected(t *testing.T) {
-	for _, e := range []Result{Failure, Unreachable, ConnectionLost} {
-		b := newTestBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-		got := sendRequests(b, 600, "get", func(s string) Result {
-			if s == "s03" {
-				return e
+	for name, result := range map[string]Result{
+		"failure": Failure, "unreachable": Unreachable, "connection lost": ConnectionLost,
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := newServingBalancer(t, 10, nil)
+			got := sendRequests(b, 600, "get", func(endpoint string) Result {
+				if endpoint == "s03" {
+					return result
+				}
+				return Success
+			})
+			if got["s03"] > 10 {
+				t.Errorf("the faulty endpoint got %d of 300 first attempts", got["s03"])
 			}
-			return Success
 		})
-		if got["s03"] > 10 {
-			t.Errorf("ending %d: the bad server got %d of 300 first tries", e, got["s03"])
-		}
 	}
 }
 
-// When every server fails alike the trouble is below them: nobody may be starved of calls.
+// When all endpoints fail alike the fault is in what they depend on: none may be starved of attempts.
 func TestCommonFailuresEjectFew(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
+	b := newServingBalancer(t, 10, nil)
 	got := sendRequests(b, 800, "get", func(string) Result { return Failure })
 	if len(got) < 8 {
-		t.Errorf("only %d of 10 servers are still used", len(got))
+		t.Errorf("only %d of 10 endpoints are still used", len(got))
 	}
 }
 
-// A machine gone quiet shows nothing but an old unanswered call while others answer.
+// A process that hangs shows nothing but an overdue attempt while others answer.
 func TestUnresponsiveEndpointPassedOver(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-	stuck, now := 0, time.Duration(0)
+	b := newServingBalancer(t, 10, nil)
+	unanswered, now := 0, time.Duration(0)
 	for i := range 600 {
-		id := fmt.Sprint(i)
 		now += 20 * ms
-		for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
+		request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Minute}
+		for _, s := range sendsOf(b.Handle(now, request)) {
 			if s.Endpoint == "s03" {
-				stuck++
+				unanswered++
 			} else {
-				endAttempt(b, now+10*ms, id, s, Success)
+				endFirstAttempt(b, now+10*ms, s, Success)
 			}
 		}
 	}
-	if stuck == 0 || stuck > 6 {
-		t.Errorf("the silent server holds %d calls", stuck)
+	if unanswered == 0 || unanswered > 6 {
+		t.Errorf("the unresponsive endpoint holds %d attempts", unanswered)
 	}
 }
 
-// An unanswered call is a sign of silence once calls sent later were answered elsewhere, not before.
+// An overdue attempt makes an endpoint unresponsive once attempts sent later were answered elsewhere, not before.
 func TestUnresponsiveNeedsAnswersElsewhere(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
-	stuck := b.endpoints.byID[sendsOf(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0].Endpoint]
+	b := newServingBalancer(t, 4, nil)
+	first := sendsOf(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0]
+	hanging := b.endpoints.byID[first.Endpoint]
 	b.Handle(5*time.Second, TimerFired{Token: "x"})
-	if b.outliers.unresponsive(stuck, b.now) {
-		t.Error("silent although nothing was answered anywhere")
+	if b.outliers.unresponsive(hanging, b.now) {
+		t.Error("unresponsive although nothing was answered anywhere")
 	}
 	now := 5 * time.Second
-	s := sendsOf(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
-	endAttempt(b, now+10*ms, "new", s, Success)
-	if s.Endpoint != stuck.ID && !b.outliers.isOutlier(stuck, &request{class: b.classes.byName["get"]}, b.now) || b.outliers.unresponsive(b.endpoints.byID[s.Endpoint], b.now) && s.Endpoint != stuck.ID {
-		t.Error("the wrong server is taken for silent")
+	second := sendsOf(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
+	endFirstAttempt(b, now+10*ms, second, Success)
+	if second.Endpoint == hanging.ID {
+		return
+	}
+	if !b.outliers.isOutlier(hanging, requestOf(b, "get"), b.now) {
+		t.Error("the hanging endpoint is no outlier")
+	}
+	if b.outliers.unresponsive(b.endpoints.byID[second.Endpoint], b.now) {
+		t.Error("the endpoint that answered is taken for unresponsive")
 	}
 }
 
-// After an ejection the first trial must not be a request that cannot be repeated.
+// After an ejection the first attempt must not be one of a request that cannot be repeated.
 func TestTrialAfterEjectionIsRepeatable(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
-	s := b.endpoints.byID["s03"]
-	s.ejectionLevel, s.ejectedUntil = 1, 0
-	b.outliers.addSuspect(s)
-	if got := sendRequests(b, 400, "pay", func(string) Result { return Success }); got["s03"] != 0 {
-		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
+	b := newServingBalancer(t, 10, nil)
+	e := b.endpoints.byID["s03"]
+	e.ejectionLevel, e.ejectedUntil = 1, 0
+	b.outliers.addSuspect(e)
+	if got := sendRequests(b, 400, "pay", alwaysSucceed); got["s03"] != 0 {
+		t.Errorf("an endpoint after its ejection got %d requests that are not idempotent", got["s03"])
 	}
-	if got := sendRequests(b, 400, "get", func(string) Result { return Success }); got["s03"] == 0 {
-		t.Error("the server was never tried again")
+	if got := sendRequests(b, 400, "get", alwaysSucceed); got["s03"] == 0 {
+		t.Error("the endpoint was never tried again")
 	}
 }
 
-// A small machine is slower by nature: that is no sign of trouble, and no reason to thin its draw twice.
+// A small machine is slower without a fault, and must not be drawn less for it once more.
 func TestLowWeightIsNotSlowness(t *testing.T) {
-	for kind, slow := range map[WeightKind]bool{WeightNominal: false, WeightUnknown: true} {
-		b := newTestBalancer(t, func(s *Settings) { s.WeightKind = kind })
-		list := testEndpoints(4)
-		for i := range list {
-			list[i].Weight = []float64{1, 3}[i/2]
-		}
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-		for i := range 400 {
-			now, id := time.Duration(i)*time.Second, fmt.Sprint(i)
-			for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-				endAttempt(b, now+time.Duration(120/b.endpoints.byID[s.Endpoint].Weight)*ms, id, s, Success)
+	for kind, wantSlow := range map[WeightKind]bool{WeightNominal: false, WeightUnknown: true} {
+		t.Run(fmt.Sprint("kind ", kind), func(t *testing.T) {
+			b := newTestBalancer(t, func(s *Settings) { s.WeightKind = kind })
+			endpoints := testEndpoints(4)
+			for i := range endpoints {
+				endpoints[i].Weight = []float64{1, 3}[i/2]
 			}
-		}
-		if got := max(b.endpoints.byID["s00"].slowness, b.endpoints.byID["s01"].slowness); got > 0.3 != slow {
-			t.Errorf("sizes %d: slowness %.2f", kind, got)
-		}
+			b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+			for i := range 400 {
+				now := time.Duration(i) * time.Second
+				request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
+				for _, s := range sendsOf(b.Handle(now, request)) {
+					latency := time.Duration(120/b.endpoints.byID[s.Endpoint].Weight) * ms
+					endFirstAttempt(b, now+latency, s, Success)
+				}
+			}
+			slowness := max(b.endpoints.byID["s00"].slowness, b.endpoints.byID["s01"].slowness)
+			if slow := slowness > 0.3; slow != wantSlow {
+				t.Errorf("slowness %.2f, want it above 0.3: %v", slowness, wantSlow)
+			}
+		})
 	}
 }
 
-// In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
+// Under overload every endpoint is needed: the more is shed, the fewer may be excluded.
 func TestSheddingExcludesFewerEndpoints(t *testing.T) {
 	for _, c := range []struct {
-		shed float64
-		want int
+		shedRate float64
+		want     int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
-		b := newTestBalancer(t, nil)
-		b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(20)})
-		for _, s := range b.endpoints.ready[:10] {
-			s.ejectedUntil = time.Minute
-			b.outliers.addSuspect(s)
-		}
-		b.queue.shedRate = c.shed
-		out := len(b.excludedEndpoints(&request{class: b.classes.byName["get"]}))
-		if out != c.want {
-			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
-		}
+		t.Run(fmt.Sprint("shed rate ", c.shedRate), func(t *testing.T) {
+			b := newTestBalancer(t, nil)
+			b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(20)})
+			for _, e := range b.endpoints.ready[:10] {
+				e.ejectedUntil = time.Minute
+				b.outliers.addSuspect(e)
+			}
+			b.queue.shedRate = c.shedRate
+			if got := len(b.excludedEndpoints(requestOf(b, "get"))); got != c.want {
+				t.Errorf("%d excluded, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-// A short list too can spare a server that fails at once; a list of two, or a node in overload, can not.
+// Of a short list too an endpoint that fails at once can be excluded; of a list of two, or under overload, not.
 func TestShortListExcludesOne(t *testing.T) {
 	for _, c := range []struct {
-		servers int
-		shed    float64
-		want    int
+		endpoints int
+		shedRate  float64
+		want      int
 	}{{4, 0, 1}, {3, 0.4, 1}, {2, 0, 0}, {1, 0, 0}, {4, 0.6, 0}, {10, 0, 2}, {9, 0, 1}} {
-		b := newTestBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(c.servers)})
-		b.queue.shedRate = c.shed
-		for _, s := range b.endpoints.ready {
-			b.outliers.eject(s, b.classes.byName["get"], b.now)
-		}
-		if n := len(b.excludedEndpoints(&request{class: b.classes.byName["get"]})); n != c.want {
-			t.Errorf("%d of %d servers are ruled out with %v shed, want %d", n, c.servers, c.shed, c.want)
-		}
+		t.Run(fmt.Sprintf("%d endpoints, shed rate %v", c.endpoints, c.shedRate), func(t *testing.T) {
+			b := newServingBalancer(t, c.endpoints, nil)
+			b.queue.shedRate = c.shedRate
+			for _, e := range b.endpoints.ready {
+				b.outliers.eject(e, b.classes.find("get"), b.now)
+			}
+			if got := len(b.excludedEndpoints(requestOf(b, "get"))); got != c.want {
+				t.Errorf("%d excluded, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-// Operators see how many servers are kept out for their health, and no more than are.
+// Operators see how many endpoints are excluded as outliers, and no more than are.
 func TestEjectedCount(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
+	b := newServingBalancer(t, 10, nil)
 	if n := b.EjectedCount(0); n != 0 {
-		t.Errorf("%d avoided at the start", n)
+		t.Errorf("%d at the start", n)
 	}
-	for i, s := range b.endpoints.ready[:4] {
-		b.outliers.eject(s, b.classes.byName["get"], b.now)
+	for i, e := range b.endpoints.ready[:4] {
+		b.outliers.eject(e, b.classes.find("get"), b.now)
 		if n := b.EjectedCount(0); n != min(i+1, 2) {
-			t.Errorf("%d ejected, %d avoided; 2 of 10 may be", i+1, n)
+			t.Errorf("%d ejected, %d counted; 2 of 10 may be excluded", i+1, n)
 		}
 	}
 	if n := b.EjectedCount(time.Hour); n != 0 {
-		t.Errorf("%d avoided when every ejection is over", n)
+		t.Errorf("%d when every ejection is over", n)
 	}
 }
 
-// The servers that a pick looks at for their health are all that a look at the whole list would find, in the same
-// order, and the ready ones are in the shared order, each once, whatever has happened; and none stays among them for nothing.
+// activeSend is an attempt whose outcome has not been given yet.
+type activeSend struct {
+	Send
+	attempt int
+}
+
+// Whatever happens, the suspects are all endpoints that a scan of the whole list would find, in the same order,
+// and none without a reason; and the ready endpoints are in the shared order, each once.
 func TestSuspectsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(testSettings(), rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := testEndpoints(rapid.IntRange(1, 12).Draw(t, "servers"))
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-		type call struct {
-			id string
-			Send
-			n int
-		}
-		var out []call
+		endpoints := testEndpoints(rapid.IntRange(1, 12).Draw(t, "endpoints"))
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+		var active []activeSend
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 120).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(1, 200).Draw(t, "gap")) * ms
-			var did []Action
-			switch rapid.IntRange(0, 5).Draw(t, "event") {
-			case 0, 1, 2:
-				class := rapid.SampledFrom([]string{"get", "post", "pay"}).Draw(t, "class")
-				did = b.Handle(now, Request{ID: fmt.Sprint(i), Class: class, Deadline: now + 1500*ms})
-			case 3, 4:
-				if len(out) == 0 {
-					continue
-				}
-				k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				c := out[k]
-				out = append(out[:k:k], out[k+1:]...)
-				e := rapid.SampledFrom([]Result{Success, Failure, TimedOut, ConnectionLost, Overloaded}).Draw(t, "ending")
-				did = b.Handle(now, Outcome{ID: c.id, Attempt: c.n, Endpoint: c.Endpoint, Result: e, RequestDone: e == Success})
-			case 5:
-				k := rapid.IntRange(0, len(list)-1).Draw(t, "server")
-				list[k].State = EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
-				list[k].StartTime += time.Duration(rapid.IntRange(0, 1).Draw(t, "boot"))
-				did = b.Handle(now, EndpointUpdate{Endpoints: list[k : k+1]})
-			}
-			for _, a := range did {
-				if s, is := a.(Send); is {
-					out = append(out, call{s.ID, s, len(b.requests[s.ID].attempts) - 1})
-				}
-			}
-			for _, class := range []string{"get", "pay"} {
-				r := &request{class: b.classes.byName[class]}
-				var want []*endpoint
-				for _, s := range b.endpoints.ready {
-					if b.outliers.isOutlier(s, r, b.now) {
-						want = append(want, s)
-					}
-				}
-				sort.SliceStable(want, func(i, j int) bool { return want[i].consecutiveFailures > want[j].consecutiveFailures })
-				if got := b.outliers.outliersFor(r, b.now); !slices.Equal(got, want) {
-					t.Fatalf("%s: %d found of %d", class, len(got), len(want))
-				}
+			event := drawEvent(t, now, fmt.Sprint(i), endpoints, &active)
+			if event == nil {
+				continue
 			}
-			inOrder := slices.IsSortedFunc(b.endpoints.ready, func(x, y *endpoint) int { return min(1, 2*b.endpoints.compare(x, y)+1) })
-			if ready := scanReady(b); !inOrder || len(ready) != len(b.endpoints.ready) {
-				t.Fatalf("%d servers in order (%v), %d are ready", len(b.endpoints.ready), inOrder, len(ready))
-			}
-			for _, s := range b.outliers.suspects {
-				if s.activeAttempts == 0 && s.ejectionLevel == 0 && now >= s.ejectedUntil {
-					t.Fatalf("%s is watched for nothing", s.ID)
-				}
+			for _, s := range sendsOf(b.Handle(now, event)) {
+				active = append(active, activeSend{s, len(b.requests[s.ID].attempts) - 1})
 			}
+			checkSuspects(t, b)
+			checkSharedOrder(t, b)
 		}
 	})
 }
 
-// scanReady finds the ready servers among all that are known.
-func scanReady(b *Balancer) map[string]bool {
-	ready := map[string]bool{}
-	for id, s := range b.endpoints.byID {
-		if s.listed && s.State == Ready {
-			ready[id] = true
+// drawEvent draws a request, the outcome of an active attempt, or a change of an endpoint; nil: no event.
+func drawEvent(t *rapid.T, now time.Duration, id string, endpoints []Endpoint, active *[]activeSend) Event {
+	switch rapid.IntRange(0, 5).Draw(t, "event") {
+	case 0, 1, 2:
+		class := rapid.SampledFrom([]string{"get", "post", "pay"}).Draw(t, "class")
+		return Request{ID: id, Class: class, Deadline: now + 1500*ms}
+	case 3, 4:
+		if len(*active) == 0 {
+			return nil
 		}
+		k := rapid.IntRange(0, len(*active)-1).Draw(t, "which")
+		s := (*active)[k]
+		*active = slices.Delete(*active, k, k+1)
+		results := []Result{Success, Failure, TimedOut, ConnectionLost, Overloaded}
+		result := rapid.SampledFrom(results).Draw(t, "result")
+		return Outcome{ID: s.ID, Attempt: s.attempt, Endpoint: s.Endpoint, Result: result,
+			RequestDone: result == Success}
+	default:
+		k := rapid.IntRange(0, len(endpoints)-1).Draw(t, "endpoint")
+		endpoints[k].State = EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
+		endpoints[k].StartTime += time.Duration(rapid.IntRange(0, 1).Draw(t, "restart"))
+		return EndpointUpdate{Endpoints: endpoints[k : k+1]}
+	}
+}
+
+// checkSuspects compares the outliers among the suspects with those of the whole list.
+func checkSuspects(t *rapid.T, b *Balancer) {
+	for _, class := range []string{"get", "pay"} {
+		r := requestOf(b, class)
+		var want []*endpoint
+		for _, e := range b.endpoints.ready {
+			if b.outliers.isOutlier(e, r, b.now) {
+				want = append(want, e)
+			}
+		}
+		sort.SliceStable(want, func(i, j int) bool {
+			return want[i].consecutiveFailures > want[j].consecutiveFailures
+		})
+		if got := b.outliers.outliersFor(r, b.now); !slices.Equal(got, want) {
+			t.Fatalf("%s: %d found of %d", class, len(got), len(want))
+		}
+	}
+	for _, e := range b.outliers.suspects {
+		if e.activeAttempts == 0 && e.ejectionLevel == 0 && b.now >= e.ejectedUntil {
+			t.Fatalf("%s is a suspect without a reason", e.ID)
+		}
+	}
+}
+
+// checkSharedOrder compares the ready endpoints with a scan of all that are known.
+func checkSharedOrder(t *rapid.T, b *Balancer) {
+	ready := 0
+	for _, e := range b.endpoints.byID {
+		if e.listed && e.State == Ready {
+			ready++
+		}
+	}
+	inOrder := slices.IsSortedFunc(b.endpoints.ready, func(x, y *endpoint) int {
+		return min(1, 2*b.endpoints.compare(x, y)+1) // equal ones count as out of order
+	})
+	if !inOrder || ready != len(b.endpoints.ready) {
+		t.Fatalf("%d endpoints in order (%v), %d are ready", len(b.endpoints.ready), inOrder, ready)
 	}
-	return ready
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -3,59 +3,59 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 )
 
-func TestPickTwoChoices(t *testing.T) {
-	mk := func(calls ...int) []*endpoint {
-		var l []*endpoint
-		for i, c := range calls {
-			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, activeAttempts: c})
-		}
-		return l
+const pickTrials = 20000
+
+// endpointsWith returns an endpoint for each count of active attempts.
+func endpointsWith(activeAttempts ...int) []*endpoint {
+	var endpoints []*endpoint
+	for i, n := range activeAttempts {
+		endpoints = append(endpoints, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, n)}, activeAttempts: n})
 	}
+	return endpoints
+}
+
+func TestPickTwoChoices(t *testing.T) {
 	b := newTestBalancer(t, nil)
-	const n = 20000
-	shareLeft := func(left, right []*endpoint) float64 {
-		got := 0
-		for range n {
-			s := b.pick(left, right)
-			for _, l := range left {
-				if s == l {
-					got++
-				}
-			}
-		}
-		return float64(got) / n
-	}
 	for _, c := range []struct {
-		name        string
-		left, right []*endpoint
-		want        float64
+		name          string
+		first, second []*endpoint
+		wantFirst     float64 // share of the picks
 	}{
-		{"fewer left", mk(1), mk(2), 1},
-		{"fewer right", mk(2), mk(1), 0},
-		{"zero beats one", mk(1), mk(0), 0},
-		{"zero left beats one", mk(0), mk(1), 1},
-		{"nonzero tie goes left", mk(3), mk(3), 1},
-		{"zero tie by shares", mk(0, 0, 0), mk(0), 0.75},
-		{"left empty", nil, mk(1), 0},
-		{"right empty", mk(5), nil, 1},
+		{"fewer in first", endpointsWith(1), endpointsWith(2), 1},
+		{"fewer in second", endpointsWith(2), endpointsWith(1), 0},
+		{"none in second beats one", endpointsWith(1), endpointsWith(0), 0},
+		{"none in first beats one", endpointsWith(0), endpointsWith(1), 1},
+		{"tie above zero goes to first", endpointsWith(3), endpointsWith(3), 1},
+		{"tie at zero by size of groups", endpointsWith(0, 0, 0), endpointsWith(0), 0.75},
+		{"first empty", nil, endpointsWith(1), 0},
+		{"second empty", endpointsWith(5), nil, 1},
 	} {
-		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
-			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			fromFirst := 0
+			for range pickTrials {
+				if slices.Contains(c.first, b.pick(c.first, c.second)) {
+					fromFirst++
+				}
+			}
+			if got := float64(fromFirst) / pickTrials; math.Abs(got-c.wantFirst) > 0.02 {
+				t.Errorf("share of the first group %.3f, want %.2f", got, c.wantFirst)
+			}
+		})
 	}
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
-	for range n {
-		count[b.pick(left, nil)]++
+	group, picks := endpointsWith(0, 0, 0, 0), map[*endpoint]int{}
+	for range pickTrials {
+		picks[b.pick(group, nil)]++
 	}
-	for _, s := range left {
-		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
-			t.Errorf("uniform draw gave a server %.3f", got)
+	for _, e := range group {
+		if got := float64(picks[e]) / pickTrials; math.Abs(got-0.25) > 0.02 {
+			t.Errorf("uniform draw of four gave an endpoint %.3f", got)
 		}
 	}
 }
--- a/balancer/priority_test.go
+++ b/balancer/priority_test.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// A marked repeat is mostly past its aim already: while there is little room, first tries go first.
+// A retry by a client is mostly past its objective already: while capacity is scarce, first tries go first.
 func TestFirstTriesBeforeClientRetries(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(1)})
+	b := newServingBalancer(t, 1, nil)
 	b.limiter.limit = 1
-	first := sendsOf(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
-	b.Handle(ms, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*ms, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
-	b.classes.byName["get"].LateCredit = 0.5
-	b.limiter.inFlight = int(minLimitPerEndpoint*b.endpoints.perReplica()) + 2
-	b.limiter.limit = float64(b.limiter.inFlight) // one comes free by the next answer
-	next := sendsOf(endAttempt(b, 10*ms, "a", first[0], Success))
-	if len(next) == 0 || next[0].ID != "new" {
+	active := sendsOf(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
+	b.Handle(ms, Request{ID: "first try", Class: "get", Deadline: time.Second})
+	b.Handle(2*ms, Request{ID: "retry", Class: "get", Deadline: time.Second, ClientRetry: true})
+	b.classes.find("get").LateCredit = 0.5
+	b.limiter.inFlight = int(limitFloor(b)) + 2
+	b.limiter.limit = float64(b.limiter.inFlight) // the next answer makes room for one
+	next := sendsOf(endFirstAttempt(b, 10*ms, active, Success))
+	if len(next) == 0 || next[0].ID != "first try" {
 		t.Errorf("after an answer %v was sent", next)
 	}
 }
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -1,79 +1,87 @@
 package balancer
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
-// An unmarked repeat shows by a deadline shorter than other tries have.
+// A retry by a client that does not mark it shows by a timeout shorter than others have.
 func TestShortTimeoutDetectsClientRetry(t *testing.T) {
 	b := newTestBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * ms})
-	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*ms})
+	b.Handle(5*time.Second, Request{ID: "retry", Class: "get", Deadline: 5*time.Second + 900*ms})
 	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstTriedAt != 0 {
-		t.Errorf("a first try was taken for a repeat: %+v", r)
+		t.Errorf("a first try was taken for a retry: %+v", r)
 	}
-	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
-	r := b.requests["again"]
+	// The retry's objective of 500 ms ended 100 ms before it came: without an endpoint it is still pending.
+	r := b.requests["retry"]
 	if r == nil || !r.clientRetry || r.firstTriedAt != 5*time.Second-600*ms {
-		t.Errorf("the repeat was not seen: %+v", r)
+		t.Errorf("the retry was not detected: %+v", r)
 	}
 }
 
-// A long answer is judged by its first bytes, and no longer holds the window; what breaks later counts
-// against the server, what its reader breaks off does not.
+// An attempt is judged by the first bytes of its response, and no longer counts as in flight; a connection that is
+// lost later counts against the endpoint, a response that the client cancels does not.
 func TestResponseStartEndsWait(t *testing.T) {
-	for ending, bad := range map[Result]int{Success: 0, Cancelled: 0, ConnectionLost: 1} {
-		b := newTestBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
-		s := sendsOf(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * ms}))[0]
-		srv := b.endpoints.byID[s.Endpoint]
-		b.Handle(100*ms, ResponseStarted{ID: "a"})
-		if b.limiter.inFlight != 0 || srv.activeAttempts != 1 || srv.lastSuccess != 100*ms || b.classes.byName["get"].onTime != 1 {
-			t.Errorf("begun: %d in flight, %d calls, last good at %v", b.limiter.inFlight, srv.activeAttempts, srv.lastSuccess)
-		}
-		mean := b.classes.byName["get"].meanLatency
-		acts := b.Handle(time.Hour, Outcome{ID: "a", Endpoint: s.Endpoint, Result: ending, RequestDone: true})
-		if len(acts) > 0 || srv.activeAttempts != 0 || srv.consecutiveFailures != bad || b.limiter.inFlight != 0 || len(b.requests) > 0 {
-			t.Errorf("ending %d: %v, %d calls, streak %d", ending, acts, srv.activeAttempts, srv.consecutiveFailures)
-		}
-		if b.classes.byName["get"].meanLatency != mean {
-			t.Error("the time its reader took passes for the server's")
-		}
+	for result, wantFailures := range map[Result]int{Success: 0, Cancelled: 0, ConnectionLost: 1} {
+		t.Run(fmt.Sprint("result ", result), func(t *testing.T) {
+			b := newServingBalancer(t, 4, nil)
+			s := sendsOf(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * ms}))[0]
+			e, class := b.endpoints.byID[s.Endpoint], b.classes.find("get")
+			b.Handle(100*ms, ResponseStarted{ID: "a"})
+			if b.limiter.inFlight != 0 || e.activeAttempts != 1 || e.lastSuccess != 100*ms || class.onTime != 1 {
+				t.Errorf("response started: %d in flight, %d active, last success at %v, %v on time",
+					b.limiter.inFlight, e.activeAttempts, e.lastSuccess, class.onTime)
+			}
+			mean := class.meanLatency
+			actions := b.Handle(time.Hour, Outcome{ID: "a", Endpoint: s.Endpoint, Result: result, RequestDone: true})
+			if len(actions) > 0 || e.activeAttempts != 0 || e.consecutiveFailures != wantFailures ||
+				b.limiter.inFlight != 0 || len(b.requests) > 0 {
+				t.Errorf("ended: %v, %d active, %d failures in a row, want %d", actions, e.activeAttempts,
+					e.consecutiveFailures, wantFailures)
+			}
+			if class.meanLatency != mean {
+				t.Error("the time that the response took is in the mean latency")
+			}
+		})
 	}
 }
 
-// The time of a long request begins when it is taken. Until then its server has nothing to answer and the
-// window nothing to hold; what cannot be sent again is not.
+// The time of a request whose body is streamed begins when the body has been sent. Until then its endpoint has
+// nothing to answer and the attempt is not in flight; a body that cannot be sent again is not.
 func TestStreamingBodyCountsFromLastByte(t *testing.T) {
-	b := newTestBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
+	b := newServingBalancer(t, 4, nil)
 	s := sendsOf(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * ms, StreamingBody: true}))[0]
-	srv := b.endpoints.byID[s.Endpoint]
-	if b.limiter.inFlight != 0 || srv.activeAttempts != 1 {
-		t.Errorf("before its last byte: %d in flight, %d calls", b.limiter.inFlight, srv.activeAttempts)
+	e, class := b.endpoints.byID[s.Endpoint], b.classes.find("get")
+	if b.limiter.inFlight != 0 || e.activeAttempts != 1 {
+		t.Errorf("before the last byte: %d in flight, %d active", b.limiter.inFlight, e.activeAttempts)
 	}
 	b.outliers.lastSuccess = 5000 * ms
 	b.now = 5000 * ms
-	if b.outliers.unresponsive(srv, b.now) {
-		t.Error("a server is silent before it has the request")
+	if b.outliers.unresponsive(e, b.now) {
+		t.Error("an endpoint is unresponsive before it has the request")
 	}
 	b.Handle(5000*ms, RequestBodySent{ID: "a", Deadline: 6500 * ms})
 	if r := b.requests["a"]; r.deadline != 6500*ms || r.firstTriedAt != 5000*ms || b.limiter.inFlight != 1 {
-		t.Errorf("taken: deadline %v, arrived %v, %d in flight", r.deadline, r.firstTriedAt, b.limiter.inFlight)
+		t.Errorf("body sent: deadline %v, first tried at %v, %d in flight", r.deadline, r.firstTriedAt, b.limiter.inFlight)
 	}
-	mean := b.classes.byName["get"].meanLatency
-	b.Handle(5100*ms, Outcome{ID: "a", Endpoint: s.Endpoint, Result: Success, RequestDone: true})
-	if m := b.classes.byName["get"].meanLatency; m >= mean || b.limiter.inFlight != 0 {
-		t.Errorf("the time of the body counts as the server's: mean %v after %v", m, mean)
+	mean := class.meanLatency
+	endFirstAttempt(b, 5100*ms, s, Success)
+	if class.meanLatency >= mean || b.limiter.inFlight != 0 {
+		t.Errorf("the time of the body is in the mean latency: %v after %v", class.meanLatency, mean)
 	}
+}
 
+// An attempt that never ran is not followed by another if its body is consumed.
+func TestConsumedBodyIsNotRetried(t *testing.T) {
+	b := newServingBalancer(t, 4, nil)
 	b.Handle(6000*ms, Request{ID: "b", Class: "get", Deadline: 7500 * ms, StreamingBody: true})
-	acts := b.Handle(6010*ms, Outcome{ID: "b", Result: Unreachable, BodyConsumed: true})
-	if len(acts) != 1 {
-		t.Fatalf("a spent body: %v", acts)
+	actions := b.Handle(6010*ms, Outcome{ID: "b", Result: Unreachable, BodyConsumed: true})
+	if len(actions) != 1 {
+		t.Fatalf("got %v, want one answer", actions)
 	}
-	if _, refused := acts[0].(Reject); !refused {
-		t.Errorf("a spent body that never ran: %v", acts[0])
+	if _, ok := actions[0].(Reject); !ok {
+		t.Errorf("got %v, want a Reject", actions[0])
 	}
 }
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// settingsOfDeployments differ wherever an assumption of one could hide: their settings, with times at the scale 1.
-func settingsOfDeployments() map[string]Settings {
+// deploymentSettings differ wherever an assumption of one could hide: their settings, with times at the scale 1.
+func deploymentSettings() map[string]Settings {
 	class := func(name string, e Effect, scope IdempotencyScope, aim, deadline, window time.Duration, worth, late float64) Class {
 		return Class{Name: name, Effect: e, IdempotencyScope: scope, LatencyObjective: aim, Deadline: deadline, IdempotencyWindow: window, PriorityWeight: worth, LateCredit: late}
 	}
@@ -36,7 +36,7 @@
 }
 
 // scaled is the settings with every time so many times as long.
-func (s Settings) scaled(k int64) Settings {
+func scaleSettings(s Settings, k int64) Settings {
 	t := func(d *time.Duration) { *d *= time.Duration(k) }
 	s.Classes = append([]Class(nil), s.Classes...)
 	for i := range s.Classes {
@@ -96,7 +96,7 @@
 	for _, c := range set.Classes {
 		longest, shortest = max(longest, c.Deadline), min(shortest, c.LatencyObjective)
 	}
-	set = set.scaled(k)
+	set = scaleSettings(set, k)
 	b, err := New(set, 11)
 	if err != nil {
 		t.Fatal(err)
@@ -210,7 +210,7 @@
 // No decision rests on a time that is not a setting's: with all of them eight or sixty-four times as long the same is
 // decided, at times so many times as late, and nothing leaves the settings' bounds.
 func TestDecisionsScaleWithTheSettings(t *testing.T) {
-	for name, set := range settingsOfDeployments() {
+	for name, set := range deploymentSettings() {
 		want := decisionsAtScale(t, set, 1)
 		for _, k := range []int64{8, 64} {
 			got := decisionsAtScale(t, set, k)
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -1,13 +1,13 @@
 package balancer
 
 import (
+	"errors"
 	"math"
-	"strings"
 	"testing"
 )
 
 func TestSettingErrorNamesField(t *testing.T) {
-	for want, change := range map[string]func(*Settings){
+	for field, change := range map[string]func(*Settings){
 		"Classes":                      func(s *Settings) { s.Classes = nil },
 		"Classes[0].Name":              func(s *Settings) { s.Classes[0].Name = "" },
 		"Classes[2].LatencyObjective":  func(s *Settings) { s.Classes[2].LatencyObjective = 0 },
@@ -17,14 +17,20 @@
 		"Classes[0].LateCredit":        func(s *Settings) { s.Classes[0].LateCredit = 2 },
 		"SlowStart.InitialFraction":    func(s *Settings) { s.SlowStart.InitialFraction = 1.5 },
 		"SlowStart.Duration":           func(s *Settings) { s.SlowStart.Duration = -1 },
-		"ReplicaIndex":                 func(s *Settings) { s.ReplicaIndex = -1 },
 		"SlowStart.OverloadMultiple":   func(s *Settings) { s.SlowStart.OverloadMultiple = math.NaN() },
+		"ReplicaIndex":                 func(s *Settings) { s.ReplicaIndex = -1 },
 	} {
-		want := "setting " + want + " is"
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
-		}
+		t.Run(field, func(t *testing.T) {
+			s := testSettings()
+			change(&s)
+			_, err := New(s, 1)
+			var invalid *SettingError
+			if !errors.As(err, &invalid) || invalid.Field != field {
+				t.Fatalf("got %v, want a *SettingError of %s", err, field)
+			}
+			if want := "balancer: setting " + field + " is missing or out of range"; err.Error() != want {
+				t.Errorf("got %q, want %q", err, want)
+			}
+		})
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -9,154 +9,198 @@
 	"time"
 )
 
-// A deploy can leave a copy with cold servers only in its subset: while there are warm ones in the list
-// it must go there, or all copies that share the cold ones push them over.
+// A deployment can leave a replica with a subset of endpoints that are all warming up: while the list has warm ones
+// it must go there, as otherwise all replicas that share the subset overload it.
 func TestWarmEndpointsBeyondSubsetBeforeWarmingUp(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.SlowStart.InitialFraction = 100, 0 })
-	list := testEndpoints(40)
-	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: list})
-	cold := map[string]bool{}
-	for _, s := range b.endpoints.subset {
-		cold[s.ID] = true
+	endpoints := testEndpoints(40)
+	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: endpoints})
+	warmingUp := map[string]bool{}
+	for _, e := range b.endpoints.subset {
+		warmingUp[e.ID] = true
 	}
-	for i := range list {
-		if cold[list[i].ID] {
-			list[i].StartTime = time.Minute
+	for i := range endpoints {
+		if warmingUp[endpoints[i].ID] {
+			endpoints[i].StartTime = time.Minute
 		}
 	}
-	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: list})
+	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: endpoints})
 	for i := range 20 {
-		for _, s := range sendsOf(b.Handle(time.Minute+time.Duration(i)*ms, Request{ID: fmt.Sprint(i), Class: "get",
-			Deadline: 2 * time.Minute})) {
-			if cold[s.Endpoint] {
-				t.Fatalf("request %d went to a server that started %d ms ago", i, i)
+		now := time.Minute + time.Duration(i)*ms
+		for _, s := range sendsOf(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: 2 * time.Minute})) {
+			if warmingUp[s.Endpoint] {
+				t.Fatalf("request %d went to an endpoint that started %d ms ago", i, i)
 			}
 		}
 	}
 }
 
-// Copies that are left with cold servers alone keep together to what these bear, whichever of them have the requests:
-// N and 2 roots of N + 2 within FallFor, N by what a warm server had borne.
-func TestWarmupBudgetOverAllReplicas(t *testing.T) {
-	for _, copies := range []int{3, 30, 300} {
-		rng := rand.New(rand.NewPCG(uint64(copies), 1))
-		set := testSettings()
-		set.Replicas = copies
-		const listed, left, rate = 20, 2, 200.0 // requests a second
-		all := testEndpoints(listed)
-		var bs []*Balancer
-		for i := range copies {
-			set.ReplicaIndex = i
-			b, err := New(set, uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			b.Handle(0, EndpointUpdate{Full: true, Endpoints: all})
-			bs = append(bs, b)
+// replicaSet is a number of Balancers that send to the same endpoints, which answer every attempt after a while.
+type replicaSet struct {
+	balancers []*Balancer
+	latency   time.Duration
+	outcomes  []pendingOutcome           // in order of time
+	sent      map[string][]time.Duration // to each endpoint
+}
+
+type pendingOutcome struct {
+	at      time.Duration
+	b       *Balancer
+	outcome Outcome
+}
+
+func newReplicaSet(t *testing.T, settings Settings, replicas int, endpoints []Endpoint) *replicaSet {
+	t.Helper()
+	r := &replicaSet{latency: 100 * ms, sent: map[string][]time.Duration{}}
+	for i := range replicas {
+		settings.ReplicaIndex = i
+		b, err := New(settings, uint64(i))
+		if err != nil {
+			t.Fatal(err)
 		}
-		type end struct {
-			at  time.Duration
-			b   *Balancer
-			out Outcome
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+		r.balancers = append(r.balancers, b)
+	}
+	return r
+}
+
+// handle gives an event to a Balancer and plans the outcomes of what it sends.
+func (r *replicaSet) handle(b *Balancer, now time.Duration, e Event) {
+	for _, s := range sendsOf(b.Handle(now, e)) {
+		outcome := Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Success, RequestDone: true}
+		r.outcomes = append(r.outcomes, pendingOutcome{now + r.latency, b, outcome})
+		r.sent[s.Endpoint] = append(r.sent[s.Endpoint], now)
+	}
+}
+
+// handleOutcomes gives the outcomes that are due at now.
+func (r *replicaSet) handleOutcomes(now time.Duration) {
+	for len(r.outcomes) > 0 && r.outcomes[0].at <= now {
+		o := r.outcomes[0]
+		r.outcomes = r.outcomes[1:]
+		r.handle(o.b, o.at, o.outcome)
+	}
+}
+
+// sentWithin returns how many of the times are within window from the time i on.
+func sentWithin(times []time.Duration, i int, window time.Duration) int {
+	n := 0
+	for _, at := range times[i:] {
+		if at < times[i]+window {
+			n++
 		}
-		var ends []end
-		sent := map[string][]time.Duration{}           // to cold servers
-		shrink, over := 10*time.Second, 19*time.Second // by then they are warm
-		do := func(b *Balancer, now time.Duration, acts []Action) {
-			for _, s := range sendsOf(acts) {
-				ends = append(ends, end{now + 100*ms, b, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Success, RequestDone: true}})
-				if now >= shrink {
-					sent[s.Endpoint] = append(sent[s.Endpoint], now)
+	}
+	return n
+}
+
+// Replicas that are left with endpoints that are warming up keep together to what these bear, whichever of them
+// have the requests: N and 2 roots of N + 2 within OverloadWindow, N by what a warm endpoint had borne.
+func TestWarmupBudgetOverAllReplicas(t *testing.T) {
+	const (
+		listed, left    = 20, 2
+		requestRate     = 200.0            // per second, over all replicas
+		shrinkAt        = 10 * time.Second // from then on only those left are listed, and are warming up
+		startedAt       = shrinkAt - time.Second
+		end             = 19 * time.Second // they are warm by then
+		usedOfCapacity  = 0.75             // of the warm endpoints, before shrinkAt
+		requestLifetime = 1500 * ms
+	)
+	for _, replicas := range []int{3, 30, 300} {
+		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(uint64(replicas), 1))
+			settings := testSettings()
+			settings.Replicas = replicas
+			endpoints := testEndpoints(listed)
+			set := newReplicaSet(t, settings, replicas, endpoints)
+			shrunk := false
+			now := time.Duration(0)
+			for request := 0; now < end; request++ {
+				set.handleOutcomes(now)
+				if !shrunk && now >= shrinkAt {
+					shrunk, request = true, 0
+					set.sent = map[string][]time.Duration{}
+					warmingUp := slices.Clone(endpoints[:left])
+					for i := range warmingUp {
+						warmingUp[i].StartTime = startedAt
+					}
+					for _, b := range set.balancers {
+						set.handle(b, now, EndpointUpdate{Full: true, Endpoints: slices.Clone(warmingUp)})
+					}
 				}
+				// Every third request goes to a tenth of the replicas.
+				b := set.balancers[rng.IntN(replicas)]
+				if request%3 == 0 {
+					b = set.balancers[rng.IntN(max(1, replicas/10))]
+				}
+				set.handle(b, now, Request{ID: fmt.Sprint(now), Class: "get", Deadline: now + requestLifetime})
+				now += time.Duration(rng.ExpFloat64() / requestRate * float64(time.Second))
 			}
-		}
-		for now, n := time.Duration(0), 0; now < over; now += time.Duration(rng.ExpFloat64() / rate * 1e9) {
-			for len(ends) > 0 && ends[0].at <= now {
-				e := ends[0]
-				ends = ends[1:]
-				do(e.b, e.at, e.b.Handle(e.at, e.out))
-			}
-			if shrink > 0 && now >= shrink && n >= 0 {
-				for _, b := range bs {
-					cold := slices.Clone(all[:left])
-					for i := range cold {
-						cold[i].StartTime = shrink - time.Second
+			rule := settings.SlowStart
+			for id, times := range set.sent {
+				for i, from := range times {
+					age := float64(from+rule.OverloadWindow-startedAt) / float64(rule.Duration)
+					fraction := rule.InitialFraction + (1-rule.InitialFraction)*min(1, age)
+					bears := rule.OverloadMultiple * fraction * requestRate / listed / usedOfCapacity *
+						rule.OverloadWindow.Seconds()
+					limit := bears + 2*math.Sqrt(bears) + 2
+					if n := sentWithin(times, i, rule.OverloadWindow); float64(n) > limit {
+						t.Fatalf("%d attempts at %s within %v of %v, limit %.0f", n, id, rule.OverloadWindow, from, limit)
 					}
-					do(b, now, b.Handle(now, EndpointUpdate{Full: true, Endpoints: cold}))
 				}
-				n = -1 << 30
 			}
-			n++
-			// Every third request goes to a tenth of the copies.
-			b := bs[rng.IntN(copies)]
-			if n%3 == 0 {
-				b = bs[rng.IntN(max(1, copies/10))]
-			}
-			do(b, now, b.Handle(now, Request{ID: fmt.Sprint(copies, "-", now), Class: "get", Deadline: now + 1500*ms}))
-		}
-		for id, l := range sent {
-			for i, from := range l {
-				k := i
-				for k < len(l) && l[k] < from+set.SlowStart.OverloadWindow {
-					k++
-				}
-				age := float64(from+set.SlowStart.OverloadWindow-shrink+time.Second) / float64(set.SlowStart.Duration)
-				warmth := set.SlowStart.InitialFraction + (1-set.SlowStart.InitialFraction)*min(1, age)
-				bears := set.SlowStart.OverloadMultiple * warmth * rate / listed / 0.75 * set.SlowStart.OverloadWindow.Seconds()
-				if most := bears + 2*math.Sqrt(bears) + 2; float64(k-i) > most {
-					t.Fatalf("%d copies sent %d calls to %s within %v of %v, with %.0f at the most", copies, k-i, id, set.SlowStart.OverloadWindow, from, most)
-				}
+			if len(set.sent) != left {
+				t.Errorf("attempts went to %d endpoints, want %d", len(set.sent), left)
 			}
-		}
-		if len(sent) != left {
-			t.Errorf("%d copies: cold servers got %v", copies, sent)
-		}
+		})
 	}
 }
 
-// Cold budget: 12 copies send to 6 servers of which one is fresh, at three quarters of capacity.
-// What all send it in any FallFor must stay under FallMultiple times what it can do then.
+// 12 replicas send to 6 endpoints, of which one is warming up, at three quarters of their capacity. What all send
+// it in any OverloadWindow must stay under OverloadMultiple times what it can do then.
 func TestWarmingUpEndpointIsNotOverloaded(t *testing.T) {
-	set := testSettings()
-	set.Tier = 1
-	const copies, capacity = 12, 50.0 // a warm server's calls a second
-	list := testEndpoints(6)
-	list[2].StartTime = time.Second
-	var bs []*Balancer
-	for i := range copies {
-		b, err := New(set, uint64(i))
+	const (
+		replicas, count = 12, 6
+		capacity        = 50.0 // of a warm endpoint, in attempts per second
+		requestRate     = 0.75 * count * capacity
+		seconds         = 12
+		startedAt       = time.Second
+	)
+	settings := testSettings()
+	settings.Tier = 1
+	endpoints := testEndpoints(count)
+	endpoints[2].StartTime = startedAt
+	var balancers []*Balancer
+	for i := range replicas {
+		b, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-		bs = append(bs, b)
+		b.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+		balancers = append(balancers, b)
 	}
 	rng := rand.New(rand.NewPCG(3, 3))
-	var cold []time.Duration
-	for i := 0; i < int(0.75*6*capacity*12); i++ {
-		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
-		b, id := bs[rng.IntN(copies)], fmt.Sprint(i)
-		for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-			if s.Endpoint == list[2].ID {
-				cold = append(cold, now)
+	var sent []time.Duration // to the endpoint that is warming up
+	for i := range int(requestRate * seconds) {
+		now := startedAt + time.Duration(float64(i)/requestRate*float64(time.Second))
+		b := balancers[rng.IntN(replicas)]
+		request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
+		for _, s := range sendsOf(b.Handle(now, request)) {
+			if s.Endpoint == endpoints[2].ID {
+				sent = append(sent, now)
 			}
-			b.Handle(now+20*ms, Outcome{ID: id, Endpoint: s.Endpoint, Result: Success, RequestDone: true})
+			endFirstAttempt(b, now+20*ms, s, Success)
 		}
 	}
-	if len(cold) < 20 {
-		t.Fatalf("the cold server got only %d calls", len(cold))
+	if len(sent) < 20 {
+		t.Fatalf("the endpoint that is warming up got only %d attempts", len(sent))
 	}
-	for i := range cold {
-		n := 0
-		for _, at := range cold[i:] {
-			if at < cold[i]+set.SlowStart.OverloadWindow {
-				n++
-			}
-		}
-		grown := float64(cold[i]-time.Second) / float64(set.SlowStart.Duration)
-		limit := set.SlowStart.OverloadMultiple * capacity * min(1, set.SlowStart.InitialFraction+(1-set.SlowStart.InitialFraction)*grown) * set.SlowStart.OverloadWindow.Seconds()
-		if float64(n) > limit {
-			t.Fatalf("%d calls in %v from %v, limit %.0f", n, set.SlowStart.OverloadWindow, cold[i], limit)
+	rule := settings.SlowStart
+	for i, from := range sent {
+		age := float64(from-startedAt) / float64(rule.Duration)
+		fraction := min(1, rule.InitialFraction+(1-rule.InitialFraction)*age)
+		limit := rule.OverloadMultiple * capacity * fraction * rule.OverloadWindow.Seconds()
+		if n := sentWithin(sent, i, rule.OverloadWindow); float64(n) > limit {
+			t.Fatalf("%d attempts in %v from %v, limit %.0f", n, rule.OverloadWindow, from, limit)
 		}
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"math"
 	"os"
 	"reflect"
@@ -13,302 +14,385 @@
 	"pgregory.net/rapid"
 )
 
-const minute = time.Minute
+// snapshotAge is the SnapshotMaxAge of these tests.
+const snapshotAge = time.Minute
 
-func withSnapshots(s *Settings) { s.SnapshotMaxAge = minute }
+func withSnapshots(s *Settings) { s.SnapshotMaxAge = snapshotAge }
 
-// trainedBalancer is a Balancer that has served for a while: s00 is slow, s01 fails, the window has grown.
-func trainedBalancer(t testing.TB) (*Balancer, time.Duration) {
-	b := newTestBalancer(t, withSnapshots)
-	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
+// newTrainedBalancer returns a Balancer that has served for a while, and the time: s00 is slow, s01 fails, the
+// concurrency limit has grown to 100.
+func newTrainedBalancer(t testing.TB) (*Balancer, time.Duration) {
+	t.Helper()
+	b := newServingBalancer(t, 10, withSnapshots)
 	now := time.Duration(0)
 	for i := range 4000 {
 		now += ms
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
 		for _, s := range sendsOf(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*ms})) {
-			took, ending := 30*ms, Success
+			latency, result := 30*ms, Success
 			switch s.Endpoint {
 			case "s00":
-				took = 90 * ms
+				latency = 90 * ms
 			case "s01":
-				ending = Failure
+				result = Failure
 			}
 			now += ms
-			b.Handle(now+took, Outcome{ID: s.ID, Attempt: 0, Endpoint: s.Endpoint, Result: ending, Latency: took, RequestDone: true})
+			b.Handle(now+latency,
+				Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: result, Latency: latency, RequestDone: true})
 		}
 	}
 	b.limiter.limit = 100
 	return b, b.now
 }
 
-// restoredBalancer is a Balancer that has heard of what another had learned, and then of a list.
-func restoredBalancer(t testing.TB, m Snapshot, age time.Duration, list []Endpoint, change func(*Settings)) *Balancer {
-	b := newTestBalancer(t, func(s *Settings) {
-		withSnapshots(s)
+// newRestoredBalancer returns a Balancer that has restored a snapshot and then heard of endpoints.
+func newRestoredBalancer(t testing.TB, s Snapshot, age time.Duration, endpoints []Endpoint,
+	change func(*Settings)) *Balancer {
+	t.Helper()
+	b := newTestBalancer(t, func(settings *Settings) {
+		withSnapshots(settings)
 		if change != nil {
-			change(s)
+			change(settings)
 		}
 	})
-	b.Handle(0, Restore{m, age})
-	b.Handle(0, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
+	b.Handle(0, Restore{Snapshot: s, Age: age})
+	b.Handle(0, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
 	return b
 }
 
-// What is remembered counts by its age: all of it at once, nothing from Settings.Remember on, nothing where that is 0.
+// newLimit is the concurrency limit of a test Balancer with 10 endpoints and no history.
+const newLimit = initialLimitPerEndpoint * 5
+
+// A snapshot counts by its age: all of it at once, nothing from SnapshotMaxAge on, nothing where that is 0.
 func TestSnapshotCountsByAge(t *testing.T) {
-	was, now := trainedBalancer(t)
-	m := was.Snapshot(now)
-	if len(m.Endpoints) < 2 || m.LimitPerEndpoint != 20 {
-		t.Fatalf("%+v", m)
+	trained, now := newTrainedBalancer(t)
+	snapshot := trained.Snapshot(now)
+	if len(snapshot.Endpoints) < 2 || snapshot.LimitPerEndpoint != 20 {
+		t.Fatalf("%+v", snapshot)
 	}
-	new := newTestBalancer(t, nil)
-	last := math.Inf(1)
-	for _, age := range []time.Duration{0, minute / 4, minute / 2, minute - 1, minute, time.Hour} {
-		b := restoredBalancer(t, m, age, testEndpoints(10), nil)
-		if b.limiter.limit > last {
-			t.Errorf("%v: a window of %v, after %v for what is younger", age, b.limiter.limit, last)
+	previous := math.Inf(1)
+	for _, age := range []time.Duration{0, snapshotAge / 4, snapshotAge / 2, snapshotAge - 1, snapshotAge, time.Hour} {
+		b := newRestoredBalancer(t, snapshot, age, testEndpoints(10), nil)
+		if b.limiter.limit > previous {
+			t.Errorf("age %v: limit %v, after %v of a newer one", age, b.limiter.limit, previous)
 		}
-		last = b.limiter.limit
-		switch {
-		case age == 0:
-			for _, s := range []string{"s00", "s01"} {
-				got, want := b.endpoints.byID[s], was.endpoints.byID[s]
-				if got.slowness != want.slowness || got.ejectionLevel != want.ejectionLevel || got.latencySamples != want.latencySamples {
-					t.Errorf("%s: %+v, was %+v", s, got, want)
-				}
-			}
-			near := func(x, y float64) bool { return math.Abs(x-y) < 1e-9*(1+y) }
-			if !near(b.limiter.limit, was.limiter.limit) || !near(b.classes.byName["get"].meanLatency, was.classes.byName["get"].meanLatency) || !near(b.limiter.baselineUtilization, was.limiter.baselineUtilization) {
-				t.Errorf("window %v, mean %v, bare %v", b.limiter.limit, b.classes.byName["get"].meanLatency, b.limiter.baselineUtilization)
-			}
-		case age >= minute:
-			if b.limiter.limit != initialLimitPerEndpoint*5 || b.restored != nil || b.classes.byName["get"].meanLatency != new.classes.byName["get"].meanLatency {
-				t.Errorf("%v: window %v, mean %v", age, b.limiter.limit, b.classes.byName["get"].meanLatency)
-			}
+		previous = b.limiter.limit
+		if age == 0 {
+			checkRestored(t, b, trained)
+		}
+		if age >= snapshotAge {
+			checkNotRestored(t, b)
 		}
 	}
-	if b := restoredBalancer(t, m, 0, testEndpoints(10), func(s *Settings) { s.SnapshotMaxAge = 0 }); b.limiter.limit != initialLimitPerEndpoint*5 {
-		t.Errorf("not asked to remember: a window of %v", b.limiter.limit)
+	b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10), func(s *Settings) { s.SnapshotMaxAge = 0 })
+	if b.limiter.limit != newLimit {
+		t.Errorf("without a SnapshotMaxAge: limit %v", b.limiter.limit)
 	}
 }
 
-// What the settings or the list say otherwise wins, and a memory that cannot be is passed over whole.
-func TestSnapshotYieldsToSettingsAndList(t *testing.T) {
-	was, now := trainedBalancer(t)
-	m := was.Snapshot(now)
-	floor := initialLimitPerEndpoint * 5
-	restarted := testEndpoints(10)
-	restarted[0].StartTime = 5 * ms
-	b := restoredBalancer(t, m, 0, restarted, nil)
-	if s := b.endpoints.byID["s00"]; s.latencySamples != 0 || s.slowness != 0 {
-		t.Errorf("a server that was started again: %+v", s)
-	}
-	if b.endpoints.byID["s01"].ejectionLevel == 0 {
-		t.Error("another's ejection is forgotten")
-	}
-	b = restoredBalancer(t, m, 0, testEndpoints(10), func(s *Settings) { s.Classes[0].LatencyObjective *= 2 })
-	if b.limiter.limit != floor || b.classes.byName["get"].meanLatency != float64(b.classes.byName["get"].LatencyObjective)/4 || b.classes.byName["pay"].meanLatency != was.classes.byName["pay"].meanLatency {
-		t.Errorf("another aim: window %v, means %v %v", b.limiter.limit, b.classes.byName["get"].meanLatency, b.classes.byName["pay"].meanLatency)
+// checkRestored compares a Balancer that restored a new snapshot with the one that it was taken of.
+func checkRestored(t *testing.T, b, original *Balancer) {
+	t.Helper()
+	for _, id := range []string{"s00", "s01"} {
+		got, want := b.endpoints.byID[id], original.endpoints.byID[id]
+		if got.slowness != want.slowness || got.ejectionLevel != want.ejectionLevel ||
+			got.latencySamples != want.latencySamples {
+			t.Errorf("%s: %+v, was %+v", id, got, want)
+		}
 	}
-	if b := restoredBalancer(t, m, 0, testEndpoints(20), nil); b.limiter.limit != 200 {
-		t.Errorf("twice the servers: a window of %v", b.limiter.limit)
+	for name, values := range map[string][2]float64{
+		"limit":        {b.limiter.limit, original.limiter.limit},
+		"mean latency": {b.classes.find("get").meanLatency, original.classes.find("get").meanLatency},
+		"baseline":     {b.limiter.baselineUtilization, original.limiter.baselineUtilization},
+	} {
+		if got, want := values[0], values[1]; math.Abs(got-want) >= 1e-9*(1+want) {
+			t.Errorf("%s: %v, was %v", name, got, want)
+		}
 	}
-	if b := restoredBalancer(t, m, -1, testEndpoints(10), nil); b.limiter.limit != floor {
-		t.Errorf("from the future: a window of %v", b.limiter.limit)
+}
+
+// checkNotRestored checks that a Balancer has no history.
+func checkNotRestored(t *testing.T, b *Balancer) {
+	t.Helper()
+	mean, want := b.classes.find("get").meanLatency, newTestBalancer(t, nil).classes.find("get").meanLatency
+	if b.limiter.limit != newLimit || b.restored != nil || mean != want {
+		t.Errorf("restored: limit %v, mean latency %v", b.limiter.limit, mean)
 	}
-	for name, spoil := range map[string]func(*Snapshot){
-		"window":       func(m *Snapshot) { m.LimitPerEndpoint = math.NaN() },
-		"fill":         func(m *Snapshot) { m.Utilization = 3 },
-		"tokens":       func(m *Snapshot) { m.RetryTokens = math.Inf(1) },
-		"mean":         func(m *Snapshot) { m.Classes[0].MeanLatency = -1 },
-		"slow":         func(m *Snapshot) { m.Endpoints[0].Slowness = math.NaN() },
-		"level":        func(m *Snapshot) { m.Endpoints[0].EjectionLevel = 1 << 40 },
-		"another tier": func(m *Snapshot) { m.Tier = 2 },
-	} {
-		bad := m
-		bad.Classes, bad.Endpoints = slices.Clone(m.Classes), slices.Clone(m.Endpoints)
-		spoil(&bad)
-		if b := restoredBalancer(t, bad, 0, testEndpoints(10), nil); b.limiter.limit != floor || b.restored != nil {
-			t.Errorf("%s: a window of %v", name, b.limiter.limit)
+}
+
+// What the settings or the endpoint list say otherwise wins.
+func TestSnapshotYieldsToSettingsAndList(t *testing.T) {
+	trained, now := newTrainedBalancer(t)
+	snapshot := trained.Snapshot(now)
+	t.Run("restarted endpoint", func(t *testing.T) {
+		endpoints := testEndpoints(10)
+		endpoints[0].StartTime = 5 * ms
+		b := newRestoredBalancer(t, snapshot, 0, endpoints, nil)
+		if e := b.endpoints.byID["s00"]; e.latencySamples != 0 || e.slowness != 0 {
+			t.Errorf("it has a history: %+v", e)
+		}
+		if b.endpoints.byID["s01"].ejectionLevel == 0 {
+			t.Error("another's ejection is forgotten")
+		}
+	})
+	t.Run("other latency objective", func(t *testing.T) {
+		b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10),
+			func(s *Settings) { s.Classes[0].LatencyObjective *= 2 })
+		changed, unchanged := b.classes.find("get"), b.classes.find("pay")
+		if b.limiter.limit != newLimit || changed.meanLatency != float64(changed.LatencyObjective)/4 ||
+			unchanged.meanLatency != trained.classes.find("pay").meanLatency {
+			t.Errorf("limit %v, mean latencies %v, %v", b.limiter.limit, changed.meanLatency, unchanged.meanLatency)
+		}
+	})
+	t.Run("twice the endpoints", func(t *testing.T) {
+		if b := newRestoredBalancer(t, snapshot, 0, testEndpoints(20), nil); b.limiter.limit != 200 {
+			t.Errorf("limit %v, want 200", b.limiter.limit)
 		}
+	})
+	t.Run("from the future", func(t *testing.T) {
+		if b := newRestoredBalancer(t, snapshot, -1, testEndpoints(10), nil); b.limiter.limit != newLimit {
+			t.Errorf("limit %v, want %v", b.limiter.limit, newLimit)
+		}
+	})
+}
+
+// A snapshot that cannot be what a Balancer learned, or is of another tier, is ignored as a whole.
+func TestInvalidSnapshotIgnored(t *testing.T) {
+	trained, now := newTrainedBalancer(t)
+	snapshot := trained.Snapshot(now)
+	for _, c := range []struct {
+		name     string
+		change   func(*Snapshot)
+		wantPart string // of the *SnapshotError; empty: it is valid
+	}{
+		{"limit", func(s *Snapshot) { s.LimitPerEndpoint = math.NaN() }, "a figure"},
+		{"utilization", func(s *Snapshot) { s.Utilization = 3 }, "a figure"},
+		{"retry tokens", func(s *Snapshot) { s.RetryTokens = math.Inf(1) }, "a figure"},
+		{"mean latency", func(s *Snapshot) { s.Classes[0].MeanLatency = -1 }, "class get"},
+		{"slowness", func(s *Snapshot) { s.Endpoints[0].Slowness = math.NaN() }, "endpoint s00"},
+		{"ejection level", func(s *Snapshot) { s.Endpoints[0].EjectionLevel = 1 << 40 }, "endpoint s00"},
+		{"another tier", func(s *Snapshot) { s.Tier = 2 }, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			changed := snapshot
+			changed.Classes = slices.Clone(snapshot.Classes)
+			changed.Endpoints = slices.Clone(snapshot.Endpoints)
+			c.change(&changed)
+			b := newRestoredBalancer(t, changed, 0, testEndpoints(10), nil)
+			if b.limiter.limit != newLimit || b.restored != nil {
+				t.Errorf("restored: limit %v", b.limiter.limit)
+			}
+			var invalid *SnapshotError
+			if err := changed.Validate(); errors.As(err, &invalid) != (c.wantPart != "") ||
+				invalid != nil && invalid.Part != c.wantPart {
+				t.Errorf("got %v, want an error of %q", err, c.wantPart)
+			}
+		})
 	}
 }
 
-// A window from before the start that is far too large shrinks to twice what is out at the first sign of a crowd.
-func TestRestoredLimitShrinks(t *testing.T) {
-	was, now := trainedBalancer(t)
-	m := was.Snapshot(now)
-	m.LimitPerEndpoint = 1e12
-	b := restoredBalancer(t, m, 0, testEndpoints(10), nil)
-	at := time.Duration(0)
-	var out []Send
-	for i := range 300 {
-		at += ms
-		out = append(out, sendsOf(b.Handle(at, Request{ID: time.Duration(i).String(), Class: "get", Deadline: at + 1500*ms}))...)
+// A restored limit that is far too high falls to twice the attempts in flight at the first sign of overload.
+func TestRestoredLimitFalls(t *testing.T) {
+	const requests = 300
+	trained, now := newTrainedBalancer(t)
+	snapshot := trained.Snapshot(now)
+	snapshot.LimitPerEndpoint = 1e12
+	b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10), nil)
+	now = 0
+	var active []Send
+	for i := range requests {
+		now += ms
+		request := Request{ID: time.Duration(i).String(), Class: "get", Deadline: now + 1500*ms}
+		active = append(active, sendsOf(b.Handle(now, request))...)
 	}
-	if len(out) != 300 {
-		t.Fatalf("%d of 300 were let in", len(out))
+	if len(active) != requests {
+		t.Fatalf("%d of %d were admitted", len(active), requests)
 	}
-	at += 600 * ms
-	for i := 0; i < len(out) && b.limiter.limit > 1e6; i++ { // one late answer after another
-		b.Handle(at, Outcome{ID: out[i].ID, Endpoint: out[i].Endpoint, Result: Success, Latency: 600 * ms, RequestDone: true})
+	now += 600 * ms
+	for i := 0; i < len(active) && b.limiter.limit > 1e6; i++ { // one late answer after another
+		endFirstAttempt(b, now, active[i], Success)
 	}
-	if b.limiter.limit > 600 {
-		t.Errorf("a window of %v", b.limiter.limit)
+	if b.limiter.limit > 2*requests {
+		t.Errorf("limit %v", b.limiter.limit)
 	}
 }
 
-// However a memory came about, what is handed on is valid, survives its way through JSON, and handing it on again
-// at once changes nothing but levels, which stay.
+// Whatever happened before, a snapshot is valid and survives JSON, and a snapshot of a Balancer that has just
+// restored it differs in nothing but rounding.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, err := New(func() Settings { s := testSettings(); s.SnapshotMaxAge = minute; return s }(), 3)
+		settings := testSettings()
+		withSnapshots(&settings)
+		b, err := New(settings, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(rapid.IntRange(1, 30).Draw(t, "servers"))})
-		now := time.Duration(0)
-		for i := range rapid.IntRange(0, 200).Draw(t, "requests") {
-			now += time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * ms
-			for _, s := range sendsOf(b.Handle(now, Request{ID: time.Duration(i).String(), Class: "get", Deadline: now + 1500*ms})) {
-				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * ms
-				b.Handle(now, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Result(rapid.IntRange(0, 7).Draw(t, "ending")), RequestDone: true})
-			}
-		}
-		m := b.Snapshot(now)
-		if err := m.Validate(); err != nil {
+		now := runDrawnRequests(t, b)
+		snapshot := b.Snapshot(now)
+		if err := snapshot.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		text, err := json.Marshal(m)
+		text, err := json.Marshal(snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read Snapshot
-		if err := json.Unmarshal(text, &read); err != nil || !reflect.DeepEqual(m, read) {
-			t.Fatalf("%v: %+v is read as %+v", err, m, read)
+		var decoded Snapshot
+		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(snapshot, decoded) {
+			t.Fatalf("%v: %+v is decoded as %+v", err, snapshot, decoded)
 		}
-		for i := range m.Classes { // what is blended is rounded
-			c := &m.Classes[i]
-			c.MeanLatency, c.LatencyDeviation = math.Round(c.MeanLatency), math.Round(c.LatencyDeviation)
-		}
-		next, err := New(b.settings, 4)
+		next, err := New(settings, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Handle(now, Restore{Snapshot: read})
-		var list []Endpoint
-		for _, s := range b.endpoints.ready {
-			list = append(list, s.Endpoint)
+		next.Handle(now, Restore{Snapshot: decoded})
+		var endpoints []Endpoint
+		for _, e := range b.endpoints.ready {
+			endpoints = append(endpoints, e.Endpoint)
 		}
-		next.Handle(now, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
+		next.Handle(now, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
 		again := next.Snapshot(now)
-		for i := range again.Classes {
-			c := &again.Classes[i]
-			c.MeanLatency, c.LatencyDeviation = math.Round(c.MeanLatency), math.Round(c.LatencyDeviation)
-		}
-		if !reflect.DeepEqual(m.Endpoints, again.Endpoints) || again.LimitPerEndpoint < m.LimitPerEndpoint-1e-9 || !reflect.DeepEqual(m.Classes, again.Classes) {
-			t.Fatalf("%+v is handed on as %+v", m, again)
+		roundLatencies(snapshot)
+		roundLatencies(again)
+		if !reflect.DeepEqual(snapshot.Endpoints, again.Endpoints) ||
+			!reflect.DeepEqual(snapshot.Classes, again.Classes) ||
+			again.LimitPerEndpoint < snapshot.LimitPerEndpoint-1e-9 {
+			t.Fatalf("%+v is restored as %+v", snapshot, again)
 		}
 	})
 }
 
-// What 10,000 servers cost: the pause that handing on takes, and the way back.
-func BenchmarkSnapshot(b *testing.B) {
-	from, list := balancerWithHistory(b)
-	b.ResetTimer()
-	for range b.N {
-		from.Snapshot(minute)
-	}
-	_ = list
-}
-
-func BenchmarkRestore(b *testing.B) {
-	from, list := balancerWithHistory(b)
-	text, err := json.Marshal(from.Snapshot(minute))
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.ReportMetric(float64(len(text))/float64(len(list)), "bytes/server")
-	set := testSettings()
-	set.SnapshotMaxAge = minute
-	b.ResetTimer()
-	for range b.N {
-		var m Snapshot
-		if err := json.Unmarshal(text, &m); err != nil {
-			b.Fatal(err)
-		}
-		next, err := New(set, 4)
-		if err != nil {
-			b.Fatal(err)
+// runDrawnRequests lets b serve requests with drawn latencies and results, and returns the time.
+func runDrawnRequests(t *rapid.T, b *Balancer) time.Duration {
+	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(rapid.IntRange(1, 30).Draw(t, "endpoints"))})
+	now := time.Duration(0)
+	for i := range rapid.IntRange(0, 200).Draw(t, "requests") {
+		now += time.Duration(rapid.IntRange(1, 50).Draw(t, "gap in ms")) * ms
+		request := Request{ID: time.Duration(i).String(), Class: "get", Deadline: now + 1500*ms}
+		for _, s := range sendsOf(b.Handle(now, request)) {
+			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "latency in ms")) * ms
+			result := Result(rapid.IntRange(int(Success), int(NotSent)).Draw(t, "result"))
+			b.Handle(now, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: result, RequestDone: true})
 		}
-		next.Handle(minute, Restore{Snapshot: m})
-		next.Handle(minute, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
 	}
+	return now
 }
 
-// balancerWithHistory is a Balancer that knows something of each of 10,000 servers.
-func balancerWithHistory(b *testing.B) (*Balancer, []Endpoint) {
-	from := newTestBalancer(b, withSnapshots)
-	list := testEndpoints(10_000)
-	from.Handle(0, EndpointUpdate{Full: true, Endpoints: list})
-	for i, s := range from.endpoints.ready {
-		s.latencySamples, s.slowness = 3, 0.1+float64(i)/1e5
+// roundLatencies rounds what blending a restored value with the initial one rounds.
+func roundLatencies(s Snapshot) {
+	for i := range s.Classes {
+		c := &s.Classes[i]
+		c.MeanLatency, c.LatencyDeviation = math.Round(c.MeanLatency), math.Round(c.LatencyDeviation)
 	}
-	return from, list
 }
 
-// snapshotFile is what the first version that stored snapshots learned from the events of learned.
+// snapshotFile is a snapshot that an earlier version took of newTrainedBalancer.
 const snapshotFile = "testdata/snapshot.json"
 
-// The stored form of a snapshot does not change: the same events give the same bytes, and a stored one is read whole.
+// The stored form of a snapshot does not change: the same events give the same bytes, and a stored one is decoded
+// and restored completely.
 func TestStoredSnapshotForm(t *testing.T) {
 	stored, err := os.ReadFile(snapshotFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, now := trainedBalancer(t)
-	text, err := json.MarshalIndent(was.Snapshot(now), "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if text = append(text, '\n'); !bytes.Equal(text, stored) {
+	trained, now := newTrainedBalancer(t)
+	if text := encodeSnapshot(t, trained.Snapshot(now)); !bytes.Equal(text, stored) {
 		t.Errorf("the same events give another snapshot:\n%s", text)
 	}
-	var m Snapshot
-	d := json.NewDecoder(bytes.NewReader(stored))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&m); err != nil {
+	var snapshot Snapshot
+	decoder := json.NewDecoder(bytes.NewReader(stored))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.Validate(); err != nil {
+	if err := snapshot.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.MarshalIndent(m, "", "  ")
-	if err != nil {
-		t.Fatal(err)
+	if text := encodeSnapshot(t, snapshot); !bytes.Equal(text, stored) {
+		t.Errorf("a stored snapshot is decoded as:\n%s", text)
 	}
-	if again = append(again, '\n'); !bytes.Equal(again, stored) {
-		t.Errorf("a stored snapshot is read as:\n%s", again)
+	b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10), nil)
+	if b.restored == nil || b.limiter.limit != 100 {
+		t.Errorf("a stored snapshot is not restored: limit %v", b.limiter.limit)
 	}
-	b := restoredBalancer(t, m, 0, testEndpoints(10), nil)
-	s := b.endpoints.byID["s00"]
-	if b.restored == nil || b.limiter.limit != 100 || s.latencySamples == 0 || s.slowness < 0.1 || b.endpoints.byID["s01"].ejectionLevel == 0 {
-		t.Errorf("a stored snapshot is not restored: window %v, %+v", b.limiter.limit, s)
+	if e := b.endpoints.byID["s00"]; e.latencySamples == 0 || e.slowness < 0.1 {
+		t.Errorf("the slow endpoint is restored as %+v", e)
+	}
+	if e := b.endpoints.byID["s01"]; e.ejectionLevel == 0 {
+		t.Errorf("the faulty endpoint is restored as %+v", e)
 	}
 }
 
-// A snapshot of which every field has a value of its own, with the keys that it is stored under.
+func encodeSnapshot(t *testing.T, s Snapshot) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(s, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+// A snapshot in which every field has a value of its own, with the keys that it is stored under.
 func TestSnapshotKeys(t *testing.T) {
 	const stored = `{"tier":1,"errors":0.1,"tokens":2,"window":3,"fill":0.4,"calm":0.5,"bare":0.6,` +
 		`"classes":[{"name":"c","aim":7,"deadline":80,"mean":9,"dev":10,"cost":11,"longest_try":12}],` +
 		`"servers":[{"id":"s","boot":13,"slow":1.4,"samples":15,"level":4,"left":17}]}`
-	want := Snapshot{
-		Tier: 1, ErrorRate: 0.1, RetryTokens: 2, LimitPerEndpoint: 3, Utilization: 0.4, SlowUtilization: 0.5, BaselineUtilization: 0.6,
-		Classes:   []ClassSnapshot{{Name: "c", LatencyObjective: 7, Deadline: 80, MeanLatency: 9, LatencyDeviation: 10, MeanCost: 11, LongestTimeout: 12}},
-		Endpoints: []EndpointSnapshot{{ID: "s", StartTime: 13, Slowness: 1.4, LatencySamples: 15, EjectionLevel: 4, EjectionRemaining: 17 * time.Nanosecond}},
+	snapshot := Snapshot{
+		Tier: 1, ErrorRate: 0.1, RetryTokens: 2, LimitPerEndpoint: 3,
+		Utilization: 0.4, SlowUtilization: 0.5, BaselineUtilization: 0.6,
+		Classes: []ClassSnapshot{{Name: "c", LatencyObjective: 7, Deadline: 80, MeanLatency: 9,
+			LatencyDeviation: 10, MeanCost: 11, LongestTimeout: 12}},
+		Endpoints: []EndpointSnapshot{{ID: "s", StartTime: 13, Slowness: 1.4, LatencySamples: 15,
+			EjectionLevel: 4, EjectionRemaining: 17}},
 	}
-	text, err := json.Marshal(want)
+	text, err := json.Marshal(snapshot)
 	if err != nil || string(text) != stored {
 		t.Errorf("%v, stored as %s", err, text)
 	}
 }
+
+// newBalancerWithHistory returns a Balancer that knows something of each of 10,000 endpoints.
+func newBalancerWithHistory(b *testing.B) (*Balancer, []Endpoint) {
+	b.Helper()
+	endpoints := testEndpoints(10_000)
+	bal := newTestBalancer(b, withSnapshots)
+	bal.Handle(0, EndpointUpdate{Full: true, Endpoints: endpoints})
+	for i, e := range bal.endpoints.ready {
+		e.latencySamples, e.slowness = 3, 0.1+float64(i)/1e5
+	}
+	return bal, endpoints
+}
+
+// How long the host waits for a snapshot of 10,000 endpoints.
+func BenchmarkSnapshot(b *testing.B) {
+	bal, _ := newBalancerWithHistory(b)
+	b.ResetTimer()
+	for range b.N {
+		bal.Snapshot(snapshotAge)
+	}
+}
+
+// How long it takes to decode and restore a snapshot of 10,000 endpoints.
+func BenchmarkRestore(b *testing.B) {
+	bal, endpoints := newBalancerWithHistory(b)
+	text, err := json.Marshal(bal.Snapshot(snapshotAge))
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.ReportMetric(float64(len(text))/float64(len(endpoints)), "bytes/server")
+	settings := testSettings()
+	withSnapshots(&settings)
+	b.ResetTimer()
+	for range b.N {
+		var snapshot Snapshot
+		if err := json.Unmarshal(text, &snapshot); err != nil {
+			b.Fatal(err)
+		}
+		next, err := New(settings, 4)
+		if err != nil {
+			b.Fatal(err)
+		}
+		next.Handle(snapshotAge, Restore{Snapshot: snapshot})
+		next.Handle(snapshotAge, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
+	}
+}
