--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -10,8 +10,10 @@
 	"text/tabwriter"
 	"time"
 
+	"umberbank/internal/coordination/agent"
+	"umberbank/internal/coordination/controller"
 	"umberbank/internal/coordination/disruption"
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/eventlog"
 	"umberbank/internal/coordination/release"
 	"umberbank/internal/registry/state"
 	"umberbank/internal/stricttoml"
@@ -41,7 +43,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Within)
 	defer cancel()
-	return host.ReadView(ctx, w)
+	return controller.ReadView(ctx, w)
 }
 
 // do has one write carried out; a fault is an error that says why.
@@ -419,15 +421,15 @@
 		}
 		c.Name = fmt.Sprintf("%s-%d", machine, os.Getpid())
 	}
-	ctl := &host.Controller{Registry: c.At, Name: c.Name, TTL: c.TTL, Events: j, Log: a.log}
+	ctl := &controller.Controller{Registry: c.At, Name: c.Name, TTL: c.TTL, Events: j, Log: a.log}
 	return ctl.Run(a.ctx)
 }
 
-func journal(path string) (*host.Log, error) {
+func journal(path string) (*eventlog.Log, error) {
 	if path == "" {
 		return nil, nil
 	}
-	return host.Open(path)
+	return eventlog.Open(path)
 }
 
 type fleetAgentCmd struct {
@@ -474,7 +476,7 @@
 	if err := e.Validate(); err != nil {
 		return err
 	}
-	agent := &host.Agent{Registry: c.At, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.Ready, DrainTime: c.Drain, StopTimeout: c.Grace, VersionFile: c.Keep,
+	unit := &agent.Agent{Registry: c.At, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.Ready, DrainTime: c.Drain, StopTimeout: c.Grace, VersionFile: c.Keep,
 		Events: j, Log: a.log, Clock: func() time.Time { return time.Now().Add(c.Skew) }}
-	return agent.Run(a.ctx)
+	return unit.Run(a.ctx)
 }
--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -14,8 +14,9 @@
 	"testing"
 	"time"
 
+	"umberbank/internal/coordination/controller"
+	"umberbank/internal/coordination/eventlog"
 	"umberbank/internal/coordination/faulttest"
-	"umberbank/internal/coordination/host"
 	"umberbank/internal/coordination/release"
 	"umberbank/internal/coordination/rollout"
 	"umberbank/internal/registry/client"
@@ -57,9 +58,9 @@
 	case "ignorant": // a controller that holds no lead
 		m := &release.Scheduler{Holder: "ignorant"}
 		wrong(ctx, func(w *client.Client, v *state.CoordinationView) {
-			for _, o := range m.NextWrites(release.View{Units: v.Units, Unavailable: v.Unavailable, Permits: v.Permits, Records: v.Records}, host.Now()) {
+			for _, o := range m.NextWrites(release.View{Units: v.Units, Unavailable: v.Unavailable, Permits: v.Permits, Records: v.Records}, eventlog.Now()) {
 				if a, err := w.WriteOne(ctx, o.Op); err == nil && a.Code == "" {
-					did(host.Event{At: host.Now(), Process: "ignorant", Kind: "act", Reason: o.Reason})
+					did(eventlog.Event{At: eventlog.Now(), Process: "ignorant", Kind: "act", Reason: o.Reason})
 				}
 			}
 		})
@@ -69,7 +70,7 @@
 				if u.Tier == "web" && u.State == state.Serving {
 					a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: u.UID, State: state.Draining})
 					if err == nil && a[0].Code == "" {
-						did(host.Event{At: host.Now(), Kind: "drained", Unit: u.UID})
+						did(eventlog.Event{At: eventlog.Now(), Kind: "drained", Unit: u.UID})
 					}
 				}
 			}
@@ -85,14 +86,14 @@
 		panic(err)
 	}
 	for ctx.Err() == nil { // without a rest, to be there before the others
-		if v, err := host.ReadView(ctx, w); err == nil {
+		if v, err := controller.ReadView(ctx, w); err == nil {
 			do(w, v)
 		}
 	}
 }
 
 // did writes down what a wrong process has done, for the judge.
-func did(e host.Event) {
+func did(e eventlog.Event) {
 	f, err := os.OpenFile(os.Args[2], os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		panic(err)
@@ -165,7 +166,7 @@
 
 // say writes down what a node does, as a right one would.
 func say(format string, args ...any) {
-	fmt.Printf("agreed: "+format+" at %d\n", append(args, host.Now())...)
+	fmt.Printf("agreed: "+format+" at %d\n", append(args, eventlog.Now())...)
 }
 
 // eager is a node that runs what is proposed before anybody tells it to.
--- /dev/null
+++ b/internal/coordination/agent/agent.go
@@ -0,0 +1,257 @@
+// Package agent runs the process of one unit beside it: it starts the process, holds the unit's lease in the registry for
+// as long as the process runs, and changes the unit's version when a permit says so.
+//
+// An agent stores nothing that matters but the version: permits and releases are in the registry, so that an agent that is
+// killed at any point is followed by another that goes on. It begins a permit with a write before it touches the process:
+// an agent that is partitioned, late, or whose release was halted meanwhile changes nothing.
+//
+// An [Agent] runs in the goroutine that calls [Agent.Run]; beside it, one goroutine renews the lease and one waits for the
+// process. Both end with what they serve.
+package agent
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/url"
+	"os"
+	"time"
+
+	"github.com/google/renameio/v2"
+
+	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/coordination/eventlog"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+)
+
+// Agent is the agent of one unit. Its exported fields must be set before Run and not change after.
+type Agent struct {
+	Registry    []string       // endpoints, host:port
+	Instance    state.Instance // of the unit; Run sets its start time, state and TTL, and after a change its version
+	TTL         time.Duration  // of its lease
+	Command     []string       // of its process, with {version} for the version; empty: the agent is the unit itself
+	ReadyURL    string         // answers 200 once the process serves; empty: it serves if it has run for half a second
+	DrainTime   time.Duration  // from when nodes are notified that the unit drains until its process is stopped
+	StopTimeout time.Duration  // from then until the process is killed
+	VersionFile string         // keeps the version over restarts of the agent; empty: Instance.Version at each start
+	Events      *eventlog.Log  // nil: none
+	Log         *slog.Logger
+	Clock       func() time.Time // nil: the system's
+	Dial        client.DialFunc  // nil: the system's
+
+	registry  *client.Client
+	holder    *client.LeaseHolder // of the unit's lease
+	stopLease context.CancelFunc  // stops its renewal; nil: the unit is not registered
+	process   *process            // nil: it does not run
+}
+
+const (
+	readyTimeout      = 10 * time.Second       // for the process to serve, and for the unit to be registered
+	restartDelay      = time.Second            // after a start that failed
+	pollWait          = time.Second            // the longest that a poll of the registry waits for a change
+	deregisterTimeout = time.Second            // for the write at the end
+	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
+)
+
+// Run keeps the unit running until ctx ends, and then removes it from the registry and stops its process. It returns
+// client.ErrFenced when another agent has registered the same unit.
+func (a *Agent) Run(ctx context.Context) error {
+	if err := a.prepare(); err != nil {
+		return err
+	}
+	defer a.stopUnit()
+	if err := a.serve(ctx); err != nil {
+		return err
+	}
+	return a.deregister(ctx)
+}
+
+// prepare fills in defaults and reads the stored version.
+func (a *Agent) prepare() (err error) {
+	if a.Clock == nil {
+		a.Clock = time.Now
+	}
+	if a.registry, err = client.New(client.Options{Endpoints: a.Registry, MaxBackoff: maxBackoff, Dial: a.Dial}); err != nil {
+		return err
+	}
+	a.Instance.TTLMS = a.TTL.Milliseconds()
+	if a.VersionFile == "" {
+		return nil
+	}
+	version, err := os.ReadFile(a.VersionFile)
+	switch {
+	case err == nil && len(version) > 0:
+		a.Instance.Version = string(version)
+	case err != nil && !errors.Is(err, os.ErrNotExist):
+		return err
+	}
+	return nil
+}
+
+// serve runs the unit and follows its permits until ctx ends or another agent has registered the unit.
+func (a *Agent) serve(ctx context.Context) error {
+	var revision int64
+	for ctx.Err() == nil {
+		err := a.ensureServing(ctx)
+		if errors.Is(err, client.ErrFenced) {
+			return err
+		}
+		if err != nil && ctx.Err() == nil {
+			a.Log.Warn("unit is not serving", "unit", a.Instance.UID, "version", a.Instance.Version, "error", err)
+			sleep(ctx, restartDelay)
+		}
+		view, err := a.registry.Agreed(ctx, url.Values{"unit": {a.Instance.UID}}, revision, pollWait)
+		if err != nil {
+			revision = 0
+			continue
+		}
+		revision = view.Revision
+		if len(view.Permits) == 1 && len(view.Units) == 1 {
+			a.followPermit(ctx, view.Permits[0], view.Units[0])
+		}
+	}
+	return nil
+}
+
+// ensureServing starts the process if it does not run, and registers the unit if it is not registered.
+func (a *Agent) ensureServing(ctx context.Context) error {
+	if a.process != nil && a.process.hasExited() {
+		a.Log.Warn("unit process exited", "unit", a.Instance.UID, "error", a.process.err)
+		a.stopUnit()
+	}
+	if a.process == nil {
+		if err := a.startProcess(ctx); err != nil {
+			return err
+		}
+	}
+	if a.stopLease == nil {
+		return a.register(ctx)
+	}
+	if a.holder.Token(a.Instance.UID) == 0 {
+		return client.ErrFenced
+	}
+	return nil
+}
+
+// startProcess starts the unit's process and waits until it serves.
+func (a *Agent) startProcess(ctx context.Context) error {
+	p, err := startProcess(a.Command, a.Instance.Version)
+	if err != nil {
+		return err
+	}
+	if err := p.waitReady(ctx, a.ReadyURL); err != nil {
+		p.stop(a.StopTimeout)
+		return err
+	}
+	a.process = p
+	a.Instance.StartTimeMS = 0
+	a.appendEvent(eventlog.Event{Kind: eventlog.UnitStarted, Version: a.Instance.Version})
+	return nil
+}
+
+// register registers the unit's process, and renews its lease from then on.
+func (a *Agent) register(ctx context.Context) error {
+	if a.Instance.StartTimeMS == 0 {
+		startTime, err := a.registry.NextStartTime(ctx, a.Instance.UID, a.Clock())
+		if err != nil {
+			return err
+		}
+		a.Instance.StartTimeMS = startTime
+	}
+	a.Instance.State = state.Serving
+	instance := a.Instance
+	a.holder = client.NewLeaseHolder(a.registry)
+	registering, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	if err := a.holder.Register(registering, &instance); err != nil {
+		return err
+	}
+	renewing, stop := context.WithCancel(ctx)
+	a.stopLease = stop
+	go a.holder.Run(renewing, a.TTL)
+	return nil
+}
+
+// deregister removes the unit from the registry if it is registered.
+func (a *Agent) deregister(ctx context.Context) error {
+	if a.stopLease == nil {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
+	defer cancel()
+	uid := a.Instance.UID
+	_, err := a.registry.Write(ctx, state.Op{Kind: state.OpRemove, UID: uid, Token: a.holder.Token(uid)})
+	return err
+}
+
+// followPermit changes the unit's version if a permit says so, or sets the unit to serve again if the change was rolled
+// back before the unit was touched. A write that fails is tried again after the next poll.
+func (a *Agent) followPermit(ctx context.Context, p *disruption.Permit, e *state.Instance) {
+	if a.isRolledBack(p, e) {
+		_, _ = a.registry.WriteOne(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
+		return
+	}
+	if p.TargetVersion == "" || p.TargetVersion == a.Instance.Version {
+		return
+	}
+	sentAt := eventlog.Now()
+	result, err := a.registry.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: p.Unit, Token: p.Token})
+	if err != nil || result.Code != "" {
+		return
+	}
+	a.appendEvent(eventlog.Event{Kind: eventlog.UnitOut, Plan: p.Plan, Token: p.Token, Version: p.TargetVersion, SentAt: sentAt})
+	a.changeVersion(ctx, p.TargetVersion)
+}
+
+// isRolledBack reports whether the permit's change was rolled back before the unit was touched: it drains for a change to
+// the version that it still runs.
+func (a *Agent) isRolledBack(p *disruption.Permit, e *state.Instance) bool {
+	return p.TargetVersion == a.Instance.Version && p.Begun && e.State == state.Draining &&
+		e.StartTimeMS == a.Instance.StartTimeMS && a.stopLease != nil
+}
+
+// changeVersion stops the unit once nodes have had time to drain it, and stores its next version.
+func (a *Agent) changeVersion(ctx context.Context, version string) {
+	a.Log.Info("changing version", "unit", a.Instance.UID, "from", a.Instance.Version, "to", version)
+	if a.process != nil {
+		sleep(ctx, a.DrainTime)
+	}
+	a.stopUnit()
+	a.Instance.Version = version
+	if a.VersionFile == "" {
+		return
+	}
+	if err := renameio.WriteFile(a.VersionFile, []byte(version), 0o600); err != nil {
+		a.Log.Error("cannot store version", "unit", a.Instance.UID, "error", err)
+	}
+}
+
+// stopUnit stops renewing the unit's lease and stops its process.
+func (a *Agent) stopUnit() {
+	if a.stopLease != nil {
+		a.stopLease()
+		a.stopLease = nil
+	}
+	if a.process == nil {
+		return
+	}
+	a.appendEvent(eventlog.Event{Kind: eventlog.UnitStopped, Version: a.Instance.Version})
+	a.process.stop(a.StopTimeout)
+	a.process = nil
+}
+
+func (a *Agent) appendEvent(e eventlog.Event) {
+	e.Process, e.Unit = a.Instance.UID, a.Instance.UID
+	if err := a.Events.Append(e); err != nil {
+		a.Log.Error("cannot append event", "error", err)
+	}
+}
+
+// sleep waits for a time or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/coordination/host/golden_test.go
+++ b/internal/coordination/eventlog/golden_test.go
@@ -1,4 +1,4 @@
-package host
+package eventlog
 
 import (
 	"os"
@@ -12,11 +12,11 @@
 func TestGoldenEvent(t *testing.T) {
 	e := golden.RoundTripFull[Event](t, "testdata/event-full.json")
 	path := filepath.Join(t.TempDir(), "events")
-	j, err := Open(path)
+	log, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Append(e); err != nil {
+	if err := log.Append(e); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if want := string(golden.Read(t, "testdata/event-full.json")) + "\n"; string(text) != want {
-		t.Errorf("the line of a journal is %q, want %q", text, want)
+		t.Errorf("the line of the log is %q, want %q", text, want)
 	}
 }
--- a/internal/coordination/faulttest/config.go
+++ b/internal/coordination/faulttest/config.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/eventlog"
 	"umberbank/internal/process"
 	"umberbank/internal/process/relay"
 	"umberbank/internal/registry/cluster"
@@ -149,14 +149,14 @@
 	}
 	out, err := s.staff(ctx, "config", "push", "--stages", stages, "--bake", "200ms", file)
 	if err != nil {
-		s.record.note(host.Event{At: host.Now(), Kind: "turned down", Reason: out})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "turned down", Reason: out})
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	var version int64
 	if _, err := fmt.Sscanf(out, "version %d is proposed", &version); err != nil {
 		return fmt.Errorf("%q: %w", out, err)
 	}
-	s.record.note(host.Event{At: host.Now(), Kind: "pushed", Version: strconv.FormatInt(version, 10)})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "pushed", Version: strconv.FormatInt(version, 10)})
 	return nil
 }
 
@@ -228,7 +228,7 @@
 	if err := s.heal(); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), Kind: "healed"})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "healed"})
 	within := settleWithin
 	if s.opt.Node != nil || s.opt.Beside != nil {
 		within = wrongWithin
@@ -272,8 +272,8 @@
 	p.off, s.dead = true, p.name
 	s.res.Faults = append(s.res.Faults, "kill "+p.name+" for good")
 	s.opt.Log("kill %s for good", p.name)
-	s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
-	s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "fault", Unit: p.name})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "killed", Unit: p.name})
 	p.Kill()
 }
 
@@ -284,13 +284,13 @@
 	}); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
-	s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "fault", Unit: p.name})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "killed", Unit: p.name})
 	p.Kill()
 	if err := p.Start(); err != nil {
 		return err
 	}
-	s.record.note(host.Event{At: host.Now(), Kind: "fault over", Unit: p.name})
+	s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "fault over", Unit: p.name})
 	return nil
 }
 
@@ -344,13 +344,13 @@
 				links = append(links, l)
 			}
 		})
-		s.record.note(host.Event{At: host.Now(), Kind: "registry"})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "registry"})
 	}
 	for _, p := range there {
-		s.record.note(host.Event{At: host.Now(), Kind: "fault", Unit: p.name})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "fault", Unit: p.name})
 	}
 	for _, p := range killed {
-		s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "killed", Unit: p.name})
 		p.Kill()
 	}
 	for _, l := range links {
@@ -367,10 +367,10 @@
 			p.Start() // one that cannot start shows in what follows
 		}
 		for _, p := range there {
-			s.record.note(host.Event{At: host.Now(), Kind: "fault over", Unit: p.name})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "fault over", Unit: p.name})
 		}
 		if kind == "apart" {
-			s.record.note(host.Event{At: host.Now(), Kind: "registry over"})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "registry over"})
 		}
 	})
 	return nil
@@ -398,7 +398,7 @@
 				at, _ := strconv.ParseInt(m[7], 10, 64) // digits, as the next ones
 				start, _ := strconv.ParseInt(m[2], 10, 64)
 				span, _ := strconv.ParseInt(m[3], 10, 64)
-				r.events = append(r.events, host.Event{At: time.Duration(at), Process: p.name, Unit: p.name, Kind: m[1] + m[6], Version: m[4], Reason: m[5], Token: start,
+				r.events = append(r.events, eventlog.Event{At: time.Duration(at), Process: p.name, Unit: p.name, Kind: eventlog.Kind(m[1] + m[6]), Version: m[4], Reason: m[5], Token: start,
 					MaxRenewalGap: time.Duration(span) * time.Millisecond})
 			}
 		}
@@ -432,7 +432,7 @@
 
 // judgeConfig walks through what nodes ran.
 func (r *record) judgeConfig(res *ConfigResult, zones map[string]string) {
-	slices.SortStableFunc(r.events, func(a, b host.Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.events, func(a, b eventlog.Event) int { return cmp.Compare(a.At, b.At) })
 	broken := func(count *int, format string, args ...any) {
 		*count++
 		if len(res.Broken) < 20 {
@@ -452,7 +452,7 @@
 	inForce := 0                         // the highest version that a controller knew to be in force
 	moved := time.Duration(0)            // when a version last came into force, or the first push was made
 	faults := false                      // pauses count from the first fault on, and not in the end
-	var lead host.Event
+	var lead eventlog.Event
 	var calm time.Duration // since when the registry is undisturbed
 	disturbed := 0
 	// soonOut says that a node hears soon that it was out of touch, which it may have been for a while then.
@@ -586,7 +586,7 @@
 
 // judgeQuorum says in which zone, or of all, too few could run a version that a node runs. A zone that something befell whole may have
 // been lost; of all there is always more than half.
-func (r *record) judgeQuorum(res *ConfigResult, broken func(*int, string, ...any), e host.Event, could map[string]bool, zones map[string]string, nodes map[string]*seen) {
+func (r *record) judgeQuorum(res *ConfigResult, broken func(*int, string, ...any), e eventlog.Event, could map[string]bool, zones map[string]string, nodes map[string]*seen) {
 	all, acked, well := map[string]int{}, map[string]int{}, map[string]bool{}
 	for who, z := range zones {
 		n := nodes[who]
--- a/internal/coordination/faulttest/judge.go
+++ b/internal/coordination/faulttest/judge.go
@@ -11,18 +11,18 @@
 	"sync"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/eventlog"
 )
 
 // record is what processes did, by their own words, and what befell them, by the trial's.
 type record struct {
 	mu     sync.Mutex
-	events []host.Event
+	events []eventlog.Event
 }
 
 func newRecord() *record { return &record{} }
 
-func (r *record) note(e host.Event) {
+func (r *record) note(e eventlog.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
@@ -40,7 +40,7 @@
 			return err
 		}
 		for lines := bufio.NewScanner(f); lines.Scan(); {
-			var e host.Event
+			var e eventlog.Event
 			if json.Unmarshal(lines.Bytes(), &e) == nil {
 				r.events = append(r.events, e)
 			}
@@ -68,7 +68,7 @@
 
 // judge walks through all that happened in the order of time.
 func (r *record) judge(res *Result) {
-	slices.SortStableFunc(r.events, func(a, b host.Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.events, func(a, b eventlog.Event) int { return cmp.Compare(a.At, b.At) })
 	lives := map[string]*life{}
 	for _, u := range units() {
 		lives[u.id] = &life{unit: u}
@@ -76,7 +76,7 @@
 	halts := map[string]time.Duration{}
 	var calm time.Duration // since when the registry is undisturbed
 	disturbed := 0
-	var lead host.Event // the act with the highest token, when it was answered
+	var lead eventlog.Event // the act with the highest token, when it was answered
 	broken := func(count *int, format string, args ...any) {
 		*count++
 		if len(res.Broken) < 20 {
@@ -131,7 +131,7 @@
 }
 
 // judgeAct judges a controller's act by the one before with the highest lead.
-func (r *record) judgeAct(lead *host.Event, e host.Event, broken func(string)) {
+func (r *record) judgeAct(lead *eventlog.Event, e eventlog.Event, broken func(string)) {
 	if e.Token == 0 {
 		broken(e.Process + " acted without the lead")
 	} else if e.Token < lead.Token && e.SentAt > lead.At {
@@ -143,7 +143,7 @@
 }
 
 // overBudget says where more is out than may be, as a unit is taken out.
-func overBudget(lives map[string]*life, e host.Event, calm time.Duration, disturbed int, broken func(string)) {
+func overBudget(lives map[string]*life, e eventlog.Event, calm time.Duration, disturbed int, broken func(string)) {
 	of := lives[e.Unit]
 	for _, scope := range []struct {
 		name  string
--- a/internal/coordination/faulttest/judge_test.go
+++ b/internal/coordination/faulttest/judge_test.go
@@ -5,41 +5,41 @@
 	"testing"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/eventlog"
 )
 
 // What processes did, in seconds, and what the judge makes of it.
 func TestJudge(t *testing.T) {
-	at := func(s float64, what, unit string) host.Event {
-		return host.Event{At: time.Duration(s * float64(time.Second)), SentAt: time.Duration(s * float64(time.Second)), Kind: what, Unit: unit, Plan: "next"}
+	at := func(s float64, what eventlog.Kind, unit string) eventlog.Event {
+		return eventlog.Event{At: time.Duration(s * float64(time.Second)), SentAt: time.Duration(s * float64(time.Second)), Kind: what, Unit: unit, Plan: "next"}
 	}
-	act := func(s, sent float64, who string, token int64) host.Event {
+	act := func(s, sent float64, who string, token int64) eventlog.Event {
 		e := at(s, "act", "")
 		e.Process, e.Token, e.SentAt = who, token, time.Duration(sent*float64(time.Second))
 		return e
 	}
 	for name, c := range map[string]struct {
-		events          []host.Event
+		events          []eventlog.Event
 		over, two, late int
 	}{
-		"within":                        {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s01"), at(1, "out", "s02")}},
-		"a zone over":                   {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s04")}, over: 1},
-		"a tier over":                   {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s01"), at(2, "drained", "s03")}, over: 1},
-		"one is back and warm":          {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(3, "out", "s04")}},
-		"one is back and cold":          {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(2.1, "out", "s04")}, over: 1},
-		"a restart by a crash just now": {events: []host.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "killed", "s01"), at(2.2, "up", "s01"), at(2.3, "out", "s03")}},
-		"a drain that was lifted":       {events: []host.Event{at(1, "drained", "s00"), at(2, "undrained", "s00"), at(3, "out", "s02"), at(3, "out", "s04")}},
-		"a death that all know of":      {events: []host.Event{at(1, "killed", "s00"), at(6, "out", "s02"), at(6, "out", "s04")}, over: 1},
-		"a death just now":              {events: []host.Event{at(1, "killed", "s00"), at(2, "out", "s02"), at(2, "out", "s04")}},
-		"one that a fault may hide":     {events: []host.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(6, "out", "s02"), at(6, "out", "s04")}},
-		"one that it hides no more":     {events: []host.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(9, "out", "s02"), at(9, "out", "s04")}, over: 1},
-		"two leads one after the other": {events: []host.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2)}},
-		"two leads at once":             {events: []host.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2), act(3, 2.9, "a", 1)}, two: 1},
-		"without the lead":              {events: []host.Event{act(1, 0.9, "a", 0)}, two: 1},
-		"an answer that came late":      {events: []host.Event{act(2, 1.9, "b", 2), act(2.5, 1.8, "a", 1)}},
-		"begun after a halt":            {events: []host.Event{at(1, "halt", ""), at(2.5, "out", "s00")}, late: 1},
-		"within the halt's second":      {events: []host.Event{at(1, "halt", ""), at(1.9, "out", "s00")}},
-		"after it was lifted":           {events: []host.Event{at(1, "halt", ""), at(2, "resume", ""), at(2.5, "out", "s00")}},
+		"within":                        {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s01"), at(1, "out", "s02")}},
+		"a zone over":                   {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s04")}, over: 1},
+		"a tier over":                   {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s01"), at(2, "drained", "s03")}, over: 1},
+		"one is back and warm":          {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(3, "out", "s04")}},
+		"one is back and cold":          {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(2.1, "out", "s04")}, over: 1},
+		"a restart by a crash just now": {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "killed", "s01"), at(2.2, "up", "s01"), at(2.3, "out", "s03")}},
+		"a drain that was lifted":       {events: []eventlog.Event{at(1, "drained", "s00"), at(2, "undrained", "s00"), at(3, "out", "s02"), at(3, "out", "s04")}},
+		"a death that all know of":      {events: []eventlog.Event{at(1, "killed", "s00"), at(6, "out", "s02"), at(6, "out", "s04")}, over: 1},
+		"a death just now":              {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "out", "s02"), at(2, "out", "s04")}},
+		"one that a fault may hide":     {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(6, "out", "s02"), at(6, "out", "s04")}},
+		"one that it hides no more":     {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(9, "out", "s02"), at(9, "out", "s04")}, over: 1},
+		"two leads one after the other": {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2)}},
+		"two leads at once":             {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2), act(3, 2.9, "a", 1)}, two: 1},
+		"without the lead":              {events: []eventlog.Event{act(1, 0.9, "a", 0)}, two: 1},
+		"an answer that came late":      {events: []eventlog.Event{act(2, 1.9, "b", 2), act(2.5, 1.8, "a", 1)}},
+		"begun after a halt":            {events: []eventlog.Event{at(1, "halt", ""), at(2.5, "out", "s00")}, late: 1},
+		"within the halt's second":      {events: []eventlog.Event{at(1, "halt", ""), at(1.9, "out", "s00")}},
+		"after it was lifted":           {events: []eventlog.Event{at(1, "halt", ""), at(2, "resume", ""), at(2.5, "out", "s00")}},
 	} {
 		r := newRecord()
 		r.events = c.events
@@ -53,30 +53,30 @@
 
 // What nodes ran, in seconds, and what the judge makes of it.
 func TestJudgeConfig(t *testing.T) {
-	ev := func(s float64, who, what, version, content string) host.Event {
-		return host.Event{At: time.Duration(s * float64(time.Second)), Process: who, Unit: who, Kind: what, Version: version, Reason: content}
+	ev := func(s float64, who string, what eventlog.Kind, version, content string) eventlog.Event {
+		return eventlog.Event{At: time.Duration(s * float64(time.Second)), Process: who, Unit: who, Kind: what, Version: version, Reason: content}
 	}
 	zones := map[string]string{"n0": "a", "n1": "a", "n2": "b"}
-	touch := func(s float64, who string, start int64, version, content string) host.Event {
+	touch := func(s float64, who string, start int64, version, content string) eventlog.Event {
 		e := ev(s, who, "in touch", version, content)
 		e.Token = start
 		return e
 	}
-	var began []host.Event
+	var began []eventlog.Event
 	for i, who := range []string{"n0", "n1", "n2"} {
 		began = append(began, ev(0, who, "runs", "0", "-"), touch(0.1, who, int64(10+i), "0", "-"), ev(0.2, who, "serves", "", ""))
 	}
-	could := func(s float64, version, content string, who ...string) (l []host.Event) {
+	could := func(s float64, version, content string, who ...string) (l []eventlog.Event) {
 		for _, w := range who {
 			l = append(l, ev(s, w, "could run", version, content))
 		}
 		return l
 	}
-	join := func(l ...[]host.Event) []host.Event { return slices.Concat(l...) }
+	join := func(l ...[]eventlog.Event) []eventlog.Event { return slices.Concat(l...) }
 	all := []string{"n0", "n1", "n2"}
-	agreed := join(began, could(1, "1", "x", all...), []host.Event{ev(2, "", "asks", "1", "")})
-	force := func(s float64, version string) host.Event { return ev(s, "", "act", version, "in force") }
-	act := func(l ...host.Event) []host.Event {
+	agreed := join(began, could(1, "1", "x", all...), []eventlog.Event{ev(2, "", "asks", "1", "")})
+	force := func(s float64, version string) eventlog.Event { return ev(s, "", "act", version, "in force") }
+	act := func(l ...eventlog.Event) []eventlog.Event {
 		for i := range l {
 			if l[i].Kind == "act" {
 				l[i].Token = 1
@@ -85,30 +85,30 @@
 		return l
 	}
 	// Version 1 is in force, n0 runs it, and n0's process has ended and another began with what the registry is said to have.
-	again := func(l ...host.Event) []host.Event {
+	again := func(l ...eventlog.Event) []eventlog.Event {
 		return join(agreed, act(ev(3, "n0", "runs", "1", "x"), force(3, "1"), ev(4, "n0", "fault", "", ""), ev(4, "n0", "killed", "", ""), ev(4.5, "n0", "fault over", "", "")), l)
 	}
-	second := join([]host.Event{ev(2, "", "asks", "2", "")}, could(3, "2", "y", all...))
+	second := join([]eventlog.Event{ev(2, "", "asks", "2", "")}, could(3, "2", "y", all...))
 	for name, c := range map[string]struct {
-		events                                []host.Event
+		events                                []eventlog.Event
 		uncommitted, back, n, early, old, out int
 	}{
-		"as told":            {events: join(agreed, []host.Event{ev(3, "n0", "runs", "1", "x"), ev(3, "n2", "runs", "1", "x")})},
-		"before it was told": {events: join(began, could(1, "1", "x", all...), []host.Event{ev(1.7, "n0", "runs", "1", "x"), ev(2, "", "asks", "1", "")}), uncommitted: 1},
-		"without a zone":     {events: join(began, could(4.5, "1", "x", "n0", "n1"), []host.Event{ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")}), uncommitted: 1},
-		"half of a zone":     {events: join(began, could(4.5, "1", "x", "n0", "n2"), []host.Event{ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")}), uncommitted: 1},
+		"as told":            {events: join(agreed, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(3, "n2", "runs", "1", "x")})},
+		"before it was told": {events: join(began, could(1, "1", "x", all...), []eventlog.Event{ev(1.7, "n0", "runs", "1", "x"), ev(2, "", "asks", "1", "")}), uncommitted: 1},
+		"without a zone":     {events: join(began, could(4.5, "1", "x", "n0", "n1"), []eventlog.Event{ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")}), uncommitted: 1},
+		"half of a zone":     {events: join(began, could(4.5, "1", "x", "n0", "n2"), []eventlog.Event{ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")}), uncommitted: 1},
 		"without a zone that is lost": {events: join(began, could(4.5, "1", "x", "n0", "n1"),
-			[]host.Event{ev(1, "n2", "fault", "", ""), ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")})},
+			[]eventlog.Event{ev(1, "n2", "fault", "", ""), ev(4.6, "", "asks", "1", ""), ev(5, "n0", "runs", "1", "x")})},
 		"without a zone that is back": {events: join(began, could(9, "1", "x", "n0", "n1"),
-			[]host.Event{ev(1, "n2", "fault", "", ""), ev(2, "n2", "fault over", "", ""), ev(9, "", "asks", "1", ""), ev(9.5, "n0", "runs", "1", "x")}), uncommitted: 1},
+			[]eventlog.Event{ev(1, "n2", "fault", "", ""), ev(2, "n2", "fault over", "", ""), ev(9, "", "asks", "1", ""), ev(9.5, "n0", "runs", "1", "x")}), uncommitted: 1},
 		"by too few, all else lost": {events: join(began, could(4.5, "1", "x", "n2"),
-			[]host.Event{ev(1, "n0", "fault", "", ""), ev(1, "n1", "fault", "", ""), ev(4.6, "", "asks", "1", ""), ev(5, "n2", "runs", "1", "x")}), uncommitted: 1},
-		"lower than before": {events: join(agreed, []host.Event{ev(3, "n0", "runs", "1", "x"), ev(4, "n0", "runs", "0", "-")}), back: 1},
-		"three contents":    {events: join(agreed, second, []host.Event{ev(3, "n0", "runs", "1", "x"), ev(4, "n1", "runs", "2", "y")}), n: 1},
-		"the third runs nowhere now": {events: join(agreed, second, []host.Event{ev(3, "n0", "runs", "1", "x"),
+			[]eventlog.Event{ev(1, "n0", "fault", "", ""), ev(1, "n1", "fault", "", ""), ev(4.6, "", "asks", "1", ""), ev(5, "n2", "runs", "1", "x")}), uncommitted: 1},
+		"lower than before": {events: join(agreed, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(4, "n0", "runs", "0", "-")}), back: 1},
+		"three contents":    {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(4, "n1", "runs", "2", "y")}), n: 1},
+		"the third runs nowhere now": {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"),
 			ev(3.5, "n0", "killed", "", ""), ev(4, "n1", "runs", "2", "y")})},
-		"the third is cut off": {events: join(agreed, second, []host.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y")})},
-		"and counts again with what it ran": {events: join(agreed, second, []host.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y"),
+		"the third is cut off": {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y")})},
+		"and counts again with what it ran": {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y"),
 			ev(5, "n0", "fault over", "", ""), ev(5.1, "n0", "out of touch", "1", "x"), touch(5.2, "n0", 10, "1", "x")}), n: 1},
 		"a fresh start":                  {events: again(ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", ""))},
 		"it serves before it caught up":  {events: again(ev(5, "n0", "runs", "1", "x"), ev(5.4, "n0", "serves", "", ""), touch(5.5, "n0", 20, "1", "x")), early: 1},
@@ -116,10 +116,10 @@
 		"in touch with less than was in": {events: again(act(force(4.8, "2"))[0], ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", "")), early: 2},
 		"back with less than was in force": {events: join(agreed, act(ev(3, "n0", "runs", "1", "x"), ev(4, "n0", "fault", "", ""), force(5, "2"), ev(6, "n0", "fault over", "", ""),
 			ev(6.1, "n0", "out of touch", "1", "x"), touch(6.2, "n0", 10, "1", "x"))), early: 1},
-		"called dead and alive":           {events: join(agreed, []host.Event{ev(9, "n0", "out of touch", "0", "-"), touch(9.2, "n0", 10, "0", "-")}), out: 1},
-		"called dead and held up":         {events: join(agreed, []host.Event{{At: 9 * time.Second, Process: "n0", Unit: "n0", Kind: "out of touch", Version: "0", MaxRenewalGap: 500 * time.Millisecond}})},
-		"called dead after a cut":         {events: join(agreed, []host.Event{ev(6, "n0", "fault", "", ""), ev(8, "n0", "fault over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
-		"called dead by a shaky registry": {events: join(agreed, []host.Event{ev(5, "", "registry", "", ""), ev(6, "", "registry over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
+		"called dead and alive":           {events: join(agreed, []eventlog.Event{ev(9, "n0", "out of touch", "0", "-"), touch(9.2, "n0", 10, "0", "-")}), out: 1},
+		"called dead and held up":         {events: join(agreed, []eventlog.Event{{At: 9 * time.Second, Process: "n0", Unit: "n0", Kind: "out of touch", Version: "0", MaxRenewalGap: 500 * time.Millisecond}})},
+		"called dead after a cut":         {events: join(agreed, []eventlog.Event{ev(6, "n0", "fault", "", ""), ev(8, "n0", "fault over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
+		"called dead by a shaky registry": {events: join(agreed, []eventlog.Event{ev(5, "", "registry", "", ""), ev(6, "", "registry over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
 	} {
 		r := newRecord()
 		r.events = slices.Clone(c.events)
--- a/internal/coordination/faulttest/trial.go
+++ b/internal/coordination/faulttest/trial.go
@@ -19,7 +19,8 @@
 	"syscall"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/controller"
+	"umberbank/internal/coordination/eventlog"
 	"umberbank/internal/process"
 	"umberbank/internal/process/relay"
 	"umberbank/internal/registry/client"
@@ -317,7 +318,7 @@
 	}
 	var v *state.CoordinationView
 	for {
-		if now, err := host.ReadView(ctx, w); err == nil {
+		if now, err := controller.ReadView(ctx, w); err == nil {
 			if v = now; is(v) {
 				return nil
 			}
@@ -335,7 +336,7 @@
 func (s *site) play(ctx context.Context) (back bool, err error) {
 	for _, p := range s.units {
 		if slices.Contains(s.opt.Dead, p.name) {
-			s.record.note(host.Event{At: host.Now(), Kind: "killed", Unit: p.name})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "killed", Unit: p.name})
 			p.Kill()
 		}
 	}
@@ -367,10 +368,10 @@
 		case n == 3 && !back:
 			halted = true
 			if _, err := s.staff(ctx, "halt", "next"); err == nil {
-				s.record.note(host.Event{At: host.Now(), Kind: "halt", Plan: "next"})
+				s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "halt", Plan: "next"})
 			}
 		case n == 4 && halted && !back:
-			s.record.note(host.Event{At: host.Now(), Kind: "resume", Plan: "next"})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "resume", Plan: "next"})
 			s.staff(ctx, "resume", "next") // that may fail, which is settled at the end
 		case n == 5 && !back:
 			back = true
@@ -394,10 +395,10 @@
 		id := units()[2*first+zone].id
 		s.undo.Go(func() {
 			if _, err := s.staff(ctx, "drain", id, "--holder", "zone "+string("ab"[zone])); err == nil {
-				s.record.note(host.Event{At: host.Now(), Kind: "drained", Unit: id})
+				s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "drained", Unit: id})
 			}
 			time.Sleep(hold) // a person's
-			s.record.note(host.Event{At: host.Now(), Kind: "undrained", Unit: id})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "undrained", Unit: id})
 			s.staff(ctx, "undrain", id) // that may fail, which is settled at the end
 		})
 	}
@@ -430,7 +431,7 @@
 			do()
 		})
 	}
-	note := func(what string) { s.record.note(host.Event{At: host.Now(), Kind: what, Unit: p.name}) }
+	note := func(what eventlog.Kind) { s.record.note(eventlog.Event{At: eventlog.Now(), Kind: what, Unit: p.name}) }
 	afterFault := func(do func()) {
 		note("fault")
 		after(func() {
@@ -439,11 +440,11 @@
 		})
 	}
 	registry := func(do, undo func()) {
-		s.record.note(host.Event{At: host.Now(), Kind: "registry"})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "registry"})
 		do()
 		after(func() {
 			undo()
-			s.record.note(host.Event{At: host.Now(), Kind: "registry over"})
+			s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "registry over"})
 		})
 	}
 	switch kind {
@@ -530,7 +531,7 @@
 		version, s.res.Outcome = "v1", "taken back"
 		s.staff(ctx, "back", "next") // once more, should it not have gone through
 	} else {
-		s.record.note(host.Event{At: host.Now(), Kind: "resume", Plan: "next"})
+		s.record.note(eventlog.Event{At: eventlog.Now(), Kind: "resume", Plan: "next"})
 		s.staff(ctx, "resume", "next")
 	}
 	for _, u := range units()[:servers] {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/agent"
 	"umberbank/internal/node"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
@@ -67,11 +67,11 @@
 			ran(h.node, settings)
 			return nil
 		}}
-	agent := &host.Agent{Registry: at, TTL: leaseTTL, Dial: h.agent.dial, Log: slog.New(slog.DiscardHandler),
+	unit := &agent.Agent{Registry: at, TTL: leaseTTL, Dial: h.agent.dial, Log: slog.New(slog.DiscardHandler),
 		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
 	h.running.Go(func() { h.reader.Run(ctx, func(u client.WatchEvent) { h.rev.Store(u.Revision) }) }) // it ends with ctx
 	h.running.Go(func() { node.Follow(ctx, follow) })
-	h.running.Go(func() { agent.Run(ctx) })
+	h.running.Go(func() { unit.Run(ctx) })
 	return h, nil
 }
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"umberbank/internal/coordination/host"
+	"umberbank/internal/coordination/controller"
 	"umberbank/internal/node"
 	"umberbank/internal/registry/replica"
 )
@@ -39,7 +39,7 @@
 	case "registry":
 		err = replica.Serve(context.Background(), after("--config"), log, func(string) {})
 	case "fleet":
-		err = (&host.Controller{Registry: strings.Split(after("--at"), ","), Name: "c0", TTL: time.Second, Log: log}).Run(context.Background())
+		err = (&controller.Controller{Registry: strings.Split(after("--at"), ","), Name: "c0", TTL: time.Second, Log: log}).Run(context.Background())
 	case "node":
 		err = node.RunProgram(context.Background(), make(chan os.Signal))
 	}
