--- /dev/null
+++ b/internal/lab/clocks.go
@@ -0,0 +1,93 @@
+package lab
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/lab/fault"
+	"umberbank/internal/lab/fleet"
+	"umberbank/internal/lab/scenario"
+	"umberbank/internal/lab/virtual"
+	"umberbank/internal/simwire"
+)
+
+// errRegistryOnVirtualClock is returned for a scenario with a registry on the virtual clock.
+var errRegistryOnVirtualClock = errors.New("a registry is played by real processes alone; --set registry.replicas=0 plays plain discovery")
+
+// playVirtual plays the run on the virtual clock.
+func (r *run) playVirtual(ctx context.Context) error {
+	if r.site.Registry.Replicas > 0 {
+		return errRegistryOnVirtualClock
+	}
+	settings := nodeSettings{site: r.site, byTier: map[int]balancer.Settings{}}
+	nodes := virtual.New(r.world, settings.of, r.newBalancer, r.nodeReady)
+	r.world.Backend = nodes
+	events := fault.Plan(r.site)
+	nodes.StartAll()
+	r.start(events)
+	err := r.loop.RunVirtual(ctx, r.site.Duration.D()+r.drainTime())
+	return errors.Join(err, settings.err, nodes.Err())
+}
+
+// newBalancer makes the Balancer of any node.
+func (r *run) newBalancer(_ int, settings balancer.Settings, seed uint64) (virtual.Balancer, error) {
+	if r.options.NewBalancer != nil {
+		return r.options.NewBalancer(settings, seed)
+	}
+	return balancer.New(settings, seed)
+}
+
+// nodeSettings derives the settings of nodes from a site. Those of a tier differ by the index of the replica alone, so each tier's
+// are parsed once.
+type nodeSettings struct {
+	site   *scenario.Site
+	byTier map[int]balancer.Settings
+	err    error // of the last tier that could not be parsed
+}
+
+// of returns the settings of a node.
+func (n *nodeSettings) of(node int) balancer.Settings {
+	site := n.site.Nodes[node]
+	settings, parsed := n.byTier[site.Tier]
+	if !parsed {
+		var err error
+		settings, _, err = simwire.ParseSettings(n.site.Settings(node))
+		if err != nil {
+			n.err = err
+		}
+		n.byTier[site.Tier] = settings
+	}
+	settings.ReplicaIndex = site.Index
+	if n.site.State.Keep {
+		settings.SnapshotMaxAge = n.site.State.Age.D()
+	}
+	return settings
+}
+
+// playReal plays the run on real processes.
+func (r *run) playReal(ctx context.Context) error {
+	events := fault.Plan(r.site)
+	processes, err := fleet.New(r.world, r.oracle, fleet.Options{
+		Node:    r.options.Node,
+		Replica: r.options.Replica,
+		Events:  events,
+		Ready:   r.nodeReady,
+		Log:     r.options.Log,
+	})
+	if err != nil {
+		return err
+	}
+	r.world.Backend, r.processUsage = processes, processes.Usage
+	return processes.Play(ctx, func() { r.start(events) }, r.site.Duration.D()+r.drainTime())
+}
+
+// drainTime is how long a run goes on after its load, so that the calls in flight can end.
+func (r *run) drainTime() time.Duration {
+	longest := time.Duration(0)
+	for _, c := range r.site.Classes {
+		longest = max(longest, c.Deadline.D())
+	}
+	return longest + time.Second
+}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -391,16 +391,16 @@
 		s.Shorten(10 * time.Second)
 		return s
 	}
-	real := play(t, s(), Options{Node: nodeCommand(t, "right")})
-	virtual := play(t, s(), Options{Virtual: true})
-	if real.RulesBroken > 0 {
-		t.Errorf("rules broken: %+v", real.Violations)
+	onProcesses := play(t, s(), Options{Node: nodeCommand(t, "right")})
+	onVirtualClock := play(t, s(), Options{Virtual: true})
+	if onProcesses.RulesBroken > 0 {
+		t.Errorf("rules broken: %+v", onProcesses.Violations)
 	}
-	if real.Requests != virtual.Requests {
-		t.Errorf("%d requests on the machine's clock, %d on the virtual one", real.Requests, virtual.Requests)
+	if onProcesses.Requests != onVirtualClock.Requests {
+		t.Errorf("%d requests on the machine's clock, %d on the virtual one", onProcesses.Requests, onVirtualClock.Requests)
 	}
-	if d := real.ServedShare - virtual.ServedShare; real.Valid && (d > 0.05 || d < -0.05) {
-		t.Errorf("served %.3f on the machine's clock, %.3f on the virtual one", real.ServedShare, virtual.ServedShare)
+	if d := onProcesses.ServedShare - onVirtualClock.ServedShare; onProcesses.Valid && (d > 0.05 || d < -0.05) {
+		t.Errorf("served %.3f on the machine's clock, %.3f on the virtual one", onProcesses.ServedShare, onVirtualClock.ServedShare)
 	}
 }
 
--- /dev/null
+++ b/internal/lab/oracle/calls.go
@@ -0,0 +1,123 @@
+package oracle
+
+import (
+	"time"
+
+	"umberbank/internal/lab/model"
+)
+
+const (
+	// endedCallRetention is how long a call is known after its end, so that late attempts of it can be judged.
+	endedCallRetention = 30 * time.Second
+	// maxQuotedBytes bounds what a violation quotes of an answer or an id.
+	maxQuotedBytes = 60
+)
+
+// endedCall is an entry of the queue of calls to forget.
+type endedCall struct {
+	id string
+	at time.Duration
+}
+
+// callRecord is the history of a call.
+type callRecord struct {
+	call      *model.Call
+	endedAt   time.Duration // when it was answered or abandoned; 0: in flight
+	abandoned bool          // by its client
+	reply     string
+	attempts  []*observedAttempt
+	answered  bool
+}
+
+// Sent records a call that its client is about to send.
+func (o *Oracle) Sent(c *model.Call) {
+	o.Calls++
+	o.calls[c.ID] = &callRecord{call: c}
+}
+
+// Answered records the final answer to a call and checks it.
+func (o *Oracle) Answered(c *model.Call, a model.Answer) {
+	r := o.calls[c.ID]
+	now := o.loop.Now()
+	r.endedAt, r.reply, r.answered = now, a.Reply.String(), true
+	switch a.Reply {
+	case model.Served:
+		o.checkResponseBody(r, a.Body)
+		fallthrough
+	case model.Failed:
+		o.checkInTime(r, a.Late)
+	case model.Refused:
+		o.checkRejection(r)
+		o.checkInTime(r, a.Late)
+	case model.Lost:
+		if !o.excused(c, now) {
+			o.recordViolation(RuleLost, r, "its connection ended without a whole answer while the node ran")
+		}
+	}
+	o.expireCalls(c.ID, now)
+}
+
+// Left records that the client of a call has disconnected, before or at its deadline.
+func (o *Oracle) Left(c *model.Call) {
+	r := o.calls[c.ID]
+	now := o.loop.Now()
+	r.endedAt, r.reply, r.abandoned = now, "its sender left", true
+	if now > o.deadline(c, now) && !o.excused(c, now) {
+		o.recordViolation(RuleLost, r, "no answer %v after it was sent, with %v to answer it", now-c.Sent, c.Left)
+	}
+	o.expireCalls(c.ID, now)
+}
+
+// deadline returns the last time for a call's answer.
+func (o *Oracle) deadline(c *model.Call, now time.Duration) time.Duration {
+	return c.Sent + c.Left + o.site.Limits.Slack.D() + o.loop.Stalled(c.Sent, now)
+}
+
+// checkInTime checks that a call was answered by its deadline, put off by late.
+func (o *Oracle) checkInTime(r *callRecord, late time.Duration) {
+	now := o.loop.Now()
+	if due := o.deadline(r.call, now) + late; now > due && !o.excused(r.call, now) {
+		o.recordViolation(RuleLost, r, "answered %v too late", now-due)
+	}
+}
+
+// checkResponseBody checks that a server made the answer for this call.
+func (o *Oracle) checkResponseBody(r *callRecord, body string) {
+	for _, s := range r.attempts {
+		if s.endedAt > 0 && s.outcome == model.Done && body == model.Body(r.call, o.site.Servers[s.server].Name) {
+			return
+		}
+	}
+	o.recordViolation(RuleCorruptResponse, r, "served with %q, which no server made for it", truncate(body))
+}
+
+// truncate shortens what a violation quotes.
+func truncate(s string) string {
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
+	}
+	return s
+}
+
+// checkRejection checks that a rejected call can be retried without harm.
+func (o *Oracle) checkRejection(r *callRecord) {
+	class := &o.site.Classes[r.call.Class]
+	if class.Effect == "safe" || class.Effect == "keyed" && class.Scope == "all" {
+		return
+	}
+	for i, s := range r.attempts {
+		if s.mayHaveRun(o.loop.Now()) {
+			o.recordViolation(RuleRejection, r, "refused, though attempt %d may have run", i)
+			return
+		}
+	}
+}
+
+// expireCalls notes the end of a call, and forgets calls whose end is longer ago than endedCallRetention.
+func (o *Oracle) expireCalls(id string, now time.Duration) {
+	o.endedCalls = append(o.endedCalls, endedCall{id, now})
+	for len(o.endedCalls) > 0 && o.endedCalls[0].at < now-endedCallRetention {
+		delete(o.calls, o.endedCalls[0].id)
+		o.endedCalls = o.endedCalls[1:]
+	}
+}
--- /dev/null
+++ b/internal/lab/oracle/servers.go
@@ -0,0 +1,98 @@
+package oracle
+
+import (
+	"time"
+
+	"umberbank/internal/lab/model"
+)
+
+// nodeServer names a pair of a node and a server, by their indexes.
+type nodeServer struct{ node, server int }
+
+// notification is what discovery last told a node of a server.
+type notification struct {
+	state     model.State
+	at        time.Duration
+	servingAt time.Duration // when the node was last told that the server serves
+}
+
+// slowStartLoad is the work that arrived at a warming server within the last FallFor.
+type slowStartLoad struct {
+	startTime       time.Duration
+	arrivals        []arrival
+	informed, total time.Duration // work of arrivals, and of those from nodes that knew of the start
+}
+
+// arrival is the work of an attempt, and whether its node had been told of the server's start.
+type arrival struct {
+	at, work time.Duration
+	informed bool
+}
+
+// Told records what discovery tells a node of a server.
+func (o *Oracle) Told(node, server int, st model.State) {
+	n := o.notified[nodeServer{node, server}]
+	n.state, n.at = st, o.loop.Now()
+	if st == model.Serving {
+		n.servingAt = n.at
+	}
+	o.notified[nodeServer{node, server}] = n
+}
+
+// checkDraining checks RuleDraining for an attempt that has arrived.
+func (o *Oracle) checkDraining(r *callRecord, a *model.Attempt, server int) {
+	n, notified := o.notified[nodeServer{a.Node, server}]
+	if !notified || n.state == model.Serving {
+		return
+	}
+	from := n.at
+	for _, out := range o.outages[a.Node] { // a paused process receives nothing
+		from = max(from, out.to)
+	}
+	late := a.First - from
+	grace := o.site.Limits.DrainWithin.D() + o.site.Limits.Slack.D() + o.loop.Stalled(from, o.loop.Now())
+	if late > grace {
+		o.recordViolation(RuleDraining, r, "sent to %s %v after %s was told that it is %s",
+			o.site.Servers[server].Name, late, o.site.Nodes[a.Node].Name, n.state)
+	}
+}
+
+// recordSlowStartLoad adds an attempt to the load of a server that is warming up.
+func (o *Oracle) recordSlowStartLoad(a *model.Attempt, server int) {
+	if o.world == nil || !o.world.Servers[server].Cold() {
+		return
+	}
+	startTime := o.world.Servers[server].Boot()
+	load := o.slowStarts[server]
+	if load == nil || load.startTime != startTime {
+		load = &slowStartLoad{startTime: startTime}
+		o.slowStarts[server] = load
+	}
+	now := o.loop.Now()
+	informed := o.notified[nodeServer{a.Node, server}].servingAt >= startTime
+	latest := arrival{now, a.Call.Work, informed}
+	load.add(latest, 1)
+	load.arrivals = append(load.arrivals, latest)
+	for ; now-load.arrivals[0].at > o.site.Limits.FallFor.D(); load.arrivals = load.arrivals[1:] {
+		load.add(load.arrivals[0], -1)
+	}
+}
+
+// add adds an arrival with sign 1, or removes it with sign -1.
+func (l *slowStartLoad) add(a arrival, sign time.Duration) {
+	l.total += sign * a.work
+	if a.informed {
+		l.informed += sign * a.work
+	}
+}
+
+// Fell records that a warming server was overloaded. It violates RuleSlowStart when nodes that had been told of its start sent
+// over two thirds of the load.
+func (o *Oracle) Fell(server int) {
+	load := o.slowStarts[server]
+	if load == nil || 3*load.informed <= 2*load.total {
+		return
+	}
+	o.recordViolation(RuleSlowStart, nil, "%s fell over %v after its start; nodes that knew of it had sent %v of %v of work",
+		o.site.Servers[server].Name, o.loop.Now()-load.startTime, load.informed.Round(time.Millisecond), load.total.Round(time.Millisecond))
+}
--- /dev/null
+++ b/internal/lab/sampling.go
@@ -0,0 +1,85 @@
+package lab
+
+import (
+	"fmt"
+	"time"
+
+	"umberbank/internal/lab/fault"
+)
+
+// sampleEverySecond samples the run at the end of the second that begins at the given time, and of each one after it.
+func (r *run) sampleEverySecond(begin time.Duration) {
+	end := begin + time.Second
+	r.loop.At(end, func() {
+		r.sample(r.secondAt(begin))
+		if r.options.Progress != nil {
+			r.options.Progress(r.loop.Now(), r.site.Duration.D())
+		}
+		if end < r.site.Duration.D() {
+			r.sampleEverySecond(end)
+		}
+	})
+}
+
+// sample records the attempts since the last sample, the requests in flight and the usage of processes.
+func (r *run) sample(second *Second) {
+	second.Attempts = r.oracle.Attempts - r.attemptsCounted
+	r.attemptsCounted = r.oracle.Attempts
+	for _, s := range r.world.Servers {
+		second.InFlight = append(second.InFlight, s.InFlight())
+	}
+	if r.processUsage != nil {
+		r.recordUsage(second)
+	}
+}
+
+// recordUsage records memory and descriptors of the nodes' processes, and reports those over their limits.
+func (r *run) recordUsage(second *Second) {
+	limits, res := &r.site.Limits, r.result
+	for n := range r.site.Nodes {
+		usage, running := r.processUsage(n)
+		descriptors := float64(usage.Descriptors)
+		second.MemoryMB = append(second.MemoryMB, usage.MemoryMB)
+		second.Descriptors = append(second.Descriptors, descriptors)
+		res.MaxNodeMemoryMB = max(res.MaxNodeMemoryMB, usage.MemoryMB)
+		res.MaxNodeDescriptors = max(res.MaxNodeDescriptors, descriptors)
+		if running && (usage.MemoryMB > float64(limits.MemoryMB) || usage.Descriptors > limits.Sockets) {
+			r.oracle.Exceeded(n, fmt.Sprintf("%.0f MB of %d and %d descriptors of %d",
+				usage.MemoryMB, limits.MemoryMB, usage.Descriptors, limits.Sockets))
+		}
+	}
+}
+
+// secondAt returns the entry for the requests that arrived at a time.
+func (r *run) secondAt(at time.Duration) *Second {
+	i := int(at / time.Second)
+	for len(r.result.Series) <= i {
+		r.result.Series = append(r.result.Series, newSecond(len(r.site.Classes), len(r.site.Zones)))
+	}
+	return &r.result.Series[i]
+}
+
+// recordFault records the begin or the end of a fault.
+func (r *run) recordFault(e *fault.Event, begins bool) {
+	state := "ends"
+	if begins {
+		state = "begins"
+		r.result.Faults = append(r.result.Faults, r.faultSpan(e))
+	}
+	r.options.Log("%v fault %s %s", r.loop.Now().Round(time.Millisecond), e.Kind, state)
+}
+
+// faultSpan returns a fault with the names of what it strikes.
+func (r *run) faultSpan(e *fault.Event) FaultSpan {
+	span := FaultSpan{Kind: e.Kind, FromSeconds: e.From.Seconds(), ToSeconds: e.To.Seconds()}
+	for _, n := range e.Nodes {
+		span.Nodes = append(span.Nodes, r.site.Nodes[n].Name)
+	}
+	for _, i := range e.Replicas {
+		span.Nodes = append(span.Nodes, fmt.Sprint("r", i))
+	}
+	for _, s := range e.Servers {
+		span.Servers = append(span.Servers, r.site.Servers[s].Name)
+	}
+	return span
+}
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -127,7 +127,11 @@
 			return err
 		}
 		req.Header.Set("X-Correlation-Id", f.Name())
-		go http.DefaultClient.Do(req) // whoever asked has gone
+		go func() {
+			if response, err := http.DefaultClient.Do(req); err == nil { // the client has disconnected: the answer goes nowhere
+				response.Body.Close()
+			}
+		}()
 	}
 	return err
 }
