--- /dev/null
+++ b/balancer/random_test.go
@@ -0,0 +1,284 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// randomHost drives a Balancer with random events, legal ones and odd ones: repeated timers and outcomes, requests
+// of an unknown class, and events for requests that were never made.
+type randomHost struct {
+	b         *Balancer
+	checker   *ruleChecker // nil: none
+	random    *rand.Rand
+	now       time.Duration
+	endpoints []Endpoint
+	active    []activeSendUntil
+	timers    []SetTimer
+	requests  []string        // IDs
+	done      map[string]bool // requests that have their final answer, as far as the host decides it
+	log       []string        // of all actions
+}
+
+// activeSendUntil is an attempt that ends at a time.
+type activeSendUntil struct {
+	activeSend
+	at       time.Duration
+	timesOut bool
+}
+
+func newRandomHost(t testing.TB, settings Settings, seed uint64, checker *ruleChecker) *randomHost {
+	t.Helper()
+	b, err := New(settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &randomHost{
+		b:         b,
+		checker:   checker,
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		endpoints: testEndpoints(8),
+		done:      map[string]bool{},
+	}
+}
+
+// run plays so many steps. No request comes in the last quarter, so that all can end.
+func (h *randomHost) run(steps int) {
+	h.handle(EndpointUpdate{Full: true, Cached: true, Endpoints: slices.Clone(h.endpoints)})
+	for step := range steps {
+		h.now += 2 * ms
+		h.fireTimers()
+		h.endAttempts()
+		if step < steps*3/4 && h.random.IntN(3) == 0 {
+			h.sendRequest(fmt.Sprint("r", step))
+		}
+		if h.random.IntN(60) == 0 {
+			h.changeEndpoint()
+		}
+		if h.random.IntN(40) == 0 {
+			h.handleUnknownRequest()
+		}
+		if h.random.IntN(50) == 0 && len(h.requests) > 0 {
+			h.disconnect(h.requests[h.random.IntN(len(h.requests))])
+		}
+	}
+}
+
+// handle gives an event to the Balancer, logs its actions and plans what follows from them.
+func (h *randomHost) handle(event Event) {
+	if h.checker != nil {
+		h.checker.observeEvent(h.now, event)
+	}
+	actions := h.b.Handle(h.now, event)
+	if h.checker != nil {
+		h.checker.observeActions(h.now, actions)
+	}
+	for _, action := range actions {
+		h.log = append(h.log, fmt.Sprintf("%v %T%v", h.now, action, action))
+		switch a := action.(type) {
+		case Send:
+			h.planOutcome(a)
+		case SetTimer:
+			h.timers = append(h.timers, a)
+		}
+	}
+}
+
+// planOutcome draws when the attempt ends. One in eight times out whatever it takes.
+func (h *randomHost) planOutcome(s Send) {
+	latency := time.Duration(h.random.ExpFloat64() * float64(120*ms))
+	a := activeSendUntil{activeSend: activeSend{s, len(h.b.requests[s.ID].attempts) - 1}, at: h.now + latency}
+	if h.random.IntN(8) == 0 || latency > s.Timeout {
+		a.at, a.timesOut = h.now+s.Timeout, true
+	}
+	h.active = append(h.active, a)
+}
+
+// fireTimers fires the timers that are due; one in twenty twice.
+func (h *randomHost) fireTimers() {
+	for k := 0; k < len(h.timers); k++ {
+		timer := h.timers[k]
+		if timer.At > h.now {
+			continue
+		}
+		h.timers = slices.Delete(h.timers, k, k+1)
+		k--
+		h.handle(TimerFired{Token: timer.Token})
+		if h.random.IntN(20) == 0 {
+			h.handle(TimerFired{Token: timer.Token})
+		}
+	}
+}
+
+// endAttempts gives the outcomes that are due; one in ten twice.
+func (h *randomHost) endAttempts() {
+	for k := 0; k < len(h.active); k++ {
+		a := h.active[k]
+		if a.at > h.now {
+			continue
+		}
+		h.active = slices.Delete(h.active, k, k+1)
+		k--
+		outcome := h.outcomeOf(a)
+		h.handle(outcome)
+		if h.random.IntN(10) == 0 {
+			h.handle(outcome)
+		}
+		if h.random.IntN(30) == 0 {
+			h.disconnect(a.ID)
+		}
+	}
+}
+
+// outcomeOf draws the result of an attempt; two in three of those that do not time out succeed.
+func (h *randomHost) outcomeOf(a activeSendUntil) Outcome {
+	outcome := Outcome{ID: a.ID, Attempt: a.attempt, Endpoint: a.Endpoint, Result: Success}
+	if a.timesOut {
+		outcome.Result = TimedOut
+	} else if h.random.IntN(3) == 0 {
+		outcome.Result = Result(1 + h.random.IntN(int(NotSent)))
+	}
+	r := h.b.requests[a.ID]
+	if outcome.Result == Success || r == nil || r.answered {
+		h.done[a.ID] = true
+	}
+	outcome.RequestDone = h.done[a.ID]
+	return outcome
+}
+
+func (h *randomHost) sendRequest(id string) {
+	class := []string{"get", "post", "pay", "odd"}[h.random.IntN(4)]
+	h.requests = append(h.requests, id)
+	timeout := time.Duration(1+h.random.IntN(1500)) * ms
+	h.handle(Request{ID: id, Class: class, Deadline: h.now + timeout})
+}
+
+// changeEndpoint changes or restarts an endpoint, and tells of it in one of the ways that discovery has.
+func (h *randomHost) changeEndpoint() {
+	e := &h.endpoints[h.random.IntN(len(h.endpoints))]
+	e.State = EndpointState(h.random.IntN(3))
+	if h.random.IntN(2) == 0 {
+		e.State, e.StartTime = Ready, h.now
+	}
+	switch h.random.IntN(4) {
+	case 0:
+		var listed []Endpoint
+		for _, e := range h.endpoints {
+			if e.State != Removed {
+				listed = append(listed, e)
+			}
+		}
+		h.handle(EndpointUpdate{Full: true, Endpoints: listed})
+	case 1:
+		h.handle(SubscriptionFailed{})
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{*e}})
+	default:
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{*e}})
+	}
+}
+
+func (h *randomHost) handleUnknownRequest() {
+	h.handle(Outcome{ID: "nobody", Attempt: 3, Result: Success})
+	h.handle(TimerFired{Token: requestTimerPrefix + "nobody"})
+	h.handle(TimerFired{Token: "x"})
+	h.handle(ClientDisconnected{ID: "nobody"})
+}
+
+func (h *randomHost) disconnect(id string) {
+	h.handle(ClientDisconnected{ID: id})
+	h.done[id] = true
+}
+
+func TestRulesHoldOnRandomSequences(t *testing.T) {
+	for seed := uint64(1); seed <= 12; seed++ {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			settings := testSettings()
+			settings.Tier = int(seed % 2)
+			settings.Hedging = seed%3 != 0
+			settings.PollDiscovery = seed%4 == 0
+			checker := newRuleChecker(settings)
+			h := newRandomHost(t, settings, seed, checker)
+			h.run(6000)
+			for _, violation := range checker.violations[:min(5, len(checker.violations))] {
+				t.Error(violation)
+			}
+			if len(h.log) < 1000 {
+				t.Errorf("only %d actions", len(h.log))
+			}
+			checkNothingLeft(t, h.b)
+		})
+	}
+}
+
+// checkNothingLeft checks that a Balancer whose requests are all done holds nothing for them.
+func checkNothingLeft(t *testing.T, b *Balancer) {
+	t.Helper()
+	if len(b.requests) > 0 || len(b.queue.requests) > 0 || b.limiter.inFlight != 0 {
+		t.Errorf("%d requests, %d pending ones and %d attempts in flight are left", len(b.requests),
+			len(b.queue.requests), b.limiter.inFlight)
+	}
+	for id, e := range b.endpoints.byID {
+		if !e.listed || e.activeAttempts != 0 || len(e.awaited) != 0 {
+			t.Errorf("endpoint %s is left", id)
+		}
+	}
+}
+
+func TestSameEventsGiveSameActions(t *testing.T) {
+	logOf := func() []string {
+		h := newRandomHost(t, testSettings(), 5, nil)
+		h.run(3000)
+		return h.log
+	}
+	first := logOf()
+	other, err := New(testSettings(), 99) // another Balancer of the process changes nothing
+	if err != nil {
+		t.Fatal(err)
+	}
+	other.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(3)})
+	second := logOf()
+	if len(first) < 500 {
+		t.Fatalf("only %d actions", len(first))
+	}
+	if strings.Join(first, "\n") != strings.Join(second, "\n") {
+		t.Fatal("the same events and seed gave other actions")
+	}
+}
+
+func FuzzHandle(f *testing.F) {
+	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
+	f.Add([]byte{1, 1, 1, 0, 2, 2, 2, 250, 3, 17, 5, 5})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		b := newTestBalancer(t, nil)
+		now, endpoints := time.Duration(0), testEndpoints(4)
+		for i, x := range data {
+			b.Handle(now, fuzzEvent(now, i, x, endpoints))
+			now += time.Duration(x) * ms / 4
+		}
+	})
+}
+
+// fuzzEvent returns the event that byte x, the one of number i, stands for.
+func fuzzEvent(now time.Duration, i int, x byte, endpoints []Endpoint) Event {
+	id := fmt.Sprint("r", x%5)
+	switch x % 7 {
+	case 0:
+		endpoints[int(x/7)%4].State = EndpointState(x % 3)
+		return EndpointUpdate{Full: x%2 == 0, Endpoints: endpoints[:int(x)%5]}
+	case 1, 2:
+		class := testSettings().Classes[x%3].Name
+		return Request{ID: id, Class: class, Deadline: now + time.Duration(x)*ms}
+	case 3:
+		return Outcome{ID: id, Attempt: int(x%4) - 1, Result: Result(x % 9), RequestDone: x%2 == 0}
+	case 4:
+		return TimerFired{Token: requestTimerPrefix + id}
+	case 5:
+		return ClientDisconnected{ID: id}
+	default:
+		return ResponseStarted{ID: id, Attempt: i % 3}
+	}
+}
--- /dev/null
+++ b/balancer/rulechecker_test.go
@@ -0,0 +1,245 @@
+package balancer
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// ruleChecker follows the events given to one Balancer and its actions, and notes every violation of these rules:
+//
+//  1. Every request has one final answer, by its deadline, and no attempt after it.
+//  2. A request is sent again, or rejected, only as its effect allows.
+//  3. Attempts go to endpoints that are ready.
+//
+// It shares no code with the package.
+type ruleChecker struct {
+	settings   Settings
+	slack      time.Duration // by which an answer may come late
+	endpoints  map[string]Endpoint
+	requests   map[string]*checkedRequest
+	violations []string
+}
+
+type checkedRequest struct {
+	class    Class
+	deadline time.Duration
+	done     bool
+	attempts []*checkedAttempt
+}
+
+type checkedAttempt struct {
+	endpoint string
+	sentAt   time.Duration
+	ended    bool
+	result   Result
+}
+
+func newRuleChecker(settings Settings) *ruleChecker {
+	return &ruleChecker{
+		settings:  settings,
+		slack:     20 * ms,
+		endpoints: map[string]Endpoint{},
+		requests:  map[string]*checkedRequest{},
+	}
+}
+
+func (c *ruleChecker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+func (a *checkedAttempt) mayHaveExecuted() bool {
+	return !a.ended || (a.result != Overloaded && a.result != Unreachable && a.result != NotSent)
+}
+
+// repeatable reports whether the request may be executed anywhere any number of times.
+func (r *checkedRequest) repeatable() bool {
+	return r.class.Effect == Idempotent ||
+		r.class.Effect == WithIdempotencyKey && r.class.IdempotencyScope == ScopeAll
+}
+
+func (c *ruleChecker) observeEvent(now time.Duration, event Event) {
+	switch e := event.(type) {
+	case EndpointUpdate:
+		c.observeUpdate(e)
+	case Request:
+		if c.requests[e.ID] == nil {
+			c.requests[e.ID] = &checkedRequest{class: c.classOf(e.Class), deadline: e.Deadline}
+		}
+	case Outcome:
+		c.observeOutcome(e)
+	case ClientDisconnected:
+		if r := c.requests[e.ID]; r != nil {
+			r.done = true
+		}
+	}
+	for id, r := range c.requests {
+		if !r.done && now > r.deadline+c.slack {
+			c.violation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			r.done = true
+		}
+	}
+}
+
+func (c *ruleChecker) observeUpdate(e EndpointUpdate) {
+	if e.Full {
+		for id, endpoint := range c.endpoints {
+			endpoint.State = Removed
+			c.endpoints[id] = endpoint
+		}
+	}
+	for _, endpoint := range e.Endpoints {
+		c.endpoints[endpoint.ID] = endpoint
+	}
+}
+
+// classOf returns the class of a name; an unknown one is not idempotent.
+func (c *ruleChecker) classOf(name string) Class {
+	for _, class := range c.settings.Classes {
+		if class.Name == name {
+			return class
+		}
+	}
+	return Class{Effect: NonIdempotent}
+}
+
+func (c *ruleChecker) observeOutcome(e Outcome) {
+	r := c.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
+		return
+	}
+	a := r.attempts[e.Attempt]
+	if !a.ended {
+		a.ended, a.result = true, e.Result
+		r.done = r.done || e.RequestDone
+	}
+}
+
+func (c *ruleChecker) observeActions(now time.Duration, actions []Action) {
+	for _, action := range actions {
+		switch a := action.(type) {
+		case Send:
+			c.observeSend(now, a)
+		case Reject:
+			c.observeReject(a)
+		case Fail:
+			c.observeFinalAnswer(a.ID)
+		case Cancel:
+			c.observeCancel(a)
+		}
+	}
+}
+
+func (c *ruleChecker) observeReject(a Reject) {
+	r := c.observeFinalAnswer(a.ID)
+	if r == nil || r.repeatable() {
+		return
+	}
+	for _, attempt := range r.attempts {
+		if attempt.mayHaveExecuted() {
+			c.violation("rule 2: %s rejected though it may have run", a.ID)
+		}
+	}
+}
+
+func (c *ruleChecker) observeCancel(a Cancel) {
+	if r := c.requests[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+		c.violation("cancel of an attempt never made")
+	}
+	if !c.settings.Cancellation {
+		c.violation("cancel is not allowed")
+	}
+}
+
+// observeFinalAnswer returns the request that is answered; nil: none should be.
+func (c *ruleChecker) observeFinalAnswer(id string) *checkedRequest {
+	r := c.requests[id]
+	if r == nil || r.done {
+		c.violation("rule 1: final answer for %s, which is done or unknown", id)
+		return nil
+	}
+	r.done = true
+	return r
+}
+
+func (c *ruleChecker) observeSend(now time.Duration, s Send) {
+	r := c.requests[s.ID]
+	if r == nil || r.done {
+		c.violation("rule 1: sent %s, which is done or unknown", s.ID)
+		return
+	}
+	if endpoint, known := c.endpoints[s.Endpoint]; !known || endpoint.State != Ready {
+		c.violation("rule 3: sent to %s, which is draining, removed or unknown", s.Endpoint)
+	}
+	if len(r.attempts) >= c.settings.MaxAttempts {
+		c.violation("more than %d attempts", c.settings.MaxAttempts)
+	}
+	for _, a := range r.attempts {
+		if !a.ended && !c.settings.Hedging {
+			c.violation("hedged request of %s", s.ID)
+		}
+		if a.mayHaveExecuted() {
+			c.checkRepeat(now, r, a, s)
+		}
+	}
+	r.attempts = append(r.attempts, &checkedAttempt{endpoint: s.Endpoint, sentAt: now})
+}
+
+// checkRepeat checks that a request may be sent although an earlier attempt may have executed it.
+func (c *ruleChecker) checkRepeat(now time.Duration, r *checkedRequest, earlier *checkedAttempt, s Send) {
+	switch r.class.Effect {
+	case NonIdempotent:
+		c.violation("rule 2: %s sent again though it is not idempotent", s.ID)
+	case WithIdempotencyKey:
+		if now > earlier.sentAt+r.class.IdempotencyWindow {
+			c.violation("rule 2: %s sent again outside its window", s.ID)
+		}
+		x, y := c.endpoints[earlier.endpoint], c.endpoints[s.Endpoint]
+		if r.class.IdempotencyScope != ScopeAll && x.Zone != y.Zone ||
+			r.class.IdempotencyScope == ScopeCell && x.Cell != y.Cell {
+			c.violation("rule 2: %s sent again outside its scope", s.ID)
+		}
+	}
+}
+
+// TestRuleCheckerFindsViolations gives the checker traces that break each rule.
+func TestRuleCheckerFindsViolations(t *testing.T) {
+	update := EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
+	request := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * ms} }
+	send := func(endpoint string) Send { return Send{ID: "r", Endpoint: endpoint} }
+	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
+	for _, c := range []struct {
+		want  string
+		steps []any // events, actions, and times from which on the next ones come
+	}{
+		{"rule 1: r has no answer", []any{update, request("get"), 2 * time.Second, TimerFired{}}},
+		{"rule 1: final answer", []any{update, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which is done", []any{update, request("get"), Fail{ID: "r"}, send("a")}},
+		{"though it is not idempotent", []any{update, request("pay"), send("a"), timedOut, send("a")}},
+		{"rule 2: r rejected", []any{update, request("pay"), send("a"), timedOut, Reject{ID: "r"}}},
+		{"outside its window", []any{update, request("post"), send("a"), 950 * ms, timedOut, send("a")}},
+		{"outside its scope", []any{update, request("post"), send("a"), timedOut, send("b")}},
+		{"rule 3", []any{update, request("get"), send("c")}},
+		{"never made", []any{update, request("get"), Cancel{ID: "r", Attempt: 0}}},
+	} {
+		t.Run(c.want, func(t *testing.T) {
+			checker := newRuleChecker(testSettings())
+			var now time.Duration
+			for _, step := range c.steps {
+				switch s := step.(type) {
+				case time.Duration:
+					now = s
+				case Event:
+					checker.observeEvent(now, s)
+				case Action:
+					checker.observeActions(now, []Action{s})
+				}
+			}
+			if !strings.Contains(strings.Join(checker.violations, "\n"), c.want) {
+				t.Errorf("got %q", checker.violations)
+			}
+		})
+	}
+}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -8,45 +8,65 @@
 	"time"
 )
 
-// deploymentSettings differ wherever an assumption of one could hide: their settings, with times at the scale 1.
+// deploymentSettings returns settings that differ wherever an assumption of one deployment could hide.
 func deploymentSettings() map[string]Settings {
-	class := func(name string, e Effect, scope IdempotencyScope, aim, deadline, window time.Duration, worth, late float64) Class {
-		return Class{Name: name, Effect: e, IdempotencyScope: scope, LatencyObjective: aim, Deadline: deadline, IdempotencyWindow: window, PriorityWeight: worth, LateCredit: late}
-	}
 	base := testSettings()
-	seven := base // like deploy/sites/mombasa-freight.toml
-	seven.Classes = []Class{class("track", Idempotent, ScopeAll, 700*ms, 1500*ms, 0, 2, 0.2),
-		class("track-fleet", Idempotent, ScopeAll, 4*time.Second, 15*time.Second, 0, 4, 0.1),
-		class("book", WithIdempotencyKey, ScopeZone, 2200*ms, 6*time.Second, 5*time.Second, 6, 0),
-		class("booking", NonIdempotent, ScopeAll, 2*time.Second, 5*time.Second, 0, 5, 0),
-		class("pay", NonIdempotent, ScopeAll, 2500*ms, 6*time.Second, 0, 12, 0),
-		class("quote", Idempotent, ScopeAll, 1200*ms, 3*time.Second, 0, 3, 0.3),
-		class("seal", WithIdempotencyKey, ScopeCell, 2600*ms, 7*time.Second, 40*ms, 7, 0)} // a window shorter than its work
-	seven.PollDiscovery, seven.PollInterval, seven.MaxAttempts, seven.Hedging = true, 8*time.Second, 3, false
-	seven.SlowStart.Duration, seven.SlowStart.OverloadMultiple, seven.SlowStart.OverloadWindow, seven.Replicas = 14*time.Second, 2.5, 1500*ms, 5
-	one := base // like deploy/sites/tromso-meter.toml
-	one.Classes = []Class{class("reading", NonIdempotent, ScopeAll, 900*ms, 2500*ms, 0, 1, 0.5)}
-	one.Cancellation, one.MaxAttempts, one.SlowStart.Duration, one.SlowStart.OverloadMultiple, one.SlowStart.OverloadWindow = false, 2, 3*time.Second, 4, 3*time.Second
-	one.Replicas = 1
-	deep := base
-	deep.Tier, deep.Replicas, deep.WeightKind, deep.MaxAttempts = 2, 40, WeightApproximate, 1
-	bare := Settings{Classes: []Class{class("x", WithIdempotencyKey, ScopeAll, 50*ms, 60*ms, 20*ms, 0, 1)}, Tick: ms}
-	return map[string]Settings{"as in the other tests": base, "seven classes": seven, "one class": one, "a deeper tier": deep,
-		"next to nothing": bare}
-}
-
-// scaled is the settings with every time so many times as long.
-func scaleSettings(s Settings, k int64) Settings {
-	t := func(d *time.Duration) { *d *= time.Duration(k) }
+
+	sevenClasses := base // like deploy/sites/mombasa-freight.toml
+	sevenClasses.Classes = []Class{
+		{Name: "track", Effect: Idempotent, IdempotencyScope: ScopeAll,
+			LatencyObjective: 700 * ms, Deadline: 1500 * ms, PriorityWeight: 2, LateCredit: 0.2},
+		{Name: "track-fleet", Effect: Idempotent, IdempotencyScope: ScopeAll,
+			LatencyObjective: 4 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 4, LateCredit: 0.1},
+		{Name: "book", Effect: WithIdempotencyKey, IdempotencyScope: ScopeZone, IdempotencyWindow: 5 * time.Second,
+			LatencyObjective: 2200 * ms, Deadline: 6 * time.Second, PriorityWeight: 6},
+		{Name: "booking", Effect: NonIdempotent, IdempotencyScope: ScopeAll,
+			LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 5},
+		{Name: "pay", Effect: NonIdempotent, IdempotencyScope: ScopeAll,
+			LatencyObjective: 2500 * ms, Deadline: 6 * time.Second, PriorityWeight: 12},
+		{Name: "quote", Effect: Idempotent, IdempotencyScope: ScopeAll,
+			LatencyObjective: 1200 * ms, Deadline: 3 * time.Second, PriorityWeight: 3, LateCredit: 0.3},
+		// Its window is shorter than its work.
+		{Name: "seal", Effect: WithIdempotencyKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 40 * ms,
+			LatencyObjective: 2600 * ms, Deadline: 7 * time.Second, PriorityWeight: 7},
+	}
+	sevenClasses.PollDiscovery, sevenClasses.PollInterval = true, 8*time.Second
+	sevenClasses.MaxAttempts, sevenClasses.Hedging = 3, false
+	sevenClasses.SlowStart.Duration = 14 * time.Second
+	sevenClasses.SlowStart.OverloadMultiple, sevenClasses.SlowStart.OverloadWindow = 2.5, 1500*ms
+	sevenClasses.Replicas = 5
+
+	oneClass := base // like deploy/sites/tromso-meter.toml
+	oneClass.Classes = []Class{{Name: "reading", Effect: NonIdempotent, IdempotencyScope: ScopeAll,
+		LatencyObjective: 900 * ms, Deadline: 2500 * ms, PriorityWeight: 1, LateCredit: 0.5}}
+	oneClass.Cancellation, oneClass.MaxAttempts = false, 2
+	oneClass.SlowStart.Duration = 3 * time.Second
+	oneClass.SlowStart.OverloadMultiple, oneClass.SlowStart.OverloadWindow = 4, 3*time.Second
+	oneClass.Replicas = 1
+
+	deeperTier := base
+	deeperTier.Tier, deeperTier.Replicas = 2, 40
+	deeperTier.WeightKind, deeperTier.MaxAttempts = WeightApproximate, 1
+
+	minimal := Settings{Tick: ms, Classes: []Class{
+		{Name: "x", Effect: WithIdempotencyKey, IdempotencyScope: ScopeAll, IdempotencyWindow: 20 * ms,
+			LatencyObjective: 50 * ms, Deadline: 60 * ms, LateCredit: 1}}}
+
+	return map[string]Settings{"as in the other tests": base, "seven classes": sevenClasses, "one class": oneClass,
+		"a deeper tier": deeperTier, "next to nothing": minimal}
+}
+
+// scaleSettings returns the settings with every time so many times as long.
+func scaleSettings(s Settings, factor int64) Settings {
+	times := []*time.Duration{&s.PollInterval, &s.Tick, &s.MaxRetryAfter, &s.SlowStart.Duration,
+		&s.SlowStart.OverloadWindow, &s.SnapshotMaxAge}
 	s.Classes = append([]Class(nil), s.Classes...)
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		t(&c.IdempotencyWindow)
-		t(&c.LatencyObjective)
-		t(&c.Deadline)
+		times = append(times, &c.IdempotencyWindow, &c.LatencyObjective, &c.Deadline)
 	}
-	for _, d := range []*time.Duration{&s.PollInterval, &s.Tick, &s.MaxRetryAfter, &s.SlowStart.Duration, &s.SlowStart.OverloadWindow, &s.SnapshotMaxAge} {
-		t(d)
+	for _, t := range times {
+		*t *= time.Duration(factor)
 	}
 	return s
 }
@@ -58,6 +78,7 @@
 	event  Event
 }
 
+// eventPlan is a heap of planned events, the earliest first.
 type eventPlan []plannedEvent
 
 func (p eventPlan) Len() int { return len(p) }
@@ -68,13 +89,14 @@
 
 func (p eventPlan) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
 
+// Push implements heap.Interface.
 func (p *eventPlan) Push(x any) { *p = append(*p, x.(plannedEvent)) }
 
+// Pop implements heap.Interface.
 func (p *eventPlan) Pop() any {
-	old := *p
-	d := old[len(old)-1]
-	*p = old[:len(old)-1]
-	return d
+	last := (*p)[len(*p)-1]
+	*p = (*p)[:len(*p)-1]
+	return last
 }
 
 // decision is what was decided, and when at the scale 1.
@@ -83,147 +105,209 @@
 	what string
 }
 
-// like says that two are the same but for the rounding of a wake.
-func (d decision) like(o decision) bool {
-	return d.what == o.what && (d.at-o.at).Abs() <= 10*time.Microsecond
+// matches reports whether two decisions are the same but for the rounding of a timer.
+func (d decision) matches(other decision) bool {
+	return d.what == other.what && (d.at-other.at).Abs() <= 10*time.Microsecond
+}
+
+// scaledHost drives a Balancer whose times are all factor times as long as at the scale 1. It plans in times of the
+// scale 1, in whole units, so that at every scale the same happens, and fails the test for what leaves the settings'
+// bounds.
+type scaledHost struct {
+	t         *testing.T
+	settings  Settings // scaled
+	factor    time.Duration
+	b         *Balancer
+	random    *rand.Rand
+	plan      eventPlan
+	planned   int
+	requests  map[string]*scaledRequest
+	decisions []decision
+	shortest  time.Duration // latency objective, at the scale 1
 }
 
-// decisionsAtScale plays a day of requests, endings and lists at a scale and returns what was decided, with the times at the
-// scale 1. It fails the test for what leaves the settings' bounds.
-func decisionsAtScale(t *testing.T, set Settings, k int64) []decision {
+type scaledRequest struct {
+	class      Class
+	deadline   time.Duration
+	answered   bool
+	attempts   int
+	executedAt time.Duration // when the first attempt was sent that may have run; below 0: none was
+}
+
+// planUnit is the unit of planned times, at the scale 1.
+const planUnit = time.Microsecond
+
+// decisionsAtScale plays a series of requests, results and endpoint lists and returns what was decided.
+func decisionsAtScale(t *testing.T, settings Settings, factor int64) []decision {
 	t.Helper()
-	longest, shortest := set.Classes[0].Deadline, set.Classes[0].LatencyObjective
-	for _, c := range set.Classes {
-		longest, shortest = max(longest, c.Deadline), min(shortest, c.LatencyObjective)
-	}
-	set = scaleSettings(set, k)
-	b, err := New(set, 11)
+	scaled := scaleSettings(settings, factor)
+	b, err := New(scaled, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const unit = time.Microsecond
-	rng := rand.New(rand.NewPCG(5, 6))
-	events := &eventPlan{}
-	planned := 0
-	push := func(at time.Duration, e Event) { // sentAt the scale 1, in whole units
-		planned++
-		heap.Push(events, plannedEvent{at.Truncate(unit) * time.Duration(k), planned, e})
-	}
-	list := testEndpoints(9)
-	push(0, EndpointUpdate{Full: true, Cached: true, Endpoints: list})
-	push(longest/8, EndpointUpdate{Full: true, Endpoints: list})
-	push(longest/4, SubscriptionFailed{})
-	changed := append([]Endpoint(nil), list...)
+	h := &scaledHost{t: t, settings: scaled, factor: time.Duration(factor), b: b,
+		random: rand.New(rand.NewPCG(5, 6)), requests: map[string]*scaledRequest{}}
+	longest := settings.Classes[0].Deadline
+	h.shortest = settings.Classes[0].LatencyObjective
+	for _, c := range settings.Classes {
+		longest, h.shortest = max(longest, c.Deadline), min(h.shortest, c.LatencyObjective)
+	}
+	h.planUpdates(longest)
+	h.planRequests(settings.Classes, 2*longest)
+	for len(h.plan) > 0 {
+		h.handle(heap.Pop(&h.plan).(plannedEvent))
+	}
+	for id, r := range h.requests {
+		if !r.answered {
+			t.Errorf("%s of %s has no answer", id, r.class.Name)
+		}
+	}
+	return h.decisions
+}
+
+// scale converts a time of the scale 1.
+func (h *scaledHost) scale(at time.Duration) time.Duration { return at.Truncate(planUnit) * h.factor }
+
+// push plans an event at a time of the scale 1.
+func (h *scaledHost) push(at time.Duration, e Event) {
+	h.planned++
+	heap.Push(&h.plan, plannedEvent{h.scale(at), h.planned, e})
+}
+
+// planUpdates plans a cached list, a full one, a failed subscription and a change.
+func (h *scaledHost) planUpdates(longest time.Duration) {
+	endpoints := testEndpoints(9)
+	h.push(0, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
+	h.push(longest/8, EndpointUpdate{Full: true, Endpoints: endpoints})
+	h.push(longest/4, SubscriptionFailed{})
+	changed := append([]Endpoint(nil), endpoints...)
 	changed[0].State, changed[1].State = Draining, Removed
 	for i := 2; i < 5; i++ {
-		changed[i].StartTime = (longest / 2).Truncate(unit) * time.Duration(k)
+		changed[i].StartTime = h.scale(longest / 2)
 	}
-	push(longest/2, EndpointUpdate{Endpoints: changed})
-	type state struct {
-		class    Class
-		deadline time.Duration
-		answered bool
-		attempts int
-		ran      time.Duration // when the first went out that may have run; under 0: none
-	}
-	requests := map[string]*state{}
+	h.push(longest/2, EndpointUpdate{Endpoints: changed})
+}
+
+// planRequests plans 4,000 requests within a time, of classes as they are at the scale 1.
+func (h *scaledHost) planRequests(classes []Class, within time.Duration) {
 	for i := range 4000 {
-		at := time.Duration(rng.Float64() * float64(2*longest))
-		c := set.Classes[rng.IntN(len(set.Classes))]
-		left := (c.Deadline / time.Duration(k)).Truncate(unit)
+		at := time.Duration(h.random.Float64() * float64(within))
+		k := h.random.IntN(len(classes))
 		id := fmt.Sprint(i)
-		r := &state{class: c, deadline: (at.Truncate(unit) + left) * time.Duration(k), ran: -1}
-		requests[id] = r
-		push(at, Request{ID: id, Class: c.Name, Deadline: r.deadline})
-	}
-	var log []decision
-	said := func(at time.Duration, format string, args ...any) {
-		log = append(log, decision{at, fmt.Sprintf(format, args...)})
-	}
-	tick := set.Tick
-	for events.Len() > 0 {
-		d := heap.Pop(events).(plannedEvent)
-		now := d.at
-		if o, is := d.event.(Outcome); is && o.RequestDone {
-			requests[o.ID].answered = true
-		}
-		for _, a := range b.Handle(now, d.event) {
-			one := func(at time.Duration) time.Duration { return at / time.Duration(k) }
-			switch a := a.(type) {
-			case Send:
-				r := requests[a.ID]
-				said(one(now), "send %s to %s", a.ID, a.Endpoint)
-				r.attempts++
-				switch {
-				case r.answered:
-					t.Errorf("%s is sent after its answer", a.ID)
-				case set.MaxAttempts > 0 && r.attempts > set.MaxAttempts:
-					t.Errorf("%s: attempt %d of %d", a.ID, r.attempts, set.MaxAttempts)
-				case a.Timeout > max(r.deadline-now, tick):
-					t.Errorf("%s: waits %v with %v left", a.ID, a.Timeout, r.deadline-now)
-				case r.ran >= 0 && (r.class.Effect == NonIdempotent || r.class.Effect == WithIdempotencyKey && now >= r.ran+r.class.IdempotencyWindow):
-					t.Errorf("%s of %s is sent again %v after it may have run", a.ID, r.class.Name, now-r.ran)
-				}
-				took := time.Duration(rng.ExpFloat64() * float64(shortest) / 6)
-				ending := Success
-				if rng.IntN(4) == 0 {
-					ending = []Result{Failure, Overloaded, Unreachable, ConnectionLost, TimedOut, NotSent}[rng.IntN(6)]
-				}
-				if wait := one(a.Timeout); took > wait { // the host gives it up
-					took, ending = wait, TimedOut
-				}
-				if ending != Overloaded && ending != Unreachable && ending != NotSent && r.ran < 0 {
-					r.ran = now
-				}
-				push(one(now)+took, Outcome{ID: a.ID, Attempt: r.attempts - 1, Endpoint: a.Endpoint, Result: ending, RequestDone: ending == Success})
-			case Reject, Fail:
-				id, after := "", time.Duration(0)
-				if f, is := a.(Fail); is {
-					id = f.ID
-				} else {
-					id, after = a.(Reject).ID, a.(Reject).RetryAfter
-				}
-				r := requests[id]
-				said(one(now), "%T %s", a, id)
-				if r.answered || now > r.deadline+tick || after > set.MaxRetryAfter {
-					t.Errorf("%s: %T at %v, due %v, come back %v", id, a, now, r.deadline, after)
-				}
-				r.answered = true
-			case SetTimer:
-				if a.At <= now {
-					t.Errorf("a wake at %v, asked for at %v", a.At, now)
-				}
-				push((one(a.At) + unit).Truncate(unit), TimerFired{Token: a.Token})
-			case Subscribe:
-				said(one(now), "subscribe")
+		r := &scaledRequest{class: h.settings.Classes[k], executedAt: -1,
+			deadline: h.scale(at) + h.scale(classes[k].Deadline)}
+		h.requests[id] = r
+		h.push(at, Request{ID: id, Class: r.class.Name, Deadline: r.deadline})
+	}
+}
+
+func (h *scaledHost) handle(e plannedEvent) {
+	if outcome, ok := e.event.(Outcome); ok && outcome.RequestDone {
+		h.requests[outcome.ID].answered = true
+	}
+	for _, action := range h.b.Handle(e.at, e.event) {
+		switch a := action.(type) {
+		case Send:
+			h.decide(e.at, "send %s to %s", a.ID, a.Endpoint)
+			h.send(e.at, a)
+		case Reject:
+			h.decide(e.at, "%T %s", a, a.ID)
+			h.answer(e.at, a.ID, a.RetryAfter)
+		case Fail:
+			h.decide(e.at, "%T %s", a, a.ID)
+			h.answer(e.at, a.ID, 0)
+		case SetTimer:
+			if a.At <= e.at {
+				h.t.Errorf("a timer for %v, set at %v", a.At, e.at)
 			}
+			h.push((a.At/h.factor + planUnit).Truncate(planUnit), TimerFired{Token: a.Token})
+		case Subscribe:
+			h.decide(e.at, "subscribe")
 		}
 	}
-	for id, r := range requests {
-		if !r.answered {
-			t.Errorf("%s of %s has no answer", id, r.class.Name)
-		}
+}
+
+// decide notes a decision.
+func (h *scaledHost) decide(now time.Duration, format string, args ...any) {
+	h.decisions = append(h.decisions, decision{now / h.factor, fmt.Sprintf(format, args...)})
+}
+
+// send checks an attempt against the settings and plans its outcome.
+func (h *scaledHost) send(now time.Duration, s Send) {
+	r := h.requests[s.ID]
+	r.attempts++
+	switch {
+	case r.answered:
+		h.t.Errorf("%s is sent after its answer", s.ID)
+	case h.settings.MaxAttempts > 0 && r.attempts > h.settings.MaxAttempts:
+		h.t.Errorf("%s: attempt %d of %d", s.ID, r.attempts, h.settings.MaxAttempts)
+	case s.Timeout > max(r.deadline-now, h.settings.Tick):
+		h.t.Errorf("%s: timeout %v with %v left", s.ID, s.Timeout, r.deadline-now)
+	case r.executedAt >= 0 && !r.repeatableAt(now):
+		h.t.Errorf("%s of %s is sent again %v after it may have run", s.ID, r.class.Name, now-r.executedAt)
+	}
+	latency := time.Duration(h.random.ExpFloat64() * float64(h.shortest) / 6)
+	result := Success
+	if h.random.IntN(4) == 0 {
+		failures := []Result{Failure, Overloaded, Unreachable, ConnectionLost, TimedOut, NotSent}
+		result = failures[h.random.IntN(len(failures))]
+	}
+	if timeout := s.Timeout / h.factor; latency > timeout {
+		latency, result = timeout, TimedOut
 	}
-	return log
+	if result != Overloaded && result != Unreachable && result != NotSent && r.executedAt < 0 {
+		r.executedAt = now
+	}
+	h.push(now/h.factor+latency, Outcome{ID: s.ID, Attempt: r.attempts - 1, Endpoint: s.Endpoint, Result: result,
+		RequestDone: result == Success})
+}
+
+// repeatableAt reports whether a request that may have run may be sent again.
+func (r *scaledRequest) repeatableAt(now time.Duration) bool {
+	switch r.class.Effect {
+	case NonIdempotent:
+		return false
+	case WithIdempotencyKey:
+		return now < r.executedAt+r.class.IdempotencyWindow
+	}
+	return true
+}
+
+// answer checks a final answer against the settings.
+func (h *scaledHost) answer(now time.Duration, id string, retryAfter time.Duration) {
+	r := h.requests[id]
+	if r.answered || now > r.deadline+h.settings.Tick || retryAfter > h.settings.MaxRetryAfter {
+		h.t.Errorf("%s: answered at %v, due %v, retry after %v", id, now, r.deadline, retryAfter)
+	}
+	r.answered = true
 }
 
-// No decision rests on a time that is not a setting's: with all of them eight or sixty-four times as long the same is
-// decided, at times so many times as late, and nothing leaves the settings' bounds.
+// No decision depends on a time that is not a setting's: with all of them 8 or 64 times as long the same is decided,
+// at times so many times as late, and nothing leaves the settings' bounds.
 func TestDecisionsScaleWithTheSettings(t *testing.T) {
-	for name, set := range deploymentSettings() {
-		want := decisionsAtScale(t, set, 1)
-		for _, k := range []int64{8, 64} {
-			got := decisionsAtScale(t, set, k)
-			for i := range max(len(got), len(want)) {
-				if i >= len(got) || i >= len(want) || !got[i].like(want[i]) {
-					t.Errorf("%s, %d times as slow: decision %d of %d is %v, was %v", name, k, i, len(want),
-						append(got, decision{})[min(i, len(got))], append(want, decision{})[min(i, len(want))])
-					break
-				}
+	for name, settings := range deploymentSettings() {
+		t.Run(name, func(t *testing.T) {
+			want := decisionsAtScale(t, settings, 1)
+			if len(want) < 4000 {
+				t.Errorf("%d decisions for 4,000 requests", len(want))
 			}
+			for _, factor := range []int64{8, 64} {
+				compareDecisions(t, factor, decisionsAtScale(t, settings, factor), want)
+			}
+		})
+	}
+}
+
+// compareDecisions reports the first decision in which two series differ.
+func compareDecisions(t *testing.T, factor int64, got, want []decision) {
+	t.Helper()
+	for i := range min(len(got), len(want)) {
+		if !got[i].matches(want[i]) {
+			t.Errorf("%d times as slow: decision %d of %d is %v, want %v", factor, i, len(want), got[i], want[i])
+			return
 		}
-		if len(want) < 4000 {
-			t.Errorf("%s: %d decisions for 4,000 requests", name, len(want))
-		}
+	}
+	if len(got) != len(want) {
+		t.Errorf("%d times as slow: %d decisions, want %d", factor, len(got), len(want))
 	}
 }
