--- /dev/null
+++ b/internal/node/listener/listener.go
@@ -0,0 +1,57 @@
+// Package listener provides the listening sockets of a node: one that survives failed accepts, and one that is inherited
+// from the platform.
+package listener
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
+
+// Persistent is a listener whose Accept fails only once it is closed. On Linux a failed accept also reports what happened to
+// one connection or to the network for a moment, and http.Server gives up on most of these.
+type Persistent struct{ net.Listener }
+
+// Accept waits for the next connection. The only error is net.ErrClosed.
+func (l Persistent) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err == nil || errors.Is(err, net.ErrClosed) {
+			return conn, err
+		}
+		slog.Warn("accept failed", "error", err)
+		time.Sleep(acceptRetryDelay)
+	}
+}
+
+// Inherit returns the listening TCP socket that the platform holds open for this node under the descriptor fd. Other processes
+// may accept on it too; closing the listener closes this process's copy alone. Inherit closes fd itself once it is known to be a
+// listening socket.
+func Inherit(fd int) (net.Listener, error) {
+	// Checked first: a wrong number may be a descriptor of the runtime's own, which must be left alone.
+	accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	if err != nil {
+		return nil, fmt.Errorf("inherited descriptor %d: %w", fd, err)
+	}
+	if accepts == 0 {
+		return nil, fmt.Errorf("inherited descriptor %d is no listening socket", fd)
+	}
+	file := os.NewFile(uintptr(fd), "inherited socket")
+	defer file.Close() // FileListener works on a copy
+	l, err := net.FileListener(file)
+	if err != nil {
+		return nil, fmt.Errorf("inherited descriptor %d: %w", fd, err)
+	}
+	if _, isTCP := l.(*net.TCPListener); !isTCP {
+		l.Close()
+		return nil, fmt.Errorf("inherited descriptor %d listens on %s, not TCP", fd, l.Addr().Network())
+	}
+	return l, nil
+}
--- /dev/null
+++ b/internal/node/metrics/metrics_test.go
@@ -0,0 +1,27 @@
+package metrics
+
+import (
+	"testing"
+
+	"umberbank/internal/node/nodetest"
+)
+
+// The keys of the operators' figures, each with a value of its own.
+func TestGoldenMetrics(t *testing.T) {
+	m := &Metrics{}
+	m.AddClass("idle")
+	for status, times := range map[int]int{200: 1, 503: 2, 502: 4} {
+		for range times {
+			m.CountAnswer("read", status, false)
+		}
+	}
+	m.CountAnswer("read", 200, true)
+	m.CountAnswer("read", 429, false)
+	m.InFlight.Store(11)
+	m.AttemptsSent.Store(12)
+	m.EndpointsListed.Store(13)
+	m.EndpointsEjected.Store(14)
+	m.ReloadsApplied.Store(15)
+	m.ReloadsRejected.Store(16)
+	nodetest.Golden(t, "figures.golden", m.JSON()+"\n")
+}
--- /dev/null
+++ b/internal/node/processlock/processlock.go
@@ -0,0 +1,58 @@
+// Package processlock provides the lock by which the processes of one node take over from each other. The serving process
+// holds it until it ends; one that starts beside it waits for it, and knows by it that no predecessor is left.
+package processlock
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+)
+
+// pollInterval is the time between two tries of Acquire.
+const pollInterval = 100 * time.Millisecond
+
+// Lock is an exclusive advisory lock (flock) on a file. The kernel releases it when the process that holds it ends, however
+// it ends. A Lock must not be used by several goroutines at once.
+type Lock struct{ file *os.File }
+
+// Open opens the lock file of the named node in dir, and makes it if it is missing. It does not take the lock. The file's name
+// holds the name of the node in hexadecimal, so that nodes may share dir.
+func Open(dir, node string) (*Lock, error) {
+	file, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("umberbank-%x.lock", node)), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	return &Lock{file}, nil
+}
+
+// TryAcquire takes the lock if no other process holds it, and reports whether it did.
+func (l *Lock) TryAcquire() (bool, error) {
+	err := syscall.Flock(int(l.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// Acquire waits until the lock is taken or ctx ends. Any error but that of ctx means that the lock can never be taken.
+func (l *Lock) Acquire(ctx context.Context) error {
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	for {
+		if acquired, err := l.TryAcquire(); acquired || err != nil {
+			return err
+		}
+		select {
+		case <-poll.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// Close releases the lock, if it is held, and closes its file.
+func (l *Lock) Close() error { return l.file.Close() }
