--- /dev/null
+++ b/internal/node/discovery/client_test.go
@@ -0,0 +1,107 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"umberbank/internal/node/nodetest"
+)
+
+// However a message is laid out, it is news once it is whole, with its end of line, and not before.
+func TestAssembler(t *testing.T) {
+	t.Parallel()
+	plain := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "DRAINING"))
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, []byte(plain), "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string]string{
+		"one line": plain, "indented": indented.String(), "with empty lines": strings.ReplaceAll(indented.String(), "\n", "\n\n"),
+		"a bracket a line": strings.NewReplacer("{", "{\n", "}", "\n}").Replace(plain),
+	} {
+		var m assembler
+		lines := strings.Split(text, "\n")
+		for i, line := range lines {
+			l, whole, err := m.add(bytes.TrimSpace([]byte(line)))
+			if last := i == len(lines)-1; err != nil || whole != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
+				t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, whole, err)
+			}
+		}
+		if m.pending() {
+			t.Errorf("%s: %q is left over", name, m.held)
+		}
+	}
+	for _, bad := range []string{"no list", `{"rev":1}x`, `{"rev":,`, `{"rev":1,"targets":[]]`} {
+		var m assembler
+		if _, _, err := m.add([]byte(bad)); err == nil {
+			t.Errorf("%s was taken for the beginning of a message", bad)
+		}
+	}
+}
+
+// A watch on a machine that was cut off stays open and silent; heartbeats keep one alive.
+func TestWatchSilence(t *testing.T) {
+	t.Parallel()
+	addr, lines, _ := nodetest.Discovery(t)
+	d := NewClient(addr)
+	d.SilenceTimeout = 200 * time.Millisecond
+	ended := make(chan error, 1)
+	got := make(chan Update, 1)
+	go func() { ended <- d.Watch(context.Background(), 0, handler(func(u Update) { got <- u })) }()
+	lines <- nodetest.Message(1, true)
+	nodetest.Wait(t, got)
+	if err := nodetest.Wait(t, ended); !errors.Is(err, ErrSilent) {
+		t.Errorf("the watch ended with %v", err)
+	}
+}
+
+// Heartbeats keep a watch whose list does not change.
+func TestHeartbeats(t *testing.T) {
+	t.Parallel()
+	addr, lines, _ := nodetest.Discovery(t)
+	d := NewClient(addr)
+	d.SilenceTimeout = time.Second
+	ended := make(chan error, 1)
+	go func() { ended <- d.Watch(context.Background(), 0, handler(nil)) }()
+	longest := time.Duration(0) // between two beats; this machine may stall
+	for start, last := time.Now(), time.Now(); time.Since(start) < 2*d.SilenceTimeout; {
+		select {
+		case lines <- "":
+			longest, last = max(longest, time.Since(last)), time.Now()
+			time.Sleep(d.SilenceTimeout / 20)
+		case err := <-ended:
+			if longest = max(longest, time.Since(last)); longest < d.SilenceTimeout/2 {
+				t.Fatalf("ended with %v though a beat came every %v", err, longest)
+			}
+			return
+		}
+	}
+	lines <- "end"
+	if err := nodetest.Wait(t, ended); err == nil {
+		t.Error("a watch ended without a reason")
+	}
+}
+
+func TestWatchRejected(t *testing.T) {
+	t.Parallel()
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}))
+	t.Cleanup(s.Close)
+	d := NewClient(strings.TrimPrefix(s.URL, "http://"))
+	if err := d.Watch(context.Background(), 0, handler(nil)); err == nil || !strings.Contains(err.Error(), "503") {
+		t.Errorf("got %v", err)
+	}
+}
+
+// handler takes the updates of a watch, and nothing else of it.
+func handler(update func(Update)) Handler {
+	return Handler{Opened: func() {}, Heartbeat: func() {}, Update: update}
+}
