--- /dev/null
+++ b/internal/node/config/config_test.go
@@ -0,0 +1,64 @@
+package config
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/node/nodetest"
+)
+
+func TestParse(t *testing.T) {
+	c, err := Parse([]byte(nodetest.Config))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Revision != 41 ||
+		len(c.Known.Targets) != 1 || c.Connections.IdleTimeout != 30*time.Second || c.Connections.ConnectTimeout != 200*time.Millisecond ||
+		!c.Settings.PollDiscovery || c.Settings.Classes[0].Effect != balancer.Idempotent {
+		t.Errorf("%+v", c)
+	}
+}
+
+func TestParseFaults(t *testing.T) {
+	for name, replace := range map[string][2]string{
+		"listen":    {`"127.0.0.1:3000"`, `"here"`},
+		"discovery": {`"discovery"`, `"d"`},
+		"seed":      {`8c1f30d27a5be964`, `seed`},
+		"limits":    {`"sockets":1024`, `"sockets":-1`},
+		"known":     {`"SERVING"`, `"SLEEPING"`},
+		"settings":  {`"settings":`, `"s":`},
+		"Deadline":  {`"deadline-ms":400`, `"deadline-ms":0`},
+		"cannot":    {`"lanes":[`, `"lanes":7,"l":[`},
+		"character": {`{"name"`, `name`},
+	} {
+		_, err := Parse([]byte(strings.Replace(nodetest.Config, replace[0], replace[1], 1)))
+		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// What the configuration may say of the state, and how a fault of it is worded.
+func TestParseSnapshots(t *testing.T) {
+	for text, want := range map[string]struct {
+		state Snapshots
+		fault string
+	}{
+		"":                 {Snapshots{}, ""},
+		"null":             {Snapshots{}, ""},
+		`{"every_ms": 50}`: {Snapshots{}, ""}, // nowhere to keep it
+		`{"dir": "d"}`:     {Snapshots{"d", time.Second, time.Minute}, ""},
+		`{"dir":"d","every_ms":250,"max_age_ms":1500.5}`: {Snapshots{"d", 250 * time.Millisecond, 1500500 * time.Microsecond}, ""},
+		`{"dir":"d","every_ms":0}`:                       {Snapshots{}, "state.every_ms: 0 is no time"},
+		`{"dir":"d","max_age_ms":-3}`:                    {Snapshots{}, "state.max_age_ms: -3 is no time"},
+		`{"dir":"d","max_age_ms":1e300}`:                 {Snapshots{}, "state.max_age_ms: 1e+300 is no time"},
+		`{"dir":7}`:                                      {Snapshots{}, "state: json"},
+	} {
+		got, err := parseSnapshots([]byte(text))
+		if got != want.state || (err == nil) != (want.fault == "") || err != nil && !strings.HasPrefix(err.Error(), want.fault) {
+			t.Errorf("%s: %+v, %v", text, got, err)
+		}
+	}
+}
