--- /dev/null
+++ b/internal/node/follower/register.go
@@ -0,0 +1,74 @@
+package follower
+
+import (
+	"cmp"
+	"context"
+	"time"
+
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+)
+
+const (
+	// defaultLeaseTTL is the time to live of a node's lease where the configuration does not say.
+	defaultLeaseTTL = 2 * time.Second
+	// registerTimeout bounds one try to register.
+	registerTimeout = time.Second
+)
+
+// register enters this start of the node's process in the registry, once, and then renews its lease until ctx ends. It returns
+// client.ErrFenced once another process is the node.
+func (f *Follower) register(ctx context.Context) error {
+	if f.Rollout.ByAgent {
+		return nil
+	}
+	if f.lease != nil {
+		if f.lease.Token(f.Name) == 0 {
+			return client.ErrFenced
+		}
+		return nil
+	}
+	startTime, err := f.writer.NextStartTime(ctx, f.Name, time.Now())
+	if err != nil {
+		return err
+	}
+	ttl := defaultLeaseTTL
+	if f.Rollout.TTLMS > 0 {
+		ttl = time.Duration(f.Rollout.TTLMS) * time.Millisecond
+	}
+	lease := client.NewLeaseHolder(f.writer)
+	registering, cancel := context.WithTimeout(ctx, registerTimeout)
+	defer cancel()
+	if err := lease.Register(registering, f.entry(startTime, ttl)); err != nil {
+		return err
+	}
+	f.lease = lease
+	go lease.Run(ctx, ttl)
+	return nil
+}
+
+// entry is the node's entry in the registry. startTime is Unix time in milliseconds.
+func (f *Follower) entry(startTime float64, ttl time.Duration) *state.Instance {
+	return &state.Instance{
+		UID:         f.Name,
+		Endpoint:    f.Addr(),
+		Role:        state.RoleNode,
+		Tier:        f.Rollout.Tier,
+		Zone:        f.Rollout.Zone,
+		Region:      f.Rollout.Region,
+		Kind:        f.Rollout.SendsTo,
+		Capacity:    cmp.Or(f.Rollout.Capacity, 1),
+		State:       state.Serving,
+		StartTimeMS: startTime,
+		TTLMS:       ttl.Milliseconds(),
+	}
+}
+
+// longestRenewal is the longest time between two renewals of this node's lease since it was last asked for; 0: an agent renews
+// it.
+func (f *Follower) longestRenewal() time.Duration {
+	if f.lease == nil {
+		return 0
+	}
+	return f.lease.MaxRenewalGap()
+}
