--- a/cmd/umberbank/main.go
+++ b/cmd/umberbank/main.go
@@ -17,6 +17,7 @@
 
 	"umberbank/internal/lab/cost"
 	"umberbank/internal/node"
+	"umberbank/internal/node/config"
 )
 
 // Exit codes.
@@ -151,7 +152,7 @@
 func (c *configCheckCmd) Run(a *app) error {
 	var bad error
 	for _, f := range c.Files {
-		cfg, err := node.LoadConfig(f)
+		cfg, err := config.Load(f)
 		if err != nil {
 			bad = errNotHeld
 			fmt.Fprintln(a.out, err)
--- a/cmd/umberbank/main_test.go
+++ b/cmd/umberbank/main_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"umberbank/internal/durable"
-	"umberbank/internal/node"
+	"umberbank/internal/node/snapshotter"
 )
 
 func call(args ...string) (code int, out, errOut string) {
@@ -114,7 +114,7 @@
 // Files of state: what is whole is shown, what is damaged is named and moved aside, and nothing is lost.
 func TestState(t *testing.T) {
 	dir := t.TempDir()
-	s, err := durable.Open(durable.Options{Dir: dir, Kind: node.StateKind, Schema: 1})
+	s, err := durable.Open(durable.Options{Dir: dir, Kind: snapshotter.Kind, Schema: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"umberbank/internal/durable"
-	"umberbank/internal/node"
+	"umberbank/internal/node/snapshotter"
 )
 
 type stateCmd struct {
@@ -42,8 +42,8 @@
 	}
 	f.Kind, f.Schema, f.Seq, f.Taken, f.Bytes = s.Kind, s.Schema, s.Seq, s.Taken.UTC(), len(s.Payload)
 	switch {
-	case s.Kind == node.StateKind:
-		if f.Holds, err = node.ReadState(s); err != nil {
+	case s.Kind == snapshotter.Kind:
+		if f.Holds, err = snapshotter.Describe(s); err != nil {
 			f.Fault = err.Error()
 		}
 	case json.Valid(s.Payload):
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,7 +10,8 @@
 	"time"
 
 	"umberbank/internal/coordination/agent"
-	"umberbank/internal/node"
+	"umberbank/internal/node/config"
+	"umberbank/internal/node/follower"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 	"umberbank/internal/simwire"
@@ -57,10 +58,10 @@
 		return nil, err
 	}
 	ctx, h.cancel = context.WithCancel(ctx)
-	follow := node.Following{Name: h.node, Addr: func() string { return endpointOf(i) }, Dial: h.versions.dial,
-		Agreed:   node.Agreed{Endpoints: at, Tier: "front", Zone: h.zone, Region: h.region, SendsTo: h.service},
-		CouldRun: couldRun, Log: func(string, ...any) {},
-		Run: func(settings json.RawMessage) error {
+	follow := follower.Options{Name: h.node, Addr: func() string { return endpointOf(i) }, Dial: h.versions.dial,
+		Rollout:  config.Rollout{Endpoints: at, Tier: "front", Zone: h.zone, Region: h.region, SendsTo: h.service},
+		Validate: couldRun, Notify: func(follower.Event) {}, Log: slog.New(slog.DiscardHandler),
+		Apply: func(settings json.RawMessage) error {
 			if err := couldRun(settings); err != nil {
 				return err
 			}
@@ -70,7 +71,7 @@
 	unit := &agent.Agent{Registry: at, TTL: leaseTTL, Dial: h.agent.dial, Log: slog.New(slog.DiscardHandler),
 		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
 	h.running.Go(func() { h.reader.Run(ctx, func(u client.WatchEvent) { h.rev.Store(u.Revision) }) }) // it ends with ctx
-	h.running.Go(func() { node.Follow(ctx, follow) })
+	h.running.Go(func() { follower.Run(ctx, follow) })
 	h.running.Go(func() { unit.Run(ctx) })
 	return h, nil
 }
--- /dev/null
+++ b/internal/node/attempt.go
@@ -0,0 +1,171 @@
+package node
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/node/header"
+	"umberbank/internal/node/upstream"
+)
+
+// attempt is one Send of the decisions. The loop owns it.
+type attempt struct {
+	request    *request
+	index      int    // among the attempts of the request
+	endpoint   string // its ID
+	sentAt     time.Duration
+	cancel     context.CancelCauseFunc
+	timer      *time.Timer // cancels it when its time is over
+	responding bool        // its response is being passed on, as the request's
+}
+
+// send starts an attempt. Every Send gets exactly one Outcome.
+func (l *loop) send(a balancer.Send) {
+	r := l.requests[a.ID]
+	if r == nil {
+		slog.Error("attempt of an unknown request", "request", a.ID)
+		return
+	}
+	now := l.clock.now()
+	timeout := r.deadline - now
+	if a.Timeout != 0 { // 0: until the deadline
+		timeout = min(timeout, a.Timeout)
+	}
+	ctx, cancel := context.WithCancelCause(context.Background())
+	at := &attempt{request: r, index: len(r.attempts), endpoint: a.Endpoint, sentAt: now, cancel: cancel}
+	r.attempts = append(r.attempts, at)
+	r.inFlight++
+	e := l.endpoints[a.Endpoint]
+	if e == nil || !l.maySend(at, timeout) {
+		l.queue = append(l.queue, l.end(at, upstream.AttemptResult{Result: balancer.NotSent}))
+		return
+	}
+	call := l.newCall(ctx, at, now+timeout)
+	if r.rest == nil {
+		at.timer = time.AfterFunc(timeout, func() { cancel(upstream.ErrTimedOut) })
+	}
+	go func() {
+		result := l.pool.Attempt(ctx, e, call)
+		l.post(func() { l.handle(l.end(at, result)) })
+	}()
+}
+
+// maySend reports whether the request of an attempt may be sent, with a timeout for the attempt.
+func (l *loop) maySend(at *attempt, timeout time.Duration) bool {
+	r := at.request
+	if r.finished.Load() || r.disconnected.Load() {
+		return false
+	}
+	if timeout <= 0 && r.rest == nil {
+		return false
+	}
+	return r.maxAttempts <= 0 || at.index < r.maxAttempts
+}
+
+// newCall is what an attempt sends. deadline is the clock time at which its time is over, unless the request's time has not begun.
+func (l *loop) newCall(ctx context.Context, at *attempt, deadline time.Duration) upstream.Call {
+	r := at.request
+	call := upstream.Call{
+		Request:         r.outgoing.Clone(ctx),
+		Conditions:      upstream.Conditions{Now: l.now, Wanted: r.wanted, Deadline: deadline, RetryDeadline: r.retryDeadline()},
+		ResponseStarted: func(response *upstream.Response) { l.post(func() { l.responseStarted(at, response) }) },
+	}
+	if r.rest == nil {
+		if len(r.body) > 0 {
+			call.Request.Body = io.NopCloser(bytes.NewReader(r.body))
+		}
+		return call
+	}
+	// Its time begins with its last byte. How slow that may be is the client's body's to say.
+	call.Rest = r.rest
+	call.Conditions.Deadline = 0
+	call.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(r.timeLeft))
+	call.Request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.rest))
+	call.BodySent = func() { l.post(func() { l.bodySent(at) }) }
+	r.fallbackTimer.Stop()
+	return call
+}
+
+// cancel ends an attempt that the decisions want no more.
+func (l *loop) cancel(a balancer.Cancel) {
+	if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
+		r.attempts[a.Attempt].cancel(upstream.ErrCancelled)
+	}
+}
+
+// bodySent notes that the last byte of a long request was written: its time begins.
+func (l *loop) bodySent(at *attempt) {
+	r := at.request
+	at.timer = time.AfterFunc(r.timeLeft, func() { at.cancel(upstream.ErrTimedOut) })
+	if r.finished.Load() {
+		return
+	}
+	l.startTime(r)
+	at.timer.Reset(r.deadline - l.clock.now())
+	l.startFallbackTimer(r)
+	l.handle(balancer.RequestBodySent{ID: r.id, Attempt: at.index, Deadline: r.deadline})
+}
+
+// responseStarted makes a response that begins the final answer of its request, unless there is one already.
+func (l *loop) responseStarted(at *attempt, response *upstream.Response) {
+	if !l.close(at.request) {
+		at.cancel(upstream.ErrCancelled)
+		response.Discard()
+		return
+	}
+	at.responding = true
+	at.stopTimer()
+	at.request.answer <- answer{status: http.StatusOK, contentType: response.ContentType, response: response}
+	l.handle(balancer.ResponseStarted{ID: at.request.id, Attempt: at.index})
+}
+
+// stopTimer stops an attempt's timer, if it has one.
+func (at *attempt) stopTimer() {
+	if at.timer != nil {
+		at.timer.Stop()
+	}
+}
+
+// end notes that an attempt has ended and returns that as an event for the decisions. The first success is the request's answer.
+func (l *loop) end(at *attempt, result upstream.AttemptResult) balancer.Outcome {
+	r := at.request
+	at.stopTimer()
+	at.cancel(nil)
+	r.inFlight--
+	if at.responding {
+		l.metrics.InFlight.Add(-1)
+	}
+	if r.disconnected.Load() && l.close(r) { // the loop is about to hear of it; nothing may follow meanwhile
+		l.metrics.InFlight.Add(-1)
+	}
+	if mayHaveRun(result.Result) && (r.firstSentAt == 0 || at.sentAt < r.firstSentAt) {
+		r.firstSentAt = at.sentAt
+	}
+	if result.Result == balancer.Success {
+		l.finish(r.id, answer{status: http.StatusOK, body: result.Body, contentType: result.ContentType})
+	}
+	l.forget(r)
+	return balancer.Outcome{
+		ID:           r.id,
+		Attempt:      at.index,
+		Endpoint:     at.endpoint,
+		Result:       result.Result,
+		Latency:      l.clock.now() - at.sentAt,
+		RequestDone:  r.finished.Load(),
+		BodyConsumed: r.rest != nil && r.rest.Consumed(),
+	}
+}
+
+// mayHaveRun reports whether a server may have run an attempt that ended so.
+func mayHaveRun(result balancer.Result) bool {
+	switch result {
+	case balancer.Overloaded, balancer.Unreachable, balancer.NotSent:
+		return false
+	}
+	return true
+}
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -9,51 +9,23 @@
 	"strings"
 	"testing"
 	"time"
-)
 
-// dial connects to addr until the test ends; nothing on the connection waits for longer than limit.
-func dial(t *testing.T, addr string) net.Conn {
-	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(limit))
-	return c
-}
+	"umberbank/internal/node/control"
+	"umberbank/internal/node/nodetest"
+)
 
-// ask makes an operator's call and returns the whole answer.
-func ask(t *testing.T, n *Node, line string) string {
-	t.Helper()
-	c := dial(t, n.control.listener.Addr().String())
-	io.WriteString(c, line)
-	b, err := io.ReadAll(c)
-	if err != nil {
-		t.Fatalf("call %q: %v", line, err)
-	}
-	return string(b)
-}
+// maxControlLine is the longest line that a command may be, in bytes; see docs/oncall/control.md.
+const maxControlLine = 256
 
-// startControlled runs a node with a second address, and waits until it serves.
-func startControlled(t *testing.T, cfg Config) *Node {
-	t.Helper()
-	cfg.Control = "127.0.0.1:0"
-	n := startNode(t, cfg, nil)
-	for end := time.Now().Add(limit); ask(t, n, "check\n") != "ok\n"; {
-		if time.Now().After(end) {
-			t.Fatal("the node never serves")
-		}
-	}
-	return n
-}
+// minDrainIdle is how long a connection is idle before a drain closes it; see docs/oncall/drain.md.
+const minDrainIdle = 500 * time.Millisecond
 
 func TestControlAnswersEveryLine(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
 	for line, begins := range map[string]string{
 		"check\r\n": "ok\n", "drain-off\n": "ok\n", "\n": "fail the line is empty\n", "nonsense\n": "fail unknown call\n",
-		"check it\n": "fail unknown call\n", strings.Repeat("x", controlLine) + "\n": "fail the line is too long\n",
+		"check it\n": "fail unknown call\n", strings.Repeat("x", maxControlLine) + "\n": "fail the line is too long\n",
 		"CHECK\n": "fail unknown call\n",
 	} {
 		got := ask(t, n, line)
@@ -68,37 +40,35 @@
 func TestControlUnfinishedLine(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
-	c := dial(t, n.control.listener.Addr().String()).(*net.TCPConn)
+	c := nodetest.Dial(t, n.control.Addr().String()).(*net.TCPConn)
 	io.WriteString(c, "drain-on")
 	c.CloseWrite()
 	if b, _ := io.ReadAll(c); string(b) != "fail the line has no end\n" {
 		t.Errorf("half a line is answered %q", b)
 	}
-	if n.front.drain.draining() {
+	if n.frontend.drain.Draining() {
 		t.Error("half a line was carried out")
 	}
 }
 
-// Callers that finish no call are let go, and hold up no other, however many they are.
-func TestControlStalledCallers(t *testing.T) {
+// Clients that finish no call are let go, and hold up no other, however many they are.
+func TestControlStalledConnections(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
 	var stalled []net.Conn
-	for range 3 * mostControl {
-		c := dial(t, n.control.listener.Addr().String())
+	for range 3 * control.MaxConnections {
+		c := nodetest.Dial(t, n.control.Addr().String())
 		io.WriteString(c, "che")
 		stalled = append(stalled, c)
 	}
 	if got := ask(t, n, "drain-off\n"); got != "ok\n" {
-		t.Errorf("beside stalled callers: %q", got)
+		t.Errorf("beside stalled clients: %q", got)
 	}
 	for _, c := range stalled {
 		io.ReadAll(c) // until the node ends it; a reset is as good
 	}
-	n.control.mu.Lock()
-	defer n.control.mu.Unlock()
-	if len(n.control.open) > mostControl {
-		t.Errorf("%d callers are held", len(n.control.open))
+	if open := n.control.OpenConnections(); open > control.MaxConnections {
+		t.Errorf("%d connections are open", open)
 	}
 }
 
@@ -109,7 +79,7 @@
 	busy, free := make(chan struct{}), make(chan struct{})
 	n.loop.post(func() { close(busy); <-free })
 	defer close(free)
-	wait(t, busy)
+	nodetest.Wait(t, busy)
 	for _, line := range []string{"check\n", "drain-on\n", "drain-off\n"} {
 		if got := ask(t, n, line); got != "ok\n" {
 			t.Errorf("%q: %q", line, got)
@@ -117,7 +87,7 @@
 	}
 }
 
-func TestNoControlUnlessTold(t *testing.T) {
+func TestNoControlUnlessConfigured(t *testing.T) {
 	t.Parallel()
 	if n := startNode(t, testConfig("127.0.0.1:1"), nil); n.control != nil {
 		t.Error("a node that was told no address answers operators")
@@ -127,7 +97,7 @@
 // A draining node says so, serves what comes, and parts with every connection; then it is back.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	addr, _ := stub(t, ok, false)
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
 	n := startControlled(t, testConfig("127.0.0.1:1", serving("s", addr)))
 	const request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n"
 	ready := func() int {
@@ -148,7 +118,7 @@
 		io.ReadAll(resp.Body)
 		return resp
 	}
-	used, idle, unused := dial(t, n.Addr().String()), dial(t, n.Addr().String()), dial(t, n.Addr().String())
+	used, idle, unused := nodetest.Dial(t, n.Addr().String()), nodetest.Dial(t, n.Addr().String()), nodetest.Dial(t, n.Addr().String())
 	usedR, idleR := bufio.NewReader(used), bufio.NewReader(idle)
 	for range 2 {
 		exchange(used, usedR)
@@ -160,7 +130,7 @@
 	if s := ready(); s != http.StatusServiceUnavailable {
 		t.Errorf("ready while draining: %d", s)
 	}
-	fresh := dial(t, n.Addr().String())
+	fresh := nodetest.Dial(t, n.Addr().String())
 	for name, c := range map[string]net.Conn{"used": used, "fresh": fresh} {
 		if resp := exchange(c, bufio.NewReader(c)); resp.StatusCode != http.StatusOK || !resp.Close {
 			t.Errorf("%s connection while draining: %d, closing %v", name, resp.StatusCode, resp.Close)
@@ -177,7 +147,7 @@
 	if s := ready(); s != http.StatusOK {
 		t.Errorf("ready after the drain: %d", s)
 	}
-	back := dial(t, n.Addr().String())
+	back := nodetest.Dial(t, n.Addr().String())
 	r := bufio.NewReader(back)
 	for range 2 {
 		if resp := exchange(back, r); resp.StatusCode != http.StatusOK || resp.Close {
@@ -186,10 +156,10 @@
 	}
 }
 
-// A caller amid its request's head is not idle: neither a drain nor the process's end cuts it off.
+// A client amid its request's head is not idle: neither a drain nor the process's end cuts it off.
 func TestSlowHeadIsNotIdle(t *testing.T) {
 	t.Parallel()
-	addr, _ := stub(t, ok, false)
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
 	n, err := New(testConfig("127.0.0.1:1", serving("s", addr)))
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +167,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	fresh, kept := dial(t, n.Addr().String()), dial(t, n.Addr().String())
+	fresh, kept := nodetest.Dial(t, n.Addr().String()), nodetest.Dial(t, n.Addr().String())
 	keptR := bufio.NewReader(kept)
 	io.WriteString(kept, readRequest)
 	if resp, err := http.ReadResponse(keptR, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -210,14 +180,14 @@
 	}
 	time.Sleep(50 * time.Millisecond) // for the half heads to be there
 	stop()
-	time.Sleep(3 * drainIdle)
+	time.Sleep(3 * minDrainIdle)
 	for name, c := range map[string]net.Conn{"fresh": fresh, "kept": kept} {
 		io.WriteString(c, readRequest[30:])
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 			t.Errorf("%s: %+v, %v", name, resp, err)
 		}
 	}
-	if err := wait(t, done); err != nil {
+	if err := nodetest.Wait(t, done); err != nil {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/node/doc.go
@@ -0,0 +1,15 @@
+// Package node runs the decisions of package balancer on real sockets: clients on one side, servers on the other, and discovery or a
+// registry, which has the endpoint list. It makes no decisions.
+//
+// One goroutine, the event loop (loop), owns the decisions and all state of requests, attempts and the endpoint list. It never waits
+// for I/O: the goroutines that do post what came of it. The packages below this one each have a part with an interface of its own:
+//
+//   - config reads the configuration and says what a reload may change;
+//   - clientconn has the clients' connections, header the names and forms of the headers;
+//   - upstream makes attempts over connections to servers; bodybudget bounds what bodies hold of the memory;
+//   - discovery follows the endpoint list; follower takes settings by agreement of the site;
+//   - snapshotter saves what the decisions have learned; processlock lets processes take over from each other;
+//   - control and metrics are for operators.
+//
+// The times of the event loop are Unix time, as durations, by a clock that never goes back.
+package node
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -1,49 +1,158 @@
 package node
 
 import (
-	"flag"
-	"os"
-	"path/filepath"
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"regexp"
 	"strings"
 	"testing"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/node/nodetest"
 )
 
-// update makes the golden tests write their files instead of comparing with them. The files in the repository were written
-// by the program before its names were changed; they are rewritten only when a form changes on purpose.
-var update = flag.Bool("update", false, "rewrite the golden files")
+// Every line that operators can send to the second address, and the answer to it.
+func TestGoldenControl(t *testing.T) {
+	t.Parallel()
+	n := startControlled(t, testConfig("127.0.0.1:1"))
+	var b strings.Builder
+	say := func(line, answer string) { fmt.Fprintf(&b, "%.40q -> %q\n", line, answer) }
+	for _, line := range []string{"check\n", "check\r\n", "drain-on\n", "drain-off\n", "\n", "nonsense\n", "CHECK\n", "check it\n", "vars \n",
+		strings.Repeat("x", 300) + "\n"} {
+		say(line, ask(t, n, line))
+	}
+	calls := n.commands()
+	n.stopping.Store(true)
+	say("drain-off while stopping", calls["drain-off"]())
+	n.stopping.Store(false)
+	n.serving.Store(false)
+	say("check before serving", calls["check"]())
+	n.serving.Store(true)
+	nodetest.Golden(t, "control.golden", b.String())
+}
 
-// golden compares got with the file of this name under testdata, byte for byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
+var (
+	dateLine     = regexp.MustCompile(`(?m)^Date: .*\r\n`)
+	timeLeftLine = regexp.MustCompile(`X-Time-Left: \d+u`)
+	portNumber   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+)
+
+// What clients get, byte for byte but for the date, for requests that are not taken, are refused, fail, and are served.
+func TestGoldenAnswers(t *testing.T) {
+	t.Parallel()
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	served := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	refusing := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+		r, is := e.(balancer.Request)
+		switch {
+		case is && r.Class == "read":
+			return []balancer.Action{balancer.Reject{ID: r.ID, RetryAfter: 1250 * time.Millisecond}}
+		case is:
+			return []balancer.Action{balancer.Fail{ID: r.ID}}
 		}
-		return
+		return nil
+	}))
+	const id, left = "X-Correlation-Id: c-1\r\n", "X-Time-Left: 9000m\r\n"
+	var b strings.Builder
+	for _, c := range []struct {
+		n       *Node
+		request string
+	}{
+		{served, "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"},
+		{served, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{served, "GET /read/1 HTTP/1.0\r\n" + id + left + "\r\n"},
+		{served, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + left + "\r\n"},
+		{served, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + "\r\n"},
+		{served, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + "X-Time-Left: 480\r\n\r\n"},
+		{served, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + "X-Time-Left: -5m\r\n\r\n"},
+		{served, "GET / HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{served, "GET /reads/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{served, "PUT /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{served, "POST /send/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 0\r\n\r\n"},
+		{served, "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 33554433\r\n\r\n"},
+		{refusing, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{refusing, "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 0\r\n\r\n"},
+	} {
+		fmt.Fprintf(&b, "%q\n%q\n", c.request, rawAnswer(t, c.n, c.request))
 	}
-	text, err := os.ReadFile(path)
+	nodetest.Golden(t, "answers.golden", b.String())
+}
+
+// rawAnswer is the whole answer to a request, without its date.
+func rawAnswer(t *testing.T, n *Node, request string) string {
+	t.Helper()
+	c := nodetest.Dial(t, n.Addr().String())
+	io.WriteString(c, request)
+	var raw strings.Builder
+	resp, err := http.ReadResponse(bufio.NewReader(io.TeeReader(c, &raw)), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("%q: %v", request, err)
 	}
-	if got == string(text) {
-		return
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatalf("%q: %v", request, err)
 	}
-	want, have := strings.Split(string(text), "\n"), strings.Split(got, "\n")
-	for i := range max(len(want), len(have)) {
-		w, h := lineAt(want, i), lineAt(have, i)
-		if w != h {
-			t.Errorf("%s:%d:\n  want %s\n   got %s", path, i+1, w, h)
+	return dateLine.ReplaceAllString(raw.String(), "")
+}
+
+// What servers get, byte for byte but for the time that is left: what of a client's headers is forwarded, and what is added.
+func TestGoldenForwarded(t *testing.T) {
+	t.Parallel()
+	heads := make(chan string, 10)
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		var head strings.Builder
+		requests := bufio.NewReader(io.TeeReader(r, &head))
+		for { // a connection that the server closes might take the next request along
+			req, err := http.ReadRequest(requests)
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, req.Body)
+			heads <- timeLeftLine.ReplaceAllString(portNumber.ReplaceAllString(head.String(), "ADDR"), "X-Time-Left: TIMEu")
+			head.Reset()
+			io.WriteString(c, nodetest.OK)
 		}
+	})
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	const common = "Host: app\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\nX-Facts: effort-ms=2\r\nX-Repeat: 1\r\nX-Other: o\r\nAccept: */*\r\n" +
+		"User-Agent: u\r\nIdempotency-Key: k\r\nContent-Type: a/b\r\nCookie: c\r\n"
+	var b strings.Builder
+	for _, request := range []string{
+		"GET /read//7f%2F3a?q=1&q=2 HTTP/1.1\r\n" + common + "\r\n",
+		"POST /send/1 HTTP/1.1\r\n" + common + "Content-Length: 4\r\n\r\nbody",
+		"GET /read/1 HTTP/1.0\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n",
+	} {
+		rawAnswer(t, n, request)
+		fmt.Fprintf(&b, "%q\n%q\n", request, nodetest.Wait(t, heads))
 	}
+	nodetest.Golden(t, "forwarded.golden", b.String())
 }
 
-func lineAt(lines []string, i int) string {
-	if i < len(lines) {
-		return lines[i]
+// What the decisions are told of a client's request.
+func TestGoldenRequestHeaders(t *testing.T) {
+	t.Parallel()
+	requests := make(chan balancer.Request, 1)
+	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+		if r, is := e.(balancer.Request); is {
+			requests <- r
+			return []balancer.Action{balancer.Fail{ID: r.ID}}
+		}
+		return nil
+	}))
+	for _, c := range []struct {
+		repeat, facts string
+		again         bool
+		cost          time.Duration
+	}{{"1", "effort-ms=2.5", true, 2500 * time.Microsecond}, {"0", "effort=2", false, 0}, {"", "", false, 0}} {
+		r := newRequest(t, n, "GET", "/read/1", "")
+		r.Header.Set("X-Repeat", c.repeat)
+		r.Header.Set("X-Facts", c.facts)
+		nodetest.Do(t, r)
+		if got := nodetest.Wait(t, requests); got.ClientRetry != c.again || got.CostHint != c.cost || got.Class != "read" {
+			t.Errorf("X-Repeat %q, X-Facts %q: %+v", c.repeat, c.facts, got)
+		}
 	}
-	return "(none)"
 }
--- a/internal/node/caughtup_test.go
+++ b/internal/node/insync_test.go
@@ -14,6 +14,8 @@
 	"testing"
 	"time"
 
+	"umberbank/internal/node/follower"
+	"umberbank/internal/node/nodetest"
 	"umberbank/internal/registry/state"
 )
 
@@ -153,21 +155,17 @@
 	return number
 }
 
-func attempts(t *testing.T, next int) json.RawMessage {
-	return otherSettings(t, `"limits":{`, fmt.Sprintf(`"limits":{"max-attempts":%d,`, next))
-}
-
 // A node starts with a version that an earlier process kept, while another is in force. It serves only once the registry has
 // its word that it runs that one; one that ends before has served nobody. A while later nobody hears from it, two versions
 // pass by, and it comes back through the last, serving all along.
-func TestServesOnceCaughtUp(t *testing.T) {
+func TestServesOnceInSync(t *testing.T) {
 	t.Parallel()
 	r, addr := newOneReplica(t)
 	first := attempts(t, 5)
 	r.force(t, first)
 	r.force(t, attempts(t, 6))
 	keep := filepath.Join(t.TempDir(), "kept")
-	text, err := json.Marshal(kept{1, state.ContentHash(first), first})
+	text, err := json.Marshal(follower.Version{Number: 1, Hash: state.ContentHash(first), Settings: first})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,13 +188,13 @@
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- early.Run(ctx) }()
-	wait(t, reported)
+	nodetest.Wait(t, reported)
 	end()
-	if err := wait(t, done); err != nil || early.serving.Load() {
+	if err := nodetest.Wait(t, done); err != nil || early.serving.Load() {
 		t.Errorf("ended before it had caught up: %v, serving %v", err, early.serving.Load())
 	}
 
-	if text, err = json.Marshal(kept{1, state.ContentHash(first), first}); err != nil {
+	if text, err = json.Marshal(follower.Version{Number: 1, Hash: state.ContentHash(first), Settings: first}); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(keep, text, 0o600); err != nil {
@@ -204,8 +202,8 @@
 	}
 	n := newNodeFor(t, cfg)
 	runNode(t, n)
-	eventually(t, "it says what it runs", func() bool { return n.running(t) == 6 })
-	wait(t, reported)
+	nodetest.Eventually(t, "it says what it runs", func() bool { return n.running(t) == 6 })
+	nodetest.Wait(t, reported)
 	if inTouch, _ := r.node("n3"); n.serving.Load() || inTouch {
 		t.Errorf("serving %v, in touch %v before its word was taken", n.serving.Load(), inTouch)
 	}
@@ -223,7 +221,7 @@
 	r.write(state.Op{Kind: state.OpExpire, UID: "n3", Token: start})
 	r.force(t, attempts(t, 7))
 	r.force(t, attempts(t, 8))
-	eventually(t, "it is back in touch", func() bool { inTouch, running := r.node("n3"); return inTouch && running == 4 })
+	nodetest.Eventually(t, "it is back in touch", func() bool { inTouch, running := r.node("n3"); return inTouch && running == 4 })
 	if got := n.running(t); got != 8 {
 		t.Errorf("it is in touch with version 4 and makes %d attempts", got)
 	}
--- /dev/null
+++ b/internal/node/lifecycle_test.go
@@ -0,0 +1,314 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"umberbank/internal/node/control"
+	"umberbank/internal/node/nodetest"
+)
+
+// platformSocket is a listening socket that outlives every process of the node; inherit gives the
+// descriptor under which one of them finds it.
+func platformSocket(t *testing.T) (addr string, inherit func() int) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l.Addr().String(), func() int {
+		f, err := l.(*net.TCPListener).File()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fd := dup(t, f)
+		f.Close()
+		return fd
+	}
+}
+
+// dup gives a descriptor of its own for an open file, for the node to keep or the test to leave.
+func dup(t *testing.T, f *os.File) int {
+	t.Helper()
+	fd, err := syscall.Dup(int(f.Fd()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fd
+}
+
+// quota is the part of the limits that the process has now.
+func (n *Node) quota() float64 {
+	spare := n.cfg.Sockets - reservedDescriptors - control.MaxConnections - 1
+	return float64(n.listener.Limit()) / float64(spare-spare*2/5)
+}
+
+// stopped reports whether the process accepts no more.
+func (n *Node) stopped() bool { return n.listener.Closed() }
+
+// Two processes on one socket: the first ends its work and takes no more; what waits goes to the second.
+func TestReplacedWithoutALostRequest(t *testing.T) {
+	t.Setenv("TMPDIR", t.TempDir())
+	begun, release := make(chan struct{}, 10), make(chan struct{})
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		for {
+			if _, err := http.ReadRequest(r); err != nil {
+				return
+			}
+			begun <- struct{}{}
+			<-release
+			io.WriteString(c, nodetest.OK)
+		}
+	})
+	clients, inherit := platformSocket(t)
+	start := func(ctx context.Context) (*Node, chan error) {
+		cfg := testConfig("127.0.0.1:1", serving("s", addr))
+		cfg.Control, cfg.AcceptFD = "127.0.0.1:0", inherit()
+		n, err := New(cfg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		done := make(chan error, 1)
+		go func() { done <- n.Run(ctx) }()
+		for end := time.Now().Add(nodetest.Limit); ask(t, n, "check\n") != "ok\n"; {
+			if time.Now().After(end) {
+				t.Fatal("the node never serves")
+			}
+		}
+		return n, done
+	}
+	firstCtx, stopFirst := context.WithCancel(context.Background())
+	defer stopFirst()
+	first, firstDone := start(firstCtx)
+	open := nodetest.Dial(t, clients)
+	io.WriteString(open, readRequest)
+	nodetest.Wait(t, begun)
+
+	secondCtx, stopSecond := context.WithCancel(context.Background())
+	defer stopSecond()
+	second, secondDone := start(secondCtx)
+	if s := second.quota(); s > startingQuota {
+		t.Errorf("beside its predecessor the second process has a share of %v", s)
+	}
+	stopFirst()
+	for end := time.Now().Add(nodetest.Limit); !first.stopped(); {
+		if time.Now().After(end) {
+			t.Fatal("the first process still accepts")
+		}
+		time.Sleep(time.Millisecond)
+	}
+	late := nodetest.Dial(t, clients)
+	io.WriteString(late, readRequest)
+	nodetest.Wait(t, begun)
+	close(release)
+	for name, c := range map[string]net.Conn{"open": open, "late": late} {
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil || resp.StatusCode != http.StatusOK || resp.Close != (name == "open") {
+			t.Errorf("%s request: %+v, %v", name, resp, err)
+		}
+	}
+	if err := nodetest.Wait(t, firstDone); err != nil {
+		t.Errorf("the first process: %v", err)
+	}
+	for end := time.Now().Add(nodetest.Limit); second.quota() <= startingQuota; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("alone, the second process never gets its share")
+		}
+	}
+	stopSecond()
+	if err := nodetest.Wait(t, secondDone); err != nil {
+		t.Errorf("the second process: %v", err)
+	}
+}
+
+func TestInheritedMustListen(t *testing.T) {
+	t.Parallel()
+	file, err := os.CreateTemp(t.TempDir(), "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	tcp, err := nodetest.Dial(t, addr).(*net.TCPConn).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer tcp.Close()
+	unix, err := net.Listen("unix", t.TempDir()+"/s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close()
+	unixFile, err := unix.(*net.UnixListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unixFile.Close()
+	for name, fd := range map[string]int{
+		"not open": 1 << 20, "a file": dup(t, file), "a connection": dup(t, tcp), "a Unix socket": dup(t, unixFile),
+	} {
+		cfg := testConfig("127.0.0.1:1")
+		cfg.AcceptFD = fd
+		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "inherited descriptor") {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// A process that is told to stop does not break off a long answer, however long that goes on.
+func TestStopLeavesALongAnswerWhole(t *testing.T) {
+	t.Parallel()
+	release := make(chan struct{})
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := http.ReadRequest(r); err == nil {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\nx")
+			<-release
+			io.WriteString(c, strings.Repeat("x", 69999))
+		}
+	})
+	n, err := New(testConfig("127.0.0.1:1", serving("s", addr)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.longestRequest.Store(0) // all that can be answered is to be answered at once
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- n.Run(ctx) }()
+	conn := nodetest.Dial(t, n.Addr().String())
+	io.WriteString(conn, head("GET", "/read/1", ""))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stop()
+	time.Sleep(killGrace + killMargin)
+	select {
+	case err := <-done:
+		t.Errorf("ended amid an answer: %v", err)
+	default:
+	}
+	close(release)
+	if b, err := io.ReadAll(resp.Body); err != nil || len(b) != 70000 {
+		t.Errorf("%d bytes, %v", len(b), err)
+	}
+	if err := nodetest.Wait(t, done); err != nil {
+		t.Error(err)
+	}
+}
+
+// After the signal new connections come for a while: they are served, and so is all that was taken,
+// each with the word that its connection closes, before Run returns.
+func TestStopServesWhatCame(t *testing.T) {
+	t.Parallel()
+	began, release := make(chan struct{}, 2), make(chan struct{})
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := http.ReadRequest(r); err == nil {
+			began <- struct{}{}
+			<-release
+			io.WriteString(c, nodetest.OK)
+		}
+	})
+	n, err := New(testConfig("127.0.0.1:1", serving("s", addr)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if n.lingerTimeout <= 400*time.Millisecond {
+		t.Errorf("new connections are taken for %v only", n.lingerTimeout)
+	}
+	n.lingerTimeout = 3 * time.Second // a slow machine gets more
+	n.longestRequest.Store(int64(nodetest.Limit))
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- n.Run(ctx) }()
+	answers := make(chan *http.Response, 2)
+	ask := func() {
+		resp, err := (&http.Transport{}).RoundTrip(newRequest(t, n, "GET", "/read/1", ""))
+		if err != nil {
+			t.Error(err)
+		}
+		answers <- resp
+	}
+	go ask()
+	nodetest.Wait(t, began)
+	cancel()
+	go ask() // after the signal
+	nodetest.Wait(t, began)
+	// Once the listener is closed the rest is answered.
+	for stop := time.Now().Add(nodetest.Limit); time.Now().Before(stop); {
+		c, err := net.Dial("tcp", n.Addr().String())
+		if err != nil {
+			break
+		}
+		c.Close()
+	}
+	select {
+	case err := <-done:
+		t.Fatalf("Run returned %v with requests unanswered", err)
+	default:
+	}
+	close(release)
+	for range 2 {
+		if resp := nodetest.Wait(t, answers); resp == nil || resp.StatusCode != http.StatusOK || !resp.Close {
+			t.Errorf("answer %+v", resp)
+		}
+	}
+	if err := nodetest.Wait(t, done); err != nil {
+		t.Errorf("Run: %v", err)
+	}
+}
+
+// What would outlast the kill is failed before it.
+func TestStopAnswersBeforeTheKill(t *testing.T) {
+	t.Parallel()
+	began := make(chan struct{})
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := http.ReadRequest(r); err == nil {
+			close(began)
+			io.Copy(io.Discard, r)
+		}
+	})
+	cfg := testConfig("127.0.0.1:1", serving("s", addr))
+	for i := range cfg.Settings.Classes {
+		cfg.Settings.Classes[i].Deadline = 300 * time.Millisecond
+	}
+	n, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- n.Run(ctx) }()
+	status := make(chan int, 1)
+	go func() {
+		resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")) // with 10 s left
+		status <- resp.StatusCode
+	}()
+	nodetest.Wait(t, began)
+	cancel()
+	if s := nodetest.Wait(t, status); s != 502 {
+		t.Errorf("answer %d", s)
+	}
+	if err := nodetest.Wait(t, done); err != nil {
+		t.Errorf("Run: %v", err)
+	}
+}
+
+// What comes when the process is about to be killed is refused at once: no answer would come in time.
+func TestRejectsBeforeTheKill(t *testing.T) {
+	t.Parallel()
+	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n.loop.post(n.loop.abandonAll)
+	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusServiceUnavailable || len(got) > 0 {
+		t.Errorf("answer %d, %d sent on", resp.StatusCode, len(got))
+	}
+}
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -6,11 +6,14 @@
 	"strings"
 	"testing"
 	"time"
+
+	"umberbank/internal/node/metrics"
+	"umberbank/internal/node/nodetest"
 )
 
 // figures are the operators' figures as vars tells them.
 type figures struct {
-	Results                                                                     map[string]results
+	Results                                                                     map[string]metrics.ClassResults
 	Outstanding, Forwards, Discovered, Ejected, Sighup_applied, Sighup_rejected int
 }
 
@@ -29,24 +32,24 @@
 // Each figure follows what happens: an answer of each kind, a request in hand, the list.
 func TestFiguresFollowWhatHappens(t *testing.T) {
 	t.Parallel()
-	served, _ := stub(t, ok, false)
-	failing, _ := stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
-	full, _ := stub(t, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false)
+	served, _ := nodetest.Stub(t, nodetest.OK, false)
+	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
+	full, _ := nodetest.Stub(t, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false)
 	for name, c := range map[string]struct {
 		addr string
-		want results
+		want metrics.ClassResults
 	}{
-		"served": {served, results{Succeeded: 1}}, "failing": {failing, results{Aborted: 1}},
-		"full": {full, results{Declined: 1}},
+		"served": {served, metrics.ClassResults{Succeeded: 1}}, "failing": {failing, metrics.ClassResults{Failed: 1}},
+		"full": {full, metrics.ClassResults{Rejected: 1}},
 	} {
 		cfg := testConfig("127.0.0.1:1", serving("s", c.addr))
 		cfg.Settings.MaxAttempts = 1
 		n := startControlled(t, cfg)
-		if f := vars(t, n); f.Results["order"] != (results{}) || len(f.Results) != 3 || f.Discovered != 1 || f.Forwards != 0 {
+		if f := vars(t, n); f.Results["order"] != (metrics.ClassResults{}) || len(f.Results) != 3 || f.Discovered != 1 || f.Forwards != 0 {
 			t.Errorf("%s: at the start %+v", name, f)
 		}
-		do(t, newRequest(t, n, "POST", "/order/1", ""))
-		do(t, newRequest(t, n, "PUT", "/order/1", "")) // no caller's request
+		nodetest.Do(t, newRequest(t, n, "POST", "/order/1", ""))
+		nodetest.Do(t, newRequest(t, n, "PUT", "/order/1", "")) // no client's request
 		if f := vars(t, n); f.Results["order"] != c.want || f.Forwards != 1 || f.Outstanding != 0 {
 			t.Errorf("%s: %+v", name, f)
 		}
@@ -55,20 +58,20 @@
 
 func TestFiguresOutstanding(t *testing.T) {
 	t.Parallel()
-	silent, got := stub(t, "", false)
+	silent, got := nodetest.Stub(t, "", false)
 	n := startControlled(t, testConfig("127.0.0.1:1", serving("s", silent)))
-	c := dial(t, n.Addr().String())
+	c := nodetest.Dial(t, n.Addr().String())
 	if _, err := c.Write([]byte(readRequest)); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, got)
+	nodetest.Wait(t, got)
 	if f := vars(t, n); f.Outstanding != 1 || f.Forwards != 1 {
 		t.Errorf("with a request in hand: %+v", f)
 	}
 	c.(*net.TCPConn).Close()
-	for end := time.Now().Add(limit); vars(t, n).Outstanding != 0; {
+	for end := time.Now().Add(nodetest.Limit); vars(t, n).Outstanding != 0; {
 		if time.Now().After(end) {
-			t.Fatal("a request whose caller has left stays outstanding")
+			t.Fatal("a request whose client has left stays outstanding")
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,12 +1,8 @@
-// Package node runs the decision module on real sockets: callers on one side, servers on the other,
-// and discovery, which tells of them. It makes no decisions.
 package node
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
-	"log"
 	"net"
 	"os"
 	"runtime/debug"
@@ -15,39 +11,66 @@
 	"time"
 
 	"umberbank/balancer"
+	"umberbank/internal/node/bodybudget"
+	"umberbank/internal/node/clientconn"
+	"umberbank/internal/node/config"
+	"umberbank/internal/node/control"
+	"umberbank/internal/node/discovery"
+	"umberbank/internal/node/follower"
+	"umberbank/internal/node/listener"
+	"umberbank/internal/node/metrics"
+	"umberbank/internal/node/processlock"
+	"umberbank/internal/node/snapshotter"
+	"umberbank/internal/node/upstream"
 	"umberbank/internal/registry/client"
 )
 
-// Node is one real node.
+// Node is one node of the load balancer. New returns one that listens, and Run serves; the other methods may be called by any
+// goroutine while it runs.
 type Node struct {
-	loop     *loop
-	front    *front
-	listener *limitListener
-	cfg      Config   // as the node was started with
-	turn     *turn    // nil: the process is not replaced while it serves
-	control  *control // nil: no address was told
-	known    List
-	registry *client.Watcher // nil: the node follows discovery
-	keeper   *keeper         // nil: it keeps nothing for the process after it
-	linger   time.Duration   // how long a stopping node goes on as before
-	patience atomic.Int64    // how long callers may wait for what a stopping node has taken
-	follower *follower       // nil: settings are not agreed on
+	loop        *loop
+	frontend    *frontend
+	listener    *clientconn.Listener
+	cfg         config.Config            // as the node was started with
+	lock        *processlock.Lock        // nil: the process is not replaced while it serves
+	control     *control.Server          // nil: there is no address for operators
+	known       discovery.Update         // the endpoint list to start with
+	registry    *client.Watcher          // nil: the node follows discovery
+	snapshotter *snapshotter.Snapshotter // nil: nothing is saved for the process after this one
+	follower    *follower.Follower       // nil: settings come from the configuration alone
+
+	lingerTimeout  time.Duration // how long a stopping node goes on to accept
+	longestRequest atomic.Int64  // a time.Duration: how long clients may wait for what a stopping node has accepted
 
 	reloading sync.Mutex      // of what follows, which a reload changes
-	shape     any             // of the configuration in force; see Config
-	now       Config          // that configuration
-	agreed    json.RawMessage // settings that were agreed on, if they were
+	current   config.Config   // the configuration in force
+	agreed    json.RawMessage // settings from a rollout, if there are any
 
-	serving  atomic.Bool // callers are served
+	serving  atomic.Bool // clients are served
 	stopping atomic.Bool // and will not be much longer
 }
 
-// reserved descriptors are for the listener, the watch, the log and the runtime.
-const reserved = 32
+const (
+	// reservedDescriptors are for the listener, the watch, the log and the runtime.
+	reservedDescriptors = 32
+	// upstreamFraction is the part of the descriptors for connections to servers. An attempt needs a client, and clients hold idle
+	// connections besides: they get the larger part.
+	upstreamFractionNum, upstreamFractionDen = 2, 5
+	// memoryLimitFraction of the memory limit makes the garbage collector work harder, well before the limit at which the node is
+	// killed.
+	memoryLimitFraction = 0.7
+)
 
-// New returns a node that listens.
-func New(cfg Config) (*Node, error) {
-	cfg, kept := withKept(cfg)
+// A node whose process can be replaced is two processes for a while, under one set of limits. The one that serves keeps to
+// servingQuota of them, and one that starts beside it to startingQuota.
+const (
+	servingQuota  = 2.0 / 3
+	startingQuota = 1.0 / 3
+)
+
+// New returns a node that listens and does not serve yet.
+func New(cfg config.Config) (*Node, error) {
+	cfg, version := follower.Restore(cfg)
 	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -56,195 +79,123 @@
 	if err != nil {
 		return nil, err
 	}
-	n.agreed = kept.Settings
-	if n.follower, err = newFollower(n, kept); err != nil {
+	n.agreed = version.Settings
+	if n.follower, err = n.newFollower(version); err != nil {
 		n.listener.Close()
 		return nil, fmt.Errorf("agreed: %w", err)
 	}
 	return n, nil
 }
 
-func newNode(cfg Config, m module) (*Node, error) {
-	listener, err := listenFor(cfg)
+// newNode is New with given decisions, and without a follower of rollouts.
+func newNode(cfg config.Config, decisions decisions) (*Node, error) {
+	socket, err := listen(cfg)
 	if err != nil {
 		return nil, err
 	}
-	counts := &metrics{}
-	l := newLoop(cfg, m, newUpstream(cfg, 1, counts, budgetFor(cfg)), newDiscovery(cfg.Discovery), counts)
-	n := &Node{loop: l, front: newFront(l), cfg: cfg, known: cfg.Known, linger: linger,
-		listener: newLimitListener(persistentListener{listener}, 1)}
-	n.listener.makeRoom = n.front.callers.makeRoom
-	n.setShare(1)
-	if err := n.followRegistry(); err != nil {
-		listener.Close()
-		return nil, fmt.Errorf("registry: %w", err)
-	}
-	l.elsewhere = n.registry != nil
-	if cfg.AcceptFD > 0 {
-		if n.turn, err = newTurn(os.TempDir(), cfg.Name); err != nil {
-			listener.Close()
-			return nil, fmt.Errorf("lock of the serving process: %w", err)
-		}
-		n.setShare(startingShare)
-	}
-	n.keeper = newKeeper(cfg)
-	n.patience.Store(int64(patienceFor(cfg.Settings)))
-	n.shape, n.now = cfg.shape, cfg
-	if cfg.Control != "" {
-		if n.control, err = newControl(cfg.Control, n.calls()); err != nil {
-			listener.Close()
-			return nil, fmt.Errorf("control: %w", err)
-		}
+	n := assemble(cfg, decisions, socket)
+	if err := n.openFacilities(); err != nil {
+		socket.Close()
+		return nil, err
 	}
 	return n, nil
 }
 
-func listenFor(cfg Config) (net.Listener, error) {
+// listen opens the clients' socket, or takes the one that is inherited.
+func listen(cfg config.Config) (net.Listener, error) {
 	if cfg.AcceptFD > 0 {
-		return inherited(cfg.AcceptFD)
+		return listener.Inherit(cfg.AcceptFD)
 	}
 	return net.Listen("tcp", cfg.Listen)
 }
 
-// setShare gives the process a share of the node's limits.
-func (n *Node) setShare(share float64) {
-	spare := n.cfg.Sockets - reserved
+// assemble puts the parts of a node together that can not fail.
+func assemble(cfg config.Config, decisions decisions, socket net.Listener) *Node {
+	counters := &metrics.Metrics{}
+	pool := upstream.NewPool(upstream.Options{
+		Connections:    cfg.Connections,
+		MaxConnections: 1, // until setQuota
+		Metrics:        counters,
+		Budget:         bodybudget.ForMemory(cfg.MemoryMB, cfg.AcceptFD > 0),
+	})
+	l := newLoop(cfg, decisions, pool, discovery.NewClient(cfg.Discovery), counters)
+	front := newFrontend(l)
+	n := &Node{
+		loop:          l,
+		frontend:      front,
+		listener:      clientconn.NewListener(listener.Persistent{Listener: socket}, 1, front.idle.Evict),
+		cfg:           cfg,
+		known:         cfg.Known,
+		lingerTimeout: lingerTimeout,
+		current:       cfg,
+	}
+	n.setQuota(1)
+	n.longestRequest.Store(int64(longestRequestOf(cfg.Settings)))
+	if cfg.Snapshots.Dir != "" {
+		n.snapshotter = snapshotter.New(cfg.Snapshots.Dir, cfg.Snapshots.Interval)
+	}
+	return n
+}
+
+// openFacilities opens what the configuration asks for besides the clients' socket.
+func (n *Node) openFacilities() (err error) {
+	if err := n.openRegistry(); err != nil {
+		return fmt.Errorf("registry: %w", err)
+	}
+	n.loop.watcher.external = n.registry != nil
+	if n.cfg.AcceptFD > 0 {
+		if n.lock, err = processlock.Open(os.TempDir(), n.cfg.Name); err != nil {
+			return fmt.Errorf("lock of the serving process: %w", err)
+		}
+		n.setQuota(startingQuota)
+	}
 	if n.cfg.Control != "" {
-		spare -= mostControl + 1
+		if n.control, err = control.Listen(n.cfg.Control, n.commands()); err != nil {
+			return fmt.Errorf("control: %w", err)
+		}
 	}
-	// A call out needs a caller, and callers hold idle connections besides: they get the larger part.
-	upstreams := max(1, spare*2/5)
-	callers := max(1, int(share*float64(spare-upstreams)))
-	n.loop.upstream.setMost(max(1, int(share*float64(upstreams))))
-	n.listener.setLimit(callers)
-	n.front.crowded.Store(int64(callers) * 3 / 4)
+	return nil
+}
+
+// Addr is the address that the node listens on for clients.
+func (n *Node) Addr() net.Addr { return n.listener.Addr() }
+
+// setQuota gives the process a part of the node's limits.
+func (n *Node) setQuota(quota float64) {
+	descriptors := n.cfg.Sockets - reservedDescriptors
+	if n.cfg.Control != "" {
+		descriptors -= control.MaxConnections + 1
+	}
+	upstreams := max(1, descriptors*upstreamFractionNum/upstreamFractionDen)
+	clients := max(1, int(quota*float64(descriptors-upstreams)))
+	n.loop.pool.SetLimit(max(1, int(quota*float64(upstreams))))
+	n.listener.SetLimit(clients)
+	n.frontend.setCrowded(clients)
 	if n.cfg.MemoryMB > 0 {
-		// Collect harder well before the limit at which the node is killed.
-		debug.SetMemoryLimit(int64(share * n.cfg.MemoryMB * 0.7 * (1 << 20)))
+		debug.SetMemoryLimit(int64(quota * n.cfg.MemoryMB * memoryLimitFraction * (1 << 20)))
 	}
 }
 
-// calls are what operators may ask for at the second address.
-func (n *Node) calls() map[string]func() string {
-	return map[string]func() string{
+// commands are what operators may ask for at the second address. Their names and answers are in docs/oncall.
+func (n *Node) commands() control.Commands {
+	return control.Commands{
 		"check": func() string {
 			if !n.serving.Load() {
 				return "fail not serving"
 			}
 			return "ok"
 		},
-		"vars":     func() string { return n.loop.metrics.text() + "\neof" },
-		"drain-on": func() string { n.front.drain.on(); return "ok" },
+		"vars": func() string { return n.loop.metrics.JSON() + "\neof" },
+		"drain-on": func() string {
+			n.frontend.drain.Start()
+			return "ok"
+		},
 		"drain-off": func() string {
 			if n.stopping.Load() {
 				return "fail the process is stopping"
 			}
-			n.front.drain.off()
+			n.frontend.drain.Stop()
 			return "ok"
 		},
 	}
 }
-
-// Addr is the address that the node listens on.
-func (n *Node) Addr() net.Addr { return n.listener.Addr() }
-
-const (
-	// New connections come for up to 0.4 s after the signal, and closing the listener would reset those
-	// not yet accepted.
-	linger = 500 * time.Millisecond
-	// A stopping node is killed once the longest deadline, maxPatience at the most, and killedAfter
-	// more have passed. It answers everything by lastCall before that.
-	maxPatience = 3 * time.Second
-	killedAfter = 700 * time.Millisecond
-	lastCall    = 250 * time.Millisecond
-)
-
-// firstNews is how long a node that starts waits for what its agent holds before it serves by the list in its
-// configuration. The agent answers at once if it can, and what it holds counts as told from the first moment on.
-const firstNews = 250 * time.Millisecond
-
-// awaitNews waits until what the agent holds is known.
-func (n *Node) awaitNews(ctx context.Context) {
-	select {
-	case <-n.loop.told:
-	case <-time.After(firstNews):
-		log.Printf("no news of the servers %v after the start; serving by the list in the configuration", firstNews)
-	case <-ctx.Done():
-	}
-}
-
-// Run serves until ctx ends, and then until all that was taken is answered. A long answer or body that is
-// under way goes on until its end, or until the process is killed: ending before would break it off.
-func (n *Node) Run(ctx context.Context) error {
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
-	go n.loop.run(running)
-	listed := make(chan struct{})
-	if n.control != nil {
-		defer n.control.close()
-		go func() {
-			<-listed // else the first figures would tell of no server
-			n.control.serve()
-		}()
-	}
-	var recalled balancer.Restore
-	known := false
-	if n.keeper != nil {
-		recalled, known = n.keeper.recall(time.Now())
-		go n.keeper.run(running, n.loop.learned)
-	}
-	n.loop.post(func() {
-		if known {
-			n.loop.handle(recalled)
-		}
-		n.loop.takeList(n.known, true)
-		close(listed)
-		if n.loop.pushed {
-			n.loop.subscribe()
-		}
-	})
-	if n.registry != nil {
-		go n.readRegistry(running)
-	}
-	if n.follower != nil {
-		go n.follower.run(running)
-	}
-	defer n.front.drain.off()
-	if n.turn != nil {
-		defer n.turn.close()
-		go n.awaitTurn(running)
-	}
-	if !n.cfg.Settings.PollDiscovery && n.registry == nil {
-		n.awaitNews(ctx)
-	}
-	if !n.awaitCaughtUp(ctx) {
-		return n.listener.Close()
-	}
-	n.serving.Store(true)
-	srv := n.front.server()
-	defer srv.Close()
-	served := make(chan error, 1)
-	go func() { served <- srv.Serve(n.listener) }()
-	select {
-	case err := <-served:
-		return fmt.Errorf("serving callers: %w", err)
-	case <-ctx.Done():
-	}
-
-	n.serving.Store(false)
-	n.stopping.Store(true)
-	cutoff := time.Now().Add(time.Duration(n.patience.Load()) + killedAfter - lastCall)
-	n.loop.after(time.Until(cutoff), n.loop.abandonAll)
-	n.front.drain.on()
-	if n.turn == nil {
-		select {
-		case err := <-served:
-			return fmt.Errorf("serving callers: %w", err)
-		case <-time.After(n.linger):
-		}
-	} // else the successor takes what is in the backlog
-	n.listener.Close()
-	<-served // returned for that, if for nothing before
-	n.front.finish(n.listener.taken)
-	return nil
-}
--- /dev/null
+++ b/internal/node/read.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"umberbank/internal/node/bodybudget"
+	"umberbank/internal/node/clientconn"
+	"umberbank/internal/node/header"
+)
+
+// forwardedHeaders are the headers of a client's request that go to servers as they are.
+var forwardedHeaders = []string{header.CorrelationID, header.IdempotencyKey, "Content-Type"}
+
+// read reads a request, its body included as far as it is held. release gives the memory of its body back.
+func (f *frontend) read(w http.ResponseWriter, hr *http.Request) (r *request, release func(), err error) {
+	timeLeft, err := header.ParseTimeLeft(hr.Header.Get(header.TimeLeft))
+	if err != nil {
+		return nil, nil, err
+	}
+	class, _, _ := strings.Cut(strings.TrimPrefix(hr.URL.Path, "/"), "/")
+	if err := f.check(hr, class); err != nil {
+		return nil, nil, err
+	}
+	r = &request{
+		class:       class,
+		clientRetry: hr.Header.Get(header.ClientRetry) == "1",
+		timeLeft:    timeLeft,
+		costHint:    header.ParseCostHint(hr.Header.Get(header.Facts)),
+		outgoing:    newOutgoing(hr),
+		answer:      make(chan answer, 1),
+	}
+	if release, err = f.readBody(w, hr, r); err != nil {
+		return nil, nil, err
+	}
+	f.loop.startTime(r) // it runs from the last byte on
+	return r, release, nil
+}
+
+// check says why a request of a class is not to be accepted, as far as its head tells.
+func (f *frontend) check(hr *http.Request, class string) error {
+	switch {
+	case hr.Method != http.MethodGet && hr.Method != http.MethodPost:
+		return fmt.Errorf("method %s is neither GET nor POST", hr.Method)
+	case class == "":
+		return errors.New("the path names no class")
+	case hr.Header.Get(header.CorrelationID) == "":
+		return errors.New("X-Correlation-Id is missing")
+	}
+	if err := f.loop.classes.Load().check(class, hr.Header); err != nil {
+		return err
+	}
+	if hr.ContentLength > bodybudget.MaxBodyBytes {
+		return &http.MaxBytesError{Limit: bodybudget.MaxBodyBytes}
+	}
+	return nil
+}
+
+// newOutgoing is what of a client's request goes to servers, without its body.
+func newOutgoing(hr *http.Request) *http.Request {
+	out := &http.Request{Method: hr.Method, URL: hr.URL, Host: hr.Host, Header: http.Header{"User-Agent": nil}}
+	for _, name := range forwardedHeaders {
+		if v := hr.Header.Values(name); len(v) > 0 {
+			out.Header[name] = v
+		}
+	}
+	return out
+}
+
+// readBody reads a request's body, as far as it is held. release gives its memory back.
+func (f *frontend) readBody(w http.ResponseWriter, hr *http.Request, r *request) (release func(), err error) {
+	allowance := clientconn.ClientOf(hr).BodyAllowance()
+	control := http.NewResponseController(w)
+	if hr.ContentLength == 0 {
+		// requestTimeout is lifted: should it pass while the request is served, it would look like a disconnect of the client, and the
+		// request would be lost.
+		return func() {}, control.SetReadDeadline(time.Time{})
+	}
+	waiting, cancel := context.WithTimeout(hr.Context(), requestTimeout)
+	defer cancel()
+	if release, err = f.loop.pool.RequestBudget().Reserve(waiting, hr.ContentLength); err != nil {
+		return nil, fmt.Errorf("no room for the body: %w", err)
+	}
+	if err := readHeldBody(hr, r, clientconn.NewBody(hr.Body, allowance, control.SetReadDeadline), control); err != nil {
+		release()
+		return nil, err
+	}
+	return release, nil
+}
+
+// readHeldBody reads the part of a body that is held. What follows becomes the request's rest.
+func readHeldBody(hr *http.Request, r *request, body *clientconn.Body, control *http.ResponseController) error {
+	held := bytes.NewBuffer(make([]byte, 0, min(max(hr.ContentLength, 0), bodybudget.MaxHeldBytes)+bytes.MinRead))
+	if _, err := held.ReadFrom(io.LimitReader(body, bodybudget.MaxHeldBytes+1)); err != nil {
+		return fmt.Errorf("body: %w", err)
+	}
+	r.body = held.Bytes()
+	r.outgoing.ContentLength = int64(len(r.body))
+	if len(r.body) <= bodybudget.MaxHeldBytes {
+		return nil
+	}
+	// Its answer may come, and must go out, before it is all here.
+	if err := control.EnableFullDuplex(); err != nil {
+		return err
+	}
+	r.rest, r.outgoing.ContentLength = body, hr.ContentLength
+	return nil
+}
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -5,29 +5,25 @@
 	"encoding/json"
 	"fmt"
 	"log"
+	"log/slog"
 
+	"umberbank/internal/node/discovery"
 	"umberbank/internal/registry/client"
 )
 
-// Registry says which registry a node follows, over all its replicas, in discovery's place. Without endpoints it follows
-// discovery.
-type Registry struct {
-	Endpoints []string `json:"endpoints"`
-	Cache     string   `json:"cache"` // a folder of this node alone that keeps the last list over restarts, where there is a disk; "": none
-}
-
-// followRegistry opens the Reader that the node is told to have, if it is.
-func (n *Node) followRegistry() error {
+// openRegistry opens the reader of the registry that the configuration names, if it does. The reader's cached list is later than what
+// the configuration knew.
+func (n *Node) openRegistry() error {
 	if len(n.cfg.Registry.Endpoints) == 0 {
 		return nil
 	}
-	r, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Log: log.Printf})
+	reader, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Log: log.Printf})
 	if err != nil {
 		return err
 	}
-	n.registry = r
-	if v := r.View(); len(v.Instances) > 0 { // from the cache: later than what the configuration knew
-		known, err := listOf(client.WatchEvent{Revision: v.Revision, FullList: true, Instances: v.Instances})
+	n.registry = reader
+	if view := reader.View(); len(view.Instances) > 0 {
+		known, err := fromRegistry(client.WatchEvent{Revision: view.Revision, FullList: true, Instances: view.Instances})
 		if err != nil {
 			return fmt.Errorf("%s: %w", n.cfg.Registry.Cache, err)
 		}
@@ -36,24 +32,24 @@
 	return nil
 }
 
-// readRegistry gives the loop what the registry says until ctx ends. The Reader applies nothing that is older or not
-// whole; of what it holds an entry that makes no sense to a node is left out, and said so.
+// readRegistry gives the event loop what the registry says until ctx ends. The reader applies nothing that is older or incomplete. An
+// update of which a node can make no sense is logged and left out.
 func (n *Node) readRegistry(ctx context.Context) {
 	n.registry.Run(ctx, func(u client.WatchEvent) {
-		list, err := listOf(u)
+		update, err := fromRegistry(u)
 		if err != nil {
-			log.Printf("registry: revision %d is of no use: %v", u.Revision, err)
+			slog.Error("registry: update is of no use", "revision", u.Revision, "error", err)
 			return
 		}
-		n.loop.post(func() { n.loop.takeList(list, false) })
+		n.loop.post(func() { n.loop.applyUpdate(update, false) })
 	})
 }
 
-// listOf is news of the registry as discovery would have worded it.
-func listOf(u client.WatchEvent) (List, error) {
+// fromRegistry is an update of the registry as discovery would have sent it.
+func fromRegistry(u client.WatchEvent) (discovery.Update, error) {
 	text, err := json.Marshal(u)
 	if err != nil {
-		return List{}, err
+		return discovery.Update{}, err
 	}
-	return parseList(text)
+	return discovery.ParseUpdate(text)
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -8,6 +8,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"umberbank/internal/node/config"
+	"umberbank/internal/node/nodetest"
 )
 
 // wholeFile is a complete configuration, as the platform writes it, for a node with one server.
@@ -53,7 +56,7 @@
 
 func startFromFile(t *testing.T, file any) *Node {
 	t.Helper()
-	cfg, err := LoadConfig(writeFile(t, file))
+	cfg, err := config.Load(writeFile(t, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,23 +65,17 @@
 
 func (n *Node) awaitApplied(t *testing.T, files int) {
 	t.Helper()
-	for end := time.Now().Add(limit); vars(t, n).Sighup_applied < files; {
+	for end := time.Now().Add(nodetest.Limit); vars(t, n).Sighup_applied < files; {
 		if time.Now().After(end) {
 			t.Fatalf("%d files were never applied", files)
 		}
 	}
 }
 
-func status(t *testing.T, n *Node, method, path string) int {
-	t.Helper()
-	resp, _ := do(t, newRequest(t, n, method, path, ""))
-	return resp.StatusCode
-}
-
 // A new class is served, a dropped one is unknown, and a changed effect and number of attempts bind.
 func TestReloadTakesNewSettings(t *testing.T) {
 	t.Parallel()
-	addr, got := stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
+	addr, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
 	file := wholeFile(addr)
 	n := startFromFile(t, file)
 	if s := status(t, n, "GET", "/fresh/1"); s != http.StatusNotFound || len(got) > 0 {
@@ -108,9 +105,9 @@
 }
 
 // A file with any fault leaves everything as it was, and is counted.
-func TestReloadTurnsDownBrokenFiles(t *testing.T) {
+func TestReloadRejectsBrokenFiles(t *testing.T) {
 	t.Parallel()
-	addr, _ := stub(t, ok, false)
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
 	n := startFromFile(t, wholeFile(addr))
 	whole, err := json.Marshal(wholeFile(addr))
 	if err != nil {
@@ -157,21 +154,21 @@
 		t.Errorf("the old class after broken files: %d", s)
 	}
 	n.loop.post(func() {
-		if n.loop.discovery.addr != "127.0.0.1:1" || n.loop.maxAttempts != 3 {
-			t.Errorf("after broken files: discovery %s, %d attempts", n.loop.discovery.addr, n.loop.maxAttempts)
+		if n.loop.watcher.client.Addr != "127.0.0.1:1" || n.loop.maxAttempts != 3 {
+			t.Errorf("after broken files: discovery %s, %d attempts", n.loop.watcher.client.Addr, n.loop.maxAttempts)
 		}
 	})
 }
 
 // A request that came before the settings changed keeps its attempts; one the front read by the old
 // settings and the loop accepts after them follows the new.
-func TestReloadBetweenFrontAndLoop(t *testing.T) {
+func TestReloadBetweenFrontendAndLoop(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig("127.0.0.1:1")
 	n := startControlled(t, cfg)
-	r := &request{class: "read", deadline: n.loop.clock.now() + limit, last: n.loop.clock.now() + limit,
-		forward: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
-	late := &request{class: "read", forward: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
+	r := &request{class: "read", deadline: n.loop.clock.now() + nodetest.Limit, fallbackAt: n.loop.clock.now() + nodetest.Limit,
+		outgoing: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
+	late := &request{class: "read", outgoing: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
 	n.loop.post(func() { n.loop.accept(r) })
 	cfg.Settings.MaxAttempts, cfg.Settings.Classes = 2, cfg.Settings.Classes[1:]
 	if err := n.Reload(cfg); err != nil {
@@ -183,7 +180,7 @@
 			t.Errorf("%d attempts for the old request, %d for new ones", r.maxAttempts, n.loop.maxAttempts)
 		}
 	})
-	if a := wait(t, late.answer); a.rejected == nil || !strings.Contains(a.rejected.Error(), "not in the settings") {
+	if a := nodetest.Wait(t, late.answer); a.rejection == nil || !strings.Contains(a.rejection.Error(), "not in the settings") {
 		t.Errorf("a dropped class: %+v", a)
 	}
 }
--- /dev/null
+++ b/internal/node/request_test.go
@@ -0,0 +1,372 @@
+package node
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/node/bodybudget"
+	"umberbank/internal/node/header"
+	"umberbank/internal/node/nodetest"
+)
+
+// Whoever is sent away keeps no place by a body that never comes.
+func TestUnreadBodyKeepsNoConnection(t *testing.T) {
+	t.Parallel()
+	n := startNode(t, testConfig("127.0.0.1:1"), nil)
+	for request, status := range map[string]int{
+		head("POST", "/nothing/1", "Content-Length: 1000\r\n"):            404,
+		head("POST", "/nothing/1", "Transfer-Encoding: chunked\r\n"):      404,
+		head("PUT", "/order/1", "Content-Length: 1000\r\n"):               400,
+		head("POST", "/order/1", "Content-Length: 99999999999\r\n"):       413,
+		head("GET", "/health/ready", "Content-Length: 1000\r\n"):          200,
+		head("POST", "/order/1", "Expect: x\r\nContent-Length: 1000\r\n"): 417,
+	} {
+		t.Run(strings.Fields(request)[1]+strconv.Itoa(status), func(t *testing.T) {
+			t.Parallel()
+			conn := nodetest.Dial(t, n.Addr().String())
+			io.WriteString(conn, request)
+			r := bufio.NewReader(conn)
+			resp, err := http.ReadResponse(r, nil)
+			if err != nil || resp.StatusCode != status {
+				t.Fatalf("%+v, %v", resp, err)
+			}
+			if _, err := io.Copy(io.Discard, r); errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Error("the connection stays")
+			}
+		})
+	}
+}
+
+// Requests that follow each other without waiting are answered in their order, bodies among them.
+func TestPipelined(t *testing.T) {
+	t.Parallel()
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(r)
+			if err != nil {
+				return
+			}
+			n, _ := io.Copy(io.Discard, req.Body)
+			answer := fmt.Sprintf("%s %d", req.RequestURI, n)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		}
+	})
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	conn := nodetest.Dial(t, n.Addr().String())
+	go io.WriteString(conn, head("GET", "/read/1", "")+head("POST", "/order/2", "Content-Length: 5\r\n")+"12345"+
+		head("POST", "/order/3", "Content-Length: 100000\r\n")+nodetest.Text(100000)+head("GET", "/read/4", ""))
+	r := bufio.NewReader(conn)
+	for _, want := range []string{"/read/1 0", "/order/2 5", "/order/3 100000", "/read/4 0"} {
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatalf("%s: %v", want, err)
+		}
+		if b, err := io.ReadAll(resp.Body); string(b) != want {
+			t.Errorf("%q, %v, want %q", b, err, want)
+		}
+	}
+}
+
+func TestServedUnchanged(t *testing.T) {
+	t.Parallel()
+	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", bodybudget.MaxHeldBytes))
+	r.Header.Set("Idempotency-Key", "k-1")
+	resp, body := nodetest.Do(t, r)
+	if resp.StatusCode != http.StatusOK || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
+		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
+	}
+	s := nodetest.Wait(t, got)
+	if s.Method != http.MethodPost || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.Content) != bodybudget.MaxHeldBytes ||
+		s.Header.Get("X-Correlation-Id") != "c-1" || s.Header.Get("Idempotency-Key") != "k-1" {
+		t.Errorf("the server got %s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Content), s.Header)
+	}
+	left, err := header.ParseTimeLeft(s.Header.Get("X-Time-Left"))
+	if err != nil || left <= 0 || left > 10*time.Second {
+		t.Errorf("X-Time-Left %v, %v", left, err)
+	}
+}
+
+// A client that names no host, as HTTP/1.0 lets it, is served like any other.
+func TestNoHost(t *testing.T) {
+	t.Parallel()
+	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	c, err := net.Dial("tcp", n.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	io.WriteString(c, "GET /read/1 HTTP/1.0\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n")
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Fatalf("answer %+v, %v", resp, err)
+	}
+	if s := nodetest.Wait(t, got); s.Host != addr {
+		t.Errorf("host %q", s.Host)
+	}
+}
+
+// A client's id may come twice at once; each request gets its own answer.
+func TestSameCorrelationIDTwice(t *testing.T) {
+	t.Parallel()
+	both := make(chan struct{}, 2)
+	release := make(chan struct{})
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := http.ReadRequest(r); err == nil {
+			both <- struct{}{}
+			<-release
+			io.WriteString(c, nodetest.OK)
+		}
+	})
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	status := make(chan int, 2)
+	for range 2 {
+		r := newRequest(t, n, "GET", "/read/1", "")
+		go func() {
+			resp, err := http.DefaultTransport.RoundTrip(r)
+			if err != nil {
+				status <- 0
+				return
+			}
+			resp.Body.Close()
+			status <- resp.StatusCode
+		}()
+	}
+	nodetest.Wait(t, both)
+	nodetest.Wait(t, both)
+	close(release)
+	if a, b := nodetest.Wait(t, status), nodetest.Wait(t, status); a != 200 || b != 200 {
+		t.Errorf("answers %d and %d", a, b)
+	}
+}
+
+func TestMalformedRequest(t *testing.T) {
+	t.Parallel()
+	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	for name, c := range map[string]struct {
+		method, path, header, value string
+		size, status                int
+	}{
+		"no id":         {"GET", "/read/1", "X-Correlation-Id", "", 0, 400},
+		"no time":       {"GET", "/read/1", "X-Time-Left", "", 0, 400},
+		"no unit":       {"GET", "/read/1", "X-Time-Left", "480", 0, 400},
+		"no number":     {"GET", "/read/1", "X-Time-Left", "m", 0, 400},
+		"nothing left":  {"GET", "/read/1", "X-Time-Left", "0m", 0, 400},
+		"negative":      {"GET", "/read/1", "X-Time-Left", "-5m", 0, 400},
+		"not a number":  {"GET", "/read/1", "X-Time-Left", "NaNm", 0, 400},
+		"endless":       {"GET", "/read/1", "X-Time-Left", "1e300m", 0, 400},
+		"no class":      {"GET", "/", "A", "", 0, 400},
+		"unknown class": {"GET", "/reads/1", "A", "", 0, 404},
+		"method":        {"PUT", "/read/1", "A", "", 0, 400},
+		"no key":        {"POST", "/send/1", "A", "", 0, 400},
+	} {
+		r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
+		r.Header.Set(c.header, c.value)
+		if resp, _ := nodetest.Do(t, r); resp.StatusCode != c.status {
+			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.status)
+		}
+	}
+	if len(got) > 0 {
+		t.Error("a malformed request reached the server")
+	}
+}
+
+// What one framing takes for the body and another for the next request never reaches a server.
+func TestRequestInsideABody(t *testing.T) {
+	t.Parallel()
+	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	const id = "X-Correlation-Id: outer\r\nX-Time-Left: 9000m\r\n"
+	const inner = "GET /read/inner HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: inner\r\nX-Time-Left: 9000m\r\n\r\n"
+	for name, outer := range map[string]string{
+		"both lengths": "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id +
+			"Content-Length: 94\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"chunks of HTTP/1.0": "POST /order/1 HTTP/1.0\r\nConnection: keep-alive\r\n" + id +
+			"Transfer-Encoding: chunked\r\n\r\n",
+	} {
+		c, err := net.Dial("tcp", n.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		c.SetDeadline(time.Now().Add(nodetest.Limit))
+		io.WriteString(c, outer+inner)
+		r := bufio.NewReader(c)
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		io.ReadAll(resp.Body)
+		if resp, err := http.ReadResponse(r, nil); err == nil {
+			t.Errorf("%s: a second answer: %s", name, resp.Status)
+		}
+	}
+	for len(got) > 0 {
+		if s := <-got; s.Header.Get("X-Correlation-Id") != "outer" {
+			t.Errorf("the server got %s", s.RequestURI)
+		}
+	}
+}
+
+// Whoever has no proper request to make keeps no client from its place: the connection ends with the
+// answer.
+func TestRejectedPeersAreClosed(t *testing.T) {
+	t.Parallel()
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	for request, status := range map[string]int{
+		"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n":                                           200,
+		"GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 9000m\r\n\r\n":                           400,
+		"GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000\r\n\r\n":   400,
+		"PUT /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n":  400,
+		"POST /send/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n": 400,
+		"GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n":  200,
+	} {
+		c, err := net.Dial("tcp", n.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		c.SetDeadline(time.Now().Add(nodetest.Limit))
+		io.WriteString(c, request)
+		r := bufio.NewReader(c)
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil || resp.StatusCode != status {
+			t.Fatalf("%q: %+v, %v", request, resp, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if served := resp.ContentLength == 2; served {
+			if resp.Close {
+				t.Errorf("a client's connection ends with its answer")
+			}
+		} else if b, err := io.ReadAll(r); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%q: still open: %q, %v", request, b, err)
+		}
+	}
+}
+
+// A peer that sends nothing, or half a request, has an error or a close soon after it connected, and a
+// request that took its time until then is served for as long as its client waits.
+func TestSlowPeers(t *testing.T) {
+	t.Parallel()
+	if requestTimeout >= 3*time.Second {
+		t.Errorf("peers hold their places for %v", requestTimeout)
+	}
+	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := http.ReadRequest(r); err == nil {
+			time.Sleep(requestTimeout + 500*time.Millisecond)
+			io.WriteString(c, nodetest.OK)
+		}
+	})
+	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	const head = "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\nContent-Length: 9\r\n"
+	for sent, want := range map[string]string{
+		"":                     "",
+		head:                   "",
+		head + "\r\nhalf":      "HTTP/1.1 408 ",
+		head + "\r\nnine char": "HTTP/1.1 200 ",
+	} {
+		t.Run(strconv.Quote(sent), func(t *testing.T) {
+			t.Parallel()
+			c, err := net.Dial("tcp", n.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			c.SetDeadline(time.Now().Add(requestTimeout + 5*time.Second))
+			io.WriteString(c, sent)
+			got := make([]byte, len(want))
+			if len(want) == 0 {
+				got = make([]byte, 1)
+			}
+			k, err := io.ReadFull(c, got)
+			if string(got[:k]) != want || errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("got %q, %v", got[:k], err)
+			}
+		})
+	}
+}
+
+// The module is told the work to expect, where a request's figures tell it.
+func TestCostHint(t *testing.T) {
+	t.Parallel()
+	costs := make(chan time.Duration, 1)
+	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+		if r, is := e.(balancer.Request); is {
+			costs <- r.CostHint
+			return []balancer.Action{balancer.Reject{ID: r.ID}}
+		}
+		return nil
+	}))
+	for facts, want := range map[string]time.Duration{"": 0, "effort-ms=12.5": 12500 * time.Microsecond,
+		"item=7, effort-ms=3": 3 * time.Millisecond, "effort-ms=-1": 0, "effort-ms=NaN": 0, "effort-ms": 0} {
+		r := newRequest(t, n, "GET", "/read/1", "")
+		r.Header.Set("X-Facts", facts)
+		nodetest.Do(t, r)
+		if got := nodetest.Wait(t, costs); got != want {
+			t.Errorf("%q: %v, want %v", facts, got, want)
+		}
+	}
+}
+
+// More clients than descriptors wait their turn; none is lost and the node stays up.
+func TestClientsOverTheLimit(t *testing.T) {
+	t.Parallel()
+	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	cfg := testConfig("127.0.0.1:1", serving("s", addr))
+	cfg.Sockets = reservedDescriptors + 10 // 6 for clients
+	n := startNode(t, cfg, nil)
+	client := &http.Client{Timeout: nodetest.Limit} // keeps its connections
+	const clients = 30
+	errs := make(chan error, clients)
+	var refused atomic.Int64
+	for range clients {
+		r := newRequest(t, n, "GET", "/read/1", "")
+		go func() {
+			resp, err := client.Do(r)
+			if err == nil {
+				io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				switch resp.StatusCode {
+				case http.StatusOK:
+				case http.StatusServiceUnavailable: // by the module, for want of room
+					refused.Add(1)
+				default:
+					err = errors.New(resp.Status)
+				}
+			}
+			errs <- err
+		}()
+	}
+	for range clients {
+		if err := nodetest.Wait(t, errs); err != nil {
+			t.Error(err)
+		}
+	}
+	if refused.Load() == clients {
+		t.Error("none was served")
+	}
+}
+
+func TestReady(t *testing.T) {
+	t.Parallel()
+	n := startNode(t, testConfig("127.0.0.1:1"), nil)
+	r, _ := http.NewRequest(http.MethodGet, "http://"+n.Addr().String()+"/health/ready", nil)
+	if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusOK {
+		t.Errorf("ready: %d", resp.StatusCode)
+	}
+}
--- a/internal/node/agreed_test.go
+++ b/internal/node/settings_test.go
@@ -2,37 +2,45 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"umberbank/internal/node/config"
+	"umberbank/internal/node/follower"
+	"umberbank/internal/node/nodetest"
 	"umberbank/internal/registry/state"
 )
 
 // agreedConfig is a configuration that takes its settings from a registry, which nobody answers for.
-func agreedConfig(t *testing.T, keep string) Config {
+func agreedConfig(t *testing.T, keep string) config.Config {
 	t.Helper()
 	return agreedConfigAt(t, "127.0.0.1:1", keep)
 }
 
 // agreedConfigAt is one that takes them from a registry at an address, with a short lease.
-func agreedConfigAt(t *testing.T, addr, keep string) Config {
+func agreedConfigAt(t *testing.T, addr, keep string) config.Config {
 	t.Helper()
-	text := strings.Replace(goodConfig, `"peers"`, `"agreed":{"endpoints":["`+addr+`"],"tier":"front","ttl_ms":150,"keep":"`+keep+`"},"peers"`, 1)
-	text = strings.Replace(text, `"127.0.0.1:3000"`, `"127.0.0.1:0"`, 1)
-	cfg, err := parseConfig([]byte(text))
+	cfg, err := config.Parse([]byte(agreedConfigText(addr, keep)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
-// otherSettings are the settings of goodConfig with something else in their place.
+// agreedConfigText is the file of agreedConfigAt.
+func agreedConfigText(addr, keep string) string {
+	text := strings.Replace(nodetest.Config, `"peers"`, `"agreed":{"endpoints":["`+addr+`"],"tier":"front","ttl_ms":150,"keep":"`+keep+`"},"peers"`, 1)
+	return strings.Replace(text, `"127.0.0.1:3000"`, `"127.0.0.1:0"`, 1)
+}
+
+// otherSettings are the settings of nodetest.Config with something else in their place.
 func otherSettings(t *testing.T, old, new string) json.RawMessage {
 	t.Helper()
 	var file struct{ Settings json.RawMessage }
-	if err := json.Unmarshal([]byte(goodConfig), &file); err != nil {
+	if err := json.Unmarshal([]byte(nodetest.Config), &file); err != nil {
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(json.RawMessage(strings.Replace(string(file.Settings), old, new, 1)))
@@ -44,7 +52,7 @@
 
 // A version is looked at as at SIGHUP and changes nothing; told, it is run and kept, and the process after this one starts with
 // it. What was kept and is spoilt is passed over.
-func TestAgreedSettings(t *testing.T) {
+func TestVersionIsValidatedRunAndKept(t *testing.T) {
 	t.Parallel()
 	keep := filepath.Join(t.TempDir(), "kept")
 	cfg := agreedConfig(t, keep)
@@ -55,27 +63,27 @@
 	}
 	go n.loop.run(t.Context())
 	for text, want := range map[string]string{`"bounds":{`: ".settings.limits is missing", `"limits":{`: "max-attempts is not over 0", `"limits":7,"l":{`: "cannot"} {
-		if err := n.couldRun(otherSettings(t, `"limits":{`, text)); err == nil || !strings.Contains(err.Error(), want) {
+		if err := n.validateSettings(otherSettings(t, `"limits":{`, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
 	next := otherSettings(t, `"limits":{`, `"limits":{"max-attempts":4,`)
-	if err := n.couldRun(next); err != nil {
+	if err := n.validateSettings(next); err != nil {
 		t.Fatal(err)
 	}
 	f := n.follower
-	if f.activate(state.VersionContent{Number: 2, Hash: "another", Settings: next}); f.running.Number != 0 {
+	if f.Activate(state.VersionContent{Number: 2, Hash: "another", Settings: next}); f.RunningVersion().Number != 0 {
 		t.Error("it runs what has another hash")
 	}
-	f.activate(state.VersionContent{Number: 2, Hash: state.ContentHash(next), Settings: next})
+	f.Activate(state.VersionContent{Number: 2, Hash: state.ContentHash(next), Settings: next})
 	attempts := make(chan int)
 	n.loop.post(func() { attempts <- n.loop.maxAttempts })
-	if got := wait(t, attempts); got != 4 || f.running.Number != 2 {
-		t.Errorf("version %d with %d attempts", f.running.Number, got)
+	if got := nodetest.Wait(t, attempts); got != 4 || f.RunningVersion().Number != 2 {
+		t.Errorf("version %d with %d attempts", f.RunningVersion().Number, got)
 	}
 	n.listener.Close()
 
-	again, kept := withKept(agreedConfig(t, keep))
+	again, kept := follower.Restore(agreedConfig(t, keep))
 	if kept.Number != 2 || again.Settings.MaxAttempts != 4 {
 		t.Errorf("the next process starts with version %d, %d attempts", kept.Number, again.Settings.MaxAttempts)
 	}
@@ -87,14 +95,14 @@
 		if err := os.WriteFile(keep, spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, kept := withKept(agreedConfig(t, keep)); kept.Number != 0 {
+		if _, kept := follower.Restore(agreedConfig(t, keep)); kept.Number != 0 {
 			t.Errorf("%s: it starts with version %d", name, kept.Number)
 		}
 	}
 }
 
 // Settings that were agreed on stay at SIGHUP; the rest of the file is taken over.
-func TestReloadKeepsAgreed(t *testing.T) {
+func TestReloadKeepsRolloutSettings(t *testing.T) {
 	t.Parallel()
 	cfg := agreedConfig(t, "")
 	n, err := New(cfg)
@@ -103,10 +111,10 @@
 	}
 	t.Cleanup(func() { n.listener.Close() })
 	go n.loop.run(t.Context())
-	if err := n.runSettings(otherSettings(t, `"limits":{`, `"limits":{"max-attempts":4,`)); err != nil {
+	if err := n.applySettings(otherSettings(t, `"limits":{`, `"limits":{"max-attempts":4,`)); err != nil {
 		t.Fatal(err)
 	}
-	file := strings.Replace(strings.Replace(string(cfg.text), `"limits":{"conn`, `"limits":{"max-attempts":9,"conn`, 1), `"127.0.0.1:8500"`, `"127.0.0.1:8600"`, 1)
+	file := strings.Replace(strings.Replace(agreedConfigText("127.0.0.1:1", ""), `"limits":{"conn`, `"limits":{"max-attempts":9,"conn`, 1), `"127.0.0.1:8500"`, `"127.0.0.1:8600"`, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
@@ -119,8 +127,12 @@
 		discovery string
 	}
 	got := make(chan now)
-	n.loop.post(func() { got <- now{n.loop.maxAttempts, n.loop.discovery.addr} })
-	if v := wait(t, got); v != (now{4, "127.0.0.1:8600"}) {
+	n.loop.post(func() { got <- now{n.loop.maxAttempts, n.loop.watcher.client.Addr} })
+	if v := nodetest.Wait(t, got); v != (now{4, "127.0.0.1:8600"}) {
 		t.Errorf("%+v", v)
 	}
 }
+
+func attempts(t *testing.T, next int) json.RawMessage {
+	return otherSettings(t, `"limits":{`, fmt.Sprintf(`"limits":{"max-attempts":%d,`, next))
+}
--- /dev/null
+++ b/internal/node/silence_test.go
@@ -0,0 +1,326 @@
+package node
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"umberbank/balancer"
+	"umberbank/internal/node/discovery"
+	"umberbank/internal/node/nodetest"
+)
+
+// What an agent may do in place of telling its news, several times in a row, and the time by which the node must
+// know all the same: news that was missed counts as told 6 s after its watch fell silent, and 4 s after SIGHUP or at
+// once where the process is new.
+func TestSilentAgents(t *testing.T) {
+	t.Parallel()
+	says := func(text string) func(http.ResponseWriter, *http.Request) {
+		return func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, text)
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		}
+	}
+	whole := nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
+	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	refuses := func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	answers := func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole) }
+	breaks := func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }
+	trickles := func(w http.ResponseWriter, r *http.Request) {
+		for _, b := range []byte(whole) {
+			w.Write([]byte{b})
+			w.(http.Flusher).Flush()
+			select {
+			case <-time.After(time.Second):
+			case <-r.Context().Done():
+				return
+			}
+		}
+	}
+	// The bound by construction: the whole list is asked for so long after the last proof, and answered at once.
+	const bound = discovery.SilenceTimeout + pollInterval
+	type handler = func(http.ResponseWriter, *http.Request)
+	for name, c := range map[string]struct {
+		ask   bool
+		bad   []handler
+		plain handler // answers questions for the whole list; nil: nothing does, and watches alone must do
+		most  time.Duration
+	}{
+		"three in a row answer and fall silent":          {bad: []handler{says("\n"), says("\n"), says("\n")}, plain: answers, most: bound},
+		"three in a row where the list is asked for":     {ask: true, bad: []handler{says("\n"), says("\n"), says("\n")}, plain: answers, most: bound},
+		"three in a row that are refused":                {bad: []handler{refuses, refuses, refuses, refuses, refuses}, plain: answers, most: bound},
+		"five that break":                                {bad: []handler{breaks, breaks, breaks, breaks, breaks}, plain: answers, most: bound},
+		"a byte a second, and silent ones":               {bad: []handler{trickles, trickles, silent, silent}, plain: answers, most: bound},
+		"a half list, a broken one and two silent ones":  {bad: []handler{says(whole[:40]), says("no list\n"), says("\n"), says("\n")}, plain: answers, most: bound},
+		"a broken list is asked for at once":             {bad: []handler{says("\n\nno list\n"), says("\n"), says("\n")}, plain: answers, most: pollInterval},
+		"a list without its targets, the same":           {bad: []handler{says(`{"rev":9,"all":true}` + "\n"), says("\n"), says("\n")}, plain: answers, most: pollInterval},
+		"the first of a new process, and the whole list": {bad: []handler{says(""), says("")}, plain: answers, most: pollInterval},
+
+		"a watch falls silent":         {bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
+		"it is asked for":              {ask: true, bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
+		"and the next three never say": {bad: []func(http.ResponseWriter, *http.Request){says("\n"), silent, silent, silent}, most: 6 * time.Second},
+		"where it is asked for":        {ask: true, bad: []func(http.ResponseWriter, *http.Request){says("\n"), silent, silent, silent}, most: 6 * time.Second},
+		"two fall silent":              {bad: []func(http.ResponseWriter, *http.Request){says("\n"), says("\n")}, most: 6 * time.Second},
+		"the first of a new process":   {bad: []func(http.ResponseWriter, *http.Request){silent}, most: 500 * time.Millisecond},
+		"a line that never ends": {bad: []func(http.ResponseWriter, *http.Request){func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, `{"rev":9,"all":true,"targets":[`)
+			for r.Context().Err() == nil {
+				fmt.Fprint(w, " ")
+				w.(http.Flusher).Flush()
+				time.Sleep(10 * time.Millisecond)
+			}
+		}}, most: 6 * time.Second},
+		"an indented list that stops": {bad: []func(http.ResponseWriter, *http.Request){says("{\n\n")}, most: 6 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			plain := c.plain
+			if plain == nil {
+				plain = silent
+			}
+			var asked atomic.Int32
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if nodetest.IsPoll(r) {
+					plain(w, r)
+					return
+				}
+				if i := int(asked.Add(1)) - 1; i < len(c.bad) {
+					c.bad[i](w, r)
+					return
+				}
+				says(whole+"\n")(w, r)
+			}))
+			t.Cleanup(s.CloseClientConnections)
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
+			cfg.Settings.PollDiscovery = c.ask
+			news := make(chan time.Time, 10)
+			started := time.Now()
+			startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
+					news <- time.Now()
+				} else if is && c.ask {
+					return []balancer.Action{balancer.Subscribe{}}
+				}
+				return nil
+			}))
+			took := nodetest.Wait(t, news).Sub(started)
+			// The waits add up by design; how late this machine runs them is not the node's doing.
+			t.Logf("news after %v", took)
+			if slack := 2 * time.Second; took > c.most+slack || c.plain == nil && int(asked.Load()) != len(c.bad)+1 {
+				t.Errorf("news after %v and %d watches, due after %v", took, asked.Load(), c.most)
+			}
+		})
+	}
+}
+
+// Calls overtake each other: an older list that is late undoes nothing, whichever way the newer one came.
+func TestOlderListIsLate(t *testing.T) {
+	t.Parallel()
+	newer, older := nodetest.Message(9, true, nodetest.Target("a", "DRAINING")), nodetest.Message(8, true, nodetest.Target("a", "SERVING"))
+	for name, late := range map[string]bool{"the answer to a question": true, "a watch's message": false} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			gate := make(chan struct{})
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if !nodetest.IsPoll(r) {
+					w.(http.Flusher).Flush() // a watch that has begun may be silent for longer than gate is held
+				}
+				if nodetest.IsPoll(r) == late {
+					select {
+					case <-gate:
+					case <-r.Context().Done():
+						return
+					}
+					fmt.Fprintln(w, older)
+				} else {
+					fmt.Fprintln(w, newer)
+				}
+				if !nodetest.IsPoll(r) {
+					w.(http.Flusher).Flush()
+					<-r.Context().Done()
+				}
+			}))
+			t.Cleanup(s.CloseClientConnections)
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
+			cfg.Settings.PollDiscovery = false
+			lists := make(chan balancer.EndpointUpdate, 10)
+			n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
+					lists <- l
+				}
+				return nil
+			}))
+			if late {
+				n.loop.post(n.loop.watcher.poll) // while the watch speaks
+			}
+			if l := nodetest.Wait(t, lists); l.Endpoints[0].State != balancer.Draining {
+				t.Fatalf("first %+v", l)
+			}
+			start := onLoop(t, n, func() time.Duration { return n.loop.watcher.confirmedAt })
+			close(gate)
+			// The older list has been dealt with once no question is out, or once its watch has proven something.
+			nodetest.Eventually(t, "the older list", func() bool {
+				return onLoop(t, n, func() bool { return late && n.loop.watcher.polls == 0 || !late && n.loop.watcher.confirmedAt > start })
+			})
+			if len(lists) > 0 {
+				t.Errorf("then %+v", <-lists)
+			}
+		})
+	}
+}
+
+// A node that starts serves by what its agent holds, not by the list it was given, which may be old; an agent that
+// says nothing keeps it for a moment only.
+func TestFirstUpdateBeforeServing(t *testing.T) {
+	t.Parallel()
+	for name, news := range map[string]string{"news": nodetest.Message(9, true, nodetest.Target("a", "SERVING")), "none": "", "silence": "silence"} {
+		told, serve := make(chan struct{}), make(chan struct{})
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if news == "silence" {
+				<-r.Context().Done()
+				return
+			}
+			<-serve
+			fmt.Fprintln(w, news)
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		}))
+		t.Cleanup(s.CloseClientConnections)
+		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+		cfg.Settings.PollDiscovery = false
+		started := time.Now()
+		n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
+				close(told)
+			}
+			return nil
+		}))
+		if serves := n.serving.Load(); serves && time.Since(started) < firstUpdateTimeout {
+			t.Errorf("%s: it serves before its agent has answered", name)
+		}
+		close(serve)
+		for end := time.Now().Add(nodetest.Limit); !n.serving.Load(); time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("%s: it never serves", name)
+			}
+		}
+		if name == "news" {
+			select {
+			case <-told:
+			default:
+				t.Error("it serves before it knows the news")
+			}
+		}
+	}
+}
+
+// A list that stops short changes nothing and is asked for again, soon, from the revision that is held.
+func TestListCutShort(t *testing.T) {
+	t.Parallel()
+	whole := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "SERVING"))
+	for name, cut := range map[string]func(w http.ResponseWriter, r *http.Request){
+		"and ends": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole[:len(whole)/2]) },
+		"and breaks": func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, whole[:len(whole)/2])
+			w.(http.Flusher).Flush()
+			panic(http.ErrAbortHandler)
+		},
+		"by its end": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole) },
+		"and stands still": func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, whole[:len(whole)/2])
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		},
+		"by its targets": func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, `{"rev":9,"all":true}`) },
+	} {
+		asked := make(chan string, 100)
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if nodetest.IsPoll(r) {
+				<-r.Context().Done()
+				return
+			}
+			asked <- r.URL.Query().Get("since")
+			if len(asked) == 1 {
+				cut(w, r)
+				return
+			}
+			fmt.Fprintln(w, whole)
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		}))
+		t.Cleanup(s.CloseClientConnections)
+		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+		cfg.Settings.PollDiscovery = false
+		lists := make(chan balancer.EndpointUpdate, 10)
+		startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			if l, is := e.(balancer.EndpointUpdate); is {
+				lists <- l
+			}
+			return nil
+		}))
+		if l := nodetest.Wait(t, lists); !l.Cached {
+			t.Fatalf("%s: %+v", name, l)
+		}
+		if l := nodetest.Wait(t, lists); !l.Full || len(l.Endpoints) != 2 {
+			t.Errorf("%s: the first news is %+v", name, l)
+		}
+		if first, second := nodetest.Wait(t, asked), nodetest.Wait(t, asked); first != "7" || second != "7" {
+			t.Errorf("%s: asked since %s, then %s", name, first, second)
+		}
+	}
+}
+
+// Where lists are asked for, discovery serves the calls of all nodes in turn. One that has refused a watch for its load is
+// waited for: the next watch is not given up while it stands in line, so there is one in line and not many; and no
+// question for the whole list goes out while another waits.
+func TestSerializedDiscoveryIsWaitedFor(t *testing.T) {
+	t.Parallel()
+	const line = 4 * time.Second / 3 // what standing in line takes; watches of an agent are given up long before
+	var watches, questions, together atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if nodetest.IsPoll(r) {
+			if questions.Add(1) > 1 {
+				together.Add(1)
+			}
+			<-r.Context().Done()
+			questions.Add(-1)
+			return
+		}
+		if watches.Add(1) == 1 {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		select {
+		case <-time.After(line): // a fact of time, nothing is waited for
+			fmt.Fprintln(w, nodetest.Message(9, true, nodetest.Target("a", "SERVING")))
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		case <-r.Context().Done():
+		}
+	}))
+	t.Cleanup(s.CloseClientConnections)
+	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
+	cfg.Settings.PollDiscovery = true
+	lists := make(chan balancer.EndpointUpdate, 10)
+	startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+		switch e := e.(type) {
+		case balancer.EndpointUpdate:
+			if e.Cached {
+				return []balancer.Action{balancer.Subscribe{}}
+			}
+			lists <- e
+		case balancer.SubscriptionFailed:
+			return []balancer.Action{balancer.Subscribe{}}
+		}
+		return nil
+	}))
+	nodetest.Wait(t, lists)
+	if n, q := watches.Load(), together.Load(); n != 2 || q > 0 {
+		t.Errorf("%d watches, %d questions beside another", n, q)
+	}
+}
