--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"log"
 	"log/slog"
 
 	"umberbank/internal/node/discovery"
@@ -17,7 +16,7 @@
 	if len(n.cfg.Registry.Endpoints) == 0 {
 		return nil
 	}
-	reader, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Log: log.Printf})
+	reader, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Logger: slog.Default()})
 	if err != nil {
 		return err
 	}
--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/agreed.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"net/url"
 	"strconv"
 	"time"
@@ -9,41 +10,41 @@
 	"umberbank/internal/registry/state"
 )
 
-// answerWithin is how long an answer to a call that waits may take beyond its wait.
-const answerWithin = time.Second
+// answerTimeout is how long an answer may take beyond the time that its call waits for a change.
+const answerTimeout = time.Second
 
-// Agreed asks what is agreed, later than a revision if that comes within wait. query says which part; see the replica's
-// /registry/agreed.
-func (w *Client) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
+// Agreed polls for what is agreed, as of a later revision than after if there is one within wait. query says which part; see
+// the replica's /registry/agreed. It sets after and wait_ms in query.
+func (c *Client) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	var a state.CoordinationView
-	return &a, w.Call(ctx, "GET", "/registry/agreed?"+query.Encode(), nil, &a)
+	var agreed state.CoordinationView
+	return &agreed, c.Call(ctx, http.MethodGet, "/registry/agreed?"+query.Encode(), nil, &agreed)
 }
 
 // WriteOne has one write carried out, within a second.
-func (w *Client) WriteOne(ctx context.Context, op state.Op) (state.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+func (c *Client) WriteOne(ctx context.Context, op state.Op) (state.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	a, err := w.Write(ctx, op)
+	answers, err := c.Write(ctx, op)
 	if err != nil {
 		return state.Result{}, err
 	}
-	return a[0], nil
+	return answers[0], nil
 }
 
-// NextStartTime is the time of a unit's start, in Unix milliseconds, by a clock that may have been set back: later than any
-// start of it that the registry knows.
-func (w *Client) NextStartTime(ctx context.Context, uid string, wall time.Time) (float64, error) {
-	known, err := w.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
+// NextStartTime returns the time of a unit's start, in Unix milliseconds: by the wall clock, which may have been set back,
+// and later than any start of the unit that the registry knows.
+func (c *Client) NextStartTime(ctx context.Context, uid string, wall time.Time) (float64, error) {
+	known, err := c.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
 	if err != nil {
 		return 0, err
 	}
-	boot := float64(wall.UnixMilli())
+	start := float64(wall.UnixMilli())
 	for _, e := range known.Units {
-		boot = max(boot, e.StartTimeMS+1)
+		start = max(start, e.StartTimeMS+1)
 	}
-	return boot, nil
+	return start, nil
 }
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -4,84 +4,102 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"log/slog"
+	"sync"
 	"time"
 
 	"umberbank/internal/durable"
 )
 
-// cache keeps a Reader's list in a folder: a snapshot of it, and a log of the changes since, so that what a change
-// costs does not depend on the list's length. One goroutine writes it, and no news waits for the disk.
-type cache struct {
-	opt   durable.Options
-	store *durable.Store // nil: the folder could not be had so far
-	said  string         // the last complaint, which is not repeated
-
-	// What is not written yet; under the Reader's lock.
-	pending []message
-	whole   bool // the list itself has to be written, not what has changed
-	news    chan struct{}
-}
-
-// What the cache's files are, and their bounds.
+// What a cache's files are, and their bounds.
 const (
-	cacheKind   = "registry-list"
-	cacheSchema = 1
-	mostPending = 1024    // changes; beyond that the list is written
-	leastLog    = 1 << 18 // bytes of a log that are never worth another snapshot
+	cacheKind        = "registry-list"
+	cacheSchema      = 1
+	cacheSnapshots   = 2       // that are kept
+	maxPendingEvents = 1024    // beyond that the full list is written
+	minLogToCompact  = 1 << 18 // bytes; a shorter log is never worth another snapshot
+	logToSnapshot    = 2       // nor is one shorter than so many snapshots
+)
+
+var (
+	errNotFullList = errors.New("no whole list")
+	errNotFollowUp = errors.New("no change that follows the one before")
 )
 
-func newCache(dir string) *cache {
-	return &cache{opt: durable.Options{Dir: dir, Kind: cacheKind, Schema: cacheSchema, Retain: 2}, whole: true, news: make(chan struct{}, 1)}
+// cache keeps a Watcher's list in a folder: a snapshot of it, and a log of the events since, so that what an event costs does
+// not depend on the list's length. One goroutine writes it, and no event waits for the disk.
+type cache struct {
+	opt       durable.Options
+	logger    *slog.Logger
+	store     *durable.Store // nil: the folder could not be opened so far
+	lastError string         // is not logged again
+
+	mu       *sync.Mutex       // the Watcher's, so that pending events fit the list
+	list     func() WatchEvent // the full list, with mu held
+	pending  []WatchEvent      // not written yet
+	fullList bool              // the list itself has to be written, not what has changed
+	wake     chan struct{}     // has a value while there is something to write
 }
 
-// load gives the Reader what the cache has, as far as it is whole.
-func (c *cache) load(r *Watcher) {
-	found, thrown := durable.Load(c.opt, func(s durable.Snapshot) error {
-		var m message
-		if err := json.Unmarshal(s.Payload, &m); err != nil {
+func newCache(dir string, logger *slog.Logger, mu *sync.Mutex, list func() WatchEvent) *cache {
+	return &cache{
+		opt:      durable.Options{Dir: dir, Kind: cacheKind, Schema: cacheSchema, Retain: cacheSnapshots},
+		logger:   logger,
+		mu:       mu,
+		list:     list,
+		fullList: true,
+		wake:     make(chan struct{}, 1),
+	}
+}
+
+// load applies what the folder has, as far as it is intact. apply says whether an event follows what was applied before.
+func (c *cache) load(apply func(WatchEvent) bool) {
+	found, skipped := durable.Load(c.opt, func(s durable.Snapshot) error {
+		var event WatchEvent
+		if err := json.Unmarshal(s.Payload, &event); err != nil {
 			return err
 		}
-		if !m.FullList || m.Instances == nil {
-			return errors.New("no whole list")
+		if !event.FullList || event.Instances == nil {
+			return errNotFullList
 		}
-		r.take(m)
+		apply(event)
 		return nil
 	})
 	if found != nil {
-		bad := durable.Replay(c.opt, found.Seq, func(record []byte) error {
-			var m message
-			if err := json.Unmarshal(record, &m); err != nil {
+		damaged := durable.Replay(c.opt, found.Seq, func(record []byte) error {
+			var event WatchEvent
+			if err := json.Unmarshal(record, &event); err != nil {
 				return err
 			}
-			if m.FullList || m.Instances == nil || !r.take(m) {
-				return errors.New("no change that follows the one before")
+			if event.FullList || event.Instances == nil || !apply(event) {
+				return errNotFollowUp
 			}
 			return nil
 		})
-		if bad != nil {
-			thrown = append(thrown, *bad)
+		if damaged != nil {
+			skipped = append(skipped, *damaged)
 		}
 	}
-	for _, t := range thrown {
-		r.opt.Log("cache: passed over: %v", t)
+	for _, s := range skipped {
+		c.logger.Warn("skipping a damaged file of the cached list", "file", s.File, "reason", s.Reason)
 	}
 }
 
-// add notes news that the Reader has taken; it holds its lock.
-func (c *cache) add(m message) {
-	if c.whole = c.whole || m.FullList || len(c.pending) == mostPending; c.whole {
-		c.pending = nil
+// add notes an event that the Watcher has applied. c.mu is held.
+func (c *cache) add(event WatchEvent) {
+	if c.fullList || event.FullList || len(c.pending) == maxPendingEvents {
+		c.fullList, c.pending = true, nil
 	} else {
-		c.pending = append(c.pending, m)
+		c.pending = append(c.pending, event)
 	}
 	select {
-	case c.news <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default: // the writer is about to look
 	}
 }
 
 // run writes what there is to write until ctx ends, and then once more.
-func (c *cache) run(ctx context.Context, r *Watcher) {
+func (c *cache) run(ctx context.Context) {
 	defer func() {
 		if c.store != nil {
 			c.store.Close()
@@ -89,62 +107,87 @@
 	}()
 	for ended := false; !ended; {
 		select {
-		case <-c.news:
+		case <-c.wake:
 		case <-ctx.Done():
 			ended = true
 		}
-		err := c.write(r)
-		if err != nil && err.Error() != c.said {
-			r.opt.Log("cache: %v", err)
-			c.said = err.Error()
-		} else if err == nil {
-			c.said = ""
-		}
+		c.logError(c.write())
 	}
 }
 
-// write writes what has changed since the last time. After a fault the list itself is written with the next news.
-func (c *cache) write(r *Watcher) (err error) {
-	r.mu.Lock()
-	pending, whole := c.pending, c.whole
-	c.pending, c.whole = nil, false
-	var all message
-	if whole = whole || c.store != nil && c.store.LogSize() > max(leastLog, 2*c.store.SnapshotSize()); whole {
-		all = message{Revision: r.rev, FullList: true, Instances: r.sorted()}
+// logError logs an error unless it is the last one again.
+func (c *cache) logError(err error) {
+	if err == nil {
+		c.lastError = ""
+		return
 	}
-	r.mu.Unlock()
-	defer func() {
-		if err != nil {
-			r.mu.Lock()
-			c.pending, c.whole = nil, true
-			r.mu.Unlock()
-		}
-	}()
-	if whole && all.Revision == 0 { // nothing was heard yet
-		r.mu.Lock()
-		c.whole = true
-		r.mu.Unlock()
+	if err.Error() != c.lastError {
+		c.logger.Warn("writing the cached list failed", "error", err)
+		c.lastError = err.Error()
+	}
+}
+
+// write writes what has changed since the last time. After an error the list itself is written with the next event.
+func (c *cache) write() error {
+	list, pending := c.take()
+	if list != nil && list.Revision == 0 { // nothing was received yet
+		c.writeListNext()
 		return nil
 	}
-	if !whole && len(pending) == 0 {
+	if list == nil && len(pending) == 0 {
 		return nil
 	}
+	err := c.save(list, pending)
+	if err != nil {
+		c.writeListNext()
+	}
+	return err
+}
+
+// take takes what is to be written: the list, or if that is nil events.
+func (c *cache) take() (list *WatchEvent, pending []WatchEvent) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	pending, fullList := c.pending, c.fullList
+	c.pending, c.fullList = nil, false
+	if fullList || c.needsCompaction() {
+		l := c.list()
+		list = &l
+	}
+	return list, pending
+}
+
+// needsCompaction says whether the log has grown so long that a snapshot pays.
+func (c *cache) needsCompaction() bool {
+	return c.store != nil && c.store.LogSize() > max(minLogToCompact, logToSnapshot*c.store.SnapshotSize())
+}
+
+func (c *cache) writeListNext() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending, c.fullList = nil, true
+}
+
+// save writes the list as a snapshot, or events behind the last one.
+func (c *cache) save(list *WatchEvent, pending []WatchEvent) error {
 	if c.store == nil {
-		if c.store, err = durable.Open(c.opt); err != nil {
-			c.store = nil // another process that still ends, or the disk
-			return err
+		store, err := durable.Open(c.opt)
+		if err != nil {
+			return err // another process that has not ended yet, or the disk
 		}
+		c.store = store
 	}
-	if whole {
-		text, err := json.Marshal(all)
+	if list != nil {
+		text, err := json.Marshal(list)
 		if err != nil {
 			return err
 		}
 		return c.store.Save(text, time.Now())
 	}
 	records := make([][]byte, len(pending))
-	for i, m := range pending {
-		if records[i], err = json.Marshal(m); err != nil {
+	for i, event := range pending {
+		var err error
+		if records[i], err = json.Marshal(event); err != nil {
 			return err
 		}
 	}
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -4,8 +4,10 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"net/url"
 	"path/filepath"
@@ -97,26 +99,37 @@
 	if err := h.Renew(ctx); err != nil {
 		t.Fatal(err)
 	}
-	reader, err := NewWatcher(Options{Endpoints: []string{address}})
+	watcher, err := NewWatcher(Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	watching, stop := context.WithCancel(ctx)
-	reader.Run(watching, func(u WatchEvent) {
+	err = watcher.Run(watching, func(u WatchEvent) {
 		text, err := json.Marshal(u)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		fmt.Fprintf(&r.out, "event %s %v\n", text, err)
 		stop()
 	})
+	if !errors.Is(err, context.Canceled) {
+		t.Error(err)
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	golden.Check(t, "requests.golden", r.out.Bytes())
 }
 
+// failOnWrite fails the test with whatever is logged.
+type failOnWrite struct{ t *testing.T }
+
+func (w failOnWrite) Write(line []byte) (int, error) {
+	w.t.Errorf("logged: %s", line)
+	return len(line), nil
+}
+
 // A cache folder that the program wrote before its names were changed gives the list that it held.
 func TestStoredCache(t *testing.T) {
-	r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Log: t.Errorf})
+	r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Logger: slog.New(slog.NewTextHandler(failOnWrite{t}, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,10 +152,10 @@
 	}
 }
 
-// writeCache has a Reader write its cache.
+// writeCache has a Watcher write its cache.
 func writeCache(t *testing.T, dir string) {
 	t.Helper()
-	f := &fake{scripts: cacheScript()}
+	f := &fakeReplica{scripts: cacheScript()}
 	follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: dir, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 9 })
 }
 
--- /dev/null
+++ b/internal/registry/client/leaseholder.go
@@ -0,0 +1,162 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"umberbank/internal/registry/state"
+)
+
+// Renewals are sent about each third of a lease's time to live, drawn from this share of it up to this much more.
+const (
+	renewalsPerTTL  = 3
+	minRenewalShare = 0.8
+	renewalSpread   = 0.4
+)
+
+// ErrFenced says that another process has taken an entry over.
+var ErrFenced = errors.New("another process holds the entry")
+
+// LeaseHolder keeps entries registered: it renews their leases together, and registers again what the registry does not
+// know.
+type LeaseHolder struct {
+	client *Client
+
+	mu         sync.Mutex
+	entries    map[string]*state.Instance
+	tokens     map[string]int64
+	lastSent   time.Time     // when the last renewal that was answered was sent
+	longestGap time.Duration // see MaxRenewalGap
+}
+
+// NewLeaseHolder returns a LeaseHolder without entries.
+func NewLeaseHolder(c *Client) *LeaseHolder {
+	return &LeaseHolder{client: c, entries: map[string]*state.Instance{}, tokens: map[string]int64{}}
+}
+
+// Register registers entries and keeps them from then on. ErrFenced: a later process has registered one of them.
+func (h *LeaseHolder) Register(ctx context.Context, entries ...*state.Instance) error {
+	var ops []state.Op
+	for _, e := range entries {
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
+	}
+	answers, err := h.client.Write(ctx, ops...)
+	if err != nil {
+		return err
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, a := range answers {
+		uid := entries[i].UID
+		switch a.Code {
+		case "":
+			h.entries[uid], h.tokens[uid] = entries[i], a.Token
+		case state.CodeFenced:
+			delete(h.entries, uid)
+			delete(h.tokens, uid)
+			err = errors.Join(err, fmt.Errorf("%s: %w", uid, ErrFenced))
+		default:
+			err = errors.Join(err, fmt.Errorf("%s: %s", uid, a.Code))
+		}
+	}
+	return err
+}
+
+// Token returns the token that an entry is held by; 0: it is not held.
+func (h *LeaseHolder) Token(uid string) int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.tokens[uid]
+}
+
+// renewal names a lease to renew.
+type renewal struct {
+	UID   string `json:"uid"`
+	Token int64  `json:"token"`
+}
+
+// renewRequest and renewResponse are the bodies of a call that renews leases.
+type (
+	renewRequest struct {
+		Leases []renewal `json:"leases"`
+	}
+	renewResponse struct {
+		Unknown []string `json:"unknown"` // uids of leases that are not held by these tokens
+	}
+)
+
+// Renew renews all leases once, and registers again what the registry does not know.
+func (h *LeaseHolder) Renew(ctx context.Context) error {
+	renewals := h.renewals()
+	if len(renewals) == 0 {
+		return nil
+	}
+	var response renewResponse
+	sent := time.Now()
+	if err := h.client.Call(ctx, http.MethodPost, "/registry/renew", renewRequest{renewals}, &response); err != nil {
+		return err
+	}
+	unknown := h.noteRenewal(sent, response.Unknown)
+	if len(unknown) == 0 {
+		return nil
+	}
+	return h.Register(ctx, unknown...)
+}
+
+func (h *LeaseHolder) renewals() (l []renewal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for uid, token := range h.tokens {
+		l = append(l, renewal{uid, token})
+	}
+	return l
+}
+
+// noteRenewal notes a renewal that was answered, and returns the held entries among those that the registry does not know.
+func (h *LeaseHolder) noteRenewal(sent time.Time, unknown []string) (entries []*state.Instance) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.lastSent.IsZero() {
+		h.longestGap = max(h.longestGap, time.Since(h.lastSent))
+	}
+	h.lastSent = sent
+	for _, uid := range unknown {
+		if e := h.entries[uid]; e != nil {
+			entries = append(entries, e)
+		}
+	}
+	return entries
+}
+
+// MaxRenewalGap returns the longest time, since it was last called, from sending one renewal to the answer to the next, or to
+// now. A registry that expired a lease of a longer time to live than that, less the time between its checks, has erred.
+func (h *LeaseHolder) MaxRenewalGap() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	gap := h.longestGap
+	if !h.lastSent.IsZero() {
+		gap = max(gap, time.Since(h.lastSent))
+	}
+	h.longestGap = 0
+	return gap
+}
+
+// Run renews until ctx ends: about each third of ttl, with a jitter so that many holders do not call together.
+func (h *LeaseHolder) Run(ctx context.Context, ttl time.Duration) {
+	for {
+		wait := time.Duration((minRenewalShare + renewalSpread*rand.Float64()) * float64(ttl) / renewalsPerTTL)
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return
+		}
+		renewing, cancel := context.WithTimeout(ctx, ttl)
+		h.Renew(renewing) //nolint:errcheck // what failed is retried with the next renewal
+		cancel()
+	}
+}
