--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -27,7 +27,7 @@
 			defer cancel()
 			at, raft := free(t), free(t)
 			r, err := replica.New(replica.Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: raft, ClientAddress: at, Peers: []replica.Peer{{ID: "r0", RaftAddress: raft, ClientAddress: at}},
-				Tick: 20 * time.Millisecond, Guard: replica.ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+				Tick: 20 * time.Millisecond, Guard: replica.ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -38,7 +38,7 @@
 	list     func() WatchEvent // the full list, with mu held
 	pending  []WatchEvent      // not written yet
 	fullList bool              // the list itself has to be written, not what has changed
-	wake     chan struct{}     // has a value while there is something to write
+	dirty    chan struct{}     // has a value while there is something to write
 }
 
 func newCache(dir string, logger *slog.Logger, mu *sync.Mutex, list func() WatchEvent) *cache {
@@ -48,7 +48,7 @@
 		mu:       mu,
 		list:     list,
 		fullList: true,
-		wake:     make(chan struct{}, 1),
+		dirty:    make(chan struct{}, 1),
 	}
 }
 
@@ -93,7 +93,7 @@
 		c.pending = append(c.pending, event)
 	}
 	select {
-	case c.wake <- struct{}{}:
+	case c.dirty <- struct{}{}:
 	default: // the writer is about to look
 	}
 }
@@ -107,7 +107,7 @@
 	}()
 	for ended := false; !ended; {
 		select {
-		case <-c.wake:
+		case <-c.dirty:
 		case <-ctx.Done():
 			ended = true
 		}
@@ -129,7 +129,7 @@
 
 // write writes what has changed since the last time. After an error the list itself is written with the next event.
 func (c *cache) write() error {
-	list, pending := c.take()
+	list, pending := c.takePending()
 	if list != nil && list.Revision == 0 { // nothing was received yet
 		c.writeListNext()
 		return nil
@@ -144,8 +144,8 @@
 	return err
 }
 
-// take takes what is to be written: the list, or if that is nil events.
-func (c *cache) take() (list *WatchEvent, pending []WatchEvent) {
+// takePending takes what is to be written: the list, or if that is nil events.
+func (c *cache) takePending() (list *WatchEvent, pending []WatchEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pending, fullList := c.pending, c.fullList
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -67,7 +67,7 @@
 		if rejected := (rejectedError{}); err == nil || errors.As(err, &rejected) {
 			return err
 		}
-		c.moveOnFrom(replica)
+		c.skipReplica(replica)
 		select {
 		case <-time.After(pauses.NextBackOff()):
 		case <-ctx.Done():
@@ -82,8 +82,8 @@
 	return c.current
 }
 
-// moveOnFrom makes the next replica the current one, unless another call has done so.
-func (c *Client) moveOnFrom(replica int) {
+// skipReplica makes the next replica the current one, unless another call has done so.
+func (c *Client) skipReplica(replica int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == replica {
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -14,9 +14,9 @@
 
 // Renewals are sent about each third of a lease's time to live, drawn from this share of it up to this much more.
 const (
-	renewalsPerTTL  = 3
-	minRenewalShare = 0.8
-	renewalSpread   = 0.4
+	renewalsPerTTL     = 3
+	minRenewalFraction = 0.8
+	renewalSpread      = 0.4
 )
 
 // ErrFenced says that another process has taken an entry over.
@@ -149,7 +149,7 @@
 // Run renews until ctx ends: about each third of ttl, with a jitter so that many holders do not call together.
 func (h *LeaseHolder) Run(ctx context.Context, ttl time.Duration) {
 	for {
-		wait := time.Duration((minRenewalShare + renewalSpread*rand.Float64()) * float64(ttl) / renewalsPerTTL)
+		wait := time.Duration((minRenewalFraction + renewalSpread*rand.Float64()) * float64(ttl) / renewalsPerTTL)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	next, err := replica.New(replica.Config{ID: "r9", DataDir: t.TempDir(), RaftAddress: raft, ClientAddress: address, Tick: 60 * time.Millisecond,
-		Guard: replica.ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+		Guard: replica.ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -38,12 +38,12 @@
 	return mux
 }
 
-// badRequestError is the caller's fault.
-type badRequestError struct{ err error }
+// invalidRequestError is the caller's fault.
+type invalidRequestError struct{ err error }
 
-func (e badRequestError) Error() string { return e.err.Error() }
+func (e invalidRequestError) Error() string { return e.err.Error() }
 
-func (e badRequestError) Unwrap() error { return e.err }
+func (e invalidRequestError) Unwrap() error { return e.err }
 
 // errorResponse is the body of an answer that is an error.
 type errorResponse struct {
@@ -58,7 +58,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		status := http.StatusServiceUnavailable
-		if bad := (badRequestError{}); errors.As(err, &bad) {
+		if bad := (invalidRequestError{}); errors.As(err, &bad) {
 			status = http.StatusBadRequest
 		}
 		w.WriteHeader(status)
--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// atLeastTimeout is how long a call with at_least waits for the revision.
-	atLeastTimeout = 5 * time.Second
+	// minRevisionTimeout is how long a call with at_least waits for the revision.
+	minRevisionTimeout = 5 * time.Second
 	// maxPollWait and defaultPollWaitMS are how long a call with after waits for a change.
 	maxPollWait       = 10 * time.Second
 	defaultPollWaitMS = "1000"
@@ -28,9 +28,9 @@
 )
 
 var (
-	errBehind        = errors.New("this replica has not come to that revision")
-	errLeaderLost    = errors.New("this replica has lost its leader")
-	errBadPollNumber = errors.New("after, wait_ms: no number")
+	errBehind            = errors.New("this replica has not come to that revision")
+	errLeaderLost        = errors.New("this replica has lost its leader")
+	errInvalidPollNumber = errors.New("after, wait_ms: no number")
 )
 
 // Status is what a replica reports of itself.
@@ -106,15 +106,15 @@
 // says.
 func (r *Replica) handleInstances(w http.ResponseWriter, q *http.Request) {
 	query := q.URL.Query()
-	since, atLeast, err := instancesParameters(query)
+	since, minRevision, err := instancesParameters(query)
 	if err != nil {
-		reply(w, nil, badRequestError{err})
+		reply(w, nil, invalidRequestError{err})
 		return
 	}
 	if query.Get("consistent") != "" && !r.ensureConsistent(w, q) {
 		return
 	}
-	if atLeast > 0 && !r.waitForRevision(q, atLeast, atLeastTimeout) {
+	if minRevision > 0 && !r.waitForRevision(q, minRevision, minRevisionTimeout) {
 		reply(w, nil, errBehind)
 		return
 	}
@@ -134,11 +134,11 @@
 }
 
 // instancesParameters are the revisions of a call; 0 where it names none.
-func instancesParameters(query url.Values) (since, atLeast int64, err error) {
+func instancesParameters(query url.Values) (since, minRevision int64, err error) {
 	for _, p := range []struct {
 		name string
 		to   *int64
-	}{{"since", &since}, {"at_least", &atLeast}} {
+	}{{"since", &since}, {"at_least", &minRevision}} {
 		text := query.Get(p.name)
 		if text == "" {
 			continue
@@ -147,7 +147,7 @@
 			return 0, 0, errors.New(p.name + ": no number")
 		}
 	}
-	return since, atLeast, nil
+	return since, minRevision, nil
 }
 
 // handleAgreed returns what is agreed. after=REV waits until there is a later revision, or wait_ms are over; unit=UID
@@ -162,7 +162,7 @@
 		after, err := strconv.ParseInt(text, 10, 64)
 		ms, msErr := strconv.Atoi(cmp.Or(query.Get("wait_ms"), defaultPollWaitMS))
 		if err != nil || msErr != nil || ms < 0 {
-			reply(w, nil, badRequestError{errBadPollNumber})
+			reply(w, nil, invalidRequestError{errInvalidPollNumber})
 			return
 		}
 		r.waitForRevision(q, after+1, min(time.Duration(ms)*time.Millisecond, maxPollWait))
--- a/internal/registry/replica/api_write.go
+++ b/internal/registry/replica/api_write.go
@@ -33,10 +33,10 @@
 func (r *Replica) handleWrite(_ context.Context, body []byte) (any, error) {
 	var c writeRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badRequestError{err}
+		return nil, invalidRequestError{err}
 	}
 	if len(c.Ops) == 0 || len(c.Ops) > maxOpsPerWrite {
-		return nil, badRequestError{errOpCount}
+		return nil, invalidRequestError{errOpCount}
 	}
 	answers, err := r.write(command{Ops: c.Ops})
 	return writeResponse{answers}, err
@@ -45,7 +45,7 @@
 // handleRestore replaces the state by a backup.
 func (r *Replica) handleRestore(_ context.Context, body []byte) (any, error) {
 	if _, err := state.Load(body); err != nil {
-		return nil, badRequestError{err}
+		return nil, invalidRequestError{err}
 	}
 	_, err := r.write(command{Restore: body})
 	return emptyResponse{}, err
@@ -65,7 +65,7 @@
 func (r *Replica) handleRenew(ctx context.Context, body []byte) (any, error) {
 	var c renewCall
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badRequestError{err}
+		return nil, invalidRequestError{err}
 	}
 	unknown, err := r.renew(ctx, c.Leases)
 	return renewResponse{unknown}, err
@@ -81,7 +81,7 @@
 func (r *Replica) handleMembers(_ context.Context, body []byte) (any, error) {
 	var c membersRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badRequestError{err}
+		return nil, invalidRequestError{err}
 	}
 	switch p := c.Add; {
 	case p != nil && p.ID != "" && p.RaftAddress != "" && p.ClientAddress != "":
@@ -89,7 +89,7 @@
 	case c.Remove != "":
 		return emptyResponse{}, r.removeMember(c.Remove)
 	}
-	return nil, badRequestError{errNoPeer}
+	return nil, invalidRequestError{errNoPeer}
 }
 
 func (r *Replica) addMember(p *Peer) error {
@@ -112,7 +112,7 @@
 	return func(w http.ResponseWriter, q *http.Request) {
 		body, err := readBody(q.Body)
 		if err != nil {
-			reply(w, nil, badRequestError{err})
+			reply(w, nil, invalidRequestError{err})
 			return
 		}
 		if r.raft.State() != raft.Leader {
--- a/internal/registry/replica/configfile.go
+++ b/internal/registry/replica/configfile.go
@@ -24,10 +24,10 @@
 	SyncDelayFile string `toml:"sync_wait"`
 	Peers         []Peer `toml:"peer"`
 	Guard         struct {
-		MaxZoneShare float64 `toml:"share"`
-		MinExpired   int     `toml:"least"`
-		Window       string  `toml:"window"`
-		ConfirmAfter string  `toml:"confirm"`
+		MaxZoneFraction float64 `toml:"share"`
+		MinExpired      int     `toml:"least"`
+		Window          string  `toml:"window"`
+		ConfirmAfter    string  `toml:"confirm"`
 	} `toml:"guard"`
 }
 
@@ -61,7 +61,7 @@
 	c := Config{
 		ID: f.ID, DataDir: f.DataDir, RaftAddress: f.RaftAddress, ClientAddress: f.ClientAddress,
 		Peers: f.Peers, SyncDelayFile: f.SyncDelayFile,
-		Guard: ExpiryGuard{MaxZoneShare: f.Guard.MaxZoneShare, MinExpired: f.Guard.MinExpired},
+		Guard: ExpiryGuard{MaxZoneFraction: f.Guard.MaxZoneFraction, MinExpired: f.Guard.MinExpired},
 	}
 	for _, d := range []struct {
 		key, text string
@@ -87,8 +87,8 @@
 		return c, invalid(name, "id", "missing")
 	case c.DataDir == "":
 		return c, invalid(name, "dir", "missing")
-	case c.Guard.MaxZoneShare <= 0 || c.Guard.MaxZoneShare > 1:
-		return c, invalid(name, "guard.share", "%v is no share above 0", c.Guard.MaxZoneShare)
+	case c.Guard.MaxZoneFraction <= 0 || c.Guard.MaxZoneFraction > 1:
+		return c, invalid(name, "guard.share", "%v is no share above 0", c.Guard.MaxZoneFraction)
 	case c.Guard.MinExpired < 1:
 		return c, invalid(name, "guard.least", "%d is below 1", c.Guard.MinExpired)
 	}
--- a/internal/registry/replica/configfile_test.go
+++ b/internal/registry/replica/configfile_test.go
@@ -72,7 +72,7 @@
 // writeConfig writes what a configuration says, value by value.
 func writeConfig(out *bytes.Buffer, c Config) {
 	fmt.Fprintf(out, "%s %s %s %s %v %d %q\n", c.ID, c.DataDir, c.RaftAddress, c.ClientAddress, c.Tick, c.SnapshotThreshold, c.SyncDelayFile)
-	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.MaxZoneShare, c.Guard.MinExpired, c.Guard.Window, c.Guard.ConfirmAfter)
+	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.MaxZoneFraction, c.Guard.MinExpired, c.Guard.Window, c.Guard.ConfirmAfter)
 	for _, p := range c.Peers {
 		fmt.Fprintf(out, "%s %s %s %q\n", p.ID, p.RaftAddress, p.ClientAddress, p.DialAddress)
 	}
--- a/internal/registry/replica/datadir.go
+++ b/internal/registry/replica/datadir.go
@@ -28,7 +28,7 @@
 		err = errors.New("it is empty")
 	}
 	if err != nil {
-		return fmt.Errorf("%s: the log was begun and is gone: take this replica out, empty its folder and add it again: %w", path, err)
+		return fmt.Errorf("%s: the log was created before and is missing: take this replica out, empty its folder and add it again: %w", path, err)
 	}
 	return nil
 }
--- a/internal/registry/replica/datadir_test.go
+++ b/internal/registry/replica/datadir_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	a, b := freeAddr(t), freeAddr(t)
 	return New(Config{ID: "r0", DataDir: dir, RaftAddress: a, ClientAddress: b, Peers: []Peer{{ID: "r0", RaftAddress: a, ClientAddress: b}}, Tick: 20 * time.Millisecond,
-		SnapshotThreshold: 40, Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+		SnapshotThreshold: 40, Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 }
 
 func write(t *testing.T, r *Replica, ops ...state.Op) []state.Result {
--- a/internal/registry/replica/forward_test.go
+++ b/internal/registry/replica/forward_test.go
@@ -28,7 +28,7 @@
 	var replicas []*Replica
 	for i := range peers {
 		r, err := New(Config{ID: peers[i].ID, DataDir: t.TempDir(), RaftAddress: peers[i].RaftAddress, ClientAddress: peers[i].ClientAddress, Peers: peers, Tick: 20 * time.Millisecond,
-			Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+			Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 // A replica without a leader refuses what needs one.
 func TestNoLeaderGolden(t *testing.T) {
 	r, err := New(Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: freeAddr(t), ClientAddress: freeAddr(t), Tick: 20 * time.Millisecond,
-		Guard: ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+		Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/replica/guard.go
+++ b/internal/registry/replica/guard.go
@@ -5,7 +5,7 @@
 // ExpiryGuard says when expired leases are not believed.
 //
 // An expired lease is believed, and its entry goes, unless within Window at least MinExpired leases have expired, and with
-// them those of more than MaxZoneShare of the zone's entries: a mass expiry. Then that zone's entries stay as suspects. If
+// them those of more than MaxZoneFraction of the zone's entries: a mass expiry. Then that zone's entries stay as suspects. If
 // every other zone (and there is one) renews as ever, the zone is taken for lost after ConfirmAfter, and its suspects go.
 // If there is a mass expiry in two zones or more, or there is no other zone, the fault is likelier between the registry and
 // the servers: suspects stay until they renew, or an operator declares them decommissioned.
@@ -13,10 +13,10 @@
 // Where it must fail: a partition between the registry and one zone alone looks like that zone's loss, and its servers go
 // after ConfirmAfter though clients may reach them; and when two zones are truly lost at once, their servers stay listed.
 type ExpiryGuard struct {
-	MaxZoneShare float64 // of a zone's leases, above 0 and up to 1
-	MinExpired   int     // in all zones, 1 or more
-	Window       time.Duration
-	ConfirmAfter time.Duration
+	MaxZoneFraction float64 // of a zone's leases, above 0 and up to 1
+	MinExpired      int     // in all zones, 1 or more
+	Window          time.Duration
+	ConfirmAfter    time.Duration
 }
 
 // zoneLeases counts the leases of a zone, and those that were lost within the guard's window or are suspects.
@@ -30,7 +30,7 @@
 	}
 	found := map[string]bool{}
 	for name, z := range zones {
-		if lost >= g.MinExpired && float64(z.lost) > g.MaxZoneShare*float64(z.total) {
+		if lost >= g.MinExpired && float64(z.lost) > g.MaxZoneFraction*float64(z.total) {
 			found[name] = true
 		}
 	}
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -42,7 +42,7 @@
 			}
 			l.leases, l.changed = nil, nil
 			if is {
-				l.takeOver()
+				l.becomeLeader()
 			}
 		case <-l.changed:
 			l.applyChanges()
@@ -62,8 +62,8 @@
 // now is the time on the clock of leases.
 func (l *leaderLoop) now() time.Duration { return time.Since(l.started) }
 
-// takeOver makes a new leader's leases, once it has all that was committed before it.
-func (l *leaderLoop) takeOver() {
+// becomeLeader makes a new leader's leases, once it has all that was committed before it.
+func (l *leaderLoop) becomeLeader() {
 	now := l.now()
 	if l.raft.Barrier(callTimeout).Error() != nil {
 		return // it leads no more
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -88,7 +88,7 @@
 	t.discountSuspension(now)
 	t.lastCheck = now
 	ops, expired, zones := t.collect(now)
-	ops = append(ops, t.judgeExpired(expired, zones, now)...)
+	ops = append(ops, t.resolveExpired(expired, zones, now)...)
 	ops = append(ops, t.warmUpSteps(now)...)
 	slices.SortFunc(ops, func(a, b state.Op) int { return cmp.Compare(a.UID, b.UID) })
 	return ops
@@ -141,8 +141,8 @@
 	return ops, expired, zones
 }
 
-// judgeExpired returns what becomes of expired leases, by the guard.
-func (t *leaseTable) judgeExpired(expired []string, zones map[string]*zoneLeases, now time.Duration) (ops []state.Op) {
+// resolveExpired returns what becomes of expired leases, by the guard.
+func (t *leaseTable) resolveExpired(expired []string, zones map[string]*zoneLeases, now time.Duration) (ops []state.Op) {
 	massExpiry := t.guard.zonesWithMassExpiry(zones)
 	for _, uid := range expired {
 		l := t.byUID[uid]
--- a/internal/registry/replica/leases_test.go
+++ b/internal/registry/replica/leases_test.go
@@ -36,7 +36,7 @@
 // What expired leases lead to: few go, a zone that is lost alone goes later, and what expires everywhere is suspected until
 // it renews.
 func TestExpiryGuard(t *testing.T) {
-	guard := ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: 2 * time.Second, ConfirmAfter: 10 * time.Second}
+	guard := ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 3, Window: 2 * time.Second, ConfirmAfter: 10 * time.Second}
 	for name, c := range map[string]struct {
 		zones    []string // one server in each zone of the list
 		stops    func(i int, zone string) bool
@@ -92,7 +92,7 @@
 func TestSuspendedLeader(t *testing.T) {
 	s := state.New()
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
-	l := newLeaseTable(ExpiryGuard{MaxZoneShare: 0.3, MinExpired: 3, Window: time.Second, ConfirmAfter: time.Second}, s.Instances(), 0)
+	l := newLeaseTable(ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 3, Window: time.Second, ConfirmAfter: time.Second}, s.Instances(), 0)
 	if ops := l.check(10 * time.Second); len(ops) > 0 {
 		t.Errorf("after a stall of 10 s: %+v", ops)
 	}
