--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -244,7 +244,7 @@
 // Versions of settings on real nodes, with faults.
 func TestFleetConfigTrial(t *testing.T) {
 	t.Parallel()
-	r, err := faulttest.RunConfig(t.Context(), faulttest.Options{Seed: 4, For: 3 * time.Second, Program: as(t, "program")}, 9)
+	r, err := faulttest.RunSettings(t.Context(), faulttest.Options{Seed: 4, For: 3 * time.Second, Program: as(t, "program")}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,19 +260,19 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		opt   faulttest.Options
-		named func(*faulttest.ConfigResult) int
+		named func(*faulttest.SettingsResult) int
 	}{
-		"eager":    {faulttest.Options{For: time.Second, Node: as(t, "eager")}, func(r *faulttest.ConfigResult) int { return r.Uncommitted }},
-		"hasty":    {faulttest.Options{For: time.Second, Node: as(t, "hasty")}, func(r *faulttest.ConfigResult) int { return r.ServedEarly }},
-		"revenant": {faulttest.Options{For: time.Second, Node: as(t, "revenant"), Again: true}, func(r *faulttest.ConfigResult) int { return r.OldStarts }},
+		"eager":    {faulttest.Options{For: time.Second, Node: as(t, "eager")}, func(r *faulttest.SettingsResult) int { return r.Uncommitted }},
+		"hasty":    {faulttest.Options{For: time.Second, Node: as(t, "hasty")}, func(r *faulttest.SettingsResult) int { return r.ServedEarly }},
+		"revenant": {faulttest.Options{For: time.Second, Node: as(t, "revenant"), Again: true}, func(r *faulttest.SettingsResult) int { return r.OldStarts }},
 		"gravedigger": {faulttest.Options{For: 6 * time.Second, Beside: func(at []string, _ string) []string {
 			return append(as(t, "gravedigger"), strings.Join(at, ","))
-		}}, func(r *faulttest.ConfigResult) int { return r.CalledDead }},
+		}}, func(r *faulttest.SettingsResult) int { return r.CalledDead }},
 		"right": {faulttest.Options{For: 2 * time.Second, Again: true}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { // one after the other: each is some twenty processes
 			c.opt.Seed, c.opt.Calm, c.opt.Program = 4, true, as(t, "program")
-			r, err := faulttest.RunConfig(t.Context(), c.opt, 6)
+			r, err := faulttest.RunSettings(t.Context(), c.opt, 6)
 			switch {
 			case err != nil:
 				t.Fatal(err)
--- a/cmd/umberbank/fleettrial.go
+++ b/cmd/umberbank/fleettrial.go
@@ -80,8 +80,8 @@
 	if c.Nodes < 3 || c.Nodes > 99 {
 		return fmt.Errorf("--nodes: %d is not between 3 and 99", c.Nodes)
 	}
-	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.ConfigResult, error) {
-		return faulttest.RunConfig(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm}, c.Nodes)
+	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.SettingsResult, error) {
+		return faulttest.RunSettings(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm}, c.Nodes)
 	})
 	if err != nil {
 		return err
--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -212,7 +212,7 @@
 		"fleet-config.json":       encodings[rollout.State](t, indented),
 		"fleet-trial.json":        encodings[fleettrial.Result](t, indented),
 		"fleet-trial-sum.json":    encodings[fleetTrialSum](t, indented),
-		"fleet-trial-config.json": encodings[fleettrial.ConfigResult](t, indented),
+		"fleet-trial-config.json": encodings[fleettrial.SettingsResult](t, indented),
 		"fleet-config-sum.json":   encodings[fleetConfigSum](t, indented),
 		"release-plan.json":       encodings[release.Plan](t, indented),
 		"release-progress.json":   encodings[release.Progress](t, indented),
--- a/internal/coordination/faulttest/judge_test.go
+++ b/internal/coordination/faulttest/check_test.go
@@ -8,8 +8,8 @@
 	"umberbank/internal/coordination/eventlog"
 )
 
-// What processes did, in seconds, and what the judge makes of it.
-func TestJudge(t *testing.T) {
+// What processes did, with times in seconds, and the violations that the check finds.
+func TestCheckReleases(t *testing.T) {
 	at := func(s float64, what eventlog.Kind, unit string) eventlog.Event {
 		return eventlog.Event{At: time.Duration(s * float64(time.Second)), SentAt: time.Duration(s * float64(time.Second)), Kind: what, Unit: unit, Plan: "next"}
 	}
@@ -22,37 +22,39 @@
 		events          []eventlog.Event
 		over, two, late int
 	}{
-		"within":                        {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s01"), at(1, "out", "s02")}},
-		"a zone over":                   {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s04")}, over: 1},
-		"a tier over":                   {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s01"), at(2, "drained", "s03")}, over: 1},
-		"one is back and warm":          {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(3, "out", "s04")}},
-		"one is back and cold":          {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(2.1, "out", "s04")}, over: 1},
-		"a restart by a crash just now": {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "killed", "s01"), at(2.2, "up", "s01"), at(2.3, "out", "s03")}},
-		"a drain that was lifted":       {events: []eventlog.Event{at(1, "drained", "s00"), at(2, "undrained", "s00"), at(3, "out", "s02"), at(3, "out", "s04")}},
-		"a death that all know of":      {events: []eventlog.Event{at(1, "killed", "s00"), at(6, "out", "s02"), at(6, "out", "s04")}, over: 1},
-		"a death just now":              {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "out", "s02"), at(2, "out", "s04")}},
-		"one that a fault may hide":     {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(6, "out", "s02"), at(6, "out", "s04")}},
-		"one that it hides no more":     {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(9, "out", "s02"), at(9, "out", "s04")}, over: 1},
-		"two leads one after the other": {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2)}},
-		"two leads at once":             {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2), act(3, 2.9, "a", 1)}, two: 1},
-		"without the lead":              {events: []eventlog.Event{act(1, 0.9, "a", 0)}, two: 1},
-		"an answer that came late":      {events: []eventlog.Event{act(2, 1.9, "b", 2), act(2.5, 1.8, "a", 1)}},
-		"begun after a halt":            {events: []eventlog.Event{at(1, "halt", ""), at(2.5, "out", "s00")}, late: 1},
-		"within the halt's second":      {events: []eventlog.Event{at(1, "halt", ""), at(1.9, "out", "s00")}},
-		"after it was lifted":           {events: []eventlog.Event{at(1, "halt", ""), at(2, "resume", ""), at(2.5, "out", "s00")}},
+		"within":                          {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s01"), at(1, "out", "s02")}},
+		"a zone over":                     {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s04")}, over: 1},
+		"a tier over":                     {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(1, "out", "s01"), at(2, "drained", "s03")}, over: 1},
+		"one has warmed up":               {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(3, "out", "s04")}},
+		"one is warming up":               {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "up", "s00"), at(2.1, "out", "s04")}, over: 1},
+		"a restart by a crash just now":   {events: []eventlog.Event{at(1, "out", "s00"), at(1, "out", "s02"), at(2, "killed", "s01"), at(2.2, "up", "s01"), at(2.3, "out", "s03")}},
+		"a drain that was lifted":         {events: []eventlog.Event{at(1, "drained", "s00"), at(2, "undrained", "s00"), at(3, "out", "s02"), at(3, "out", "s04")}},
+		"a death that all know of":        {events: []eventlog.Event{at(1, "killed", "s00"), at(6, "out", "s02"), at(6, "out", "s04")}, over: 1},
+		"a death just now":                {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "out", "s02"), at(2, "out", "s04")}},
+		"one that a fault may hide":       {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(6, "out", "s02"), at(6, "out", "s04")}},
+		"one that it hides no more":       {events: []eventlog.Event{at(1, "killed", "s00"), at(2, "registry", ""), at(4, "registry over", ""), at(9, "out", "s02"), at(9, "out", "s04")}, over: 1},
+		"two leaders one after the other": {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2)}},
+		"two leaders at once":             {events: []eventlog.Event{act(1, 0.9, "a", 1), act(2, 1.9, "b", 2), act(3, 2.9, "a", 1)}, two: 1},
+		"without the lease":               {events: []eventlog.Event{act(1, 0.9, "a", 0)}, two: 1},
+		"an answer that came late":        {events: []eventlog.Event{act(2, 1.9, "b", 2), act(2.5, 1.8, "a", 1)}},
+		"begun after a halt":              {events: []eventlog.Event{at(1, "halt", ""), at(2.5, "out", "s00")}, late: 1},
+		"within the halt's second":        {events: []eventlog.Event{at(1, "halt", ""), at(1.9, "out", "s00")}},
+		"after it was lifted":             {events: []eventlog.Event{at(1, "halt", ""), at(2, "resume", ""), at(2.5, "out", "s00")}},
 	} {
-		r := newRecord()
-		r.events = c.events
-		var res Result
-		r.judge(&res)
-		if res.OverBudget != c.over || res.TwoActors != c.two || res.LateBegins != c.late || len(res.Broken) != c.over+c.two+c.late {
-			t.Errorf("%s: %+v", name, res)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRecord()
+			r.events = c.events
+			var res Result
+			r.checkReleases(&res)
+			if res.OverBudget != c.over || res.TwoActors != c.two || res.LateBegins != c.late || len(res.Broken) != c.over+c.two+c.late {
+				t.Errorf("%+v", res)
+			}
+		})
 	}
 }
 
-// What nodes ran, in seconds, and what the judge makes of it.
-func TestJudgeConfig(t *testing.T) {
+// What nodes ran, with times in seconds, and the violations that the check finds.
+func TestCheckSettings(t *testing.T) {
 	ev := func(s float64, who string, what eventlog.Kind, version, content string) eventlog.Event {
 		return eventlog.Event{At: time.Duration(s * float64(time.Second)), Process: who, Unit: who, Kind: what, Version: version, Reason: content}
 	}
@@ -110,24 +112,26 @@
 		"the third is cut off": {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y")})},
 		"and counts again with what it ran": {events: join(agreed, second, []eventlog.Event{ev(3, "n0", "runs", "1", "x"), ev(3.5, "n0", "fault", "", ""), ev(4, "n1", "runs", "2", "y"),
 			ev(5, "n0", "fault over", "", ""), ev(5.1, "n0", "out of touch", "1", "x"), touch(5.2, "n0", 10, "1", "x")}), n: 1},
-		"a fresh start":                  {events: again(ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", ""))},
-		"it serves before it caught up":  {events: again(ev(5, "n0", "runs", "1", "x"), ev(5.4, "n0", "serves", "", ""), touch(5.5, "n0", 20, "1", "x")), early: 1},
-		"by the start of one before":     {events: again(ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 10, "1", "x"), ev(5.6, "n0", "serves", "", "")), old: 1},
-		"in touch with less than was in": {events: again(act(force(4.8, "2"))[0], ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", "")), early: 2},
+		"a fresh start":                       {events: again(ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", ""))},
+		"it serves before it is in sync":      {events: again(ev(5, "n0", "runs", "1", "x"), ev(5.4, "n0", "serves", "", ""), touch(5.5, "n0", 20, "1", "x")), early: 1},
+		"by an earlier incarnation":           {events: again(ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 10, "1", "x"), ev(5.6, "n0", "serves", "", "")), old: 1},
+		"in sync with less than was in force": {events: again(act(force(4.8, "2"))[0], ev(5, "n0", "runs", "1", "x"), touch(5.5, "n0", 20, "1", "x"), ev(5.6, "n0", "serves", "", "")), early: 2},
 		"back with less than was in force": {events: join(agreed, act(ev(3, "n0", "runs", "1", "x"), ev(4, "n0", "fault", "", ""), force(5, "2"), ev(6, "n0", "fault over", "", ""),
 			ev(6.1, "n0", "out of touch", "1", "x"), touch(6.2, "n0", 10, "1", "x"))), early: 1},
-		"called dead and alive":           {events: join(agreed, []eventlog.Event{ev(9, "n0", "out of touch", "0", "-"), touch(9.2, "n0", 10, "0", "-")}), out: 1},
-		"called dead and held up":         {events: join(agreed, []eventlog.Event{{At: 9 * time.Second, Process: "n0", Unit: "n0", Kind: "out of touch", Version: "0", MaxRenewalGap: 500 * time.Millisecond}})},
-		"called dead after a cut":         {events: join(agreed, []eventlog.Event{ev(6, "n0", "fault", "", ""), ev(8, "n0", "fault over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
-		"called dead by a shaky registry": {events: join(agreed, []eventlog.Event{ev(5, "", "registry", "", ""), ev(6, "", "registry over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
+		"called out of sync without a fault":         {events: join(agreed, []eventlog.Event{ev(9, "n0", "out of touch", "0", "-"), touch(9.2, "n0", 10, "0", "-")}), out: 1},
+		"called out of sync after a stall":           {events: join(agreed, []eventlog.Event{{At: 9 * time.Second, Process: "n0", Unit: "n0", Kind: "out of touch", Version: "0", MaxRenewalGap: 500 * time.Millisecond}})},
+		"called out of sync after a partition":       {events: join(agreed, []eventlog.Event{ev(6, "n0", "fault", "", ""), ev(8, "n0", "fault over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
+		"called out of sync by a disturbed registry": {events: join(agreed, []eventlog.Event{ev(5, "", "registry", "", ""), ev(6, "", "registry over", "", ""), ev(9, "n0", "out of touch", "0", "-")})},
 	} {
-		r := newRecord()
-		r.events = slices.Clone(c.events)
-		var res ConfigResult
-		r.judgeConfig(&res, zones)
-		if res.Uncommitted != c.uncommitted || res.WentBack != c.back || (res.AtOnceMost > 2) != (c.n > 0) || res.ServedEarly != c.early || res.OldStarts != c.old ||
-			res.CalledDead != c.out || len(res.Broken) != c.uncommitted+c.back+c.n+c.early+c.old+c.out {
-			t.Errorf("%s: %+v", name, res)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRecord()
+			r.events = slices.Clone(c.events)
+			var res SettingsResult
+			r.checkSettings(&res, zones)
+			if res.Uncommitted != c.uncommitted || res.WentBack != c.back || (res.AtOnceMost > 2) != (c.n > 0) || res.ServedEarly != c.early || res.OldStarts != c.old ||
+				res.CalledDead != c.out || len(res.Broken) != c.uncommitted+c.back+c.n+c.early+c.old+c.out {
+				t.Errorf("%+v", res)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/coordination/faulttest/settings.go
@@ -0,0 +1,292 @@
+package faulttest
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"time"
+
+	"umberbank/internal/coordination/eventlog"
+	"umberbank/internal/registry/cluster"
+	"umberbank/internal/registry/state"
+)
+
+// SettingsResult is what came of a run with versions of nodes' settings.
+type SettingsResult struct {
+	Result
+	Versions    int     `json:"versions"`             // that some node ran
+	Uncommitted int     `json:"versions_uncommitted"` // that a node ran before a controller had started it, or without a quorum
+	AtOnceMost  int     `json:"versions_at_once_max"` // contents that ran at once among nodes in sync
+	WentBack    int     `json:"went_back"`            // nodes that ran a lower version than before
+	ServedEarly int     `json:"served_early"`         // processes that served before they were in sync, or with less than was in force
+	OldStarts   int     `json:"old_starts"`           // processes that counted as in sync by the incarnation of an earlier one
+	CalledDead  int     `json:"called_dead"`          // nodes that were called out of sync while no fault affected them
+	OutOfTouch  int     `json:"out_of_touch"`         // times that a node noticed that it was out of sync
+	ZonesLost   int     `json:"zones_lost"`           // faults that affected a whole zone
+	SpreadMS    float64 `json:"spread_ms"`            // of the last version: from its last stage until all nodes ran it, in milliseconds
+	// InForceMS is, for each version that came into force while faults went on, how long that took since it was proposed,
+	// in milliseconds.
+	InForceMS []float64 `json:"in_force_ms"`
+	// PauseMS is the longest time between two versions that came into force, or from the first proposal to one, while
+	// faults went on, in milliseconds. It includes what operators halted, withdrew or never proposed.
+	PauseMS float64 `json:"pause_ms"`
+	Dead    string  `json:"dead"` // the node that was killed for good
+}
+
+// settingsContent returns settings of a node. attempts marks them, so that their content can be told from others.
+func settingsContent(attempts int) []byte {
+	return fmt.Appendf(nil, `{"lanes":[{"name":"read","effect":"read_like","target-ms":100,"deadline-ms":400,"worth":1}],
+ "limits":{"conn-idle-ms":30000,"connect-timeout-ms":200,"max-attempts":%d},"balancers":1,"tick-ms":5,"registry-mode":"pushed"}`, attempts)
+}
+
+const (
+	firstAttempts   = 2  // marks the first version, to which others can be rolled back
+	invalidAttempts = 0  // marks settings that no node can run
+	lastAttempts    = 99 // marks the settings that all nodes are to run in the end
+)
+
+// lastHash is the hash of the settings that all nodes are to run in the end, in the form in which they are sent.
+var lastHash = func() string {
+	text, err := json.Marshal(json.RawMessage(settingsContent(lastAttempts)))
+	if err != nil {
+		panic(err) // the content is JSON
+	}
+	return state.ContentHash(text)
+}()
+
+// RunSettings proposes versions of settings to real nodes in three zones once, and checks what came of it. The error says
+// why it could not.
+func RunSettings(ctx context.Context, opt Options, nodes int) (*SettingsResult, error) {
+	result := &SettingsResult{Result: Result{Seed: opt.Seed}}
+	s, err := newSite(opt, &result.Result)
+	if err != nil {
+		return nil, err
+	}
+	defer s.close()
+	if err := s.startNodes(ctx, nodes); err != nil {
+		return nil, err
+	}
+	if err := s.runSettings(ctx); err != nil {
+		return nil, err
+	}
+	faultsEnded := time.Now()
+	result.Dead, result.ZonesLost = s.dead, s.zonesLost
+	if err := s.settleSettings(ctx, nodes); err != nil {
+		result.Broken = append(result.Broken, "after the faults: "+err.Error())
+	}
+	result.SettleS = time.Since(faultsEnded).Seconds()
+	if err := s.stopAndRead(); err != nil {
+		return nil, err
+	}
+	if err := s.record.readNodeLogs(s.units); err != nil {
+		return nil, err
+	}
+	s.record.checkSettings(result, zonesOf(nodes))
+	return result, ctx.Err()
+}
+
+func nodeName(i int) string { return fmt.Sprintf("n%02d", i) }
+
+// zonesOf returns the zones of so many nodes by their names.
+func zonesOf(nodes int) map[string]string {
+	zones := map[string]string{}
+	for i := range nodes {
+		zones[nodeName(i)] = string("abc"[i%3])
+	}
+	return zones
+}
+
+// startNodes starts the registry, nodes and controllers, and waits until all nodes have reported what they run.
+func (s *site) startNodes(ctx context.Context, nodes int) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	if err := s.startRegistry(ctx); err != nil {
+		return err
+	}
+	zones := zonesOf(nodes)
+	for i := range nodes {
+		command := s.command("node")
+		if i == 0 && s.opt.Node != nil {
+			command = s.opt.Node
+		}
+		if err := s.startNode(nodeName(i), zones[nodeName(i)], command); err != nil {
+			return err
+		}
+	}
+	if err := s.startControllers(); err != nil {
+		return err
+	}
+	return s.await(ctx, "all nodes are to say what they run", func(v *state.CoordinationView) bool {
+		return v.Rollout != nil && len(v.Rollout.Nodes) == nodes && v.Rollout.Converged() && v.Leader != nil
+	})
+}
+
+// startNode starts a node.
+func (s *site) startNode(name, zone string, command []string) error {
+	p := s.newProcess(name)
+	at, err := s.link(p)
+	if err != nil {
+		return err
+	}
+	listen, err := cluster.FreeAddress()
+	if err != nil {
+		return err
+	}
+	host, port, err := net.SplitHostPort(listen)
+	if err != nil {
+		return err
+	}
+	config, err := json.Marshal(map[string]any{
+		"name": name, "listen": net.JoinHostPort(host, port), "discovery": s.cluster.Addresses()[0], "seed": "1",
+		"limits": map[string]any{"memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(settingsContent(1)),
+		"agreed": map[string]any{
+			"endpoints": at, "tier": "front", "zone": zone, "sends_to": "web", "ttl_ms": leaseTTL.Milliseconds(),
+			"keep": filepath.Join(s.dir, name+".settings"),
+		},
+	})
+	if err != nil {
+		return err
+	}
+	file := filepath.Join(s.dir, name+".json")
+	if err := os.WriteFile(file, config, 0o600); err != nil {
+		return err
+	}
+	p.SetCommand(append([]string{"/usr/bin/env", "ROUTER_CONFIG=" + file}, command...))
+	if err := p.Start(); err != nil {
+		return err
+	}
+	s.units = append(s.units, p)
+	return nil
+}
+
+// propose proposes settings as an operator would, and records the version.
+func (s *site) propose(ctx context.Context, attempts int, stages string) error {
+	file := filepath.Join(s.dir, fmt.Sprintf("settings-%d.json", attempts))
+	if err := os.WriteFile(file, settingsContent(attempts), 0o600); err != nil {
+		return err
+	}
+	out, err := s.operate(ctx, "config", "push", "--stages", stages, "--bake", "200ms", file)
+	if err != nil {
+		s.record.add(eventlog.Event{At: eventlog.Now(), Kind: versionRejected, Reason: out})
+		return fmt.Errorf("%w: %s", err, out)
+	}
+	var version int64
+	if _, err := fmt.Sscanf(out, "version %d is proposed", &version); err != nil {
+		return fmt.Errorf("%q: %w", out, err)
+	}
+	s.record.add(eventlog.Event{At: eventlog.Now(), Kind: versionProposed, Version: strconv.FormatInt(version, 10)})
+	return nil
+}
+
+// runSettings has operators propose versions, halt, withdraw and roll back, while faults are injected. When it returns, all
+// faults are over.
+func (s *site) runSettings(ctx context.Context) error {
+	if err := s.propose(ctx, firstAttempts, "1"); err != nil {
+		return err
+	}
+	stopBeside, err := s.startBeside()
+	if err != nil {
+		return err
+	}
+	defer stopBeside()
+	if s.opt.Again {
+		if err := s.restartNode(ctx, s.units[0]); err != nil {
+			return err
+		}
+	}
+	end := time.Now().Add(s.opt.For)
+	killAt := time.Now().Add(time.Duration(s.random.Int64N(int64(s.opt.For)))) // one node for good
+	for next := firstAttempts + 1; time.Now().Before(end); {
+		if !s.opt.Calm {
+			if time.Now().After(killAt) {
+				s.killForGood()
+			}
+			if err := s.injectSettingsFault(); err != nil {
+				return err
+			}
+		}
+		if s.operateSettings(ctx, next) {
+			next++
+		}
+		if err := s.pause(ctx, 100, 400); err != nil {
+			return err
+		}
+	}
+	if !s.opt.Calm {
+		s.killForGood() // in case the time has not come yet
+	}
+	s.undo.Wait()
+	return nil
+}
+
+// injectSettingsFault lets a fault affect a process, a replica or a whole zone.
+func (s *site) injectSettingsFault() error {
+	if s.random.IntN(6) == 0 {
+		return s.injectZoneFault()
+	}
+	return s.injectFault()
+}
+
+// operateSettings has an operator act at random, and reports whether the version with the mark next was proposed. A command
+// that fails is settled at the end of the run.
+func (s *site) operateSettings(ctx context.Context, next int) (proposed bool) {
+	switch n := s.random.IntN(10); {
+	case n < 4:
+		return s.propose(ctx, next, "0.3,1") == nil
+	case n == 4:
+		_ = s.propose(ctx, invalidAttempts, "1") // it is rejected
+	case n == 5:
+		s.attempt(ctx, "config", "halt")
+	case n == 6:
+		s.attempt(ctx, "config", "withdraw")
+	case n == 7:
+		s.attempt(ctx, "config", "back")
+	}
+	return false
+}
+
+// settleSettings ends all faults, and brings every node to one more version, whatever is pending.
+func (s *site) settleSettings(ctx context.Context, nodes int) error {
+	if err := s.healAll(); err != nil {
+		return err
+	}
+	s.record.addNow(faultsOver, "")
+	timeout := settleTimeout
+	if s.opt.Node != nil || s.opt.Beside != nil {
+		timeout = violatingTimeout
+	}
+	if s.dead != "" {
+		nodes--
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	if err := s.cluster.AwaitReady(ctx); err != nil {
+		return err
+	}
+	last := s.proposeLast(ctx)
+	return s.await(ctx, "all nodes are to run the last version: "+last, func(v *state.CoordinationView) bool {
+		r := v.Rollout
+		return r != nil && len(r.Nodes)-len(r.OutOfSync()) == nodes && r.Converged() && r.Committed.Hash == lastHash
+	})
+}
+
+// proposeLast proposes the last version until that succeeds or ctx ends, and returns what last stood against it.
+func (s *site) proposeLast(ctx context.Context) (obstacle string) {
+	for ctx.Err() == nil {
+		if out, err := s.operate(ctx, "config", "withdraw"); err != nil {
+			obstacle = out
+			s.attempt(ctx, "config", "back") // in case it is partially applied
+		}
+		err := s.propose(ctx, lastAttempts, "0.3,1")
+		if err == nil {
+			break
+		}
+		obstacle = err.Error()
+		time.Sleep(300 * time.Millisecond) // between an operator's attempts
+	}
+	return obstacle
+}
