--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -232,11 +232,11 @@
 // should.
 func TestFleetTrial(t *testing.T) {
 	t.Parallel()
-	r, err := faulttest.Run(t.Context(), faulttest.Options{Seed: 5, For: 3 * time.Second, Program: as(t, "program")})
+	r, err := faulttest.Run(t.Context(), faulttest.Options{Seed: 5, Duration: 3 * time.Second, Program: as(t, "program")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || r.Acts == 0 {
+	if len(r.Violations) > 0 || r.Acts == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -244,11 +244,11 @@
 // Versions of settings on real nodes, with faults.
 func TestFleetConfigTrial(t *testing.T) {
 	t.Parallel()
-	r, err := faulttest.RunSettings(t.Context(), faulttest.Options{Seed: 4, For: 3 * time.Second, Program: as(t, "program")}, 9)
+	r, err := faulttest.RunSettings(t.Context(), faulttest.Options{Seed: 4, Duration: 3 * time.Second, Program: as(t, "program")}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || r.Versions == 0 || r.Dead == "" {
+	if len(r.Violations) > 0 || r.Versions == 0 || r.KilledNode == "" {
 		t.Errorf("%+v", r)
 	}
 }
@@ -262,21 +262,21 @@
 		opt   faulttest.Options
 		named func(*faulttest.SettingsResult) int
 	}{
-		"eager":    {faulttest.Options{For: time.Second, Node: as(t, "eager")}, func(r *faulttest.SettingsResult) int { return r.Uncommitted }},
-		"hasty":    {faulttest.Options{For: time.Second, Node: as(t, "hasty")}, func(r *faulttest.SettingsResult) int { return r.ServedEarly }},
-		"revenant": {faulttest.Options{For: time.Second, Node: as(t, "revenant"), Again: true}, func(r *faulttest.SettingsResult) int { return r.OldStarts }},
-		"gravedigger": {faulttest.Options{For: 6 * time.Second, Beside: func(at []string, _ string) []string {
+		"eager":    {faulttest.Options{Duration: time.Second, NodeCommand: as(t, "eager")}, func(r *faulttest.SettingsResult) int { return r.Uncommitted }},
+		"hasty":    {faulttest.Options{Duration: time.Second, NodeCommand: as(t, "hasty")}, func(r *faulttest.SettingsResult) int { return r.ServedEarly }},
+		"revenant": {faulttest.Options{Duration: time.Second, NodeCommand: as(t, "revenant"), RestartNode: true}, func(r *faulttest.SettingsResult) int { return r.OldIncarnations }},
+		"gravedigger": {faulttest.Options{Duration: 6 * time.Second, ExtraProcess: func(at []string, _ string) []string {
 			return append(as(t, "gravedigger"), strings.Join(at, ","))
-		}}, func(r *faulttest.SettingsResult) int { return r.CalledDead }},
-		"right": {faulttest.Options{For: 2 * time.Second, Again: true}, nil},
+		}}, func(r *faulttest.SettingsResult) int { return r.WronglyOutOfSync }},
+		"right": {faulttest.Options{Duration: 2 * time.Second, RestartNode: true}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { // one after the other: each is some twenty processes
-			c.opt.Seed, c.opt.Calm, c.opt.Program = 4, true, as(t, "program")
+			c.opt.Seed, c.opt.NoFaults, c.opt.Program = 4, true, as(t, "program")
 			r, err := faulttest.RunSettings(t.Context(), c.opt, 6)
 			switch {
 			case err != nil:
 				t.Fatal(err)
-			case c.named == nil && (len(r.Broken) > 0 || r.Versions == 0):
+			case c.named == nil && (len(r.Violations) > 0 || r.Versions == 0):
 				t.Errorf("%+v", r)
 			case c.named != nil && c.named(r) == 0:
 				t.Errorf("not named: %+v", r)
@@ -298,20 +298,20 @@
 		opt   faulttest.Options
 		named func(*faulttest.Result) int
 	}{
-		"ignorant": {faulttest.Options{Beside: beside("ignorant")}, func(r *faulttest.Result) int { return r.TwoActors }},
-		"reaper":   {faulttest.Options{Dead: dead, Beside: beside("reaper")}, func(r *faulttest.Result) int { return r.OverBudget }},
-		"reckless": {faulttest.Options{Beside: beside("reckless")}, func(r *faulttest.Result) int { return r.OverBudget }},
-		"right":    {faulttest.Options{Dead: dead}, nil},
+		"ignorant": {faulttest.Options{ExtraProcess: beside("ignorant")}, func(r *faulttest.Result) int { return r.ActsWithoutLease }},
+		"reaper":   {faulttest.Options{DeadUnits: dead, ExtraProcess: beside("reaper")}, func(r *faulttest.Result) int { return r.OverBudget }},
+		"reckless": {faulttest.Options{ExtraProcess: beside("reckless")}, func(r *faulttest.Result) int { return r.OverBudget }},
+		"right":    {faulttest.Options{DeadUnits: dead}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { // one after the other: each is some twenty processes
 			for seed := uint64(1); ; seed++ { // a race that a wrong process does not always win
-				c.opt.Seed, c.opt.For, c.opt.Calm, c.opt.Program = seed, 4*time.Second, true, as(t, "program")
+				c.opt.Seed, c.opt.Duration, c.opt.NoFaults, c.opt.Program = seed, 4*time.Second, true, as(t, "program")
 				r, err := faulttest.Run(t.Context(), c.opt)
 				if err != nil {
 					t.Fatal(err)
 				}
 				switch {
-				case c.named == nil && (len(r.Broken) > 0 || r.Permits == 0):
+				case c.named == nil && (len(r.Violations) > 0 || r.Permits == 0):
 					t.Errorf("%+v", r)
 				case c.named != nil && c.named(r) == 0 && seed < 4:
 					continue
--- a/cmd/umberbank/fleettrial.go
+++ b/cmd/umberbank/fleettrial.go
@@ -81,7 +81,7 @@
 		return fmt.Errorf("--nodes: %d is not between 3 and 99", c.Nodes)
 	}
 	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.SettingsResult, error) {
-		return faulttest.RunSettings(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm}, c.Nodes)
+		return faulttest.RunSettings(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.Calm}, c.Nodes)
 	})
 	if err != nil {
 		return err
@@ -91,22 +91,22 @@
 	for _, r := range results {
 		sum.Runs++
 		sum.Faults, sum.Versions, sum.Uncommitted = sum.Faults+len(r.Faults), sum.Versions+r.Versions, sum.Uncommitted+r.Uncommitted
-		sum.WentBack, sum.TwoActors = sum.WentBack+r.WentBack, sum.TwoActors+r.TwoActors
-		sum.AtOnceMost, sum.SpreadMS, sum.SettleS = max(sum.AtOnceMost, r.AtOnceMost), max(sum.SpreadMS, r.SpreadMS), max(sum.SettleS, r.SettleS)
-		sum.ServedEarly, sum.OldStarts, sum.CalledDead = sum.ServedEarly+r.ServedEarly, sum.OldStarts+r.OldStarts, sum.CalledDead+r.CalledDead
-		sum.OutOfTouch, sum.ZonesLost, sum.PauseMS = sum.OutOfTouch+r.OutOfTouch, sum.ZonesLost+r.ZonesLost, max(sum.PauseMS, r.PauseMS)
+		sum.WentBack, sum.TwoActors = sum.WentBack+r.Decreased, sum.TwoActors+r.ActsWithoutLease
+		sum.AtOnceMost, sum.SpreadMS, sum.SettleS = max(sum.AtOnceMost, r.MaxContents), max(sum.SpreadMS, r.SpreadMS), max(sum.SettleS, r.SettleS)
+		sum.ServedEarly, sum.OldStarts, sum.CalledDead = sum.ServedEarly+r.ServedEarly, sum.OldStarts+r.OldIncarnations, sum.CalledDead+r.WronglyOutOfSync
+		sum.OutOfTouch, sum.ZonesLost, sum.PauseMS = sum.OutOfTouch+r.OutOfSync, sum.ZonesLost+r.LostZones, max(sum.PauseMS, r.LongestPauseMS)
 		for _, ms := range r.InForceMS {
 			if err := inForce.RecordValue(int64(ms)); err != nil {
 				return err
 			}
 		}
-		if r.Dead != "" {
+		if r.KilledNode != "" {
 			sum.Dead++
 		}
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			sum.Failed++
 		}
-		if err := c.print(a, r, r.Seed, r.Broken, r.Faults); err != nil {
+		if err := c.print(a, r, r.Seed, r.Violations, r.Faults); err != nil {
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 		return c.config(a)
 	}
 	results, err := runs(a, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
-		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Calm: c.Calm})
+		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.Calm})
 	})
 	if err != nil {
 		return err
@@ -154,12 +154,12 @@
 	for _, r := range results {
 		sum.Runs++
 		sum.Faults, sum.Permits, sum.Acts = sum.Faults+len(r.Faults), sum.Permits+r.Permits, sum.Acts+r.Acts
-		sum.OverBudget, sum.TwoActors, sum.LateBegins = sum.OverBudget+r.OverBudget, sum.TwoActors+r.TwoActors, sum.LateBegins+r.LateBegins
+		sum.OverBudget, sum.TwoActors, sum.LateBegins = sum.OverBudget+r.OverBudget, sum.TwoActors+r.ActsWithoutLease, sum.LateBegins+r.BegunAfterHalt
 		sum.SettleS = max(sum.SettleS, r.SettleS)
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			sum.Failed++
 		}
-		if err := c.print(a, r, r.Seed, r.Broken, r.Faults); err != nil {
+		if err := c.print(a, r, r.Seed, r.Violations, r.Faults); err != nil {
 			return err
 		}
 	}
--- a/internal/coordination/faulttest/faulttest.go
+++ b/internal/coordination/faulttest/faulttest.go
@@ -15,33 +15,33 @@
 
 // Options say what a run does.
 type Options struct {
-	Seed    uint64
-	For     time.Duration // for which operators act and faults are injected; 0: 6 s
-	Program []string      // the command of umberbank; empty: this program
-	Calm    bool          // no faults
-	Log     func(format string, args ...any)
-	// Beside returns the command of one more process, such as one that breaks a rule. It gets the registry's addresses and
+	Seed     uint64
+	Duration time.Duration // for which operators act and faults are injected; 0: 6 s
+	Program  []string      // the command of umberbank; empty: this program
+	NoFaults bool          // no faults
+	Log      func(format string, args ...any)
+	// ExtraProcess returns the command of one more process, such as one that breaks a rule. It gets the registry's addresses and
 	// the folder of the event logs. nil: none.
-	Beside func(at []string, dir string) []string
-	// Node is the command in place of the first node of a run with settings, in the same environment; empty: a node.
-	Node []string
-	// Again: in a run with settings the first node is killed once the first version is in force, and started again.
-	Again bool
-	Dead  []string // units that are killed before the release and stay so
+	ExtraProcess func(at []string, dir string) []string
+	// NodeCommand is the command in place of the first node of a run with settings, in the same environment; empty: a node.
+	NodeCommand []string
+	// RestartNode: in a run with settings the first node is killed once the first version is in force, and started again.
+	RestartNode bool
+	DeadUnits   []string // units that are killed before the release and stay so
 }
 
 // Result is what came of a run.
 type Result struct {
-	Seed       uint64   `json:"seed"`
-	Permits    int      `json:"permits"`     // that agents or operators made use of
-	OverBudget int      `json:"over_budget"` // units taken out beyond a limit
-	TwoActors  int      `json:"two_actors"`  // acts of a controller that did not lead
-	LateBegins int      `json:"late_begins"` // permits that began over a second after a halt
-	Acts       int      `json:"acts"`        // of controllers
-	Outcome    string   `json:"outcome"`     // of the release: done, or taken back
-	SettleS    float64  `json:"settle_s"`    // from the end of the faults until all units ran what they should, in seconds
-	Faults     []string `json:"faults"`
-	Broken     []string `json:"broken"` // descriptions of violations
+	Seed             uint64   `json:"seed"`
+	Permits          int      `json:"permits"`     // that agents or operators made use of
+	OverBudget       int      `json:"over_budget"` // units taken out beyond a limit
+	ActsWithoutLease int      `json:"two_actors"`  // acts of a controller that did not lead
+	BegunAfterHalt   int      `json:"late_begins"` // permits that began over a second after a halt
+	Acts             int      `json:"acts"`        // of controllers
+	Outcome          string   `json:"outcome"`     // of the release: done, or taken back
+	SettleS          float64  `json:"settle_s"`    // from the end of the faults until all units ran what they should, in seconds
+	Faults           []string `json:"faults"`
+	Violations       []string `json:"broken"` // descriptions of violations
 }
 
 // The site of a run. The limits allow three of twelve servers, two of a zone, and one of four nodes to be unavailable.
@@ -105,7 +105,7 @@
 
 // Timeouts.
 const (
-	defaultFor       = 6 * time.Second
+	defaultDuration  = 6 * time.Second
 	startTimeout     = 30 * time.Second
 	settleTimeout    = 60 * time.Second
 	violatingTimeout = 2 * time.Second // to settle, where a process breaks a rule and the site may never settle
@@ -128,7 +128,7 @@
 	}
 	faultsEnded := time.Now()
 	if err := s.settleRelease(ctx, rolledBack); err != nil {
-		s.result.Broken = append(s.result.Broken, "after the faults: "+err.Error())
+		s.result.Violations = append(s.result.Violations, "after the faults: "+err.Error())
 	}
 	s.result.SettleS = time.Since(faultsEnded).Seconds()
 	if err := s.stopAndRead(); err != nil {
--- a/internal/coordination/faulttest/record.go
+++ b/internal/coordination/faulttest/record.go
@@ -102,7 +102,7 @@
 // add counts a violation, and describes it if there are not too many.
 func (v violations) add(count *int, format string, args ...any) {
 	*count++
-	if len(v.result.Broken) < maxViolations {
-		v.result.Broken = append(v.result.Broken, fmt.Sprintf(format, args...))
+	if len(v.result.Violations) < maxViolations {
+		v.result.Violations = append(v.result.Violations, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -86,7 +86,7 @@
 		delete(c.haltedAt, e.Plan)
 	case eventlog.Acted:
 		c.result.Acts++
-		checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.TwoActors, "%s", violation) })
+		checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.ActsWithoutLease, "%s", violation) })
 	}
 }
 
@@ -104,7 +104,7 @@
 		u.out = true
 		c.result.Permits++
 		if haltedAt, halted := c.haltedAt[e.Plan]; halted && e.SentAt > haltedAt+haltTimeout {
-			c.add(&c.result.LateBegins, "%s began %v after %s was halted", e.Unit, e.SentAt-haltedAt, e.Plan)
+			c.add(&c.result.BegunAfterHalt, "%s began %v after %s was halted", e.Unit, e.SentAt-haltedAt, e.Plan)
 		}
 		c.checkLimits(e, u)
 	case serverDrained:
--- a/internal/coordination/faulttest/releases.go
+++ b/internal/coordination/faulttest/releases.go
@@ -62,15 +62,15 @@
 	if out, err := s.operate(ctx, "release", filepath.Join(s.dir, "plan.toml")); err != nil {
 		return false, fmt.Errorf("%w: %s", err, out)
 	}
-	stopBeside, err := s.startBeside()
+	stopExtra, err := s.startExtraProcess()
 	if err != nil {
 		return false, err
 	}
-	defer stopBeside()
-	end := time.Now().Add(s.opt.For)
+	defer stopExtra()
+	end := time.Now().Add(s.opt.Duration)
 	operator := releaseOperator{site: s}
 	for time.Now().Before(end) {
-		if !s.opt.Calm {
+		if !s.opt.NoFaults {
 			if err := s.injectFault(); err != nil {
 				return operator.rolledBack, err
 			}
@@ -87,11 +87,11 @@
 // killDeadUnits kills the units that are to be dead, and waits until everybody has noticed.
 func (s *site) killDeadUnits() {
 	for _, p := range s.units {
-		if slices.Contains(s.opt.Dead, p.name) {
+		if slices.Contains(s.opt.DeadUnits, p.name) {
 			s.killNow(p)
 		}
 	}
-	if len(s.opt.Dead) > 0 {
+	if len(s.opt.DeadUnits) > 0 {
 		time.Sleep(noticedAfter)
 	}
 }
--- a/internal/coordination/faulttest/settings.go
+++ b/internal/coordination/faulttest/settings.go
@@ -18,23 +18,23 @@
 // SettingsResult is what came of a run with versions of nodes' settings.
 type SettingsResult struct {
 	Result
-	Versions    int     `json:"versions"`             // that some node ran
-	Uncommitted int     `json:"versions_uncommitted"` // that a node ran before a controller had started it, or without a quorum
-	AtOnceMost  int     `json:"versions_at_once_max"` // contents that ran at once among nodes in sync
-	WentBack    int     `json:"went_back"`            // nodes that ran a lower version than before
-	ServedEarly int     `json:"served_early"`         // processes that served before they were in sync, or with less than was in force
-	OldStarts   int     `json:"old_starts"`           // processes that counted as in sync by the incarnation of an earlier one
-	CalledDead  int     `json:"called_dead"`          // nodes that were called out of sync while no fault affected them
-	OutOfTouch  int     `json:"out_of_touch"`         // times that a node noticed that it was out of sync
-	ZonesLost   int     `json:"zones_lost"`           // faults that affected a whole zone
-	SpreadMS    float64 `json:"spread_ms"`            // of the last version: from its last stage until all nodes ran it, in milliseconds
+	Versions         int     `json:"versions"`             // that some node ran
+	Uncommitted      int     `json:"versions_uncommitted"` // that a node ran before a controller had started it, or without a quorum
+	MaxContents      int     `json:"versions_at_once_max"` // contents that ran at once among nodes in sync
+	Decreased        int     `json:"went_back"`            // nodes that ran a lower version than before
+	ServedEarly      int     `json:"served_early"`         // processes that served before they were in sync, or with less than was in force
+	OldIncarnations  int     `json:"old_starts"`           // processes that counted as in sync by the incarnation of an earlier one
+	WronglyOutOfSync int     `json:"called_dead"`          // nodes that were called out of sync while no fault affected them
+	OutOfSync        int     `json:"out_of_touch"`         // times that a node noticed that it was out of sync
+	LostZones        int     `json:"zones_lost"`           // faults that affected a whole zone
+	SpreadMS         float64 `json:"spread_ms"`            // of the last version: from its last stage until all nodes ran it, in milliseconds
 	// InForceMS is, for each version that came into force while faults went on, how long that took since it was proposed,
 	// in milliseconds.
 	InForceMS []float64 `json:"in_force_ms"`
-	// PauseMS is the longest time between two versions that came into force, or from the first proposal to one, while
+	// LongestPauseMS is the longest time between two versions that came into force, or from the first proposal to one, while
 	// faults went on, in milliseconds. It includes what operators halted, withdrew or never proposed.
-	PauseMS float64 `json:"pause_ms"`
-	Dead    string  `json:"dead"` // the node that was killed for good
+	LongestPauseMS float64 `json:"pause_ms"`
+	KilledNode     string  `json:"dead"` // the node that was killed for good
 }
 
 // settingsContent returns settings of a node. attempts marks them, so that their content can be told from others.
@@ -74,9 +74,9 @@
 		return nil, err
 	}
 	faultsEnded := time.Now()
-	result.Dead, result.ZonesLost = s.dead, s.zonesLost
+	result.KilledNode, result.LostZones = s.killedNode, s.lostZones
 	if err := s.settleSettings(ctx, nodes); err != nil {
-		result.Broken = append(result.Broken, "after the faults: "+err.Error())
+		result.Violations = append(result.Violations, "after the faults: "+err.Error())
 	}
 	result.SettleS = time.Since(faultsEnded).Seconds()
 	if err := s.stopAndRead(); err != nil {
@@ -110,8 +110,8 @@
 	zones := zonesOf(nodes)
 	for i := range nodes {
 		command := s.command("node")
-		if i == 0 && s.opt.Node != nil {
-			command = s.opt.Node
+		if i == 0 && s.opt.NodeCommand != nil {
+			command = s.opt.NodeCommand
 		}
 		if err := s.startNode(nodeName(i), zones[nodeName(i)], command); err != nil {
 			return err
@@ -188,20 +188,20 @@
 	if err := s.propose(ctx, firstAttempts, "1"); err != nil {
 		return err
 	}
-	stopBeside, err := s.startBeside()
+	stopExtra, err := s.startExtraProcess()
 	if err != nil {
 		return err
 	}
-	defer stopBeside()
-	if s.opt.Again {
+	defer stopExtra()
+	if s.opt.RestartNode {
 		if err := s.restartNode(ctx, s.units[0]); err != nil {
 			return err
 		}
 	}
-	end := time.Now().Add(s.opt.For)
-	killAt := time.Now().Add(time.Duration(s.random.Int64N(int64(s.opt.For)))) // one node for good
+	end := time.Now().Add(s.opt.Duration)
+	killAt := time.Now().Add(time.Duration(s.random.Int64N(int64(s.opt.Duration)))) // one node for good
 	for next := firstAttempts + 1; time.Now().Before(end); {
-		if !s.opt.Calm {
+		if !s.opt.NoFaults {
 			if time.Now().After(killAt) {
 				s.killForGood()
 			}
@@ -216,7 +216,7 @@
 			return err
 		}
 	}
-	if !s.opt.Calm {
+	if !s.opt.NoFaults {
 		s.killForGood() // in case the time has not come yet
 	}
 	s.undo.Wait()
@@ -256,10 +256,10 @@
 	}
 	s.record.addNow(faultsOver, "")
 	timeout := settleTimeout
-	if s.opt.Node != nil || s.opt.Beside != nil {
+	if s.opt.NodeCommand != nil || s.opt.ExtraProcess != nil {
 		timeout = violatingTimeout
 	}
-	if s.dead != "" {
+	if s.killedNode != "" {
 		nodes--
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -136,7 +136,7 @@
 		n.running, n.startedAt, n.required = true, e.At, c.inForce
 	}
 	if version < n.highest {
-		c.add(&c.result.WentBack, "%s runs version %d after %d", e.Process, version, n.highest)
+		c.add(&c.result.Decreased, "%s runs version %d after %d", e.Process, version, n.highest)
 	}
 	n.version, n.highest, n.content = version, version, e.Reason
 	if _, asked := c.startAsked[e.Version]; !asked {
@@ -157,7 +157,7 @@
 func (c *settingsCheck) inSync(i int, n *checkedNode) {
 	e := c.events[i]
 	if e.Token <= n.earlier {
-		c.add(&c.result.OldStarts, "%s counts as in touch by the start %d of an earlier process", e.Process, e.Token)
+		c.add(&c.result.OldIncarnations, "%s counts as in touch by the start %d of an earlier process", e.Process, e.Token)
 	}
 	if n.version < n.required {
 		c.add(&c.result.ServedEarly, "%s counts as in touch with version %d, and %d was in force before", e.Process, n.version, n.required)
@@ -168,11 +168,11 @@
 
 // outOfSync checks that a node was called out of sync only where a fault may have led to it.
 func (c *settingsCheck) outOfSync(e eventlog.Event, n *checkedNode) {
-	c.result.OutOfTouch++
+	c.result.OutOfSync++
 	nodeOK := n.faults == 0 && e.At-max(n.healthySince, n.startedAt) > noticedAfter
 	registryOK := c.disturbances == 0 && e.At-c.registryOK > noticedAfter
 	if e.MaxRenewalGap < safeRenewalGap && nodeOK && registryOK {
-		c.add(&c.result.CalledDead, "%s was called out of touch while nothing befell it", e.Process)
+		c.add(&c.result.WronglyOutOfSync, "%s was called out of touch while nothing befell it", e.Process)
 	}
 	n.inSync, n.required = false, c.inForce
 }
@@ -189,7 +189,7 @@
 // acted checks an act of a controller, and notes which version is in force.
 func (c *settingsCheck) acted(e eventlog.Event) {
 	c.result.Acts++
-	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.TwoActors, "%s", violation) })
+	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.ActsWithoutLease, "%s", violation) })
 	version, _ := strconv.Atoi(e.Version) // digits, by the controller
 	if e.Reason != "in force" || version <= c.inForce {
 		return
@@ -199,7 +199,7 @@
 		if proposedAt, known := c.proposedAt[e.Version]; known {
 			c.result.InForceMS = append(c.result.InForceMS, (e.At-proposedAt).Seconds()*1000)
 		}
-		c.result.PauseMS = max(c.result.PauseMS, (e.At-c.progressAt).Seconds()*1000)
+		c.result.LongestPauseMS = max(c.result.LongestPauseMS, (e.At-c.progressAt).Seconds()*1000)
 	}
 	c.progressAt = e.At
 }
@@ -223,7 +223,7 @@
 		e := c.events[i]
 		c.add(new(int), "%d contents run at once among nodes in touch, as %s runs version %s: %v", len(nodesByContent), e.Process, e.Version, nodesByContent)
 	}
-	c.result.AtOnceMost = max(c.result.AtOnceMost, len(nodesByContent))
+	c.result.MaxContents = max(c.result.MaxContents, len(nodesByContent))
 }
 
 // noticesOutOfSync reports whether a node notices soon after the event with this index that it was out of sync; it may have
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -16,11 +16,11 @@
 // killForGood kills one node that no fault has killed. It is not started again, and nobody decommissions it.
 func (s *site) killForGood() {
 	candidates := slices.DeleteFunc(slices.Clone(s.units), func(p *siteProcess) bool { return p.killed })
-	if s.dead != "" || len(s.units) < minNodesToKill || len(candidates) == 0 {
+	if s.killedNode != "" || len(s.units) < minNodesToKill || len(candidates) == 0 {
 		return
 	}
 	p := candidates[s.random.IntN(len(candidates))]
-	p.killed, s.dead = true, p.name
+	p.killed, s.killedNode = true, p.name
 	s.result.Faults = append(s.result.Faults, "kill "+p.name+" for good")
 	s.opt.Log("kill %s for good", p.name)
 	s.record.addNow(faultBegan, p.name)
@@ -67,7 +67,7 @@
 	zone := s.random.IntN(3)
 	kind := zoneFaultKinds[s.random.IntN(len(zoneFaultKinds))]
 	s.noteFault(fmt.Sprintf("%s %s", kind, string("abc"[zone])), duration)
-	s.zonesLost++
+	s.lostZones++
 	f := s.newZoneFault(kind, zone)
 	if kind == zoneApart {
 		s.record.addNow(registryFaultBegan, "")
@@ -113,7 +113,7 @@
 			continue
 		}
 		f.nodes = append(f.nodes, p)
-		f.addNode(p, zone, p.name == s.dead)
+		f.addNode(p, zone, p.name == s.killedNode)
 	}
 	if kind == zoneApart {
 		s.separateRegion(f, zone)
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -43,14 +43,14 @@
 	record      *record
 	undo        sync.WaitGroup // the goroutines that end faults and drains
 
-	dead      string // the node that was killed for good; empty: none
-	zonesLost int
+	killedNode string // the node that was killed for good; empty: none
+	lostZones  int
 }
 
 // newSite returns a site of which nothing runs yet.
 func newSite(opt Options, result *Result) (*site, error) {
-	if opt.For == 0 {
-		opt.For = defaultFor
+	if opt.Duration == 0 {
+		opt.Duration = defaultDuration
 	}
 	if opt.Log == nil {
 		opt.Log = func(string, ...any) {}
@@ -155,13 +155,13 @@
 	return addresses, nil
 }
 
-// startBeside starts the process of Options.Beside, and returns a function that ends it.
-func (s *site) startBeside() (stop func(), err error) {
-	if s.opt.Beside == nil {
+// startExtraProcess starts the process of Options.Beside, and returns a function that ends it.
+func (s *site) startExtraProcess() (stop func(), err error) {
+	if s.opt.ExtraProcess == nil {
 		return func() {}, nil
 	}
 	p := s.newProcess("beside")
-	p.SetCommand(s.opt.Beside(s.cluster.Addresses(), s.dir))
+	p.SetCommand(s.opt.ExtraProcess(s.cluster.Addresses(), s.dir))
 	if err := p.Start(); err != nil {
 		return nil, err
 	}
@@ -211,7 +211,7 @@
 func (s *site) healAll() error {
 	s.cluster.ResumeAll()
 	for _, p := range s.processes() {
-		if p.name == s.dead {
+		if p.name == s.killedNode {
 			continue
 		}
 		if err := p.Start(); err != nil {
