--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -1,43 +1,47 @@
-// Package cluster runs the replicas of a registry as processes on loopback, with a relay from each to each.
+// Package cluster runs the replicas of a registry as processes on loopback, with a relay from each replica to each other, for
+// tests, benchmarks and the lab. Replicas are named by their index, from 0.
+//
+// Methods may be called from any goroutine, except that Close must be the last call.
 package cluster
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
-	"syscall"
-	"time"
-
-	"github.com/google/renameio/v2"
+	"strings"
 
 	"umberbank/internal/process"
 	"umberbank/internal/process/relay"
-	"umberbank/internal/registry/client"
-	"umberbank/internal/registry/replica"
 )
 
-// Cluster is the processes, and the relays from each to each.
+// Cluster is the processes, and the relays between them.
 type Cluster struct {
-	dir    string
-	launch *process.Launcher
-	nodes  []*member
-	links  map[[2]int]*relay.Relay
+	dir      string
+	launcher *process.Launcher
+	members  []*member
+	links    map[link]*relay.Relay
 }
 
+// member is one replica's process.
 type member struct {
 	process.Process
-	id, raft, address, config string
+	id, raftAddress, clientAddress string
+	configFile                     string
 }
 
-// defaultTick is short, so that elections are.
-const defaultTick = "60ms"
+// link is the direction from one replica to another, by which the first calls the second.
+type link struct{ from, to int }
+
+// tick is the replicas' tick. It is shorter than the default, so that elections are.
+const tick = "60ms"
 
-// FreeAddress is an address on loopback that nobody listens on now, on a host drawn from many: on 127.0.0.1 the system might
-// give its port to a connection before it is used.
+var errNoCommand = errors.New("no command of a replica")
+
+// FreeAddress returns an address on loopback that nobody listens on now, on a host drawn from many: on 127.0.0.1 the system
+// might give its port to a connection before it is used.
 func FreeAddress() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 220+rand.IntN(30), rand.IntN(250), 1+rand.IntN(250))
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -48,161 +52,126 @@
 	return ln.Addr().String(), nil
 }
 
-// New makes the files and relays; nothing runs yet. The command takes --config FILE; more stands at the end of each
-// file.
-func New(command []string, replicas int, more string) (c *Cluster, err error) {
+// New makes the replicas' files and relays; nothing runs yet. The command of a replica takes --config FILE. extraConfig is
+// appended to each configuration file.
+func New(command []string, replicas int, extraConfig string) (*Cluster, error) {
 	if len(command) == 0 {
-		return nil, errors.New("no command of a replica")
+		return nil, errNoCommand
 	}
-	c = &Cluster{launch: process.NewLauncher(), links: map[[2]int]*relay.Relay{}}
-	defer func() {
-		if err != nil {
-			c.Close()
-		}
-	}()
-	if c.dir, err = os.MkdirTemp("", "umberbank-trial-"); err != nil {
-		return c, err
+	c := &Cluster{launcher: process.NewLauncher(), links: map[link]*relay.Relay{}}
+	if err := c.setUp(command, replicas, extraConfig); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *Cluster) setUp(command []string, replicas int, extraConfig string) error {
+	var err error
+	if c.dir, err = os.MkdirTemp("", "umberbank-cluster-"); err != nil {
+		return err
 	}
 	for i := range replicas {
-		m := &member{id: fmt.Sprintf("r%d", i), config: filepath.Join(c.dir, fmt.Sprintf("r%d.toml", i))}
-		m.Launcher, m.Args, m.LogPath = c.launch, []string{"--config", m.config}, filepath.Join(c.dir, m.id+".log")
-		m.SetCommand(command)
-		for _, addr := range []*string{&m.raft, &m.address} {
-			if *addr, err = FreeAddress(); err != nil {
-				return c, err
-			}
+		if err := c.addMember(i, command); err != nil {
+			return err
 		}
-		c.nodes = append(c.nodes, m)
 	}
-	for i, m := range c.nodes {
-		text := fmt.Sprintf("id = %q\ndir = %q\nraft = %q\naddress = %q\ntick = %q\nsync_wait = %q\n",
-			m.id, filepath.Join(c.dir, m.id), m.raft, m.address, defaultTick, c.syncWait(i))
-		for j, o := range c.nodes {
-			via := o.raft
-			if i != j {
-				r, err := relay.Listen("127.0.0.1", o.raft)
-				if err != nil {
-					return c, err
-				}
-				c.links[[2]int{i, j}] = r
-				via = r.Addr()
-			}
-			text += fmt.Sprintf("[[peer]]\nid = %q\nraft = %q\naddress = %q\nvia = %q\n", o.id, o.raft, o.address, via)
+	for from := range c.members {
+		if err := c.connect(from); err != nil {
+			return err
 		}
-		if err = os.WriteFile(m.config, []byte(text+more), 0o600); err != nil {
-			return c, err
+		text := c.config(from) + extraConfig
+		if err := os.WriteFile(c.members[from].configFile, []byte(text), 0o600); err != nil {
+			return err
 		}
 	}
-	return c, nil
+	return nil
 }
 
-// Close ends all that runs and takes the data away.
+// addMember makes replica i, with addresses of its own.
+func (c *Cluster) addMember(i int, command []string) error {
+	id := fmt.Sprintf("r%d", i)
+	m := &member{id: id, configFile: filepath.Join(c.dir, id+".toml")}
+	m.Launcher = c.launcher
+	m.Args = []string{"--config", m.configFile}
+	m.LogPath = filepath.Join(c.dir, id+".log")
+	m.SetCommand(command)
+	for _, addr := range []*string{&m.raftAddress, &m.clientAddress} {
+		var err error
+		if *addr, err = FreeAddress(); err != nil {
+			return err
+		}
+	}
+	c.members = append(c.members, m)
+	return nil
+}
+
+// connect makes the relays from one replica to the others.
+func (c *Cluster) connect(from int) error {
+	for to, m := range c.members {
+		if to == from {
+			continue
+		}
+		r, err := relay.Listen("127.0.0.1", m.raftAddress)
+		if err != nil {
+			return err
+		}
+		c.links[link{from, to}] = r
+	}
+	return nil
+}
+
+// config is the configuration file of replica i.
+func (c *Cluster) config(i int) string {
+	var b strings.Builder
+	m := c.members[i]
+	fmt.Fprintf(&b, "id = %q\ndir = %q\nraft = %q\naddress = %q\ntick = %q\nsync_wait = %q\n",
+		m.id, c.DataDir(i), m.raftAddress, m.clientAddress, tick, c.syncDelayFile(i))
+	for to, peer := range c.members {
+		via := peer.raftAddress
+		if r := c.links[link{i, to}]; r != nil {
+			via = r.Addr()
+		}
+		fmt.Fprintf(&b, "[[peer]]\nid = %q\nraft = %q\naddress = %q\nvia = %q\n", peer.id, peer.raftAddress, peer.clientAddress, via)
+	}
+	return b.String()
+}
+
+// Close kills what runs and removes the data.
 func (c *Cluster) Close() {
-	for i := range c.nodes {
+	for i := range c.members {
 		c.Kill(i)
 	}
 	for _, r := range c.links {
 		r.Close()
 	}
-	c.launch.Close()
+	c.launcher.Close()
 	if c.dir != "" {
 		os.RemoveAll(c.dir)
 	}
 }
 
-// Start starts a replica that does not run.
-func (c *Cluster) Start(i int) error { return c.nodes[i].Start() }
-
-// Kill kills a replica, as a crash does.
-func (c *Cluster) Kill(i int) { c.nodes[i].Kill() }
-
-// Signal gives a replica that runs a signal.
-func (c *Cluster) Signal(i int, s syscall.Signal) { c.nodes[i].Signal(s) }
-
-// SetSyncDelay makes each sync of a replica's log wait from now on; 0: as it was.
-func (c *Cluster) SetSyncDelay(i int, wait time.Duration) error {
-	return renameio.WriteFile(c.syncWait(i), []byte(wait.String()), 0o600)
-}
-
-func (c *Cluster) syncWait(i int) string { return filepath.Join(c.dir, c.nodes[i].id+".sync") }
+// Len returns how many replicas there are.
+func (c *Cluster) Len() int { return len(c.members) }
 
-// Exited is closed when the process that a replica runs as has ended; nil: it does not run.
-func (c *Cluster) Exited(i int) <-chan struct{} { return c.nodes[i].Done() }
+// ID returns a replica's id.
+func (c *Cluster) ID(i int) string { return c.members[i].id }
 
-// Logs is the end of what a replica wrote.
-func (c *Cluster) Logs(i int) string { return c.nodes[i].LogTail() }
+// DataDir returns the folder of a replica's data.
+func (c *Cluster) DataDir(i int) string { return filepath.Join(c.dir, c.members[i].id) }
 
-// Addresses are where writers and readers call.
+// Addresses returns where clients call, by replica.
 func (c *Cluster) Addresses() []string {
 	var l []string
-	for _, m := range c.nodes {
-		l = append(l, m.address)
+	for _, m := range c.members {
+		l = append(l, m.clientAddress)
 	}
 	return l
 }
 
-// SetCommand gives a replica a command of its own from its next start on.
-func (c *Cluster) SetCommand(i int, command []string) { c.nodes[i].SetCommand(command) }
-
-// Len is how many replicas there are, and Name one's id.
-func (c *Cluster) Len() int { return len(c.nodes) }
-
-// ID is a replica's id.
-func (c *Cluster) ID(i int) string { return c.nodes[i].id }
-
-// DataDir is where a replica keeps its data.
-func (c *Cluster) DataDir(i int) string { return filepath.Join(c.dir, c.nodes[i].id) }
-
-// PID is a replica's process; 0: it does not run.
-func (c *Cluster) PID(i int) int { return c.nodes[i].Pid() }
-
-// EachLink calls f with the relay from each replica to each.
-func (c *Cluster) EachLink(f func(from, to int, r *relay.Relay)) {
-	for k, r := range c.links {
-		f(k[0], k[1], r)
-	}
-}
-
-// ResumeAll lets every replica run again.
-func (c *Cluster) ResumeAll() {
-	for i := range c.nodes {
-		c.Signal(i, syscall.SIGCONT)
-		c.Start(i) // one that cannot start shows in what follows
-	}
-}
-
-// AwaitReady waits until every replica answers and knows a leader. Two of three serve without the third, which may still be
-// starting, or never be.
-func (c *Cluster) AwaitReady(ctx context.Context) error {
-	for i, m := range c.nodes {
-		w, err := client.New(client.Options{Endpoints: []string{m.address}, MaxBackoff: 50 * time.Millisecond})
-		if err != nil {
-			return err
-		}
-		for led := false; !led; {
-			var st replica.Status
-			if err := w.Call(ctx, "GET", "/registry/status", nil, &st); err != nil {
-				return fmt.Errorf("replica %s: %w: %s", m.id, err, c.Logs(i))
-			}
-			if led = st.LeaderID != ""; !led {
-				time.Sleep(10 * time.Millisecond)
-			}
-		}
-	}
-	return nil
-}
-
-// Leader is the replica that says that it leads, or another.
-func (c *Cluster) Leader(other int) int {
-	for i, m := range c.nodes {
-		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		w, err := client.New(client.Options{Endpoints: []string{m.address}})
-		var st replica.Status
-		if err == nil && w.Call(ctx, "GET", "/registry/status", nil, &st) == nil && st.IsLeader {
-			cancel()
-			return i
-		}
-		cancel()
+// EachLink calls visit with the relay from each replica to each other.
+func (c *Cluster) EachLink(visit func(from, to int, r *relay.Relay)) {
+	for l, r := range c.links {
+		visit(l.from, l.to, r)
 	}
-	return other
 }
