--- a/cmd/umberbank/scale.go
+++ b/cmd/umberbank/scale.go
@@ -45,7 +45,7 @@
 	opt := scale.Options{Nodes: c.Nodes, Plays: c.Plays, Pace: scale.DefaultPace(), Step: func(s string) { fmt.Fprintln(a.err, s) }}
 	var draw func(*scale.Result) error
 	if c.Plot != "" {
-		if err := opt.Check(); err != nil {
+		if err := opt.Validate(); err != nil {
 			return err
 		}
 		f, err := os.Create(c.Plot) // now, as a run takes minutes
--- /dev/null
+++ b/internal/lab/scale/atrest.go
@@ -0,0 +1,135 @@
+package scale
+
+import (
+	"context"
+	"os"
+	"time"
+)
+
+// traffic returns what all hollow nodes that are alive, and all agents, have sent and received so far.
+func (p *play) traffic() (nodes, agents traffic) {
+	for _, h := range p.hollowNodes {
+		if h == nil {
+			continue
+		}
+		nodes = nodes.plus(h.nodeTraffic())
+		agents = agents.plus(h.agentMeter.traffic())
+	}
+	return nodes, agents
+}
+
+// usageSample is the traffic of the hollow nodes and the processor time of processes at one time.
+type usageSample struct {
+	at            time.Time
+	nodes, agents traffic
+	processor     map[int]time.Duration // by pid
+}
+
+// sampleUsage samples the traffic, and the processor time of processes.
+func (p *play) sampleUsage(pids []int) usageSample {
+	s := usageSample{processor: map[int]time.Duration{}}
+	s.nodes, s.agents = p.traffic()
+	for _, pid := range pids {
+		s.processor[pid] = processorTime(pid)
+	}
+	s.at = time.Now()
+	return s
+}
+
+// cores returns the cores that a process has used since an earlier sample.
+func (s usageSample) cores(since usageSample, pid int) float64 {
+	return (s.processor[pid] - since.processor[pid]).Seconds() / s.at.Sub(since.at).Seconds()
+}
+
+// measureAtRest measures traffic, processor time and memory while nothing changes.
+func (p *play) measureAtRest(ctx context.Context) error {
+	if err := sleep(ctx, p.options.Pace.SettleTime); err != nil {
+		return err
+	}
+	leader := p.cluster.Leader(0)
+	pids := p.pids()
+	before := p.sampleUsage(pids)
+	if err := sleep(ctx, p.options.Pace.RestTime); err != nil {
+		return err
+	}
+	after := p.sampleUsage(pids)
+	p.recordRestTraffic(before, after)
+	cores := func(pid int) float64 { return after.cores(before, pid) }
+	p.figures.set(KeyLoaderCores, cores(os.Getpid()))
+	p.figures.set(KeyLoaderMB, residentMB(os.Getpid()))
+	p.figures.set(KeyControllerCores, cores(p.controller.Pid()))
+	p.figures.set(KeyControllerMB, residentMB(p.controller.Pid()))
+	p.figures.set(KeyRestCPUShare, cores(p.nodeWithControl.Pid())-cores(p.nodeWithoutControl.Pid()))
+	p.figures.set(KeyControlMB, residentMB(p.nodeWithControl.Pid())-residentMB(p.nodeWithoutControl.Pid()))
+	p.recordReplicasAtRest(leader, cores)
+	return p.measureSyncs()
+}
+
+// recordRestTraffic records the traffic of a node and of an agent between two samples.
+func (p *play) recordRestTraffic(before, after usageSample) {
+	seconds := after.at.Sub(before.at).Seconds()
+	perNode := func(from, to int64) float64 { return float64(to-from) / seconds / float64(p.nodes) }
+	p.figures.set(KeyRestBytes, perNode(before.nodes.bytes, after.nodes.bytes))
+	p.figures.set(KeyRestCalls, perNode(before.nodes.calls, after.nodes.calls))
+	p.figures.set(KeyAgentRestBytes, perNode(before.agents.bytes, after.agents.bytes))
+	p.figures.set(KeyAgentRestCalls, perNode(before.agents.calls, after.agents.calls))
+	p.restBytesPerSecond = int64(p.figures.Values[KeyRestBytes])
+}
+
+// recordReplicasAtRest records processor use and memory of the replicas.
+func (p *play) recordReplicasAtRest(leader int, cores func(pid int) float64) {
+	total, busiestFollower, largestMB := 0.0, 0.0, 0.0
+	for i := range p.cluster.Len() {
+		used := cores(p.cluster.PID(i))
+		total += used
+		if i == leader {
+			p.figures.set(KeyLeaderCores, used)
+		} else {
+			busiestFollower = max(busiestFollower, used)
+		}
+		largestMB = max(largestMB, residentMB(p.cluster.PID(i)))
+	}
+	p.restReplicaCores = total
+	p.figures.set(KeyReplicaCores, total)
+	p.figures.set(KeyFollowerCores, busiestFollower)
+	p.figures.set(KeyReplicaMB, largestMB)
+}
+
+// measureSyncs measures the disk that the replicas sync to, while they are at rest.
+func (p *play) measureSyncs() error {
+	syncs, err := timeSyncs(p.dir)
+	if err != nil {
+		return err
+	}
+	p.figures.set(KeySyncP50, quantile(syncs, 0.5).Seconds()*1000)
+	p.figures.set(KeySyncMax, quantile(syncs, 1).Seconds()*1000)
+	return nil
+}
+
+const (
+	// syncSamples is the number of syncs that are timed.
+	syncSamples = 40
+	// syncBytes is what is written before each.
+	syncBytes = 4096
+)
+
+// timeSyncs times syncs of a file in dir.
+func timeSyncs(dir string) (took []time.Duration, err error) {
+	f, err := os.CreateTemp(dir, "sync-")
+	if err != nil {
+		return nil, err
+	}
+	defer os.Remove(f.Name())
+	defer f.Close()
+	for range syncSamples {
+		if _, err := f.Write(make([]byte, syncBytes)); err != nil {
+			return nil, err
+		}
+		began := time.Now()
+		if err := f.Sync(); err != nil {
+			return nil, err
+		}
+		took = append(took, time.Since(began))
+	}
+	return took, nil
+}
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -19,122 +19,170 @@
 // A "from" is a sum of figures in backquotes, each with a factor before it if it is not 1: 2 × `a` + `b`. The factor n is
 // the number of nodes. A bound or a factor that there is none of is a dash.
 
-// offMost is how far a figure of the page may be from what it follows from, as a share: figures are given with three digits or so.
-const offMost = 0.01
+// maxRelativeError is how far a figure of the page may be from what it follows from, as a share: figures are given with three digits or so.
+const maxRelativeError = 0.01
 
-// CheckPage says what on a page of capacity does not follow from its own slopes, with its line; nil: all does.
+// CheckPage checks that the figures of a capacity page follow from its own slopes. The error names the first line that does not.
 func CheckPage(text []byte) error {
-	type line struct{ atZero, perNode float64 }
-	slopes := map[string]line{}
-	nodes, roles := 0.0, 0
-	table := ""
-	for i, l := range strings.Split(string(text), "\n") {
-		fault := func(format string, args ...any) error {
-			return fmt.Errorf("line %d: %s", i+1, fmt.Sprintf(format, args...))
-		}
-		cells, is := cellsOf(l)
-		if !is {
-			table = ""
+	c := capacityChecker{slopes: map[string]pageSlope{}}
+	for i, line := range strings.Split(string(text), "\n") {
+		cells, isRow := cellsOf(line)
+		if !isRow {
+			c.table = ""
 			continue
 		}
-		switch {
-		case strings.Trim(strings.Join(cells, ""), "-: ") == "":
-			continue // the rule under a heading
-		case cells[0] == "figure" && len(cells) > 2 && cells[1] == "at zero":
-			table = cells[0]
-			continue
-		case cells[0] == "role" && len(cells) > 5:
-			text, found := strings.CutPrefix(cells[3], "at ")
-			n, err := strconv.ParseFloat(text, 64)
-			if !found || err != nil || n < 1 {
-				return fault("%q does not say for how many nodes", cells[3])
-			}
-			table, nodes = cells[0], n
-			continue
-		}
-		switch table {
-		case "figure":
-			if len(cells) < 3 {
-				return fault("a slope wants a figure, at zero, and a node more")
-			}
-			atZero, err := number(cells[1])
-			perNode, err2 := number(cells[2])
-			if err := errors.Join(err, err2); err != nil {
-				return fault("%s: %q, %q are no numbers", cells[0], cells[1], cells[2])
-			}
-			name := strings.Trim(cells[0], "`")
-			if _, twice := slopes[name]; twice {
-				return fault("%s stands twice", name)
-			}
-			slopes[name] = line{atZero, perNode}
-		case "role":
-			if len(cells) < 6 {
-				return fault("a role wants what, from, at, bound, and factor left")
-			}
-			roles++
-			name := cells[0] + ", " + cells[1]
-			sum := 0.0
-			for term := range strings.SplitSeq(cells[2], "+") {
-				factor, key, found := strings.Cut(strings.TrimSpace(term), "×")
-				if !found {
-					factor, key = "1", factor
-				}
-				by := nodes
-				if factor = strings.TrimSpace(factor); factor != "n" {
-					var err error
-					if by, err = number(factor); err != nil {
-						return fault("%s: the factor %q is no number", name, factor)
-					}
-				}
-				s, known := slopes[strings.Trim(strings.TrimSpace(key), "`")]
-				if !known {
-					return fault("%s: there is no slope %s", name, strings.TrimSpace(key))
-				}
-				sum += by * (s.atZero + s.perNode*nodes)
-			}
-			at, err := number(cells[3])
-			switch {
-			case err != nil:
-				return fault("%s: %q is no number", name, cells[3])
-			case off(at, sum):
-				return fault("%s: says %s, and its slopes give %.4g", name, cells[3], sum)
-			}
-			if (cells[4] == "-") != (cells[5] == "-") {
-				return fault("%s: a bound and the factor left go together", name)
-			}
-			if cells[4] == "-" {
-				continue
-			}
-			bound, err := number(cells[4])
-			left, err2 := number(cells[5])
-			switch {
-			case err != nil || err2 != nil:
-				return fault("%s: %q, %q are no numbers", name, cells[4], cells[5])
-			case off(left, bound/at):
-				return fault("%s: the factor left is said to be %s, and %s of %s is %.3g", name, cells[5], cells[4], cells[3], bound/at)
-			}
+		if err := c.checkRow(cells); err != nil {
+			return fmt.Errorf("line %d: %w", i+1, err)
 		}
 	}
-	if roles == 0 {
+	if c.roles == 0 {
 		return errors.New("there is no table of roles")
 	}
 	return nil
 }
 
-// cellsOf are the cells of a table's line.
-func cellsOf(l string) ([]string, bool) {
-	l = strings.TrimSpace(l)
-	if len(l) < 2 || l[0] != '|' || l[len(l)-1] != '|' {
+// The tables that are checked, by their first heading.
+const (
+	slopeTable = "figure"
+	roleTable  = "role"
+)
+
+// pageSlope is a slope of the page.
+type pageSlope struct{ atZero, perNode float64 }
+
+// at returns the figure for a number of nodes.
+func (s pageSlope) at(nodes float64) float64 { return s.atZero + s.perNode*nodes }
+
+// capacityChecker reads the rows of a page in their order.
+type capacityChecker struct {
+	table  string               // of the present row; "": not one that is checked
+	slopes map[string]pageSlope // of the rows so far
+	nodes  float64              // of the present table of roles
+	roles  int                  // rows of roles so far
+}
+
+// checkRow reads a heading, or checks a row of the present table.
+func (c *capacityChecker) checkRow(cells []string) error {
+	switch {
+	case strings.Trim(strings.Join(cells, ""), "-: ") == "":
+		return nil // the rule under a heading
+	case cells[0] == slopeTable && len(cells) > 2 && cells[1] == "at zero":
+		c.table = slopeTable
+		return nil
+	case cells[0] == roleTable && len(cells) > 5:
+		c.table = roleTable
+		return c.readNodes(cells[3])
+	}
+	switch c.table {
+	case slopeTable:
+		return c.readSlope(cells)
+	case roleTable:
+		return c.checkRole(cells)
+	}
+	return nil
+}
+
+// readNodes reads the number of nodes of a table of roles from its heading.
+func (c *capacityChecker) readNodes(heading string) error {
+	text, found := strings.CutPrefix(heading, "at ")
+	nodes, err := strconv.ParseFloat(text, 64)
+	if !found || err != nil || nodes < 1 {
+		return fmt.Errorf("%q does not say for how many nodes", heading)
+	}
+	c.nodes = nodes
+	return nil
+}
+
+// readSlope reads a row of the table of slopes.
+func (c *capacityChecker) readSlope(cells []string) error {
+	if len(cells) < 3 {
+		return errors.New("a slope wants a figure, at zero, and a node more")
+	}
+	atZero, err := number(cells[1])
+	perNode, err2 := number(cells[2])
+	if err := errors.Join(err, err2); err != nil {
+		return fmt.Errorf("%s: %q, %q are no numbers", cells[0], cells[1], cells[2])
+	}
+	name := strings.Trim(cells[0], "`")
+	if _, exists := c.slopes[name]; exists {
+		return fmt.Errorf("%s stands twice", name)
+	}
+	c.slopes[name] = pageSlope{atZero, perNode}
+	return nil
+}
+
+// checkRole checks a row of the table of roles.
+func (c *capacityChecker) checkRole(cells []string) error {
+	if len(cells) < 6 {
+		return errors.New("a role wants what, from, at, bound, and factor left")
+	}
+	c.roles++
+	name := cells[0] + ", " + cells[1]
+	sum, err := c.sum(name, cells[2])
+	if err != nil {
+		return err
+	}
+	figure, err := number(cells[3])
+	switch {
+	case err != nil:
+		return fmt.Errorf("%s: %q is no number", name, cells[3])
+	case differs(figure, sum):
+		return fmt.Errorf("%s: says %s, and its slopes give %.4g", name, cells[3], sum)
+	case (cells[4] == "-") != (cells[5] == "-"):
+		return fmt.Errorf("%s: a bound and the factor left go together", name)
+	case cells[4] == "-":
+		return nil
+	}
+	bound, err := number(cells[4])
+	factorLeft, err2 := number(cells[5])
+	switch {
+	case err != nil || err2 != nil:
+		return fmt.Errorf("%s: %q, %q are no numbers", name, cells[4], cells[5])
+	case differs(factorLeft, bound/figure):
+		return fmt.Errorf("%s: the factor left is said to be %s, and %s of %s is %.3g", name, cells[5], cells[4], cells[3], bound/figure)
+	}
+	return nil
+}
+
+// sum computes a "from" cell for the table's number of nodes.
+func (c *capacityChecker) sum(name, from string) (float64, error) {
+	sum := 0.0
+	for term := range strings.SplitSeq(from, "+") {
+		factor, key, found := strings.Cut(strings.TrimSpace(term), "×")
+		if !found {
+			factor, key = "1", factor
+		}
+		factor, key = strings.TrimSpace(factor), strings.TrimSpace(key)
+		by := c.nodes
+		if factor != "n" {
+			var err error
+			if by, err = number(factor); err != nil {
+				return 0, fmt.Errorf("%s: the factor %q is no number", name, factor)
+			}
+		}
+		slope, known := c.slopes[strings.Trim(key, "`")]
+		if !known {
+			return 0, fmt.Errorf("%s: there is no slope %s", name, key)
+		}
+		sum += by * slope.at(c.nodes)
+	}
+	return sum, nil
+}
+
+// cellsOf returns the cells of a table's row, or false for any other line.
+func cellsOf(line string) ([]string, bool) {
+	line = strings.TrimSpace(line)
+	if len(line) < 2 || line[0] != '|' || line[len(line)-1] != '|' {
 		return nil, false
 	}
-	cells := strings.Split(l[1:len(l)-1], "|")
+	cells := strings.Split(line[1:len(line)-1], "|")
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
 	}
 	return cells, true
 }
 
-// number reads a number of a page: with commas between thousands, and a unit after it that is not looked at.
+// number reads a number of a page. It may have commas between thousands; a unit after it is ignored.
 func number(text string) (float64, error) {
 	text, _, _ = strings.Cut(text, " ")
 	v, err := strconv.ParseFloat(strings.ReplaceAll(text, ",", ""), 64)
@@ -144,5 +192,7 @@
 	return v, err
 }
 
-// off says that a figure is further from another than rounding takes it.
-func off(says, is float64) bool { return !(math.Abs(says-is) <= offMost*math.Abs(is)) }
+// differs says whether a figure is further from the computed one than by rounding. It is true of NaN.
+func differs(figure, computed float64) bool {
+	return !(math.Abs(figure-computed) <= maxRelativeError*math.Abs(computed))
+}
--- /dev/null
+++ b/internal/lab/scale/failures.go
@@ -0,0 +1,177 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"umberbank/internal/process/relay"
+)
+
+// measureReplicaKilled kills the registry's leader and proposes a version.
+func (p *play) measureReplicaKilled(ctx context.Context) error {
+	leader := p.cluster.Leader(0)
+	p.cluster.Kill(leader)
+	began := time.Now()
+	version, err := p.proposeNext(ctx, p.options.Pace.VersionTimeout)
+	if _, err := p.recordVersion(KeyReplicaLost, version, err, time.Since(began)); err != nil {
+		return err
+	}
+	p.cluster.ResumeAll()
+	waiting, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	if err := p.cluster.AwaitReady(waiting); err != nil {
+		return err
+	}
+	return p.awaitConvergence(ctx)
+}
+
+// killNodes kills the selected nodes with their servers, and returns the function that starts them again.
+func (p *play) killNodes(selected func(*hollowNode) bool) (revive func(context.Context) error) {
+	var dead []int
+	var all sync.WaitGroup
+	for i, h := range p.hollowNodes {
+		if selected(h) {
+			dead = append(dead, i)
+			p.hollowNodes[i] = nil
+			all.Go(h.kill)
+		}
+	}
+	all.Wait()
+	return func(ctx context.Context) error {
+		for _, i := range dead {
+			h, err := startHollow(ctx, i, p.endpoints(), p.versions.recordRunning)
+			if err != nil {
+				return err
+			}
+			p.hollowNodes[i] = h
+		}
+		return nil
+	}
+}
+
+// measureDeadNode kills a node and proposes versions once its death has been detected.
+func (p *play) measureDeadNode(ctx context.Context) error {
+	name := p.hollowNodes[p.nodes-1].node
+	revive := p.killNodes(func(h *hollowNode) bool { return h.node == name })
+	if err := pollUntil(ctx, pollInterval, detectTimeout, func(ctx context.Context) (bool, string) {
+		view, err := p.coordinationView(ctx)
+		if err != nil {
+			return false, err.Error()
+		}
+		detected := view.Rollout != nil && (view.Rollout.Nodes[name] == nil || view.Rollout.Nodes[name].Unreachable)
+		return detected, name + " is not known to be missing"
+	}); err != nil {
+		return err
+	}
+	for _, key := range []Key{KeyDeadFirst, KeyDeadInForce} {
+		began := time.Now()
+		version, err := p.proposeNext(ctx, p.options.Pace.BlockedTimeout)
+		isBlocked, err := p.recordVersion(key, version, err, time.Since(began))
+		if err != nil {
+			return err
+		}
+		if isBlocked {
+			if key == KeyDeadFirst {
+				p.figures.setMissing(KeyDeadInForce, "the version before it was blocked")
+			}
+			break
+		}
+	}
+	if err := revive(ctx); err != nil {
+		return err
+	}
+	return p.awaitConvergence(ctx)
+}
+
+// measureLostZone kills the nodes and servers of a zone at once, proposes a version, and starts them again.
+func (p *play) measureLostZone(ctx context.Context) error {
+	zone := fmt.Sprint("z", zoneCount-1)
+	revive := p.killNodes(func(h *hollowNode) bool { return h.zone == zone })
+	if err := sleep(ctx, p.options.Pace.LossTime); err != nil {
+		return err
+	}
+	began := time.Now()
+	version, err := p.proposeNext(ctx, p.options.Pace.BlockedTimeout)
+	if _, err := p.recordVersion(KeyZoneLost, version, err, time.Since(began)); err != nil {
+		return err
+	}
+	began = time.Now()
+	if err := revive(ctx); err != nil {
+		return err
+	}
+	if err := p.awaitConvergence(ctx); err != nil {
+		return err
+	}
+	p.figures.set(KeyZoneRecovered, time.Since(began).Seconds())
+	return nil
+}
+
+// measurePartitionedRegions partitions the regions from each other in both directions, proposes a version, and heals the partition.
+func (p *play) measurePartitionedRegions(ctx context.Context) error {
+	heal, err := p.partitionRegions()
+	if err == nil {
+		err = sleep(ctx, p.options.Pace.LossTime)
+	}
+	if err == nil {
+		p.partitionedRegion = minorityRegion
+		began := time.Now()
+		version, proposeErr := p.proposeNext(ctx, p.options.Pace.BlockedTimeout)
+		_, err = p.recordVersion(KeyPartitionInForce, version, proposeErr, time.Since(began))
+		p.partitionedRegion = ""
+	}
+	began := time.Now()
+	heal()
+	if err != nil {
+		return err
+	}
+	if err := p.awaitConvergence(ctx); err != nil {
+		return err
+	}
+	p.figures.set(KeyPartitionHealed, time.Since(began).Seconds())
+	if _, has := p.figures.Values[KeyBlocked]; !has {
+		p.figures.set(KeyBlocked, 0)
+	}
+	return nil
+}
+
+const (
+	// majorityRegion has the first two replicas of the registry.
+	majorityRegion = "r0"
+	// minorityRegion has the third.
+	minorityRegion = "r1"
+	// minorityReplica is the index of that one.
+	minorityReplica = 2
+)
+
+// partitionRegions partitions the regions and returns the function that heals the partition, with an error too.
+func (p *play) partitionRegions() (heal func(), err error) {
+	at := p.endpoints()
+	unreachable := map[string]map[string]bool{
+		majorityRegion: {at[minorityReplica]: true},
+		minorityRegion: {at[0]: true, at[1]: true},
+	}
+	healed := make(chan struct{})
+	for _, h := range p.hollowNodes {
+		for _, m := range h.meters() {
+			m.partition(unreachable[h.region], healed)
+		}
+	}
+	stalled := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
+	var links []*relay.Relay
+	p.cluster.EachLink(func(from, to int, link *relay.Relay) {
+		if (from == minorityReplica) != (to == minorityReplica) {
+			err = errors.Join(err, link.Add(stalled))
+			links = append(links, link)
+		}
+	})
+	heal = func() {
+		for _, link := range links {
+			_ = link.Remove(stalled) // fails on a relay that is closed
+		}
+		close(healed)
+	}
+	return heal, err
+}
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -40,7 +40,7 @@
 			defer own.kill()
 			var ops []state.Op
 			for i := range n {
-				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: placeOf(i).server, Endpoint: fmt.Sprintf("10.1.0.%03d:3000", i), Zone: "z", State: state.Serving}})
+				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: locationOf(i).server, Endpoint: fmt.Sprintf("10.1.0.%03d:3000", i), Zone: "z", State: state.Serving}})
 			}
 			a, err := w.Write(ctx, ops...)
 			if err != nil {
@@ -59,7 +59,7 @@
 					t.Fatal(err)
 				}
 				readers = append(readers, reader)
-				running.Go(func() { reader.Run(watching, func(u client.WatchEvent) { heard <- u.Revision }) })
+				running.Go(func() { _ = reader.Run(watching, func(u client.WatchEvent) { heard <- u.Revision }) })
 			}
 			all := func(rev int64) {
 				for there := 0; there < n; {
@@ -80,7 +80,7 @@
 			}
 			for i := range changes {
 				capacity := float64(2 + i)
-				a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: placeOf(0).server, Capacity: &capacity})
+				a, err := w.Write(ctx, state.Op{Kind: state.OpUpdate, UID: locationOf(0).server, Capacity: &capacity})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -10,37 +10,41 @@
 	"time"
 )
 
-// meter is the network as one client has it: it opens the client's connections and counts what passes them, headers too.
+// meter is the network of one client. It opens the client's connections and counts all bytes that pass them, with headers.
 type meter struct {
 	in, out atomic.Int64 // bytes
 	calls   atomic.Int64 // requests that were sent
 	dials   atomic.Int64
 
-	mu    sync.Mutex
-	open  map[net.Conn]struct{}
-	dead  bool
-	since time.Time       // answers before do not count as heard
-	far   map[string]bool // addresses that are cut off
-	heals <-chan struct{} // closed when they are no more; nil: none was ever cut off
-	heard time.Time       // the first byte of an answer after since, on a connection opened after it; zero: none yet
+	mu           sync.Mutex
+	open         map[net.Conn]struct{}
+	down         bool
+	ignoreBefore time.Time       // answers on connections opened before do not count for answeredAt
+	unreachable  map[string]bool // addresses behind the partition
+	healed       <-chan struct{} // closed when the partition ends; nil: there was none
+	answeredAt   time.Time       // time of the first answer after ignoreBefore; zero: none yet
 }
 
 // traffic is what a meter has counted.
 type traffic struct{ bytes, calls int64 }
 
+// plus returns the sum of both.
+func (t traffic) plus(o traffic) traffic { return traffic{t.bytes + o.bytes, t.calls + o.calls} }
+
+// traffic returns what the meter has counted so far.
 func (m *meter) traffic() traffic { return traffic{m.in.Load() + m.out.Load(), m.calls.Load()} }
 
-var errDead = errors.New("this machine is down")
+var errMachineDown = errors.New("this machine is down")
 
 // dial opens a connection that is counted.
 func (m *meter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	m.mu.Lock()
-	dead := m.dead
+	dead := m.down
 	m.mu.Unlock()
 	if dead {
-		return nil, errDead
+		return nil, errMachineDown
 	}
-	if healed := m.passes(address); healed != nil {
+	if healed := m.reachable(address); healed != nil {
 		select {
 		case <-healed:
 		case <-ctx.Done():
@@ -53,12 +57,12 @@
 		return nil, err
 	}
 	m.dials.Add(1)
-	counted := &countedConn{Conn: c, m: m, address: address, opened: time.Now(), closed: make(chan struct{})}
+	counted := &countedConn{Conn: c, meter: m, address: address, opened: time.Now(), closed: make(chan struct{})}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dead {
+	if m.down {
 		c.Close()
-		return nil, errDead
+		return nil, errMachineDown
 	}
 	if m.open == nil {
 		m.open = map[net.Conn]struct{}{}
@@ -67,10 +71,10 @@
 	return counted, nil
 }
 
-// breakAll ends all connections; new ones may be opened. What is heard on those counts from now on.
+// breakAll closes all connections. New ones may be opened, and the first answer on those sets answeredAt.
 func (m *meter) breakAll() {
 	m.mu.Lock()
-	m.since, m.heard = time.Now(), time.Time{}
+	m.ignoreBefore, m.answeredAt = time.Now(), time.Time{}
 	open := m.open
 	m.open = nil
 	m.mu.Unlock()
@@ -79,42 +83,42 @@
 	}
 }
 
-// kill ends all connections for good, as the machine's death does.
+// kill closes all connections and allows no new one, as if the machine were down.
 func (m *meter) kill() {
 	m.mu.Lock()
-	m.dead = true
+	m.down = true
 	m.mu.Unlock()
 	m.breakAll()
 }
 
-// back is when the client heard an answer again after breakAll; zero: not yet.
-func (m *meter) back() time.Time {
+// reconnectedAt returns when the client received an answer again after breakAll; zero: not yet.
+func (m *meter) reconnectedAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heard
+	return m.answeredAt
 }
 
-// cut lets nothing pass to or from addresses until healed is closed. As in a network what was sent waits, and no end is told.
-func (m *meter) cut(addresses map[string]bool, healed <-chan struct{}) {
+// partition lets nothing pass to or from addresses until healed is closed. What was sent waits, and no connection is reset.
+func (m *meter) partition(addresses map[string]bool, healed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.far, m.heals = addresses, healed
+	m.unreachable, m.healed = addresses, healed
 }
 
-// passes is closed when an address can be reached; nil: it can.
-func (m *meter) passes(address string) <-chan struct{} {
+// reachable returns a channel that is closed when an address can be reached again, or nil if it can be reached now.
+func (m *meter) reachable(address string) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.far[address] {
+	if !m.unreachable[address] {
 		return nil
 	}
-	return m.heals
+	return m.healed
 }
 
 // countedConn is a connection of a meter.
 type countedConn struct {
 	net.Conn
-	m       *meter
+	meter   *meter
 	address string
 	opened  time.Time
 	read    atomic.Bool
@@ -122,9 +126,9 @@
 	closed  chan struct{}
 }
 
-// wait waits until the other side can be reached; false: the connection was closed before.
-func (c *countedConn) wait() bool {
-	healed := c.m.passes(c.address)
+// awaitReachable waits until the peer can be reached. It returns false if the connection was closed before that.
+func (c *countedConn) awaitReachable() bool {
+	healed := c.meter.reachable(c.address)
 	if healed == nil {
 		return true
 	}
@@ -136,39 +140,41 @@
 	}
 }
 
+// Read counts the bytes received.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.wait() {
+	if !c.awaitReachable() {
 		return 0, net.ErrClosed
 	}
-	c.m.in.Add(int64(n))
+	c.meter.in.Add(int64(n))
 	if n > 0 && c.read.CompareAndSwap(false, true) {
-		c.m.mu.Lock()
-		if c.m.heard.IsZero() && c.opened.After(c.m.since) {
-			c.m.heard = time.Now()
+		c.meter.mu.Lock()
+		if c.meter.answeredAt.IsZero() && c.opened.After(c.meter.ignoreBefore) {
+			c.meter.answeredAt = time.Now()
 		}
-		c.m.mu.Unlock()
+		c.meter.mu.Unlock()
 	}
 	return n, err
 }
 
-// Write counts a call where a request begins: net/http writes a request's head in one go.
+// Write counts the bytes sent, and a call where a request begins: net/http writes the head of a request in one call.
 func (c *countedConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, []byte("GET /")) || bytes.HasPrefix(b, []byte("POST /")) {
-		c.m.calls.Add(1)
+		c.meter.calls.Add(1)
 	}
-	if !c.wait() {
+	if !c.awaitReachable() {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Write(b)
-	c.m.out.Add(int64(n))
+	c.meter.out.Add(int64(n))
 	return n, err
 }
 
+// Close closes the connection.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.m.mu.Lock()
-	delete(c.m.open, c)
-	c.m.mu.Unlock()
+	c.meter.mu.Lock()
+	delete(c.meter.open, c)
+	c.meter.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures how the control plane bears a number of nodes: a registry of three real replicas and a real controller,
-// a few real nodes, and hollow ones. A hollow node or agent has the same clients of the control plane as a real one
-// (registration, renewal, watch, versions, acknowledgments) and no traffic; all of them share one process.
+// Package scale measures the cost of the control plane at several numbers of nodes. A play runs three real replicas of the registry, a
+// real controller, two real nodes and hollow ones. A hollow node has the same clients of the control plane as a real one (registration,
+// renewal, watch, versions, acknowledgments) and no traffic. All hollow nodes share this process.
 package scale
 
 import (
@@ -14,37 +14,38 @@
 	"time"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
-	Nodes   []int // sizes, rising
-	Plays   int   // of each size
+	Nodes   []int // the sizes, in rising order
+	Plays   int   // plays of each size
 	Program []string
-	Step    func(string) // hears what is being done; may be nil
+	Step    func(string) // receives the name of each step; may be nil
 	Pace    Pace
 }
 
-// Pace is how long the parts of a play last.
+// Pace configures the duration of the steps of a play.
 type Pace struct {
-	Calm    time.Duration // before the rest
-	Rest    time.Duration // at rest
-	Singles int           // single versions
-	Bursts  []int         // versions that are proposed at once; with two the first is Burst10 and the second Burst40
-	Within  time.Duration // a version or a burst is given up after so long
-	Blocked time.Duration // and one after a death, which may be blocked
-	Lost    time.Duration // from a zone's loss until a version is proposed
+	SettleTime     time.Duration // pause before the measurement at rest
+	RestTime       time.Duration // duration of the measurement at rest
+	SingleVersions int           // number of versions proposed one at a time
+	Bursts         []int         // numbers of versions proposed at once: the first is recorded as KeyBurst10, the others as KeyBurst40
+	VersionTimeout time.Duration // bound on a version or a burst
+	BlockedTimeout time.Duration // bound on a version after a death, which may be blocked
+	LossTime       time.Duration // pause between a loss and the next proposal
 }
 
-// DefaultPace is meant to fit four sizes of up to 920 nodes in three minutes; on three busy cores they took 334 s at the most.
-// Within is the operators' bound of a change.
+// DefaultPace returns the pace at which four sizes of up to 920 nodes take about three minutes. VersionTimeout is the operators' bound on
+// a change.
 func DefaultPace() Pace {
-	return Pace{Calm: time.Second, Rest: 3 * time.Second, Singles: 3, Bursts: []int{10, 40}, Within: 19 * time.Second,
-		Blocked: 19 * time.Second, Lost: 2500 * time.Millisecond}
+	return Pace{SettleTime: time.Second, RestTime: 3 * time.Second, SingleVersions: 3, Bursts: []int{10, 40}, VersionTimeout: 19 * time.Second,
+		BlockedTimeout: 19 * time.Second, LossTime: 2500 * time.Millisecond}
 }
 
-// Run plays all sizes, play after play. Options that make no sense are an error, and nothing is started. A size that fails is noted,
-// and the next begins; over the bounds, or when ctx ends, the run stops. In either case it gives what it has, with an error.
+// Run plays all sizes, play after play. It starts nothing and returns a nil Result if the options are invalid. A size that fails is
+// recorded in Result.Failed and the next begins; the run stops when it exceeds its bounds (ErrBounds) or ctx ends. In these cases it
+// returns the Result so far with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return nil, err
 	}
 	if o.Step == nil {
@@ -57,43 +58,43 @@
 		}
 		o.Program = []string{self}
 	}
-	half, err := halfMemoryMB()
+	maxMB, err := halfMemoryMB()
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Machine: machine(), Plays: o.Plays, Load: loadAverage(), Bounds: fmt.Sprintf("%.0f MB, %d processes", half, MostProcesses)}
+	r := &Result{Machine: machine(), Plays: o.Plays, LoadAverage: loadAverage(), Bounds: fmt.Sprintf("%.0f MB, %d processes", maxMB, MaxProcesses)}
 	began, stopped := time.Now(), false
 	for play := range o.Plays {
 		playing := time.Now()
 		var l []*Figures
 		for _, n := range o.Nodes {
-			f, err := measure(ctx, o, n, half, fmt.Sprintf("play %d of %d, %d nodes: ", play+1, o.Plays, n))
+			f, err := measure(ctx, o, n, maxMB, fmt.Sprintf("play %d of %d, %d nodes: ", play+1, o.Plays, n))
 			if f != nil {
 				l = append(l, f)
 			}
 			if err == nil {
 				continue
 			}
-			r.Failed = append(r.Failed, fmt.Sprintf("play %d, %d nodes: %v", play+1, n, short(err.Error())))
+			r.Failed = append(r.Failed, fmt.Sprintf("play %d, %d nodes: %v", play+1, n, firstLine(err.Error())))
 			if stopped = ctx.Err() != nil || errors.Is(err, ErrBounds); stopped {
 				break
 			}
 		}
-		r.Each = append(r.Each, l)
-		r.Longest = max(r.Longest, time.Since(playing).Seconds())
+		r.ByPlay = append(r.ByPlay, l)
+		r.LongestPlaySeconds = max(r.LongestPlaySeconds, time.Since(playing).Seconds())
 		if stopped {
 			break
 		}
 	}
-	r.Took = time.Since(began).Seconds()
-	r.reckon()
+	r.Seconds = time.Since(began).Seconds()
+	r.summarize()
 	if len(r.Failed) > 0 {
 		return r, errors.New(strings.Join(r.Failed, "; "))
 	}
 	return r, ctx.Err()
 }
 
-// machine says what the figures were measured on.
+// machine describes the machine of the run.
 func machine() string {
 	model := "processor unknown"
 	if text, err := os.ReadFile("/proc/cpuinfo"); err == nil {
@@ -111,15 +112,16 @@
 	return fmt.Sprintf("%s, %d cores for each process of the run, %.0f GB", model, min(runtime.NumCPU(), runtime.GOMAXPROCS(0)), 2*half/1024)
 }
 
+// loadAverage returns the machine's load average over the last minute, or 0 if it is unknown.
 func loadAverage() float64 {
 	var v float64
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		fmt.Sscan(string(text), &v) // 0 if it says nothing
+		_, _ = fmt.Sscan(string(text), &v) // 0 if it has no number
 	}
 	return v
 }
 
-// quantile is of rising values, the nearest rank; NaN-free only with at least one.
+// quantile returns the quantile q (0 to 1) of durations by the nearest rank, and 0 of none.
 func quantile(l []time.Duration, q float64) time.Duration {
 	if len(l) == 0 {
 		return 0
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pace := Pace{Rest: 1500 * time.Millisecond, Singles: 1, Bursts: []int{2, 3}, Within: 20 * time.Second, Blocked: 300 * time.Millisecond}
+	pace := Pace{RestTime: 1500 * time.Millisecond, SingleVersions: 1, Bursts: []int{2, 3}, VersionTimeout: 20 * time.Second, BlockedTimeout: 300 * time.Millisecond}
 	r, err := Run(t.Context(), Options{Nodes: []int{8}, Plays: 1, Program: []string{"/usr/bin/env", "SCALE_TEST=1", self}, Pace: pace})
 	if err != nil {
 		t.Fatal(err)
@@ -67,18 +67,18 @@
 			t.Errorf("%s: %v, %q", k, v, why)
 		}
 	}
-	for _, k := range []Key{RestBytes, RestCalls, AgentBytes, ReplicaCores, ReplicaMB, ControllerMB, LoaderMB, Connect, ConnectBytes, Reconnect, WholeList,
-		InForceP99, VersionWrite, Burst10, Burst40, BurstRate, ReplicaLost, ZoneBack, CutBack, PeakMB} {
+	for _, k := range []Key{KeyRestBytes, KeyRestCalls, KeyAgentRestBytes, KeyReplicaCores, KeyReplicaMB, KeyControllerMB, KeyLoaderMB, KeyConnect, KeyConnectBytes, KeyReconnect, KeyFullListBytes,
+		KeyInForceP99, KeyVersionWrites, KeyBurst10, KeyBurst40, KeyBurstRate, KeyReplicaLost, KeyZoneRecovered, KeyPartitionHealed, KeyPeakMB} {
 		if f.Values[k] <= 0 {
 			t.Errorf("%s: %v, %q", k, f.Values[k], f.Missing[k])
 		}
 	}
 	// Registration, a proposal's acknowledgments and reports, and the commit.
-	if w := f.Values[VersionWrite]; w < 1+2*9 {
+	if w := f.Values[KeyVersionWrites]; w < 1+2*9 {
 		t.Errorf("a version came into force by %v writes", w)
 	}
-	if !f.Held || f.Values[Processes] != 7 {
-		t.Errorf("held %v with %v processes", f.Held, f.Values[Processes])
+	if !f.WithinBounds || f.Values[KeyProcesses] != 7 {
+		t.Errorf("held %v with %v processes", f.WithinBounds, f.Values[KeyProcesses])
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -115,11 +115,11 @@
 		}
 	}
 	o := Options{Nodes: []int{100, 920}, Plays: 1}
-	if err := o.checkWithin(2540, 7360); err != nil {
+	if err := o.validateWithin(2540, 7360); err != nil {
 		t.Error(err)
 	}
-	for want, err := range map[string]error{"920: over the bounds of a run: some 2540 MB": o.checkWithin(2539, 7360),
-		"920: over the bounds of a run: some 7360 open files": o.checkWithin(2540, 7359)} {
+	for want, err := range map[string]error{"920: over the bounds of a run: some 2540 MB": o.validateWithin(2539, 7360),
+		"920: over the bounds of a run: some 7360 open files": o.validateWithin(2540, 7359)} {
 		if !errors.Is(err, ErrBounds) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
@@ -128,17 +128,17 @@
 
 // A run that takes more than it may ends, and says so.
 func TestGuard(t *testing.T) {
-	for name, g := range map[string]*guard{"memory": {mayMB: 1, may: 10}, "processes": {mayMB: 1 << 20, may: 1}} {
+	for name, g := range map[string]*guard{"memory": {maxMB: 1, maxProcesses: 10}, "processes": {maxMB: 1 << 20, maxProcesses: 1}} {
 		ctx, end := context.WithCancelCause(t.Context())
-		g.look([]int{os.Getpid(), os.Getppid()}, end)
-		if mb, n := g.most(); !errors.Is(context.Cause(ctx), ErrBounds) || mb <= 1 || n != 2 {
+		g.check([]int{os.Getpid(), os.Getppid()}, end)
+		if mb, n := g.peak(); !errors.Is(context.Cause(ctx), ErrBounds) || mb <= 1 || n != 2 {
 			t.Errorf("%s: %v after %v MB in %d", name, context.Cause(ctx), mb, n)
 		}
 		end(nil)
 	}
 	ctx, end := context.WithCancelCause(t.Context())
 	defer end(nil)
-	(&guard{mayMB: 1 << 20, may: 2}).look([]int{os.Getpid(), os.Getppid(), 0}, end)
+	(&guard{maxMB: 1 << 20, maxProcesses: 2}).check([]int{os.Getpid(), os.Getppid(), 0}, end)
 	if ctx.Err() != nil {
 		t.Error(context.Cause(ctx))
 	}
@@ -149,24 +149,24 @@
 	play := func(per float64, sizes ...int) (l []*Figures) {
 		for _, n := range sizes {
 			f := newFigures(n)
-			f.set(VersionWrite, 3+per*float64(n))
-			f.set(Connect, 1)
-			f.finish("not asked for")
+			f.set(KeyVersionWrites, 3+per*float64(n))
+			f.set(KeyConnect, 1)
+			f.fillMissing("not asked for")
 			l = append(l, f)
 		}
 		return l
 	}
-	r := &Result{Each: [][]*Figures{play(2, 10, 20, 40), play(2.2, 10, 20, 40), play(1.8, 10, 20, 40)}}
-	r.Each[1][2].miss(Connect, "blocked by n1")
-	r.reckon()
-	s := r.Slopes[VersionWrite]
-	if math.Abs(s.PerNode-2) > 1e-9 || math.Abs(s.AtZero-3) > 1e-9 || math.Abs(s.Spread-0.2) > 1e-9 || s.Points != 9 || s.R2 < 0.9 {
+	r := &Result{ByPlay: [][]*Figures{play(2, 10, 20, 40), play(2.2, 10, 20, 40), play(1.8, 10, 20, 40)}}
+	r.ByPlay[1][2].setMissing(KeyConnect, "blocked by n1")
+	r.summarize()
+	s := r.Slopes[KeyVersionWrites]
+	if math.Abs(s.PerNode-2) > 1e-9 || math.Abs(s.Intercept-3) > 1e-9 || math.Abs(s.StdDev-0.2) > 1e-9 || s.Points != 9 || s.R2 < 0.9 {
 		t.Errorf("%+v", s)
 	}
-	if len(r.Sizes) != 3 || r.Sizes[1].Values[VersionWrite] != 43 || r.Slopes[Connect].PerNode != 0 || r.Slopes[InForceP99] != nil {
+	if len(r.Sizes) != 3 || r.Sizes[1].Values[KeyVersionWrites] != 43 || r.Slopes[KeyConnect].PerNode != 0 || r.Slopes[KeyInForceP99] != nil {
 		t.Errorf("%+v, %+v", r.Sizes[1], r.Slopes)
 	}
-	if _, has := r.Sizes[2].Values[Connect]; has || r.Sizes[2].Missing[Connect] != "in 1 of 3 plays: blocked by n1" {
+	if _, has := r.Sizes[2].Values[KeyConnect]; has || r.Sizes[2].Missing[KeyConnect] != "in 1 of 3 plays: blocked by n1" {
 		t.Errorf("%+v", r.Sizes[2])
 	}
 	text, err := json.Marshal(r)
@@ -188,7 +188,7 @@
 // The socket tells calls and bytes, headers too; what was dead or broken shows when it is heard again.
 func TestMeter(t *testing.T) {
 	var m meter
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.Copy(w, q.Body) }))
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }))
 	defer s.Close()
 	c := &http.Client{Transport: &http.Transport{DialContext: m.dial}}
 	defer c.CloseIdleConnections()
@@ -211,17 +211,17 @@
 		t.Errorf("%+v over %d connections", got, m.dials.Load())
 	}
 	m.breakAll()
-	if !m.back().IsZero() {
+	if !m.reconnectedAt().IsZero() {
 		t.Error("heard before it asked")
 	}
 	if err := ask(); err != nil {
 		t.Fatal(err)
 	}
-	if m.back().IsZero() || m.dials.Load() != 2 {
-		t.Errorf("heard at %v over %d connections", m.back(), m.dials.Load())
+	if m.reconnectedAt().IsZero() || m.dials.Load() != 2 {
+		t.Errorf("heard at %v over %d connections", m.reconnectedAt(), m.dials.Load())
 	}
 	healed := make(chan struct{})
-	m.cut(map[string]bool{strings.TrimPrefix(s.URL, "http://"): true}, healed)
+	m.partition(map[string]bool{strings.TrimPrefix(s.URL, "http://"): true}, healed)
 	answered := make(chan error, 1)
 	go func() { answered <- ask() }()
 	select {
@@ -234,28 +234,28 @@
 		t.Error(err)
 	}
 	m.kill()
-	if err := ask(); !errors.Is(err, errDead) {
+	if err := ask(); !errors.Is(err, errMachineDown) {
 		t.Errorf("a dead machine asks: %v", err)
 	}
 }
 
 // A version is in force when the last node runs it, once each, and only those that it waits for count.
 func TestTracker(t *testing.T) {
-	var tr tracker
+	var tr versionTracker
 	a, b := []byte(`{"a":1}`), []byte(`{"b":1}`)
 	s := tr.expect(a, []string{"n1", "n2"})
 	for _, who := range []string{"n1", "n1", "n3"} {
-		tr.ran(who, a)
+		tr.recordRunning(who, a)
 	}
-	tr.ran("n2", b)
+	tr.recordRunning("n2", b)
 	select {
 	case <-s.done:
 		t.Fatal("n2 does not run it")
 	default:
 	}
-	tr.ran("n2", a)
+	tr.recordRunning("n2", a)
 	<-s.done
-	if l := s.times(); len(l) != 2 || l[0] > l[1] {
+	if l := s.propagationTimes(); len(l) != 2 || l[0] > l[1] {
 		t.Errorf("%v", l)
 	}
 }
