--- a/cmd/umberbank-node/main_test.go
+++ b/cmd/umberbank-node/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -122,7 +123,7 @@
 	}
 }
 
-// Callers that rest on as many connections as they like, under the limit of descriptors that the configuration tells and
+// Clients that rest on as many connections as they like, under the limit of descriptors that the configuration tells and
 // with discovery silent: the questions to discovery, a call to the server, the second address and a true request still
 // find theirs.
 func TestProgramDescriptorsRunShort(t *testing.T) {
@@ -215,7 +216,7 @@
 		var stdout, stderr bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &stdout, &stderr
 		err := cmd.Run()
-		if exit, is := err.(*exec.ExitError); !is || exit.ExitCode() != 1 {
+		if exit := new(exec.ExitError); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("config %q: %v", config, err)
 		}
 		if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "umberbank-node: ") || stdout.Len() > 0 {
@@ -238,7 +239,7 @@
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
 		err := cmd.Run()
-		if exit, is := err.(*exec.ExitError); !is || exit.ExitCode() != 1 {
+		if exit := new(exec.ExitError); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("descriptor %q: %v", fd, err)
 		}
 		if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.Contains(s, "descriptor") {
--- a/cmd/umberbank-node/state_test.go
+++ b/cmd/umberbank-node/state_test.go
@@ -59,7 +59,7 @@
 
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	p.cmd.Wait() // killed
+	_ = p.cmd.Wait() // killed
 }
 
 func (p *process) log() string {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -46,7 +46,7 @@
 		return
 	}
 	call := l.newCall(ctx, at, now+timeout)
-	if r.rest == nil {
+	if r.streamedBody == nil {
 		at.timer = time.AfterFunc(timeout, func() { cancel(upstream.ErrTimedOut) })
 	}
 	go func() {
@@ -61,7 +61,7 @@
 	if r.finished.Load() || r.disconnected.Load() {
 		return false
 	}
-	if timeout <= 0 && r.rest == nil {
+	if timeout <= 0 && r.streamedBody == nil {
 		return false
 	}
 	return r.maxAttempts <= 0 || at.index < r.maxAttempts
@@ -75,17 +75,17 @@
 		Conditions:      upstream.Conditions{Now: l.now, Wanted: r.wanted, Deadline: deadline, RetryDeadline: r.retryDeadline()},
 		ResponseStarted: func(response *upstream.Response) { l.post(func() { l.responseStarted(at, response) }) },
 	}
-	if r.rest == nil {
+	if r.streamedBody == nil {
 		if len(r.body) > 0 {
 			call.Request.Body = io.NopCloser(bytes.NewReader(r.body))
 		}
 		return call
 	}
 	// Its time begins with its last byte. How slow that may be is the client's body's to say.
-	call.Rest = r.rest
+	call.StreamedBody = r.streamedBody
 	call.Conditions.Deadline = 0
 	call.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(r.timeLeft))
-	call.Request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.rest))
+	call.Request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.streamedBody))
 	call.BodySent = func() { l.post(func() { l.bodySent(at) }) }
 	r.fallbackTimer.Stop()
 	return call
@@ -157,7 +157,7 @@
 		Result:       result.Result,
 		Latency:      l.clock.now() - at.sentAt,
 		RequestDone:  r.finished.Load(),
-		BodyConsumed: r.rest != nil && r.rest.Consumed(),
+		BodyConsumed: r.streamedBody != nil && r.streamedBody.Consumed(),
 	}
 }
 
--- a/internal/node/bodybudget/bodybudget.go
+++ b/internal/node/bodybudget/bodybudget.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// MaxHeldBytes is the most of one body that is held in memory, either way. The rest of a longer one is passed on as it
+	// MaxBufferedBytes is the most of one body that is buffered, either way. What follows of a longer one is passed on as it
 	// comes.
-	MaxHeldBytes = 64 << 10
+	MaxBufferedBytes = 64 << 10
 	// MaxBodyBytes is the longest that a body may be, either way.
 	MaxBodyBytes = 32 << 20
 
@@ -32,9 +32,9 @@
 // Part is the half of a Budget for one direction.
 type Part struct{ free *semaphore.Weighted }
 
-// New returns a budget of so many bytes, but of no less than one body of MaxHeldBytes each way.
+// New returns a budget of so many bytes, but of no less than one body of MaxBufferedBytes each way.
 func New(bytes int64) *Budget {
-	half := max(bytes/2, MaxHeldBytes)
+	half := max(bytes/2, MaxBufferedBytes)
 	return &Budget{&Part{semaphore.NewWeighted(half)}, &Part{semaphore.NewWeighted(half)}}
 }
 
@@ -51,11 +51,11 @@
 	return New(bytes)
 }
 
-// Reserve takes capacity for a body of the given length in bytes, -1 if it is not known, or for the part of it that is ever held.
+// Reserve takes capacity for a body of the given length in bytes, -1 if it is not known, or for the part of it that is ever buffered.
 // It waits until there is capacity or ctx ends, whose error it then returns.
 func (p *Part) Reserve(ctx context.Context, length int64) (release func(), err error) {
-	if length < 0 || length > MaxHeldBytes {
-		length = MaxHeldBytes
+	if length < 0 || length > MaxBufferedBytes {
+		length = MaxBufferedBytes
 	}
 	if length <= uncountedBytes {
 		return func() {}, nil
--- a/internal/node/bodybudget/bodybudget_test.go
+++ b/internal/node/bodybudget/bodybudget_test.go
@@ -9,14 +9,14 @@
 // Bodies that are held wait for room, and answers never wait for requests.
 func TestBudget(t *testing.T) {
 	t.Parallel()
-	b := New(2 * MaxHeldBytes)
+	b := New(2 * MaxBufferedBytes)
 	release, err := b.Requests.Reserve(t.Context(), -1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan error, 1)
 	go func() {
-		again, err := b.Requests.Reserve(t.Context(), MaxHeldBytes)
+		again, err := b.Requests.Reserve(t.Context(), MaxBufferedBytes)
 		if err == nil {
 			again()
 		}
--- a/internal/node/clientconn/body.go
+++ b/internal/node/clientconn/body.go
@@ -76,7 +76,7 @@
 	return n, err
 }
 
-// fail makes err the reason why the body cannot be read to its end; b.mu is held.
+// fail makes err the reason why the body cannot be read to its end; b.mu is locked.
 func (b *Body) fail(err error) error {
 	b.err = err
 	close(b.failed)
@@ -86,11 +86,11 @@
 // Complete reports whether the last byte was read.
 func (b *Body) Complete() bool { return b.complete.Load() }
 
-// Consume notes that an attempt gets the part of the body that is not held, which can be read but once; false: an earlier attempt
+// Consume notes that an attempt gets the part of the body that is not buffered, which can be read but once; false: an earlier attempt
 // has got it.
 func (b *Body) Consume() bool { return b.consumed.CompareAndSwap(false, true) }
 
-// Consumed reports whether an attempt has got the part that is not held.
+// Consumed reports whether an attempt has got the part that is not buffered.
 func (b *Body) Consumed() bool { return b.consumed.Load() }
 
 // Failed is closed once the body cannot be read to its end.
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -105,7 +105,7 @@
 	return c.stopWatch
 }
 
-// readAheadIfDue begins to read ahead if a watch needs it; c.mu is held.
+// readAheadIfDue begins to read ahead if a watch needs it; c.mu is locked.
 func (c *Conn) readAheadIfDue() {
 	if c.disconnected == nil || !c.probed || c.readingAhead != nil || c.err != nil {
 		return
--- a/internal/node/clientconn/idle.go
+++ b/internal/node/clientconn/idle.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// longestIdle is the connection that has been idle for longest; nil: none has been idle for long enough. i.mu is held.
+// longestIdle is the connection that has been idle for longest; nil: none has been idle for long enough. i.mu is locked.
 func (i *IdleConns) longestIdle() *Conn {
 	var longest *Conn
 	oldest := time.Now().Add(-i.minEvictIdle)
--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -68,8 +68,8 @@
 	Capacity  float64  `json:"capacity"` // 0: 1
 	TTLMS     int64    `json:"ttl_ms"`   // of its lease, in milliseconds; 0: 2,000
 	ByAgent   bool     `json:"by_agent"` // an agent beside the node holds its registry entry
-	// Keep is a file that keeps the version over restarts; "": none.
-	Keep string `json:"keep"`
+	// PersistPath is a file that keeps the version over restarts; "": none.
+	PersistPath string `json:"keep"`
 }
 
 // file is the form of the configuration file. It is an alias so that errors of encoding/json name the key and no Go type.
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -65,7 +66,7 @@
 		t.Errorf("beside stalled clients: %q", got)
 	}
 	for _, c := range stalled {
-		io.ReadAll(c) // until the node ends it; a reset is as good
+		_, _ = io.ReadAll(c) // until the node ends it; a reset is as good
 	}
 	if open := n.control.OpenConnections(); open > control.MaxConnections {
 		t.Errorf("%d connections are open", open)
@@ -115,7 +116,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.ReadAll(resp.Body)
+		_, _ = io.ReadAll(resp.Body)
 		return resp
 	}
 	used, idle, unused := nodetest.Dial(t, n.Addr().String()), nodetest.Dial(t, n.Addr().String()), nodetest.Dial(t, n.Addr().String())
@@ -137,7 +138,7 @@
 		}
 	}
 	for name, c := range map[string]net.Conn{"idle": idle, "unused": unused, "used": used, "fresh": fresh} {
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("the %s connection is not closed: %v", name, err)
 		}
 	}
@@ -173,7 +174,7 @@
 	if resp, err := http.ReadResponse(keptR, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", resp, err)
 	} else {
-		io.ReadAll(resp.Body)
+		_, _ = io.ReadAll(resp.Body)
 	}
 	for _, c := range []net.Conn{fresh, kept} {
 		io.WriteString(c, readRequest[:30])
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -79,7 +79,7 @@
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("answer %d: %+v, %v", i, resp, err)
 		}
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 		io.WriteString(conn, next[len(next)-1:])
 	}
 }
@@ -154,7 +154,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			const length = bodybudget.MaxHeldBytes + 20_000
+			const length = bodybudget.MaxBufferedBytes + 20_000
 			io.WriteString(conn, head("POST", "/order/1", "Content-Length: "+strconv.Itoa(length)+"\r\n")+nodetest.Text(length))
 			nodetest.Wait(t, began)
 			leave(conn.(*net.TCPConn))
@@ -221,7 +221,7 @@
 	cfg := testConfig("127.0.0.1:1", serving("s", addr))
 	cfg.Sockets = reservedDescriptors + 20 // 12 for clients
 	n := startNode(t, cfg, nil)
-	n.frontend.crowded.Store(1000)
+	n.frontend.softLimit.Store(1000)
 	working := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(working, head("GET", "/read/1", ""))
 	nodetest.Eventually(t, "one at work", first.Load)
@@ -329,14 +329,14 @@
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			close(began)
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r)
 			close(closed)
 		}
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := newRequest(t, n, "GET", "/read/1", "").WithContext(ctx)
-	go http.DefaultTransport.RoundTrip(r)
+	go func() { _, _ = http.DefaultTransport.RoundTrip(r) }()
 	nodetest.Wait(t, began)
 	cancel()
 	nodetest.Wait(t, closed)
@@ -346,7 +346,7 @@
 // that net/http makes of a handler that wrote nothing.
 func TestClientHalfCloses(t *testing.T) {
 	t.Parallel()
-	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
+	addr := nodetest.Listen(t, func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		if m.pending() {
-			t.Errorf("%s: %q is left over", name, m.held)
+			t.Errorf("%s: %q is left over", name, m.buffered)
 		}
 	}
 	for _, bad := range []string{"no list", `{"rev":1}x`, `{"rev":,`, `{"rev":1,"targets":[]]`} {
--- a/internal/node/follower/event.go
+++ b/internal/node/follower/event.go
@@ -23,7 +23,7 @@
 // Event tells those who judge a rollout from outside, as the fault-injection tests do, what a node does and when.
 type Event struct {
 	Kind           EventKind
-	Start          int64         // InSync, OutOfSync: the registry's token of this start of the node
+	Incarnation    int64         // InSync, OutOfSync: the registry's token of this start of the node
 	LongestRenewal time.Duration // OutOfSync: the longest time between two renewals of its lease while it was in sync
 	Version        Version
 	Time           int64 // by the machine's monotonic clock, in nanoseconds
@@ -38,9 +38,9 @@
 	case Validated:
 		what = "could run"
 	case InSync:
-		what = fmt.Sprintf("in touch by start %d with", e.Start)
+		what = fmt.Sprintf("in touch by start %d with", e.Incarnation)
 	case OutOfSync:
-		what = fmt.Sprintf("out of touch by start %d, renewed within %d ms, with", e.Start, e.LongestRenewal.Milliseconds())
+		what = fmt.Sprintf("out of touch by start %d, renewed within %d ms, with", e.Incarnation, e.LongestRenewal.Milliseconds())
 	case Serving:
 		return fmt.Sprintf("agreed: serves at %d", e.Time)
 	}
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -109,14 +109,14 @@
 			continue
 		}
 		revision = agreed.Revision
-		if f.isAboutThisStart(agreed.NodeSettings) {
+		if f.isThisIncarnation(agreed.NodeSettings) {
 			f.handle(ctx, agreed.NodeSettings, revision)
 		}
 	}
 }
 
-// isAboutThisStart reports whether the registry's view is of this start of the node, and not of an earlier process.
-func (f *Follower) isAboutThisStart(view *state.NodeSettings) bool {
+// isThisIncarnation reports whether the registry's view is of this start of the node, and not of an earlier process.
+func (f *Follower) isThisIncarnation(view *state.NodeSettings) bool {
 	return view != nil && view.Node != nil && (f.lease == nil || view.Node.Incarnation == f.lease.Token(f.Name))
 }
 
@@ -127,30 +127,30 @@
 
 // handle does what the registry's view of this node asks for, as of a revision, and reports what came of it.
 func (f *Follower) handle(ctx context.Context, view *state.NodeSettings, revision int64) {
-	start := view.Node.Incarnation
+	incarnation := view.Node.Incarnation
 	f.updateInSync(view, revision)
 	if view.Target.Number > f.running.Number {
 		f.Activate(view.Target)
 	}
-	f.report(ctx, view, start)
-	f.validateProposed(ctx, view, start)
+	f.report(ctx, view, incarnation)
+	f.validateProposed(ctx, view, incarnation)
 }
 
 // report tells the registry which version the node runs, unless it knows.
-func (f *Follower) report(ctx context.Context, view *state.NodeSettings, start int64) {
+func (f *Follower) report(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	node := view.Node
 	hasCaughtUp := node.Syncing && !node.Unreachable && node.Violation == "" && view.Target.Number == f.running.Number
 	if node.Reported && !hasCaughtUp && node.RunningVersion == f.running.Number && f.reportedAt != 0 {
 		return
 	}
-	answer, err := f.writer.WriteOne(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: start, Number: f.running.Number, Hash: f.running.Hash})
+	answer, err := f.writer.WriteOne(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: incarnation, Number: f.running.Number, Hash: f.running.Hash})
 	if err == nil && answer.Code == "" {
 		f.reportedAt = answer.Revision
 	} // else another view tells whether it was heard
 }
 
 // validateProposed validates the version that is proposed, and acknowledges or rejects it, unless that is done.
-func (f *Follower) validateProposed(ctx context.Context, view *state.NodeSettings, start int64) {
+func (f *Follower) validateProposed(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	p := view.Pending
 	if p == nil || view.Node.Acknowledged == p.Number || view.Node.RejectReason != "" || p.Number <= f.running.Number {
 		return
@@ -166,7 +166,7 @@
 		f.notify(Event{Kind: Validated, Version: f.proposed})
 	}
 	// Whether it was heard shows in the next view.
-	_, _ = f.writer.WriteOne(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: start, Number: p.Number, Hash: p.Hash,
+	_, _ = f.writer.WriteOne(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: incarnation, Number: p.Number, Hash: p.Hash,
 		RejectReason: f.rejection})
 }
 
@@ -188,7 +188,7 @@
 	confirmed := node.InSync() && node.Reported && node.RunningVersion == f.running.Number && f.reportedAt > 0 && revision >= f.reportedAt
 	if confirmed && !f.inSync {
 		f.longestRenewal() // it is counted anew from here
-		f.notify(Event{Kind: InSync, Start: node.Incarnation, Version: f.running})
+		f.notify(Event{Kind: InSync, Incarnation: node.Incarnation, Version: f.running})
 		select {
 		case <-f.firstInSync:
 		default:
@@ -196,7 +196,7 @@
 		}
 	}
 	if f.inSync && !node.InSync() {
-		f.notify(Event{Kind: OutOfSync, Start: node.Incarnation, LongestRenewal: f.longestRenewal(), Version: f.running})
+		f.notify(Event{Kind: OutOfSync, Incarnation: node.Incarnation, LongestRenewal: f.longestRenewal(), Version: f.running})
 	}
 	f.inSync = confirmed || f.inSync && node.InSync()
 }
@@ -210,8 +210,8 @@
 	if next.Settings == nil || next.verify() != nil {
 		return
 	}
-	if f.Rollout.Keep != "" {
-		if err := next.save(f.Rollout.Keep); err != nil {
+	if f.Rollout.PersistPath != "" {
+		if err := next.save(f.Rollout.PersistPath); err != nil {
 			f.Log.Error("agreed: a version is not kept", "version", next.Number, "error", err)
 		}
 	}
--- a/internal/node/follower/golden_test.go
+++ b/internal/node/follower/golden_test.go
@@ -22,7 +22,7 @@
 	settings := settingsWith(t, 4)
 	content := state.VersionContent{Number: 12, Hash: state.ContentHash(settings), Settings: settings}
 	keep := filepath.Join(t.TempDir(), "kept")
-	f, err := New(Options{Name: "n3", Rollout: config.Rollout{Endpoints: []string{"127.0.0.1:1"}, Keep: keep}, Notify: func(Event) {},
+	f, err := New(Options{Name: "n3", Rollout: config.Rollout{Endpoints: []string{"127.0.0.1:1"}, PersistPath: keep}, Notify: func(Event) {},
 		Apply: func(json.RawMessage) error { return nil }}, Version{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/follower/version.go
+++ b/internal/node/follower/version.go
@@ -55,7 +55,7 @@
 // Restore returns the configuration with the version that an earlier process of the node kept, and that version. One that
 // cannot be read or run is logged and passed over: then the configuration is returned as it is, with the zero Version.
 func Restore(cfg config.Config) (config.Config, Version) {
-	path := cfg.Rollout.Keep
+	path := cfg.Rollout.PersistPath
 	if path == "" {
 		return cfg, Version{}
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -37,10 +37,10 @@
 	loop    *loop
 	metrics *metrics.Metrics
 
-	conns   atomic.Int64 // clients' connections
-	crowded atomic.Int64 // from so many on they are closed after an answer, to make room
-	idle    *clientconn.IdleConns
-	drain   *clientconn.Drainer
+	conns     atomic.Int64 // clients' connections
+	softLimit atomic.Int64 // from so many on they are closed after an answer, to make room
+	idle      *clientconn.IdleConns
+	drain     *clientconn.Drainer
 }
 
 func newFrontend(l *loop) *frontend {
@@ -48,8 +48,8 @@
 	return &frontend{loop: l, metrics: l.metrics, idle: idle, drain: clientconn.NewDrainer(idle)}
 }
 
-// setCrowded follows a limit of connections: from 3/4 of it on they are closed after an answer.
-func (f *frontend) setCrowded(limit int) { f.crowded.Store(int64(limit) * 3 / 4) }
+// setConnectionLimit follows a limit of connections: from 3/4 of it on they are closed after an answer.
+func (f *frontend) setConnectionLimit(limit int) { f.softLimit.Store(int64(limit) * 3 / 4) }
 
 // server returns the HTTP server of the frontend, which does not serve yet.
 func (f *frontend) server() *http.Server {
@@ -98,7 +98,7 @@
 	client := clientconn.ClientOf(hr)
 	disconnected := make(chan struct{})
 	disconnect := sync.OnceFunc(func() { r.disconnected.Store(true); close(disconnected) })
-	if r.rest == nil { // else its body's reading shows it, and while nobody reads, the next call of connected
+	if r.streamedBody == nil { // else its body's reading shows it, and while nobody reads, the next call of connected
 		defer client.Watch(disconnect)()
 	}
 	r.connected = func() bool {
@@ -122,25 +122,25 @@
 // awaitAnswer writes the final answer to a request once the loop has it, or ends the request if its client disconnects before.
 func (f *frontend) awaitAnswer(w http.ResponseWriter, hr *http.Request, r *request, disconnected <-chan struct{}) {
 	var bodyFailed <-chan struct{} // never closed for a request that is all here
-	if r.rest != nil {
-		bodyFailed = r.rest.Failed()
+	if r.streamedBody != nil {
+		bodyFailed = r.streamedBody.Failed()
 	}
 	select {
 	case a := <-r.answer:
 		f.answer(w, hr, r, a)
 	case <-bodyFailed:
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
-		reject(w, r.rest.Err())
+		reject(w, r.streamedBody.Err())
 	case <-disconnected:
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
 		panic(http.ErrAbortHandler)
 	case <-hr.Context().Done():
 		r.disconnected.Store(true)
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
-		if r.rest != nil && !r.rest.Complete() {
+		if r.streamedBody != nil && !r.streamedBody.Complete() {
 			// It is the body that failed: net/http ends the context first.
-			<-r.rest.Failed()
-			reject(w, r.rest.Err())
+			<-r.streamedBody.Failed()
+			reject(w, r.streamedBody.Err())
 			return
 		}
 		// Returning would answer 200 with nothing in it, should the client still read.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -110,7 +110,7 @@
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			heads <- timeLeftLine.ReplaceAllString(portNumber.ReplaceAllString(head.String(), "ADDR"), "X-Time-Left: TIMEu")
 			head.Reset()
 			io.WriteString(c, nodetest.OK)
--- a/internal/node/insync_test.go
+++ b/internal/node/insync_test.go
@@ -78,7 +78,7 @@
 				r.gate(op)
 			}
 		}
-		json.NewEncoder(w).Encode(map[string]any{"answers": r.write(body.Ops...)})
+		_ = json.NewEncoder(w).Encode(map[string]any{"answers": r.write(body.Ops...)})
 	case "/registry/renew":
 		unknown := []string{}
 		r.mu.Lock()
@@ -88,7 +88,7 @@
 			}
 		}
 		r.mu.Unlock()
-		json.NewEncoder(w).Encode(map[string]any{"unknown": unknown})
+		_ = json.NewEncoder(w).Encode(map[string]any{"unknown": unknown})
 	case "/registry/agreed":
 		r.agreed(w, q)
 	}
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -152,8 +152,8 @@
 		case <-time.After(n.lingerTimeout):
 		}
 	} // else the successor accepts what is in the backlog
-	n.listener.Close()
-	<-served // returned for that, if for nothing before
+	_ = n.listener.Close()
+	<-served //nolint:errcheck // returned for that, if for nothing before
 	n.frontend.awaitClosed(n.listener.OpenConnections)
 	return nil
 }
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -273,7 +273,7 @@
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			close(began)
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r)
 		}
 	})
 	cfg := testConfig("127.0.0.1:1", serving("s", addr))
--- a/internal/node/longanswer_test.go
+++ b/internal/node/longanswer_test.go
@@ -106,7 +106,7 @@
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nfirst")
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r)
 			close(closed)
 		}
 	})
--- a/internal/node/longrequest_test.go
+++ b/internal/node/longrequest_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("%s: the server got %d bytes", name, len(s.Content))
 		}
 		if c.more[0] != 'T' { // a connection with chunks is closed, see ambiguous
-			io.ReadAll(io.LimitReader(r, 2))
+			_, _ = io.ReadAll(io.LimitReader(r, 2))
 			io.WriteString(conn, head("GET", "/read/2", ""))
 			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("%s: the next request: %+v, %v", name, resp, err)
@@ -82,9 +82,9 @@
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", size)))
-	conn.Write(make([]byte, size/2))
+	_, _ = conn.Write(make([]byte, size/2))
 	nodetest.Wait(t, half)
-	conn.Write(make([]byte, size/2))
+	_, _ = conn.Write(make([]byte, size/2))
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v", resp, err)
 	}
@@ -101,13 +101,13 @@
 	l.Close()
 	good, got := sink(t)
 	quits := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
-		http.ReadRequest(r)
+		_, _ = http.ReadRequest(r)
 		c.(*net.TCPConn).SetLinger(0)
 	})
 	turnsAway := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
-		http.ReadRequest(r)
+		_, _ = http.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-		io.Copy(io.Discard, r)
+		_, _ = io.Copy(io.Discard, r)
 	})
 	body := nodetest.Text(4 << 20)
 	for name, c := range map[string]struct {
@@ -172,7 +172,7 @@
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, strings.Replace(head("POST", "/order/1", "Content-Length: 100000\r\n"), "15000m", "900m", 1))
 	for range 10 { // longer than the client will wait from its last byte on
-		conn.Write(make([]byte, 10000))
+		_, _ = conn.Write(make([]byte, 10000))
 		time.Sleep(100 * time.Millisecond)
 	}
 	before := time.Duration(time.Now().Add(-time.Second).UnixNano())
@@ -192,7 +192,7 @@
 	}
 	closed := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
-		io.Copy(io.Discard, r)
+		_, _ = io.Copy(io.Discard, r)
 		close(closed)
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
@@ -201,12 +201,12 @@
 			t.Parallel()
 			conn := nodetest.Dial(t, n.Addr().String())
 			io.WriteString(conn, head("POST", "/order/1", "Content-Length: 1000000\r\n"))
-			conn.Write(make([]byte, sent))
+			_, _ = conn.Write(make([]byte, sent))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout {
 				t.Errorf("%+v, %v", resp, err)
 			}
-			if sent > bodybudget.MaxHeldBytes {
+			if sent > bodybudget.MaxBufferedBytes {
 				nodetest.Wait(t, closed)
 			}
 		})
@@ -225,7 +225,7 @@
 		if name == "chunks" {
 			go func() {
 				fmt.Fprintf(conn, "%x\r\n", bodybudget.MaxBodyBytes+1)
-				conn.Write(make([]byte, bodybudget.MaxBodyBytes+1))
+				_, _ = conn.Write(make([]byte, bodybudget.MaxBodyBytes+1))
 			}()
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -254,13 +254,13 @@
 	conn := nodetest.Dial(t, n.Addr().String())
 	r := bufio.NewReader(conn)
 	inner := head("GET", "/read/inner", "")
-	body := strings.Repeat("x", bodybudget.MaxHeldBytes+1) + inner
+	body := strings.Repeat("x", bodybudget.MaxBufferedBytes+1) + inner
 	go io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body+inner)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
 	}
-	io.Copy(io.Discard, resp.Body)
+	_, _ = io.Copy(io.Discard, resp.Body)
 	if rest, err := io.ReadAll(r); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a second answer: %q, %v", rest, err)
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -137,13 +137,13 @@
 		e := l.queue[0]
 		l.queue = l.queue[1:]
 		for _, a := range l.decisions.Handle(l.clock.now(), e) {
-			l.carryOut(a)
+			l.perform(a)
 		}
 	}
 }
 
-// carryOut carries out an action of the decisions.
-func (l *loop) carryOut(a balancer.Action) {
+// perform carries out an action of the decisions.
+func (l *loop) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
 		l.send(a)
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// resultsOf returns the results of a class, which it adds if they are missing; m.mu is held.
+// resultsOf returns the results of a class, which it adds if they are missing; m.mu is locked.
 func (m *Metrics) resultsOf(class string) *ClassResults {
 	if m.results == nil {
 		m.results = map[string]*ClassResults{}
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -13,8 +13,13 @@
 
 // figures are the operators' figures as vars tells them.
 type figures struct {
-	Results                                                                     map[string]metrics.ClassResults
-	Outstanding, Forwards, Discovered, Ejected, Sighup_applied, Sighup_rejected int
+	Results        map[string]metrics.ClassResults `json:"results"`
+	Outstanding    int                             `json:"outstanding"`
+	Forwards       int                             `json:"forwards"`
+	Discovered     int                             `json:"discovered"`
+	Ejected        int                             `json:"ejected"`
+	SighupApplied  int                             `json:"sighup_applied"`
+	SighupRejected int                             `json:"sighup_rejected"`
 }
 
 func vars(t *testing.T, n *Node) (f figures) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -170,7 +170,7 @@
 	clients := max(1, int(quota*float64(descriptors-upstreams)))
 	n.loop.pool.SetLimit(max(1, int(quota*float64(upstreams))))
 	n.listener.SetLimit(clients)
-	n.frontend.setCrowded(clients)
+	n.frontend.setConnectionLimit(clients)
 	if n.cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(quota * n.cfg.MemoryMB * memoryLimitFraction * (1 << 20)))
 	}
--- a/internal/node/nodetest/discovery.go
+++ b/internal/node/nodetest/discovery.go
@@ -11,9 +11,9 @@
 
 // Discovery is a stub of discovery. What comes on lines goes out on the watch that is open, one message or heartbeat at a time; "end"
 // ends it. asked tells the path and query of each watch. Polls are not answered.
-func Discovery(t *testing.T) (addr string, lines, asked chan string) {
+func Discovery(t *testing.T) (addr string, lines, watches chan string) {
 	t.Helper()
-	lines, asked = make(chan string), make(chan string, 100)
+	lines, watches = make(chan string), make(chan string, 100)
 	newest := make(chan context.CancelFunc, 1) // ends the watch before, which may not know yet that it is over
 	newest <- func() {}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -26,13 +26,13 @@
 		ended := make(chan struct{})
 		defer close(ended)
 		newest <- func() { cancel(); <-ended }
-		asked <- r.URL.Path + "?" + r.URL.RawQuery
+		watches <- r.URL.Path + "?" + r.URL.RawQuery
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
 		sendLines(ctx, w, lines)
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	return strings.TrimPrefix(s.URL, "http://"), lines, asked
+	return strings.TrimPrefix(s.URL, "http://"), lines, watches
 }
 
 func sendLines(ctx context.Context, w http.ResponseWriter, lines <-chan string) {
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -18,7 +18,7 @@
 // forwardedHeaders are the headers of a client's request that go to servers as they are.
 var forwardedHeaders = []string{header.CorrelationID, header.IdempotencyKey, "Content-Type"}
 
-// read reads a request, its body included as far as it is held. release gives the memory of its body back.
+// read reads a request, its body included as far as it is buffered. release gives the memory of its body back.
 func (f *frontend) read(w http.ResponseWriter, hr *http.Request) (r *request, release func(), err error) {
 	timeLeft, err := header.ParseTimeLeft(hr.Header.Get(header.TimeLeft))
 	if err != nil {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// readBody reads a request's body, as far as it is held. release gives its memory back.
+// readBody reads a request's body, as far as it is buffered. release gives its memory back.
 func (f *frontend) readBody(w http.ResponseWriter, hr *http.Request, r *request) (release func(), err error) {
 	allowance := clientconn.ClientOf(hr).BodyAllowance()
 	control := http.NewResponseController(w)
@@ -87,28 +87,28 @@
 	if release, err = f.loop.pool.RequestBudget().Reserve(waiting, hr.ContentLength); err != nil {
 		return nil, fmt.Errorf("no room for the body: %w", err)
 	}
-	if err := readHeldBody(hr, r, clientconn.NewBody(hr.Body, allowance, control.SetReadDeadline), control); err != nil {
+	if err := readBufferedBody(hr, r, clientconn.NewBody(hr.Body, allowance, control.SetReadDeadline), control); err != nil {
 		release()
 		return nil, err
 	}
 	return release, nil
 }
 
-// readHeldBody reads the part of a body that is held. What follows becomes the request's rest.
-func readHeldBody(hr *http.Request, r *request, body *clientconn.Body, control *http.ResponseController) error {
-	held := bytes.NewBuffer(make([]byte, 0, min(max(hr.ContentLength, 0), bodybudget.MaxHeldBytes)+bytes.MinRead))
-	if _, err := held.ReadFrom(io.LimitReader(body, bodybudget.MaxHeldBytes+1)); err != nil {
+// readBufferedBody reads the part of a body that is buffered. What follows becomes the request's streamedBody.
+func readBufferedBody(hr *http.Request, r *request, body *clientconn.Body, control *http.ResponseController) error {
+	buffered := bytes.NewBuffer(make([]byte, 0, min(max(hr.ContentLength, 0), bodybudget.MaxBufferedBytes)+bytes.MinRead))
+	if _, err := buffered.ReadFrom(io.LimitReader(body, bodybudget.MaxBufferedBytes+1)); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
-	r.body = held.Bytes()
+	r.body = buffered.Bytes()
 	r.outgoing.ContentLength = int64(len(r.body))
-	if len(r.body) <= bodybudget.MaxHeldBytes {
+	if len(r.body) <= bodybudget.MaxBufferedBytes {
 		return nil
 	}
 	// Its answer may come, and must go out, before it is all here.
 	if err := control.EnableFullDuplex(); err != nil {
 		return err
 	}
-	r.rest, r.outgoing.ContentLength = body, hr.ContentLength
+	r.streamedBody, r.outgoing.ContentLength = body, hr.ContentLength
 	return nil
 }
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -34,7 +34,7 @@
 // readRegistry gives the event loop what the registry says until ctx ends. The reader applies nothing that is older or incomplete. An
 // update of which a node can make no sense is logged and left out.
 func (n *Node) readRegistry(ctx context.Context) {
-	n.registry.Run(ctx, func(u client.WatchEvent) {
+	_ = n.registry.Run(ctx, func(u client.WatchEvent) {
 		update, err := fromRegistry(u)
 		if err != nil {
 			slog.Error("registry: update is of no use", "revision", u.Revision, "error", err)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -65,7 +65,7 @@
 
 func (n *Node) awaitApplied(t *testing.T, files int) {
 	t.Helper()
-	for end := time.Now().Add(nodetest.Limit); vars(t, n).Sighup_applied < files; {
+	for end := time.Now().Add(nodetest.Limit); vars(t, n).SighupApplied < files; {
 		if time.Now().After(end) {
 			t.Fatalf("%d files were never applied", files)
 		}
@@ -99,7 +99,7 @@
 	if len(got) == 0 {
 		t.Error("the new class reaches no server")
 	}
-	if f := vars(t, n); f.Sighup_rejected != 0 || len(f.Results) != 3 {
+	if f := vars(t, n); f.SighupRejected != 0 || len(f.Results) != 3 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -147,7 +147,7 @@
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if f := vars(t, n); f.Sighup_applied != 0 || f.Sighup_rejected != len(broken) {
+	if f := vars(t, n); f.SighupApplied != 0 || f.SighupRejected != len(broken) {
 		t.Errorf("%d broken files: %+v", len(broken), f)
 	}
 	if s := status(t, n, "GET", "/read/1"); s != http.StatusOK {
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -82,14 +82,14 @@
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", bodybudget.MaxHeldBytes))
+	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", bodybudget.MaxBufferedBytes))
 	r.Header.Set("Idempotency-Key", "k-1")
 	resp, body := nodetest.Do(t, r)
 	if resp.StatusCode != http.StatusOK || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
 		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
 	}
 	s := nodetest.Wait(t, got)
-	if s.Method != http.MethodPost || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.Content) != bodybudget.MaxHeldBytes ||
+	if s.Method != http.MethodPost || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.Content) != bodybudget.MaxBufferedBytes ||
 		s.Header.Get("X-Correlation-Id") != "c-1" || s.Header.Get("Idempotency-Key") != "k-1" {
 		t.Errorf("the server got %s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Content), s.Header)
 	}
@@ -210,7 +210,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		io.ReadAll(resp.Body)
+		_, _ = io.ReadAll(resp.Body)
 		if resp, err := http.ReadResponse(r, nil); err == nil {
 			t.Errorf("%s: a second answer: %s", name, resp.Status)
 		}
@@ -248,7 +248,7 @@
 		if err != nil || resp.StatusCode != status {
 			t.Fatalf("%q: %+v, %v", request, resp, err)
 		}
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 		if served := resp.ContentLength == 2; served {
 			if resp.Close {
 				t.Errorf("a client's connection ends with its answer")
@@ -339,7 +339,7 @@
 		go func() {
 			resp, err := client.Do(r)
 			if err == nil {
-				io.Copy(io.Discard, resp.Body)
+				_, _ = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				switch resp.StatusCode {
 				case http.StatusOK:
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -33,7 +33,7 @@
 	return n.apply(cfg)
 }
 
-// apply is Reload with n.reloading held.
+// apply is Reload with n.reloading locked.
 func (n *Node) apply(cfg config.Config) error {
 	if err := n.current.CheckReload(cfg); err != nil {
 		n.loop.metrics.ReloadsRejected.Add(1)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -37,13 +37,13 @@
 }
 
 // otherSettings are the settings of nodetest.Config with something else in their place.
-func otherSettings(t *testing.T, old, new string) json.RawMessage {
+func otherSettings(t *testing.T, old, replacement string) json.RawMessage {
 	t.Helper()
 	var file struct{ Settings json.RawMessage }
 	if err := json.Unmarshal([]byte(nodetest.Config), &file); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(json.RawMessage(strings.Replace(string(file.Settings), old, new, 1)))
+	text, err := json.Marshal(json.RawMessage(strings.Replace(string(file.Settings), old, replacement, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/snapshotter/snapshotter.go
+++ b/internal/node/snapshotter/snapshotter.go
@@ -22,9 +22,9 @@
 	schema = 1
 	// maxPayloadBytes bounds a snapshot: a server takes some 100 bytes.
 	maxPayloadBytes = 8 << 20
-	// restFactor keeps snapshots from taking more than 1/200 of a core's time: after each one the snapshotter rests for so many
+	// pauseFactor keeps snapshots from taking more than 1/200 of a core's time: after each one the snapshotter rests for so many
 	// times as long as it took.
-	restFactor = 200
+	pauseFactor = 200
 )
 
 // Snapshotter saves snapshots to one directory. It belongs to one goroutine at a time.
@@ -66,33 +66,33 @@
 }
 
 // Run saves what take returns until ctx ends. take asks the event loop for a snapshot; false: the loop has ended.
-func (s *Snapshotter) Run(ctx context.Context, take func() (balancer.Snapshot, bool)) {
+func (s *Snapshotter) Run(ctx context.Context, takeSnapshot func() (balancer.Snapshot, bool)) {
 	defer func() {
 		if s.store != nil {
 			s.store.Close()
 		}
 	}()
-	for rest := s.interval; ; {
+	for pause := s.interval; ; {
 		select {
-		case <-time.After(rest):
+		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
-		encoding, err := s.save(take)
-		rest = max(s.interval, restFactor*encoding)
+		encoding, err := s.save(takeSnapshot)
+		pause = max(s.interval, pauseFactor*encoding)
 		s.logError(err)
 	}
 }
 
 // save saves once, and returns how long it took to encode the snapshot, which is no waiting for the disk.
-func (s *Snapshotter) save(take func() (balancer.Snapshot, bool)) (encoding time.Duration, err error) {
+func (s *Snapshotter) save(takeSnapshot func() (balancer.Snapshot, bool)) (encoding time.Duration, err error) {
 	if s.store == nil {
 		if s.store, err = durable.Open(s.options); err != nil {
 			s.store = nil // a predecessor that has not ended, or the disk: it is tried again
 			return 0, err
 		}
 	}
-	snapshot, ok := take()
+	snapshot, ok := takeSnapshot()
 	if !ok {
 		return 0, nil
 	}
--- a/internal/node/snapshotter/snapshotter_test.go
+++ b/internal/node/snapshotter/snapshotter_test.go
@@ -8,7 +8,7 @@
 	"umberbank/balancer"
 )
 
-// What one snapshot of 10,000 servers costs beside the loop; the node rests for restFactor times as long after it.
+// What one snapshot of 10,000 servers costs beside the loop; the node rests for pauseFactor times as long after it.
 func BenchmarkSave(b *testing.B) {
 	m := balancer.Snapshot{LimitPerEndpoint: 4}
 	for i := range 10_000 {
@@ -25,5 +25,5 @@
 	}
 	per := took.Seconds() / float64(b.N)
 	b.ReportMetric(per*1000, "ms-words/op")
-	b.ReportMetric(100*per/max(time.Second.Seconds(), restFactor*per), "%core")
+	b.ReportMetric(100*per/max(time.Second.Seconds(), pauseFactor*per), "%core")
 }
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -29,7 +29,7 @@
 	ErrCancelled = errors.New("withdrawn")
 )
 
-// Body is the part of a long request's body that is not held, which the client sends while the attempt is made.
+// Body is the part of a long request's body that is not buffered, which the client sends while the attempt is made.
 type Body interface {
 	// Consume takes the body for one attempt; false: another has taken it.
 	Consume() bool
@@ -41,10 +41,10 @@
 
 // Call is an attempt to be made, and whom it tells how it goes. The functions are called by goroutines of the attempt.
 type Call struct {
-	Request    *http.Request // with its body
-	Rest       Body          // the part of its body that is not held; nil: all is held
-	Conditions Conditions
-	// BodySent is called when the last byte of a request with a Rest is written.
+	Request      *http.Request // with its body
+	StreamedBody Body          // the part of its body that is not buffered; nil: all is
+	Conditions   Conditions
+	// BodySent is called when the last byte of a request with a StreamedBody is written.
 	BodySent func()
 	// ResponseStarted is called when a long response begins. Whoever reads it calls its Finish.
 	ResponseStarted func(*Response)
@@ -71,7 +71,7 @@
 	if r.Host == "" { // HTTP/1.0 clients need not name one, servers want one
 		r.Host = e.Addr
 	}
-	c, err := p.connect(ctx, e, r, call.Rest != nil)
+	c, err := p.connect(ctx, e, r, call.StreamedBody != nil)
 	if err != nil && ctx.Err() == nil {
 		return AttemptResult{Result: balancer.Unreachable}
 	} else if err != nil {
@@ -84,7 +84,7 @@
 	stop := context.AfterFunc(ctx, c.abort) // all that stops an exchange
 	var result AttemptResult
 	var reusable bool
-	if call.Rest == nil {
+	if call.StreamedBody == nil {
 		result, reusable = p.exchange(ctx, c, call)
 	} else {
 		result, reusable = p.exchangeLong(ctx, c, call)
@@ -98,7 +98,7 @@
 	return result
 }
 
-// connect returns a connection for a request; long: not all of its body is held.
+// connect returns a connection for a request; long: not all of its body is buffered.
 func (p *Pool) connect(ctx context.Context, e *Endpoint, r *http.Request, long bool) (*conn, error) {
 	if (long || !repeatable(r)) && p.distrustful() {
 		// Servers drop idle connections, and a reset leaves open whether the request ran.
@@ -185,8 +185,8 @@
 
 // discard reads a body that nobody wants; false: it was not read to its end.
 func discard(body io.Reader) bool {
-	n, err := io.Copy(io.Discard, io.LimitReader(body, bodybudget.MaxHeldBytes+1))
-	return err == nil && n <= bodybudget.MaxHeldBytes
+	n, err := io.Copy(io.Discard, io.LimitReader(body, bodybudget.MaxBufferedBytes+1))
+	return err == nil && n <= bodybudget.MaxBufferedBytes
 }
 
 // receiveOK reads the body of a 200. complete: to its end, and a long one was passed on to its end.
@@ -198,19 +198,19 @@
 	defer release()
 	response := newResponse(resp.Header.Get("Content-Type"), resp.ContentLength, func() { c.Conn.Close() })
 	start := func() {
-		if response.start() {
+		if response.startStreaming() {
 			call.ResponseStarted(response)
 		}
 	}
 	switch {
-	case response.Length > bodybudget.MaxHeldBytes:
+	case response.Length > bodybudget.MaxBufferedBytes:
 		start()
 	case response.Length < 0: // it may be long, and then its first bytes are wanted
 		defer time.AfterFunc(gatherTimeout, start).Stop()
 	}
-	err = response.fill(pauseLimitedReader{c.Conn, resp.Body}, start)
-	started, abandoned := response.state()
-	if started {
+	err = response.receive(pauseLimitedReader{c.Conn, resp.Body}, start)
+	streaming, abandoned := response.state()
+	if streaming {
 		err = <-response.finished
 		_, abandoned = response.state()
 	}
@@ -220,10 +220,10 @@
 		return AttemptResult{Result: balancer.Cancelled}, false
 	case err != nil:
 		return AttemptResult{Result: unansweredResult(ctx)}, false
-	case started:
+	case streaming:
 		return AttemptResult{Result: balancer.Success}, true
 	}
-	return AttemptResult{balancer.Success, response.held, response.ContentType}, true
+	return AttemptResult{balancer.Success, response.buffered, response.ContentType}, true
 }
 
 // pauseLimitedReader reads a server's body for as long as the server does not pause for maxServerPause.
@@ -232,6 +232,7 @@
 	body io.Reader
 }
 
+// Read implements io.Reader.
 func (r pauseLimitedReader) Read(p []byte) (int, error) {
 	if err := r.conn.SetReadDeadline(time.Now().Add(maxServerPause)); err != nil {
 		return 0, err
--- a/internal/node/upstream/long.go
+++ b/internal/node/upstream/long.go
@@ -15,6 +15,7 @@
 // pauseLimitedWriter writes to a server for as long as the server does not pause for maxServerPause.
 type pauseLimitedWriter struct{ net.Conn }
 
+// Write implements io.Writer.
 func (w pauseLimitedWriter) Write(p []byte) (int, error) {
 	if err := w.SetWriteDeadline(time.Now().Add(maxServerPause)); err != nil {
 		return 0, err
@@ -22,17 +23,17 @@
 	return w.Conn.Write(p)
 }
 
-// exchangeLong writes a request with a Rest as its client sends it, and reads its response. A server may respond before it has
+// exchangeLong writes a request with a StreamedBody as its client sends it, and reads its response. A server may respond before it has
 // read all.
 func (p *Pool) exchangeLong(ctx context.Context, c *conn, call Call) (result AttemptResult, reusable bool) {
 	wrote := make(chan error, 1)
 	go func() { wrote <- p.writeLong(c, call) }()
 	c.limit.N = maxHeadBytes
 	resp, err := readHead(c.reader, call.Request)
-	if !call.Rest.Complete() || err != nil {
+	if !call.StreamedBody.Complete() || err != nil {
 		c.Conn.Close() // ends the writing, should it still go on
 	}
-	if !call.Rest.Complete() {
+	if !call.StreamedBody.Complete() {
 		return AttemptResult{Result: unsentResult(ctx, resp, call)}, false
 	}
 	if <-wrote != nil {
@@ -45,14 +46,14 @@
 	return p.receive(ctx, c, resp, call)
 }
 
-// writeLong writes a request with a Rest, and sees to it that the reading of its response ends if it cannot be written.
+// writeLong writes a request with a StreamedBody, and sees to it that the reading of its response ends if it cannot be written.
 func (p *Pool) writeLong(c *conn, call Call) error {
 	err := call.Request.Write(pauseLimitedWriter{c.Conn})
 	switch {
 	case err == nil:
 		p.metrics.AttemptsSent.Add(1)
 		call.BodySent()
-	case call.Rest.Broken():
+	case call.StreamedBody.Broken():
 		c.Conn.Close() // no response can come
 	default:
 		c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
@@ -63,7 +64,7 @@
 // unsentResult is how an attempt ended whose last byte was not written, so that it can't have run.
 func unsentResult(ctx context.Context, resp *http.Response, call Call) balancer.Result {
 	switch {
-	case ctx.Err() != nil || call.Rest.Broken():
+	case ctx.Err() != nil || call.StreamedBody.Broken():
 		return balancer.NotSent // not the server's doing
 	case resp != nil:
 		return balancer.Overloaded // it did not want all of it
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -104,7 +104,7 @@
 // get takes the idle connection to an endpoint that was used last, or dials.
 func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
 	for {
-		c := p.takeIdle(e)
+		c := p.popIdle(e)
 		if c == nil {
 			return p.dial(ctx, e)
 		}
@@ -136,8 +136,8 @@
 	return newConn(c), nil
 }
 
-// takeIdle takes the idle connection to an endpoint that was used last; nil: there is none.
-func (p *Pool) takeIdle(e *Endpoint) *conn {
+// popIdle takes the idle connection to an endpoint that was used last; nil: there is none.
+func (p *Pool) popIdle(e *Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[e]
@@ -206,24 +206,24 @@
 	p.closeIdle(func(_ *Endpoint, c *conn) bool { return time.Since(c.idleSince) >= p.trustedIdle || !c.alive() })
 }
 
-// closeIdle closes the idle connections that stale names; it is called with p.mu held.
+// closeIdle closes the idle connections for which stale, which is called with p.mu locked, returns true.
 func (p *Pool) closeIdle(stale func(*Endpoint, *conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e, conns := range p.idle {
-		var keep []*conn
+		var kept []*conn
 		for _, c := range conns {
 			if stale(e, c) {
 				c.Conn.Close()
 				p.open--
 			} else {
-				keep = append(keep, c)
+				kept = append(kept, c)
 			}
 		}
-		if keep == nil {
+		if kept == nil {
 			delete(p.idle, e)
 		} else {
-			p.idle[e] = keep
+			p.idle[e] = kept
 		}
 	}
 }
--- a/internal/node/upstream/presend.go
+++ b/internal/node/upstream/presend.go
@@ -34,7 +34,7 @@
 		return balancer.NotSent, false
 	case !e.Ready():
 		return balancer.Unreachable, false // the list has named it draining or removed since
-	case c.Rest != nil && !c.Rest.Consume():
+	case c.StreamedBody != nil && !c.StreamedBody.Consume():
 		return balancer.NotSent, false // its client's last byte could never follow
 	case c.Conditions.Deadline != 0:
 		c.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(c.Conditions.Deadline-now))
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -25,19 +25,19 @@
 	errTooLong   = errors.New("the answer is too long")
 )
 
-// Response is a server's response on its way to the client. The attempt fills it and one other goroutine reads it, so that it holds
-// bodybudget.MaxHeldBytes at the most. Until it has started it is only gathered: one that is complete by then is short.
+// Response is a server's response on its way to the client. The attempt's goroutine receives it and one other reads it; it buffers
+// bodybudget.MaxBufferedBytes at the most. Until it is streamed it is only gathered: one that is complete by then is short.
 type Response struct {
 	ContentType string
 	Length      int64 // in bytes; -1: not known
 
-	finished chan error // once it has started: how passing it on went; nil: to its end
-	stop     func()     // ends what fills it
+	finished chan error // how streaming it to the client went; nil: to its end
+	stop     func()     // ends receiving it
 
 	mu        sync.Mutex
 	changed   *sync.Cond // any of what follows
-	held      []byte
-	started   bool
+	buffered  []byte
+	streaming bool
 	ended     bool
 	err       error // why it ended; nil: it is complete
 	abandoned bool
@@ -47,26 +47,26 @@
 	r := &Response{ContentType: contentType, Length: length, stop: stop, finished: make(chan error, 1)}
 	r.changed = sync.NewCond(&r.mu)
 	if length > 0 {
-		r.held = make([]byte, 0, min(length, bodybudget.MaxHeldBytes))
+		r.buffered = make([]byte, 0, min(length, bodybudget.MaxBufferedBytes))
 	}
 	return r
 }
 
-// start makes the response one that is passed on as it comes. False: it has started before, or is short.
-func (r *Response) start() bool {
+// startStreaming makes the response one that is passed on as it comes. False: it is one already, or is short.
+func (r *Response) startStreaming() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.started || r.ended {
+	if r.streaming || r.ended {
 		return false
 	}
-	r.started = true
+	r.streaming = true
 	r.changed.Broadcast()
 	return true
 }
 
-// fill reads the response to its end, and returns the reason of the end; nil: it is complete. It calls start when it holds all that
-// it may and there is more.
-func (r *Response) fill(body io.Reader, start func()) error {
+// receive reads the response to its end, and returns the reason of the end; nil: it is complete. It calls start when it has
+// buffered all that it may and there is more.
+func (r *Response) receive(body io.Reader, start func()) error {
 	buf := make([]byte, r.firstChunkBytes())
 	total := int64(0)
 	for {
@@ -89,7 +89,7 @@
 	}
 }
 
-// firstChunkBytes is how much is read at once at first. A buffer for a long response costs more than all the rest of a short one.
+// firstChunkBytes is how much is read at once at first. A buffer for a long response costs more than everything else of a short one.
 func (r *Response) firstChunkBytes() int64 {
 	if r.Length < 0 {
 		return minChunkBytes
@@ -112,24 +112,24 @@
 	return nil
 }
 
-// add adds as much of a piece as may be held.
+// add adds as much of a piece as may be buffered.
 func (r *Response) add(piece []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.abandoned {
 		return 0, errAbandoned
 	}
-	n := min(len(piece), bodybudget.MaxHeldBytes-len(r.held))
-	r.held = append(r.held, piece[:n]...)
+	n := min(len(piece), bodybudget.MaxBufferedBytes-len(r.buffered))
+	r.buffered = append(r.buffered, piece[:n]...)
 	r.changed.Broadcast()
 	return n, nil
 }
 
-// awaitCapacity waits until more may be held.
+// awaitCapacity waits until more may be buffered.
 func (r *Response) awaitCapacity() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.held) >= bodybudget.MaxHeldBytes && !r.abandoned {
+	for len(r.buffered) >= bodybudget.MaxBufferedBytes && !r.abandoned {
 		r.changed.Wait()
 	}
 }
@@ -143,25 +143,25 @@
 }
 
 // state reports whether the response is passed on as it comes, and whether its reader has left.
-func (r *Response) state() (started, abandoned bool) {
+func (r *Response) state() (streaming, abandoned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.started, r.abandoned
+	return r.streaming, r.abandoned
 }
 
 // Read reads what has come; io.EOF says that the response is complete.
 func (r *Response) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.held) == 0 && !r.ended && !r.abandoned {
+	for len(r.buffered) == 0 && !r.ended && !r.abandoned {
 		r.changed.Wait()
 	}
 	switch {
 	case r.abandoned:
 		return 0, errAbandoned
-	case len(r.held) > 0:
-		n := copy(p, r.held)
-		r.held = r.held[:copy(r.held, r.held[n:])]
+	case len(r.buffered) > 0:
+		n := copy(p, r.buffered)
+		r.buffered = r.buffered[:copy(r.buffered, r.buffered[n:])]
 		r.changed.Broadcast()
 		return n, nil
 	case r.err != nil:
@@ -170,7 +170,7 @@
 	return 0, io.EOF
 }
 
-// Abandon ends reading and filling: nobody wants the rest. Any goroutine may call it.
+// Abandon ends receiving and reading: nobody wants what follows. Any goroutine may call it.
 func (r *Response) Abandon() {
 	r.mu.Lock()
 	r.abandoned = true
@@ -179,10 +179,10 @@
 	r.stop()
 }
 
-// Finish says how passing on a response that has started went; nil: to its end. It must be called exactly once.
+// Finish says how streaming a response to the client went; nil: to its end. It must be called exactly once.
 func (r *Response) Finish(err error) { r.finished <- err }
 
-// Discard abandons a response that has started and that nobody is to read.
+// Discard abandons a response that is streamed and that nobody is to read.
 func (r *Response) Discard() {
 	r.Abandon()
 	r.Finish(errAbandoned)
--- a/internal/node/upstream/response_test.go
+++ b/internal/node/upstream/response_test.go
@@ -14,20 +14,20 @@
 // A download holds no more than it may, and its two ends wait for each other.
 func TestResponseIsBounded(t *testing.T) {
 	t.Parallel()
-	const size = 10 * bodybudget.MaxHeldBytes
+	const size = 10 * bodybudget.MaxBufferedBytes
 	begun := make(chan struct{})
 	d := newResponse("", -1, func() {})
 	filled := make(chan error, 1)
 	source := &countingReader{r: strings.NewReader(nodetest.Text(size))}
 	go func() {
-		filled <- d.fill(source, func() {
-			if d.start() {
+		filled <- d.receive(source, func() {
+			if d.startStreaming() {
 				close(begun)
 			}
 		})
 	}()
 	nodetest.Wait(t, begun)
-	if n := source.read(); n > bodybudget.MaxHeldBytes+2*ChunkBytes {
+	if n := source.read(); n > bodybudget.MaxBufferedBytes+2*ChunkBytes {
 		t.Errorf("%d bytes were read that nobody has asked for", n)
 	}
 	var out bytes.Buffer
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -46,7 +46,7 @@
 	// external says that the list comes from a registry, and discovery is not called.
 	external bool
 
-	revision int64 // of the list that is held
+	revision int64 // of the list that the node has
 	cached   bool  // and that is from before the start of the process
 
 	firstAnswer chan struct{} // closed once what discovery's agent holds is known
@@ -70,15 +70,15 @@
 // reconfigure follows the list at an address from now on. w.pushed is new already.
 func (w *watcher) reconfigure(addr string) {
 	if addr != w.client.Addr {
-		w.move(discovery.NewClient(addr))
+		w.setClient(discovery.NewClient(addr))
 	} else if w.pushed && !w.watching {
 		w.subscribe()
 	}
 }
 
-// move follows the list of another client from now on, if it was followed at all. The old address closes its connections soon, and
+// setClient follows the list of another client from now on, if it was followed at all. The old address closes its connections soon, and
 // a watch that waits for that falls behind.
-func (w *watcher) move(client *discovery.Client) {
+func (w *watcher) setClient(client *discovery.Client) {
 	w.client = client
 	if w.watching {
 		w.subscribe()
@@ -102,7 +102,7 @@
 	}
 }
 
-// receive applies what discovery has said, of the clock time at, unless it is older than what is held: calls overtake each other. What
+// receive applies what discovery has said, of the clock time at, unless it is older than what the node has: calls overtake each other. What
 // the configuration knew is no such measure.
 func (w *watcher) receive(u discovery.Update, at time.Duration) {
 	w.confirm(at)
@@ -126,12 +126,12 @@
 	}
 }
 
-// pollIfDue polls if nothing has confirmed for too long that the list that is held is current.
+// pollIfDue polls if nothing has confirmed for too long that the list that the node has is current.
 func (w *watcher) pollIfDue() {
 	now := w.loop.clock.now()
 	limit := maxPolls
 	if !w.pushed {
-		limit = 1 // another in the same queue would come no sooner, and hold up everybody's
+		limit = 1 // another in the same queue would come no sooner, and delay everybody's
 	}
 	due := max(w.confirmedAt+discovery.SilenceTimeout, w.polledAt+max(pollInterval, w.pollBackoff))
 	if now >= due {
--- a/internal/node/watcher_test.go
+++ b/internal/node/watcher_test.go
@@ -171,7 +171,7 @@
 	lines <- nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
 	nodetest.Wait(t, lists)
 	cfg.Discovery = after
-	n.Reload(cfg)
+	_ = n.Reload(cfg)
 	if got := nodetest.Wait(t, newAsked); !strings.HasSuffix(got, "since=9") {
 		t.Errorf("asked %s", got)
 	}
--- a/internal/node/write.go
+++ b/internal/node/write.go
@@ -27,8 +27,8 @@
 		reject(w, a.rejection)
 		return
 	}
-	unread := r.rest != nil && !r.rest.Complete()
-	if f.conns.Load() >= f.crowded.Load() || f.drain.Draining() || unread {
+	unread := r.streamedBody != nil && !r.streamedBody.Complete()
+	if f.conns.Load() >= f.softLimit.Load() || f.drain.Draining() || unread {
 		w.Header().Set("Connection", "close")
 	}
 	if a.response != nil {
@@ -39,8 +39,8 @@
 	f.metrics.CountAnswer(r.class, a.status, false)
 	if unread {
 		// Closing on a client that still writes would reset the connection, and it might never read its answer.
-		http.NewResponseController(w).Flush() // an error means that the client has disconnected
-		io.Copy(io.Discard, r.rest)           // until its end, or the client's
+		http.NewResponseController(w).Flush()      // an error means that the client has disconnected
+		_, _ = io.Copy(io.Discard, r.streamedBody) // until its end, or the client's
 	}
 }
 
@@ -79,7 +79,7 @@
 				return writeErr
 			}
 		}
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // Read ends a complete response with io.EOF itself; a wrapped one is a broken response
 			return nil
 		}
 		if err != nil {
@@ -91,7 +91,7 @@
 // write writes an answer that is all here.
 func write(w http.ResponseWriter, a answer) {
 	// net/http lifts it once the answer is out. An error means that the client has disconnected.
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
 	h := w.Header()
 	setContentType(h, a.contentType)
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
