--- a/cmd/umberbank/registry.go
+++ b/cmd/umberbank/registry.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"strings"
 	"time"
 
 	"umberbank/internal/coordination/controller"
@@ -35,10 +33,7 @@
 	if err != nil {
 		return state.Result{}, err
 	}
-	if answers[0].Code != "" {
-		return answers[0], errors.New(strings.TrimSuffix(answers[0].Code+": "+answers[0].Reason, ": "))
-	}
-	return answers[0], nil
+	return answers[0], answers[0].Err()
 }
 
 type registryCmd struct {
--- a/internal/lab/scale/connections.go
+++ b/internal/lab/scale/connections.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if code := answers[0].Code; code != "" {
-		return errors.New(code)
+		return errors.New(string(code))
 	}
 	done := 0
 	if err := pollUntil(ctx, time.Millisecond, p.options.Pace.VersionTimeout, func(context.Context) (bool, string) {
--- a/internal/lab/scale/versions.go
+++ b/internal/lab/scale/versions.go
@@ -70,7 +70,7 @@
 		p.versionNumber = answer.Token
 		return "", nil
 	}
-	return cmp.Or(answer.Reason, answer.Code), nil
+	return cmp.Or(answer.Reason, string(answer.Code)), nil
 }
 
 // blockedReason says what the version in progress waits for.
--- a/internal/node/insync_test.go
+++ b/internal/node/insync_test.go
@@ -131,7 +131,7 @@
 		e := &state.Instance{UID: fmt.Sprint("other", i), Endpoint: "x:1", Role: state.RoleNode, Tier: "front", State: state.Serving, Capacity: 1}
 		start[i] = r.write(state.Op{Kind: state.OpRegister, Instance: e})[0].Token
 	}
-	say := func(kind string, number int64, hash string) {
+	say := func(kind state.OpKind, number int64, hash string) {
 		for i, s := range start {
 			ops = append(ops, state.Op{Kind: kind, UID: fmt.Sprint("other", i), Token: s, Number: number, Hash: hash})
 		}
--- a/internal/registry/faulttest/judge.go
+++ b/internal/registry/faulttest/judge.go
@@ -49,7 +49,7 @@
 
 type output struct {
 	known bool // false: no answer came, it may have been carried out or not, and at any time from then on
-	fault string
+	fault state.Code
 	value float64
 	mod   int64
 }
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -26,7 +26,7 @@
 // fsm applies the log to the state and publishes what changes. Raft calls its exported methods from one goroutine.
 type fsm struct {
 	events    *broadcaster
-	onApplied func(kind, fault string) // called for each write
+	onApplied func(state.OpKind, state.Code) // called for each write
 
 	mu    checkedsync.RWMutex
 	state *state.State
@@ -34,7 +34,7 @@
 
 func newFSM() *fsm {
 	s := state.New()
-	return &fsm{state: s, events: newBroadcaster(s.Revision()), onApplied: func(string, string) {}}
+	return &fsm{state: s, events: newBroadcaster(s.Revision()), onApplied: func(state.OpKind, state.Code) {}}
 }
 
 // read calls view with the state, which it must not keep or change.
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -238,7 +238,7 @@
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			starts, runs := map[string]int64{}, map[string]int64{}
-			say := func(kind string, n int64, uids ...string) (l []state.Op) {
+			say := func(kind state.OpKind, n int64, uids ...string) (l []state.Op) {
 				for _, uid := range uids {
 					l = append(l, state.Op{Kind: kind, UID: uid, Token: starts[uid], Number: n, Hash: state.ContentHash(content(n))})
 				}
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -76,11 +76,11 @@
 }
 
 // countWrite counts a write. A kind that is not known makes no label of its own.
-func (m *metrics) countWrite(kind, fault string) {
+func (m *metrics) countWrite(kind state.OpKind, code state.Code) {
 	switch kind {
 	case state.OpRegister, state.OpUpdate, state.OpRemove, state.OpExpire, state.OpSuspect, state.OpTrust, state.OpSetMember, state.OpNoop:
 	default:
 		kind = "unknown"
 	}
-	m.writes.WithLabelValues(kind, fault).Inc()
+	m.writes.WithLabelValues(string(kind), string(code)).Inc()
 }
--- a/internal/registry/state/coordination_test.go
+++ b/internal/registry/state/coordination_test.go
@@ -33,7 +33,7 @@
 	s := site(4)
 	start := func(uid string) int64 { return s.Get(uid).Token }
 	token := map[string]int64{}
-	step := func(what string, op Op, code string) {
+	step := func(what string, op Op, code Code) {
 		t.Helper()
 		a, _ := s.Apply(op)
 		if a.Code != code {
@@ -294,7 +294,7 @@
 	for _, c := range []struct {
 		what              string
 		op                Op
-		code              string
+		code              Code
 		inSync, reachable bool
 	}{
 		{"a lease that is not believed to have ended", Op{Kind: OpSuspect, UID: "n2", Token: start["n2"], WallTimeMS: 7000}, "", false, false},
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -37,11 +37,11 @@
 }
 
 func TestGoldenKindsOfWrites(t *testing.T) {
-	seen := map[string]bool{}
+	seen := map[OpKind]bool{}
 	for _, line := range golden.Lines(t, "testdata/ops.jsonl") {
 		seen[golden.Decode[Op](t, line).Kind] = true
 	}
-	for kind, want := range map[string]string{
+	for kind, want := range map[OpKind]OpKind{
 		OpRegister: "register", OpUpdate: "update", OpRemove: "remove", OpExpire: "expire", OpSuspect: "suspect", OpTrust: "trust", OpSetMember: "member", OpNoop: "nothing",
 		OpSetLimits: "limits", OpGrantPermit: "permit", OpBeginPermit: "begin", OpReturnPermit: "return", OpDecommission: "gone", OpWarmUp: "warm", OpReportEjected: "avoid", OpPutRecord: "put",
 		OpPropose: "propose", OpAcknowledge: "ack", OpReport: "report", OpAdvance: "commit", OpWithdraw: "withdraw", OpRollback: "go-back", OpHalt: "halt",
--- a/internal/registry/state/op.go
+++ b/internal/registry/state/op.go
@@ -6,39 +6,42 @@
 	"umberbank/internal/coordination/disruption"
 )
 
+// OpKind says what a write does.
+type OpKind string
+
 // Kinds of writes about instances and replicas.
 const (
-	OpRegister  = "register" // by an instance's process, which gets a token
-	OpUpdate    = "update"   // by the holder of the token, or by an operator without one
-	OpRemove    = "remove"
-	OpExpire    = "expire"  // by the leader: a lease has ended
-	OpSuspect   = "suspect" // by the leader: a lease has ended, which is not believed
-	OpTrust     = "trust"   // by the leader: a suspect has renewed its lease
-	OpWarmUp    = "warm"    // by the leader: how much capacity an instance still lacks
-	OpSetMember = "member"  // the API address of a replica
-	OpNoop      = "nothing" // changes nothing
+	OpRegister  OpKind = "register" // by an instance's process, which gets a token
+	OpUpdate    OpKind = "update"   // by the holder of the token, or by an operator without one
+	OpRemove    OpKind = "remove"
+	OpExpire    OpKind = "expire"  // by the leader: a lease has ended
+	OpSuspect   OpKind = "suspect" // by the leader: a lease has ended, which is not believed
+	OpTrust     OpKind = "trust"   // by the leader: a suspect has renewed its lease
+	OpWarmUp    OpKind = "warm"    // by the leader: how much capacity an instance still lacks
+	OpSetMember OpKind = "member"  // the API address of a replica
+	OpNoop      OpKind = "nothing" // changes nothing
 )
 
 // Kinds of writes about disruption budgets. UID names the unit.
 const (
-	OpSetLimits     = "limits"
-	OpGrantPermit   = "permit" // for one incarnation of a unit
-	OpBeginPermit   = "begin"  // the unit is taken out of service from now on; a server drains with it
-	OpReturnPermit  = "return" // a permit that has not begun
-	OpDecommission  = "gone"   // a unit that will not come back
-	OpReportEjected = "avoid"  // by a node: the servers that it has ejected as outliers
-	OpPutRecord     = "put"    // an empty value deletes the record
+	OpSetLimits     OpKind = "limits"
+	OpGrantPermit   OpKind = "permit" // for one incarnation of a unit
+	OpBeginPermit   OpKind = "begin"  // the unit is taken out of service from now on; a server drains with it
+	OpReturnPermit  OpKind = "return" // a permit that has not begun
+	OpDecommission  OpKind = "gone"   // a unit that will not come back
+	OpReportEjected OpKind = "avoid"  // by a node: the servers that it has ejected as outliers
+	OpPutRecord     OpKind = "put"    // an empty value deletes the record
 )
 
 // Kinds of writes about versions of the nodes' settings.
 const (
-	OpPropose     = "propose"
-	OpAcknowledge = "ack"      // by a node: it can run the proposed version, or why not
-	OpReport      = "report"   // by a node: the version that it runs
-	OpAdvance     = "commit"   // starts the next stage; the result's token is the version in force
-	OpWithdraw    = "withdraw" // the proposed version, before any stage has started
-	OpRollback    = "go-back"  // proposes the content in force as a new version
-	OpHalt        = "halt"     // the pending version
+	OpPropose     OpKind = "propose"
+	OpAcknowledge OpKind = "ack"      // by a node: it can run the proposed version, or why not
+	OpReport      OpKind = "report"   // by a node: the version that it runs
+	OpAdvance     OpKind = "commit"   // starts the next stage; the result's token is the version in force
+	OpWithdraw    OpKind = "withdraw" // the proposed version, before any stage has started
+	OpRollback    OpKind = "go-back"  // proposes the content in force as a new version
+	OpHalt        OpKind = "halt"     // the pending version
 )
 
 // Absent as Op.IfModRevision requires that there is no such instance or record.
@@ -53,7 +56,7 @@
 
 // Op is one write, as clients send it and as the log stores it. Which fields a write uses depends on its kind.
 type Op struct {
-	Kind          string    `json:"kind"`
+	Kind          OpKind    `json:"kind"`
 	ID            string    `json:"id,omitempty"` // chosen by the client; a repeat changes nothing and gets the same result
 	Instance      *Instance `json:"entry,omitempty"`
 	UID           string    `json:"uid,omitempty"`
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -62,7 +62,7 @@
 func anyOp(t *rapid.T) Op {
 	uid := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "uid"))
 	op := Op{UID: uid, ID: fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "id"))}
-	op.Kind = rapid.SampledFrom([]string{OpRegister, OpUpdate, OpRemove, OpExpire, OpSuspect, OpTrust, OpSetMember, OpNoop}).Draw(t, "kind")
+	op.Kind = rapid.SampledFrom([]OpKind{OpRegister, OpUpdate, OpRemove, OpExpire, OpSuspect, OpTrust, OpSetMember, OpNoop}).Draw(t, "kind")
 	switch op.Kind {
 	case OpRegister:
 		op.Instance = server(uid, float64(rapid.IntRange(0, 3).Draw(t, "boot")))
