--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -6,19 +6,19 @@
 )
 
 type fleetCmd struct {
-	Budget  fleetBudgetCmd       `name:"budget" cmd:"" help:"Say how much of each tier may be out at once."`
-	Status  fleetStatusCmd       `name:"status" cmd:"" help:"Show what is out, what may be, who holds permits, and how releases stand."`
-	Drain   fleetDrainCmd        `name:"drain" cmd:"" help:"Take servers out, if the budget allows it."`
-	Undrain fleetUndrainCmd      `name:"undrain" cmd:"" help:"Let drained servers serve again."`
-	Gone    fleetDecommissionCmd `name:"gone" cmd:"" help:"Declare units gone: they count no more."`
-	Release fleetReleaseCmd      `name:"release" cmd:"" help:"Change the version of units, in the stages of a plan."`
-	Halt    fleetHaltCmd         `name:"halt" cmd:"" help:"Let nothing of a release begin any more."`
-	Resume  fleetResumeCmd       `name:"resume" cmd:"" help:"Lift a halt."`
-	Back    fleetRollbackCmd     `name:"back" cmd:"" help:"Halt a release and undo it, newest change first."`
-	Config  fleetConfigCmd       `name:"config" cmd:"" help:"Versions of nodes' settings, committed by a quorum of them."`
-	Control fleetControllerCmd   `name:"control" cmd:"" help:"Run a controller; of any number one acts."`
-	Agent   fleetAgentCmd        `name:"agent" cmd:"" help:"Run a unit: start its process, hold its lease, and change its version by permit."`
-	Trial   fleetFaultTestCmd    `name:"trial" cmd:"" help:"Play faults on releases of real processes, and judge what they did."`
+	Budget       fleetBudgetCmd       `name:"budget" cmd:"" help:"Say how much of each tier may be out at once."`
+	Status       fleetStatusCmd       `name:"status" cmd:"" help:"Show what is out, what may be, who holds permits, and how releases stand."`
+	Drain        fleetDrainCmd        `name:"drain" cmd:"" help:"Take servers out, if the budget allows it."`
+	Undrain      fleetUndrainCmd      `name:"undrain" cmd:"" help:"Let drained servers serve again."`
+	Decommission fleetDecommissionCmd `name:"decommission" aliases:"gone" cmd:"" help:"Declare units gone: they count no more."`
+	Release      fleetReleaseCmd      `name:"release" cmd:"" help:"Change the version of units, in the stages of a plan."`
+	Halt         fleetHaltCmd         `name:"halt" cmd:"" help:"Let nothing of a release begin any more."`
+	Resume       fleetResumeCmd       `name:"resume" cmd:"" help:"Lift a halt."`
+	Rollback     fleetRollbackCmd     `name:"rollback" aliases:"back" cmd:"" help:"Halt a release and undo it, newest change first."`
+	Config       fleetConfigCmd       `name:"config" cmd:"" help:"Versions of nodes' settings, committed by a quorum of them."`
+	Controller   fleetControllerCmd   `name:"controller" aliases:"control" cmd:"" help:"Run a controller; of any number one acts."`
+	Agent        fleetAgentCmd        `name:"agent" cmd:"" help:"Run a unit: start its process, hold its lease, and change its version by permit."`
+	FaultTest    fleetFaultTestCmd    `name:"fault-test" aliases:"trial" cmd:"" help:"Play faults on releases of real processes, and judge what they did."`
 }
 
 // forEachUnit does something for each of several units and says what came of it; what fails leaves the others be.
--- a/cmd/umberbank/fleet_agent.go
+++ b/cmd/umberbank/fleet_agent.go
@@ -9,33 +9,33 @@
 
 type fleetAgentCmd struct {
 	registryFlags
-	UID      string        `name:"uid" help:"The unit." required:""`
-	Endpoint string        `name:"endpoint" help:"Where it serves, host:port." required:""`
-	Tier     string        `name:"tier" help:"Whose budget it counts in." required:""`
-	Zone     string        `name:"zone" help:"Its zone."`
-	Region   string        `name:"region" help:"Its region."`
-	Rack     int           `name:"rack" help:"Its rack."`
-	Kind     string        `name:"kind" help:"Its machine's kind; of a node the tier that it sends to."`
-	Node     bool          `name:"node" help:"The unit is a node, not a server: it stays out of the list that nodes read."`
-	Capacity float64       `name:"capacity" help:"What it can do, in the list's units." default:"1"`
-	Version  string        `name:"version" help:"What it runs now." required:""`
-	TTL      time.Duration `name:"ttl" help:"Of its lease." default:"2s"`
-	Ready    string        `name:"ready" help:"A URL that answers 200 once the process serves; none: it has run for half a second."`
-	Drain    time.Duration `name:"drain" help:"From when nodes are told that it drains until its process is asked to end." default:"1s"`
-	Grace    time.Duration `name:"grace" help:"From then until the process is killed." default:"10s"`
-	Journal  string        `name:"journal" help:"Write what it did to this file." placeholder:"FILE"`
-	Keep     string        `name:"keep" help:"Remember the version in this file over the agent's own restarts; none: --version holds at each." placeholder:"FILE"`
-	Skew     time.Duration `name:"skew" hidden:"" help:"Have this clock differ from the machine's."`
-	Command  []string      `name:"command" arg:"" optional:"" passthrough:"" help:"The unit's process, after --; {version} stands for its version."`
+	UID          string        `name:"uid" help:"The unit." required:""`
+	Endpoint     string        `name:"endpoint" help:"Where it serves, host:port." required:""`
+	Tier         string        `name:"tier" help:"Whose budget it counts in." required:""`
+	Zone         string        `name:"zone" help:"Its zone."`
+	Region       string        `name:"region" help:"Its region."`
+	Rack         int           `name:"rack" help:"Its rack."`
+	Kind         string        `name:"kind" help:"Its machine's kind; of a node the tier that it sends to."`
+	Node         bool          `name:"node" help:"The unit is a node, not a server: it stays out of the list that nodes read."`
+	Capacity     float64       `name:"capacity" help:"What it can do, in the list's units." default:"1"`
+	Version      string        `name:"version" help:"What it runs now." required:""`
+	TTL          time.Duration `name:"ttl" help:"Of its lease." default:"2s"`
+	ReadinessURL string        `name:"readiness-url" aliases:"ready" help:"A URL that answers 200 once the process serves; none: it has run for half a second."`
+	DrainDelay   time.Duration `name:"drain-delay" aliases:"drain" help:"From when nodes are told that it drains until its process is asked to end." default:"1s"`
+	GracePeriod  time.Duration `name:"grace-period" aliases:"grace" help:"From then until the process is killed." default:"10s"`
+	EventLog     string        `name:"event-log" aliases:"journal" help:"Write what it did to this file." placeholder:"FILE"`
+	VersionFile  string        `name:"version-file" aliases:"keep" help:"Remember the version in this file over the agent's own restarts; none: --version holds at each." placeholder:"FILE"`
+	ClockSkew    time.Duration `name:"clock-skew" aliases:"skew" hidden:"" help:"Have this clock differ from the machine's."`
+	Command      []string      `name:"command" arg:"" optional:"" passthrough:"" help:"The unit's process, after --; {version} stands for its version."`
 }
 
 // Help is shown by --help.
 func (fleetAgentCmd) Help() string {
-	return "Example:\n  umberbank fleet agent --uid s1 --endpoint 10.1.0.18:3000 --tier web --zone a --version v1 --ready http://10.1.0.18:3000/health -- /srv/{version}/server"
+	return "Example:\n  umberbank fleet agent --uid s1 --endpoint 10.1.0.18:3000 --tier web --zone a --version v1 --readiness-url http://10.1.0.18:3000/health -- /srv/{version}/server"
 }
 
 func (c *fleetAgentCmd) Run(env *environment) error {
-	j, err := openEventLog(c.Journal)
+	j, err := openEventLog(c.EventLog)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	if err := e.Validate(); err != nil {
 		return err
 	}
-	unit := &agent.Agent{Registry: c.Endpoints, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.Ready, DrainTime: c.Drain, StopTimeout: c.Grace, VersionFile: c.Keep,
-		Events: j, Log: env.log, Clock: func() time.Time { return time.Now().Add(c.Skew) }}
+	unit := &agent.Agent{Registry: c.Endpoints, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.ReadinessURL, DrainTime: c.DrainDelay, StopTimeout: c.GracePeriod, VersionFile: c.VersionFile,
+		Events: j, Log: env.log, Clock: func() time.Time { return time.Now().Add(c.ClockSkew) }}
 	return unit.Run(env.ctx)
 }
--- a/cmd/umberbank/fleet_config.go
+++ b/cmd/umberbank/fleet_config.go
@@ -15,7 +15,7 @@
 	Status   fleetConfigStatusCmd   `name:"status" cmd:"" help:"Show which version is in force, which is under way, and what each node runs."`
 	Halt     fleetConfigHaltCmd     `name:"halt" cmd:"" help:"Let the version under way go no further."`
 	Withdraw fleetConfigWithdrawCmd `name:"withdraw" cmd:"" help:"Take a version back that no node was told to run."`
-	Back     fleetConfigRollbackCmd `name:"back" cmd:"" help:"Propose the old content anew, for a version that some nodes run."`
+	Rollback fleetConfigRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Propose the old content anew, for a version that some nodes run."`
 }
 
 type fleetConfigPushCmd struct {
@@ -74,11 +74,11 @@
 
 type fleetConfigHaltCmd struct {
 	registryFlags
-	Why string `name:"why" help:"What others are to read." default:"by staff"`
+	Reason string `name:"reason" aliases:"why" help:"What others are to read." default:"by staff"`
 }
 
 func (c *fleetConfigHaltCmd) Run(env *environment) error {
-	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpHalt, Holder: c.Why}); err != nil {
+	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpHalt, Holder: c.Reason}); err != nil {
 		return err
 	}
 	fmt.Fprintln(env.stdout, "the version under way goes no further: withdraw it, or go back")
--- a/cmd/umberbank/fleet_controller.go
+++ b/cmd/umberbank/fleet_controller.go
@@ -11,13 +11,13 @@
 
 type fleetControllerCmd struct {
 	registryFlags
-	Name    string        `name:"name" help:"Which controller this is; none: this machine and process." default:""`
-	TTL     time.Duration `name:"ttl" help:"Of the lead's lease: another takes over so long after this one was last heard of." default:"1s"`
-	Journal string        `name:"journal" help:"Write what it did to this file." placeholder:"FILE"`
+	Name     string        `name:"name" help:"Which controller this is; none: this machine and process." default:""`
+	TTL      time.Duration `name:"ttl" help:"Of the lead's lease: another takes over so long after this one was last heard of." default:"1s"`
+	EventLog string        `name:"event-log" aliases:"journal" help:"Write what it did to this file." placeholder:"FILE"`
 }
 
 func (c *fleetControllerCmd) Run(env *environment) error {
-	j, err := openEventLog(c.Journal)
+	j, err := openEventLog(c.EventLog)
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbank/fleet_faulttest.go
+++ b/cmd/umberbank/fleet_faulttest.go
@@ -13,7 +13,7 @@
 	Runs     int    `name:"runs" help:"How many runs, each with a seed of its own." default:"10"`
 	Seed     uint64 `name:"seed" help:"The first seed." default:"1"`
 	Parallel int    `name:"parallel" help:"How many runs at once; each is some twenty processes." default:"2"`
-	Calm     bool   `name:"calm" help:"Play no faults."`
+	NoFaults bool   `name:"no-faults" aliases:"calm" help:"Play no faults."`
 	Config   bool   `name:"config" help:"Versions of settings, on real nodes, in place of releases and drains."`
 	Nodes    int    `name:"nodes" help:"With --config: how many; from 9 on one is killed for good in each run." default:"9"`
 	JSON     bool   `name:"json" help:"Print one JSON object for each run, and one for all at the end."`
@@ -29,7 +29,7 @@
 The judge reads what the processes did. Exit codes: 0 all held, 1 some run did not, 2 a run could not be played.
 
 Example:
-  umberbank fleet trial --runs 50 --json`
+  umberbank fleet fault-test --runs 50 --json`
 }
 
 // fleetFaultTestSummary is what came of all runs.
@@ -58,10 +58,10 @@
 
 func (c *fleetFaultTestCmd) Run(env *environment) error {
 	if c.Config {
-		return c.config(env)
+		return c.runRollouts(env)
 	}
 	results, err := runMany(env, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
-		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.Calm})
+		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.NoFaults})
 	})
 	if err != nil {
 		return err
--- a/cmd/umberbank/fleet_faulttest_config.go
+++ b/cmd/umberbank/fleet_faulttest_config.go
@@ -38,13 +38,13 @@
 	SettleS float64 `json:"settle_s_max"`
 }
 
-// config plays versions of settings.
-func (c *fleetFaultTestCmd) config(env *environment) error {
+// runRollouts plays versions of settings.
+func (c *fleetFaultTestCmd) runRollouts(env *environment) error {
 	if c.Nodes < 3 || c.Nodes > 99 {
 		return fmt.Errorf("--nodes: %d is not between 3 and 99", c.Nodes)
 	}
 	results, err := runMany(env, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.SettingsResult, error) {
-		return faulttest.RunSettings(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.Calm}, c.Nodes)
+		return faulttest.RunSettings(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.NoFaults}, c.Nodes)
 	})
 	if err != nil {
 		return err
--- a/cmd/umberbank/fleet_release.go
+++ b/cmd/umberbank/fleet_release.go
@@ -18,7 +18,7 @@
 
 // Help is shown by --help.
 func (fleetReleaseCmd) Help() string {
-	return `The plan is kept in the registry, and the controllers that run (umberbank fleet control) carry it out within the budget.
+	return `The plan is kept in the registry, and the controllers that run (umberbank fleet controller) carry it out within the budget.
 needs is the capacity that the present load needs: a plan that would leave less is refused.
 
 Example:
--- a/cmd/umberbank/fleet_rollback.go
+++ b/cmd/umberbank/fleet_rollback.go
@@ -9,8 +9,8 @@
 
 type fleetHaltCmd struct {
 	registryFlags
-	Name string `name:"name" arg:"" help:"The release."`
-	Why  string `name:"why" help:"What others are to read." default:"by staff"`
+	Name   string `name:"name" arg:"" help:"The release."`
+	Reason string `name:"reason" aliases:"why" help:"What others are to read." default:"by staff"`
 }
 
 // findRelease gives a release by its name.
@@ -31,7 +31,7 @@
 	if _, _, err := c.findRelease(env, c.Name); err != nil {
 		return err
 	}
-	return c.haltRelease(env, c.Name, c.Why)
+	return c.haltRelease(env, c.Name, c.Reason)
 }
 
 // haltRelease halts a release; one that is halted stays so.
--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -104,8 +104,19 @@
 	return form
 }
 
+// Every name on the command line is pinned, and each that an earlier release had is still understood, in the same form.
 func TestCommandLine(t *testing.T) {
-	golden(t, "commands.golden", strings.Join(commandLine(t), "\n")+"\n")
+	lines := commandLine(t)
+	golden(t, "commands.golden", strings.Join(lines, "\n")+"\n")
+	released, err := os.ReadFile(filepath.Join("testdata", "commands-released.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Split(strings.TrimSpace(string(released)), "\n") {
+		if !slices.Contains(lines, line) {
+			t.Errorf("released, and no longer understood: %s", line)
+		}
+	}
 }
 
 func TestExitCodeValues(t *testing.T) {
--- a/cmd/umberbank/lab_compare.go
+++ b/cmd/umberbank/lab_compare.go
@@ -26,7 +26,7 @@
 	node        []string
 }
 
-func (c *labCompareCmd) side(words string) (*variant, error) {
+func (c *labCompareCmd) parseVariant(words string) (*variant, error) {
 	s := &variant{description: words, virtual: c.Virtual}
 	flags, file := scenarioFlags{Duration: c.Duration}, ""
 	for _, w := range strings.Fields(words) {
@@ -55,27 +55,27 @@
 }
 
 type labCompareCmd struct {
-	A        string        `name:"a" arg:"" help:"One way of playing: words for a file, keys, clock=virtual, node=COMMAND (its parts joined by commas). \"\": the default scenario."`
-	B        string        `name:"b" arg:"" help:"The other."`
-	More     []string      `name:"more" arg:"" optional:"" help:"Further ones, each compared with the first."`
-	Seeds    int           `name:"seeds" help:"How many seeds both are played on." default:"10"`
-	Seed     uint64        `name:"seed" help:"The first seed." default:"1"`
-	Virtual  bool          `name:"virtual" help:"Play on the virtual clock where a side does not say."`
-	Duration time.Duration `name:"duration" help:"Win over the files' duration."`
-	Within   float64       `name:"within" help:"Exit 1 if the mean served share of both differs by more than this." placeholder:"SHARE"`
-	Plot     string        `name:"plot" help:"Draw what each side serves, second by second, mean of the seeds (SVG)." placeholder:"FILE"`
-	JSON     bool          `name:"json" help:"Print one JSON object for each side after the first."`
+	A         string        `name:"a" arg:"" help:"One way of playing: words for a file, keys, clock=virtual, node=COMMAND (its parts joined by commas). \"\": the default scenario."`
+	B         string        `name:"b" arg:"" help:"The other."`
+	More      []string      `name:"more" arg:"" optional:"" help:"Further ones, each compared with the first."`
+	Seeds     int           `name:"seeds" help:"How many seeds both are played on." default:"10"`
+	Seed      uint64        `name:"seed" help:"The first seed." default:"1"`
+	Virtual   bool          `name:"virtual" help:"Play on the virtual clock where a side does not say."`
+	Duration  time.Duration `name:"duration" help:"Win over the files' duration."`
+	Tolerance float64       `name:"tolerance" aliases:"within" help:"Exit 1 if the mean served share of both differs by more than this." placeholder:"SHARE"`
+	Plot      string        `name:"plot" help:"Draw what each side serves, second by second, mean of the seeds (SVG)." placeholder:"FILE"`
+	JSON      bool          `name:"json" help:"Print one JSON object for each side after the first."`
 }
 
 // Help is shown by --help.
 func (labCompareCmd) Help() string {
 	return `Both sides are played on the same seeds, with the same requests at the same times, and the differences by seed give the
 bounds (95%, bootstrap). On the machine's clock the runs come one after another, sides in turn.
-Exit codes: 0 compared, 1 further apart than --within or a rule was broken, 2 could not be run.
+Exit codes: 0 compared, 1 further apart than --tolerance or a rule was broken, 2 could not be run.
 
 Examples:
   umberbank lab compare "labs/flap.toml" "labs/flap.toml limits.second_copies=false" --virtual
-  umberbank lab compare "labs/calm.toml clock=real" "labs/calm.toml clock=virtual" --within 0.05
+  umberbank lab compare "labs/calm.toml clock=real" "labs/calm.toml clock=virtual" --tolerance 0.05
   umberbank lab compare "node=bin/earlier" "node=bin/umberbank-node" --seeds 6
   umberbank lab compare "labs/crash-many.toml state.keep=false" labs/crash-many.toml --virtual --plot crash.svg`
 }
@@ -96,7 +96,7 @@
 	words := append([]string{c.A, c.B}, c.More...)
 	var sides []*variant
 	for _, w := range words {
-		s, err := c.side(w)
+		s, err := c.parseVariant(w)
 		if err != nil {
 			return err
 		}
@@ -122,21 +122,21 @@
 			return err
 		}
 		d := diffs[0].Mean
-		apart = apart || c.Within > 0 && (d > c.Within || d < -c.Within)
+		apart = apart || c.Tolerance > 0 && (d > c.Tolerance || d < -c.Tolerance)
 	}
 	if c.Plot != "" {
 		if err := c.plot(words, results); err != nil {
 			return fmt.Errorf("%s: %w", c.Plot, err)
 		}
 	}
-	if apart || broken(results) {
+	if apart || anyRuleBroken(results) {
 		return errCheckFailed
 	}
 	return nil
 }
 
-// broken says that a rule was broken in some run.
-func broken(results [][]*lab.Result) bool {
+// anyRuleBroken says that a rule was broken in some run.
+func anyRuleBroken(results [][]*lab.Result) bool {
 	for _, side := range results {
 		for _, r := range side {
 			if r.RulesBroken > 0 {
--- a/cmd/umberbank/lab_cost.go
+++ b/cmd/umberbank/lab_cost.go
@@ -12,9 +12,9 @@
 )
 
 type labCostCmd struct {
-	For  time.Duration `name:"for" help:"How long each measurement lasts." default:"3s"`
-	Node string        `name:"node" help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
-	Rate float64       `name:"rate" help:"Requests a second at which latencies are measured; 0: half of what the slower one holds." default:"0"`
+	Duration time.Duration `name:"duration" aliases:"for" help:"How long each measurement lasts." default:"3s"`
+	Node     string        `name:"node" help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
+	Rate     float64       `name:"rate" help:"Requests a second at which latencies are measured; 0: half of what the slower one holds." default:"0"`
 	// One measurement after the other, each on processes of its own.
 	Servers []int `name:"servers" help:"Servers in the list; several: a measurement of each." default:"8" placeholder:"N,N,..."`
 	JSON    bool  `name:"json" help:"Print one JSON object for each measurement."`
@@ -28,14 +28,14 @@
 
 Examples:
   umberbank lab cost --json
-  umberbank lab cost --rate 391 --servers 31,920 --for 10s`
+  umberbank lab cost --rate 391 --servers 31,920 --duration 10s`
 }
 
 func (c *labCostCmd) Run(env *environment) error {
-	if c.For <= 0 {
-		return fmt.Errorf("--for: %v is not above 0", c.For)
+	if c.Duration <= 0 {
+		return fmt.Errorf("--duration: %v is not above 0", c.Duration)
 	}
-	opt := cost.Options{Node: strings.Fields(c.Node), For: c.For, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
+	opt := cost.Options{Node: strings.Fields(c.Node), For: c.Duration, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
 	for _, n := range c.Servers { // all of them, before the first is started
 		if opt.Servers = n; n == 0 {
 			return errors.New("--servers: 0 is not from 1 on")
@@ -98,7 +98,7 @@
 // labBareRelayCmd is what lab cost measures beside the node.
 type labBareRelayCmd struct {
 	Listen  string   `name:"listen" required:"" help:"Where it listens."`
-	Targets []string `name:"to" required:"" help:"Servers, asked in turn."`
+	Targets []string `name:"targets" aliases:"to" required:"" help:"Servers, asked in turn."`
 	Stats   string   `name:"stats" hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
 }
 
--- a/cmd/umberbank/lab_report.go
+++ b/cmd/umberbank/lab_report.go
@@ -11,8 +11,8 @@
 )
 
 type labReportCmd struct {
-	Result string `name:"result" arg:"" help:"A result, as lab run --out keeps it."`
-	Out    string `name:"out" help:"The page; none: the result's name with .html." placeholder:"FILE"`
+	Result string `name:"result" arg:"" help:"A result, as lab run --output keeps it."`
+	Output string `name:"output" aliases:"out" help:"The page; none: the result's name with .html." placeholder:"FILE"`
 	JSON   bool   `name:"json" help:"Print the result as JSON instead of drawing it."`
 }
 
@@ -22,7 +22,7 @@
 the faults marked; latency; attempts and retries; what servers and nodes held.
 
 Example:
-  umberbank lab run labs/partition.toml --out partition.json
+  umberbank lab run labs/partition.toml --output partition.json
   umberbank lab report partition.json`
 }
 
@@ -39,7 +39,7 @@
 	if c.JSON {
 		return json.NewEncoder(env.stdout).Encode(res)
 	}
-	path := c.Out
+	path := c.Output
 	if path == "" {
 		path = strings.TrimSuffix(c.Result, ".json") + ".html"
 	}
--- a/cmd/umberbank/lab_run.go
+++ b/cmd/umberbank/lab_run.go
@@ -15,13 +15,13 @@
 
 type labRunCmd struct {
 	scenarioFlags
-	File    string `name:"file" arg:"" optional:"" help:"The scenario (TOML); none: the default one, which is built in."`
-	Seed    uint64 `name:"seed" help:"Draws all that the file leaves to chance." default:"1"`
-	Virtual bool   `name:"virtual" help:"Play on the virtual clock, with the decision module in place of processes."`
-	Node    string `name:"node" help:"Command of the node to try, such as an earlier build; none: this program's own." placeholder:"COMMAND"`
-	Tries   int    `name:"tries" help:"Play again, up to so many times in all, while the run is not valid." default:"1"`
-	JSON    bool   `name:"json" help:"Print one JSON object."`
-	Out     string `name:"out" help:"Keep the result in this file, for lab report." placeholder:"FILE"`
+	File     string `name:"file" arg:"" optional:"" help:"The scenario (TOML); none: the default one, which is built in."`
+	Seed     uint64 `name:"seed" help:"Draws all that the file leaves to chance." default:"1"`
+	Virtual  bool   `name:"virtual" help:"Play on the virtual clock, with the decision module in place of processes."`
+	Node     string `name:"node" help:"Command of the node to try, such as an earlier build; none: this program's own." placeholder:"COMMAND"`
+	Attempts int    `name:"attempts" aliases:"tries" help:"Play again, up to so many times in all, while the run is not valid." default:"1"`
+	JSON     bool   `name:"json" help:"Print one JSON object."`
+	Output   string `name:"output" aliases:"out" help:"Keep the result in this file, for lab report." placeholder:"FILE"`
 }
 
 // Help is shown by --help.
@@ -48,7 +48,7 @@
 		opt.Node = strings.Fields(c.Node)
 	}
 	var res *lab.Result
-	for range max(1, c.Tries) {
+	for range max(1, c.Attempts) {
 		res, err = lab.Run(env.ctx, sc, opt)
 		if err != nil && (res == nil || !errors.Is(err, context.Canceled)) {
 			return err
@@ -57,8 +57,8 @@
 			break
 		}
 	}
-	if c.Out != "" {
-		if err := writeJSON(c.Out, res); err != nil {
+	if c.Output != "" {
+		if err := writeJSON(c.Output, res); err != nil {
 			return err
 		}
 	}
--- a/cmd/umberbank/registry_bench.go
+++ b/cmd/umberbank/registry_bench.go
@@ -14,10 +14,10 @@
 type registryBenchCmd struct {
 	Instances int    `name:"instances" help:"Servers in the list." default:"10000"`
 	Watches   int    `name:"watches" help:"Watchers of it." default:"2000"`
-	Lengths   []int  `name:"lengths" help:"Only what a change costs, over lists of these lengths." placeholder:"N,N,..."`
-	Plot      string `name:"plot" help:"With --lengths: draw it (SVG)." placeholder:"FILE"`
+	ListSizes []int  `name:"list-sizes" aliases:"lengths" help:"Only what a change costs, over lists of these lengths." placeholder:"N,N,..."`
+	Plot      string `name:"plot" help:"With --list-sizes: draw it (SVG)." placeholder:"FILE"`
 	Permits   int    `name:"permits" help:"Only decisions about permits, so many a second, for 10 s." placeholder:"N"`
-	JSON      bool   `name:"json" help:"Print one JSON object; one a length with --lengths."`
+	JSON      bool   `name:"json" help:"Print one JSON object; one a length with --list-sizes."`
 }
 
 // Help is shown by --help.
@@ -27,18 +27,18 @@
 Example:
   umberbank registry bench --instances 10000 --watches 2000 --json
   umberbank registry bench --permits 2000
-  umberbank registry bench --lengths 10,100,1000,10000 --watches 200 --plot change.svg`
+  umberbank registry bench --list-sizes 10,100,1000,10000 --watches 200 --plot change.svg`
 }
 
 func (c *registryBenchCmd) Run(env *environment) error {
-	if len(c.Lengths) > 0 {
-		return c.lengths(env)
+	if len(c.ListSizes) > 0 {
+		return c.benchListSizes(env)
 	}
 	if c.Permits > 0 {
-		return c.permits(env)
+		return c.benchPermits(env)
 	}
 	if c.Plot != "" {
-		return errors.New("--plot: only with --lengths")
+		return errors.New("--plot: only with --list-sizes")
 	}
 	r, err := bench.Measure(env.ctx, bench.Options{Instances: c.Instances, Watches: c.Watches, Progress: func(s string) { env.log.Info(s) }})
 	if err != nil {
@@ -57,8 +57,8 @@
 	return t.Flush()
 }
 
-// permits measures decisions about permits.
-func (c *registryBenchCmd) permits(env *environment) error {
+// benchPermits measures decisions about permits.
+func (c *registryBenchCmd) benchPermits(env *environment) error {
 	p, err := bench.MeasurePermits(env.ctx, bench.Options{Instances: c.Instances, Progress: func(s string) { env.log.Info(s) }}, c.Permits, 10*time.Second)
 	if err != nil {
 		return err
@@ -71,9 +71,9 @@
 	return err
 }
 
-// lengths measures what a change costs over lists of several lengths.
-func (c *registryBenchCmd) lengths(env *environment) error {
-	l, err := bench.MeasureListLengths(env.ctx, bench.Options{Watches: c.Watches, Progress: func(s string) { env.log.Info(s) }}, c.Lengths)
+// benchListSizes measures what a change costs over lists of several lengths.
+func (c *registryBenchCmd) benchListSizes(env *environment) error {
+	l, err := bench.MeasureListLengths(env.ctx, bench.Options{Watches: c.Watches, Progress: func(s string) { env.log.Info(s) }}, c.ListSizes)
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbank/registry_faulttest.go
+++ b/cmd/umberbank/registry_faulttest.go
@@ -24,7 +24,7 @@
 Exit codes: 0 all held, 1 some run did not hold, 2 a run could not be played.
 
 Example:
-  umberbank registry trial --runs 200`
+  umberbank registry fault-test --runs 200`
 }
 
 func (c *registryFaultTestCmd) Run(env *environment) error {
--- a/cmd/umberbank/registry_get.go
+++ b/cmd/umberbank/registry_get.go
@@ -21,10 +21,10 @@
 
 type registryGetCmd struct {
 	registryFlags
-	UIDs       []string `arg:"" optional:"" name:"uid" help:"Only these."`
-	Consistent bool     `name:"consistent" help:"All that was written before this call, by way of the leader; else a replica's list may be late."`
-	AtLeast    int64    `name:"at-least" help:"Wait for this revision." placeholder:"REV"`
-	JSON       bool     `name:"json" help:"Print one JSON object."`
+	UIDs        []string `arg:"" optional:"" name:"uid" help:"Only these."`
+	Consistent  bool     `name:"consistent" help:"All that was written before this call, by way of the leader; else a replica's list may be late."`
+	MinRevision int64    `name:"min-revision" aliases:"at-least" help:"Wait for this revision." placeholder:"REV"`
+	JSON        bool     `name:"json" help:"Print one JSON object."`
 }
 
 func (c *registryGetCmd) Run(env *environment) error {
@@ -32,8 +32,8 @@
 	if c.Consistent {
 		path += "consistent=1&"
 	}
-	if c.AtLeast > 0 {
-		path += fmt.Sprintf("at_least=%d", c.AtLeast)
+	if c.MinRevision > 0 {
+		path += fmt.Sprintf("at_least=%d", c.MinRevision)
 	}
 	var l instanceList
 	if err := c.call(env.ctx, "GET", path, nil, &l); err != nil {
--- a/cmd/umberbank/registry_servers.go
+++ b/cmd/umberbank/registry_servers.go
@@ -47,14 +47,14 @@
 type registryDrainCmd struct {
 	registryFlags
 	UIDs []string `arg:"" name:"uid" help:"The servers."`
-	Off  bool     `name:"off" help:"Let them serve again."`
+	Undo bool     `name:"undo" aliases:"off" help:"Let them serve again."`
 }
 
 func (c *registryDrainCmd) Run(env *environment) error {
 	var ops []state.Op
 	for _, uid := range c.UIDs {
 		op := state.Op{Kind: state.OpUpdate, UID: uid, State: state.Draining}
-		if c.Off {
+		if c.Undo {
 			op.State = state.Serving
 		}
 		ops = append(ops, op)
