--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -14,8 +14,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// The leader's disk is full: its files cannot grow beyond a bound. The others go on without it, nothing that was answered
-// is lost, and once there is room again it catches up.
+// The leader's disk is full: its files cannot grow beyond a bound. The others go on without it, no acknowledged write is
+// lost, and once there is capacity again it catches up.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
 	c, w := started(t)
@@ -47,7 +47,7 @@
 	if log := c.Logs(full); !strings.Contains(log, "file too large") {
 		t.Errorf("the disk was not full: %s", log)
 	}
-	// Whether it died of it or turned entries down, it begins anew with room.
+	// Whether it ended or rejected entries, it starts again with capacity.
 	c.Kill(full)
 	c.SetCommand(full, command(t))
 	if err := c.Start(full); err != nil {
@@ -58,23 +58,23 @@
 	if err := w.Call(ctx, "GET", "/registry/instances?consistent=1", nil, &all); err != nil {
 		t.Fatal(err)
 	}
-	healed, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
+	recovered, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var its list
-	if err := healed.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", all.Rev), nil, &its); err != nil {
+	var recoveredList list
+	if err := recovered.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", all.Revision), nil, &recoveredList); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(full))
 	}
-	for name, l := range map[string]list{"the registry": all, "the replica that was full": its} {
-		if len(l.Targets) != len(written) {
-			t.Errorf("%s has %d entries, %d were answered", name, len(l.Targets), len(written))
+	for name, l := range map[string]list{"the registry": all, "the replica that was full": recoveredList} {
+		if len(l.Instances) != len(written) {
+			t.Errorf("%s has %d entries, %d were acknowledged", name, len(l.Instances), len(written))
 		}
 	}
 }
 
-// mean is the mean time of some writes, one after another.
-func mean(t *testing.T, ctx context.Context, w *client.Client, n int) time.Duration {
+// meanWriteTime is the mean time of some writes, one after another.
+func meanWriteTime(ctx context.Context, t *testing.T, w *client.Client, n int) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for range n {
@@ -95,16 +95,16 @@
 			c, w := started(t)
 			ctx, cancel := context.WithTimeout(t.Context(), 2*limit)
 			defer cancel()
-			mean(t, ctx, w, 5)
+			meanWriteTime(ctx, t, w, 5)
 			slow := c.Leader(0)
 			ended := c.Exited(slow)
 			if err := c.SetSyncDelay(slow, wait); err != nil {
 				t.Fatal(err)
 			}
 			for c.Leader(slow) == slow { // who leads only knows its disk by writing
-				mean(t, ctx, w, 1)
+				meanWriteTime(ctx, t, w, 1)
 			}
-			if took := mean(t, ctx, w, 10); took > wait/2 {
+			if took := meanWriteTime(ctx, t, w, 10); took > wait/2 {
 				t.Errorf("writes still take %v", took)
 			}
 			if wait == time.Hour {
@@ -118,25 +118,25 @@
 	}
 }
 
-// An entry of the leader's log is spoilt while it runs, and a replica needs it. The leader ends and says why; the others
-// go on with all that was answered.
-func TestSpoiltWhileRunning(t *testing.T) {
+// An entry of the leader's log is corrupted while it runs, and a replica needs it. The leader ends and logs why; the others
+// go on with all that was acknowledged.
+func TestCorruptEntryWhileRunning(t *testing.T) {
 	t.Parallel()
 	c, w := started(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*limit)
 	defer cancel()
-	mean(t, ctx, w, 5)
+	meanWriteTime(ctx, t, w, 5)
 	leader := c.Leader(0)
 	behind := (leader + 1) % c.Len()
 	c.Kill(behind)
 	ended := c.Exited(leader)
-	const mark = "spoil-this-entry"
+	const mark = "corrupt-this-entry"
 	e := &state.Instance{UID: mark, Endpoint: "a:1", State: state.Serving}
 	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := spoil(t, filepath.Join(c.DataDir(leader), "log.db"), mark); n == 0 {
+	if n := corruptText(t, filepath.Join(c.DataDir(leader), "log.db"), mark); n == 0 {
 		t.Fatal("the entry is not in the log")
 	}
 	if err := c.Start(behind); err != nil {
@@ -148,7 +148,7 @@
 		t.Fatalf("the leader goes on: %s", c.Logs(leader))
 	}
 	if log := c.Logs(leader); !strings.Contains(log, "is not what was written") {
-		t.Errorf("the leader does not say why: %s", log)
+		t.Errorf("the leader does not log why: %s", log)
 	}
 	late, err := client.New(client.Options{Endpoints: []string{c.Addresses()[behind]}})
 	if err != nil {
@@ -158,13 +158,13 @@
 	if err := late.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", a[0].Revision), nil, &l); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(behind))
 	}
-	if len(l.Targets) != 1 || l.Targets[0].UID != mark {
-		t.Errorf("the others hold %v", l.Targets)
+	if len(l.Instances) != 1 || l.Instances[0].UID != mark {
+		t.Errorf("the others hold %v", l.Instances)
 	}
 }
 
-// spoil flips a byte wherever a file holds a text, in place, and returns how often.
-func spoil(t *testing.T, path, mark string) (n int) {
+// corruptText flips a byte wherever a file holds a text, in place, and returns how often.
+func corruptText(t *testing.T, path, mark string) (n int) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -14,9 +14,9 @@
 	"umberbank/internal/registry/state"
 )
 
-// A replica is replaced while others write: the new one is taken in and catches up, the old one goes out and dies, and
-// all that was answered is there, in an order that goes on.
-func TestReplace(t *testing.T) {
+// A replica is replaced while others write: the new one is added and catches up, the old one is removed and killed, and all
+// that was acknowledged is there, with revisions that go on.
+func TestReplaceMember(t *testing.T) {
 	t.Parallel()
 	raft, err := cluster.FreeAddress()
 	if err != nil {
@@ -47,7 +47,7 @@
 		}
 	}
 	write(50)
-	old := c.Leader(0) // the one whose going hurts most
+	old := c.Leader(0) // the one whose loss hurts most
 	for _, change := range []map[string]any{{"add": replica.Peer{ID: "r9", RaftAddress: raft, ClientAddress: address}}, {"remove": c.ID(old)}} {
 		if err := w.Call(ctx, "POST", "/registry/members", change, &struct{}{}); err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	if err := only.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", last), nil, &l); err != nil {
 		t.Fatal(err)
 	}
-	if len(l.Targets) != written || l.Rev < last {
-		t.Errorf("the new replica has %d entries of %d, at %d of %d", len(l.Targets), written, l.Rev, last)
+	if len(l.Instances) != written || l.Revision < last {
+		t.Errorf("the new replica has %d entries of %d, at %d of %d", len(l.Instances), written, l.Revision, last)
 	}
 }
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -22,9 +22,9 @@
 // limit is how long anything may take that has to happen.
 const limit = 30 * time.Second
 
-// A node in service, as it is, follows the registry as its discovery: it takes servers from it, serves on while all
-// replicas are gone, and hears what has changed once they are back.
-func TestNodeFollows(t *testing.T) {
+// A node follows the registry as its discovery service: it takes servers from it, serves on while all replicas are
+// unreachable, and is sent what has changed once they are back.
+func TestNodeFollowsRegistry(t *testing.T) {
 	t.Parallel()
 	c, w := started(t)
 	server := func(name string) *state.Instance {
@@ -46,7 +46,7 @@
 		nodes[name] = startNode(t, keys)
 		await(t, nodes[name], "one")
 	}
-	// One with all endpoints hears changes while any replica serves.
+	// One with all endpoints is sent changes while any replica serves.
 	c.Kill(0)
 	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "one"}, state.Op{Kind: state.OpRegister, Instance: server("more")}); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	}
 	t.Cleanup(func() {
 		cmd.Process.Kill()
-		cmd.Wait()
+		cmd.Wait() //nolint:errcheck // it was killed
 	})
 	return listen
 }
--- a/internal/registry/faulttest/trial_test.go
+++ b/internal/registry/faulttest/run_test.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"bufio"
 	"bytes"
 	"context"
 	"fmt"
@@ -26,13 +27,13 @@
 
 // The test binary is the replicas too.
 func TestMain(m *testing.M) {
-	if os.Getenv("TRIAL_TEST_REPLICA") == "" {
+	if os.Getenv("FAULTTEST_REPLICA") == "" {
 		os.Exit(m.Run())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err := replica.Serve(ctx, os.Args[len(os.Args)-1], log, func(string) {}); err != nil {
+	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	if err := replica.Serve(ctx, os.Args[len(os.Args)-1], logger, func(string) {}); err != nil {
 		panic(err)
 	}
 }
@@ -43,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return []string{"/usr/bin/env", "TRIAL_TEST_REPLICA=1", self}
+	return []string{"/usr/bin/env", "FAULTTEST_REPLICA=1", self}
 }
 
 // started is a cluster of three that runs, with a writer over all of them and more, until the test's end.
@@ -93,8 +94,9 @@
 	}
 }
 
-// liar stands before a replica and spoils what it says.
-func liar(t *testing.T, spoil func(q *http.Request, body []byte) []byte) func(string) string {
+// lyingProxy returns a proxy before a replica that changes what it answers.
+func lyingProxy(t *testing.T, corrupt func(q *http.Request, body []byte) []byte) func(string) string {
+	t.Helper()
 	return func(address string) string {
 		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
 		proxy.FlushInterval = -1
@@ -103,29 +105,13 @@
 			if resp.Request.URL.Query().Get("follow") != "" {
 				body := resp.Body
 				pr, pw := io.Pipe()
-				go func() {
-					defer body.Close()
-					buf := make([]byte, 1<<20)
-					rest := []byte{}
-					for {
-						n, err := body.Read(buf)
-						rest = append(rest, buf[:n]...)
-						for i := bytes.IndexByte(rest, '\n'); i >= 0; i = bytes.IndexByte(rest, '\n') {
-							pw.Write(spoil(resp.Request, bytes.Clone(rest[:i+1])))
-							rest = rest[i+1:]
-						}
-						if err != nil {
-							pw.CloseWithError(err)
-							return
-						}
-					}
-				}()
+				go corruptLines(pw, body, func(line []byte) []byte { return corrupt(resp.Request, line) })
 				resp.Body = pr
 				return nil
 			}
 			text, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			text = spoil(resp.Request, text)
+			text = corrupt(resp.Request, text)
 			resp.Body, resp.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 			resp.Header.Set("Content-Length", fmt.Sprint(len(text)))
 			return err
@@ -136,15 +122,29 @@
 	}
 }
 
-// The checks bite: a replica that answers consistent reads from an old state, and one that drops changes from its
-// watches, are named.
-func TestChecksBite(t *testing.T) {
+// corruptLines copies lines, changed, until either end is closed.
+func corruptLines(to *io.PipeWriter, from io.ReadCloser, corrupt func(line []byte) []byte) {
+	defer from.Close()
+	for lines := bufio.NewReader(from); ; {
+		line, err := lines.ReadBytes('\n')
+		if err != nil {
+			to.CloseWithError(err)
+			return
+		}
+		if _, err := to.Write(corrupt(line)); err != nil {
+			return
+		}
+	}
+}
+
+// The checks find a replica that answers consistent reads from an old state, and one that drops changes from its watches.
+func TestChecksFindViolations(t *testing.T) {
 	var mu sync.Mutex
 	var old []byte
 	reads, lines := 0, 0
 	for name, c := range map[string]struct {
-		spoil func(q *http.Request, body []byte) []byte
-		want  string
+		corrupt func(q *http.Request, body []byte) []byte
+		want    string
 	}{
 		"stale": {func(q *http.Request, body []byte) []byte {
 			if q.URL.Query().Get("consistent") == "" {
@@ -170,7 +170,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Seed: 9, Replicas: 1, Duration: time.Second, Proxy: liar(t, c.spoil)})
+			r := run(t, Options{Seed: 9, Replicas: 1, Duration: time.Second, Proxy: lyingProxy(t, c.corrupt)})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), c.want) {
 				t.Errorf("want %q, got %v", c.want, r.Violations)
 			}
