--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -40,10 +40,26 @@
 	Clock       func() time.Time // nil: the system's
 	Dial        client.DialFunc  // nil: the system's
 
-	registry  *client.Client
-	holder    *client.LeaseHolder // of the unit's lease
-	stopLease context.CancelFunc  // stops its renewal; nil: the unit is not registered
-	process   *process            // nil: it does not run
+	registry       registry
+	newLeaseHolder func() leaseHolder
+	holder         leaseHolder        // of the unit's lease
+	stopLease      context.CancelFunc // stops its renewal; nil: the unit is not registered
+	process        *process           // nil: it does not run
+}
+
+// registry is what an agent needs of the registry; [client.Client] implements it.
+type registry interface {
+	Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
+	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
+	WriteOne(ctx context.Context, op state.Op) (state.Result, error)
+	NextStartTime(ctx context.Context, uid string, clock time.Time) (float64, error)
+}
+
+// leaseHolder registers the unit and renews its lease; [client.LeaseHolder] implements it.
+type leaseHolder interface {
+	Register(ctx context.Context, instances ...*state.Instance) error
+	Token(uid string) int64
+	Run(ctx context.Context, ttl time.Duration)
 }
 
 const (
@@ -57,6 +73,16 @@
 // Run keeps the unit running until ctx ends, and then removes it from the registry and stops its process. It returns
 // client.ErrFenced when another agent has registered the same unit.
 func (a *Agent) Run(ctx context.Context) error {
+	registry, err := client.New(client.Options{Endpoints: a.Registry, MaxBackoff: maxBackoff, Dial: a.Dial})
+	if err != nil {
+		return err
+	}
+	return a.run(ctx, registry, func() leaseHolder { return client.NewLeaseHolder(registry) })
+}
+
+// run is Run with a registry.
+func (a *Agent) run(ctx context.Context, r registry, newLeaseHolder func() leaseHolder) error {
+	a.registry, a.newLeaseHolder = r, newLeaseHolder
 	if err := a.prepare(); err != nil {
 		return err
 	}
@@ -68,13 +94,10 @@
 }
 
 // prepare fills in defaults and reads the stored version.
-func (a *Agent) prepare() (err error) {
+func (a *Agent) prepare() error {
 	if a.Clock == nil {
 		a.Clock = time.Now
 	}
-	if a.registry, err = client.New(client.Options{Endpoints: a.Registry, MaxBackoff: maxBackoff, Dial: a.Dial}); err != nil {
-		return err
-	}
 	a.Instance.TTLMS = a.TTL.Milliseconds()
 	if a.VersionFile == "" {
 		return nil
@@ -161,7 +184,7 @@
 	}
 	a.Instance.State = state.Serving
 	instance := a.Instance
-	a.holder = client.NewLeaseHolder(a.registry)
+	a.holder = a.newLeaseHolder()
 	registering, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := a.holder.Register(registering, &instance); err != nil {
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -40,7 +40,7 @@
 	Events   *eventlog.Log // nil: none
 	Log      *slog.Logger
 
-	registry  *client.Client
+	registry  registry
 	token     int64     // of the leader's lease; 0: this controller does not lead
 	renewedAt time.Time // when the last renewal that succeeded was sent
 	scheduler release.Scheduler
@@ -54,16 +54,32 @@
 	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
 )
 
+// registry is what a controller needs of the registry; [client.Client] implements it.
+type registry interface {
+	Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
+	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
+	WriteOne(ctx context.Context, op state.Op) (state.Result, error)
+	Call(ctx context.Context, method, path string, body, response any) error
+}
+
 // Run acts, while it leads, until ctx ends, and then gives the lease up. The error says that the endpoints are malformed.
-func (c *Controller) Run(ctx context.Context) (err error) {
-	if c.registry, err = client.New(client.Options{Endpoints: c.Registry, MaxBackoff: maxBackoff}); err != nil {
+func (c *Controller) Run(ctx context.Context) error {
+	registry, err := client.New(client.Options{Endpoints: c.Registry, MaxBackoff: maxBackoff})
+	if err != nil {
 		return err
 	}
+	c.run(ctx, registry)
+	return nil
+}
+
+// run is Run with a registry.
+func (c *Controller) run(ctx context.Context, r registry) {
+	c.registry = r
 	c.scheduler.Holder = c.Name
 	startedAt := time.Now()
 	var revision int64
 	for ctx.Err() == nil {
-		view, err := c.registry.Agreed(ctx, url.Values{"units": {"1"}, "lead": {LeaderUID}}, revision, pollInterval)
+		view, err := r.Agreed(ctx, url.Values{"units": {"1"}, "lead": {LeaderUID}}, revision, pollInterval)
 		if err != nil {
 			revision = 0
 			continue
@@ -75,7 +91,6 @@
 		}
 	}
 	c.releaseLease(ctx)
-	return nil
 }
 
 // act sends the writes that carry the rollout and the releases on. now is the time since the controller has started.
