--- a/internal/node/clientconn/conn_test.go
+++ b/internal/node/clientconn/conn_test.go
@@ -17,13 +17,15 @@
 		"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
-		ours, theirs := nodetest.TCPPair(t)
-		c := newConn(ours, func() {})
-		if c.Disconnected() {
-			t.Errorf("%s: gone before", name)
-		}
-		leave(theirs)
-		nodetest.Eventually(t, name, c.Disconnected)
+		t.Run(name, func(t *testing.T) {
+			ours, theirs := nodetest.TCPPair(t)
+			c := newConn(ours, func() {})
+			if c.Disconnected() {
+				t.Errorf("gone before")
+			}
+			leave(theirs)
+			nodetest.Eventually(t, name, c.Disconnected)
+		})
 	}
 }
 
--- a/internal/node/config/config_test.go
+++ b/internal/node/config/config_test.go
@@ -33,10 +33,12 @@
 		"cannot":    {`"lanes":[`, `"lanes":7,"l":[`},
 		"character": {`{"name"`, `name`},
 	} {
-		_, err := Parse([]byte(strings.Replace(nodetest.Config, replace[0], replace[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(nodetest.Config, replace[0], replace[1], 1)))
+			if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
 
@@ -56,9 +58,11 @@
 		`{"dir":"d","max_age_ms":1e300}`:                 {Snapshots{}, "state.max_age_ms: 1e+300 is no time"},
 		`{"dir":7}`:                                      {Snapshots{}, "state: json"},
 	} {
-		got, err := parseSnapshots([]byte(text))
-		if got != want.state || (err == nil) != (want.fault == "") || err != nil && !strings.HasPrefix(err.Error(), want.fault) {
-			t.Errorf("%s: %+v, %v", text, got, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			got, err := parseSnapshots([]byte(text))
+			if got != want.state || (err == nil) != (want.fault == "") || err != nil && !strings.HasPrefix(err.Error(), want.fault) {
+				t.Errorf("%+v, %v", got, err)
+			}
+		})
 	}
 }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -29,11 +30,13 @@
 		"check it\n": "fail unknown call\n", strings.Repeat("x", maxControlLine) + "\n": "fail the line is too long\n",
 		"CHECK\n": "fail unknown call\n",
 	} {
-		got := ask(t, n, line)
-		if !strings.HasPrefix(got, begins) || !strings.HasPrefix(got, "ok") && !strings.HasPrefix(got, "fail ") ||
-			strings.Count(got, "\n") != 1 {
-			t.Errorf("%.20q is answered %q", line, got)
-		}
+		t.Run(strconv.Quote(line), func(t *testing.T) {
+			got := ask(t, n, line)
+			if !strings.HasPrefix(got, begins) || !strings.HasPrefix(got, "ok") && !strings.HasPrefix(got, "fail ") ||
+				strings.Count(got, "\n") != 1 {
+				t.Errorf("%.20q is answered %q", line, got)
+			}
+		})
 	}
 }
 
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -26,17 +26,19 @@
 		"one line": plain, "indented": indented.String(), "with empty lines": strings.ReplaceAll(indented.String(), "\n", "\n\n"),
 		"a bracket a line": strings.NewReplacer("{", "{\n", "}", "\n}").Replace(plain),
 	} {
-		var m assembler
-		lines := strings.Split(text, "\n")
-		for i, line := range lines {
-			l, whole, err := m.add(bytes.TrimSpace([]byte(line)))
-			if last := i == len(lines)-1; err != nil || whole != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
-				t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, whole, err)
+		t.Run(name, func(t *testing.T) {
+			var m assembler
+			lines := strings.Split(text, "\n")
+			for i, line := range lines {
+				l, whole, err := m.add(bytes.TrimSpace([]byte(line)))
+				if last := i == len(lines)-1; err != nil || whole != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
+					t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, whole, err)
+				}
 			}
-		}
-		if m.pending() {
-			t.Errorf("%s: %q is left over", name, m.buffered)
-		}
+			if m.pending() {
+				t.Errorf("%q is left over", m.buffered)
+			}
+		})
 	}
 	for _, bad := range []string{"no list", `{"rev":1}x`, `{"rev":,`, `{"rev":1,"targets":[]]`} {
 		var m assembler
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -97,7 +97,7 @@
 	for ctx.Err() == nil {
 		if err := f.register(ctx); err != nil {
 			if errors.Is(err, client.ErrFenced) {
-				f.Log.Error("agreed: another process is this node", "error", err)
+				f.Log.Error("agreed: fenced by another process of this node", "error", err)
 				return
 			}
 			sleep(ctx, retryDelay)
@@ -212,11 +212,11 @@
 	}
 	if f.Rollout.PersistPath != "" {
 		if err := next.save(f.Rollout.PersistPath); err != nil {
-			f.Log.Error("agreed: a version is not kept", "version", next.Number, "error", err)
+			f.Log.Error("agreed: saving a version of settings failed", "version", next.Number, "error", err)
 		}
 	}
 	if err := f.Apply(next.Settings); err != nil {
-		f.Log.Error("agreed: a version cannot be run", "version", next.Number, "error", err)
+		f.Log.Error("agreed: running a version of settings failed", "version", next.Number, "error", err)
 		return
 	}
 	f.running = next
--- a/internal/node/follower/version.go
+++ b/internal/node/follower/version.go
@@ -68,7 +68,7 @@
 		restored, err = cfg.WithSettings(v.Settings)
 	}
 	if err != nil {
-		slog.Warn("agreed: the version that was kept is passed over", "file", path, "error", err)
+		slog.Warn("agreed: ignoring the saved version of settings", "file", path, "error", err)
 		return cfg, Version{}
 	}
 	return restored, v
--- a/internal/node/header/header_test.go
+++ b/internal/node/header/header_test.go
@@ -8,9 +8,11 @@
 func TestTimeLeftUnits(t *testing.T) {
 	for s, want := range map[string]time.Duration{"480m": 480 * time.Millisecond,
 		"1500u": 1500 * time.Microsecond, "2.5m": 2500 * time.Microsecond} {
-		if d, err := ParseTimeLeft(s); err != nil || d != want {
-			t.Errorf("%s: %v, %v", s, d, err)
-		}
+		t.Run(s, func(t *testing.T) {
+			if d, err := ParseTimeLeft(s); err != nil || d != want {
+				t.Errorf("%v, %v", d, err)
+			}
+		})
 	}
 }
 
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -156,11 +156,13 @@
 	for name, fd := range map[string]int{
 		"not open": 1 << 20, "a file": dup(t, file), "a connection": dup(t, tcp), "a Unix socket": dup(t, unixFile),
 	} {
-		cfg := testConfig("127.0.0.1:1")
-		cfg.AcceptFD = fd
-		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "inherited descriptor") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			cfg := testConfig("127.0.0.1:1")
+			cfg.AcceptFD = fd
+			if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "inherited descriptor") {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
 
--- a/internal/node/longanswer_test.go
+++ b/internal/node/longanswer_test.go
@@ -25,12 +25,15 @@
 		"until the close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
 		"after interims":  "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
 	} {
-		addr, _ := nodetest.Stub(t, answer, true)
-		n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-		resp, got := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
-		if resp.StatusCode != http.StatusOK || got != body {
-			t.Errorf("%s: %d with %d bytes", name, resp.StatusCode, len(got))
-		}
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			addr, _ := nodetest.Stub(t, answer, true)
+			n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+			resp, got := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
+			if resp.StatusCode != http.StatusOK || got != body {
+				t.Errorf("%d with %d bytes", resp.StatusCode, len(got))
+			}
+		})
 	}
 }
 
@@ -42,28 +45,31 @@
 		"chunks": {"Transfer-Encoding: chunked\r\n\r\n", "1\r\na\r\n", "0\r\n\r\n"},
 		"close":  {"Connection: close\r\n\r\n", "a", "x"},
 	} {
-		more := make(chan struct{})
-		addr := nodetest.Listen(t, func(conn net.Conn, r *bufio.Reader) {
-			if _, err := http.ReadRequest(r); err == nil {
-				io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.head+c.first)
-				<-more
-				io.WriteString(conn, c.rest)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			more := make(chan struct{})
+			addr := nodetest.Listen(t, func(conn net.Conn, r *bufio.Reader) {
+				if _, err := http.ReadRequest(r); err == nil {
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.head+c.first)
+					<-more
+					io.WriteString(conn, c.rest)
+				}
+			})
+			n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+			conn := nodetest.Dial(t, n.Addr().String())
+			io.WriteString(conn, head("GET", "/read/1", ""))
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if _, err := io.ReadFull(resp.Body, make([]byte, 1)); err != nil {
+				t.Errorf("first byte: %v", err)
+			}
+			close(more)
+			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+				t.Errorf("the rest: %v", err)
 			}
 		})
-		n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-		conn := nodetest.Dial(t, n.Addr().String())
-		io.WriteString(conn, head("GET", "/read/1", ""))
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(resp.Body, make([]byte, 1)); err != nil {
-			t.Errorf("%s: first byte: %v", name, err)
-		}
-		close(more)
-		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Errorf("%s: the rest: %v", name, err)
-		}
 	}
 }
 
@@ -74,28 +80,31 @@
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + nodetest.Text(69000),
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + nodetest.Text(69000),
 	} {
-		addr, got := nodetest.Stub(t, answer, true)
-		n := startControlled(t, testConfig("127.0.0.1:1", serving("s", addr), serving("s2", addr)))
-		for _, proto := range []string{"1.1", "1.0"} {
-			conn := nodetest.Dial(t, n.Addr().String())
-			io.WriteString(conn, strings.Replace(head("GET", "/read/1", ""), "HTTP/1.1", "HTTP/"+proto, 1))
-			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			if err == nil {
-				_, err = io.Copy(io.Discard, resp.Body)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			addr, got := nodetest.Stub(t, answer, true)
+			n := startControlled(t, testConfig("127.0.0.1:1", serving("s", addr), serving("s2", addr)))
+			for _, proto := range []string{"1.1", "1.0"} {
+				conn := nodetest.Dial(t, n.Addr().String())
+				io.WriteString(conn, strings.Replace(head("GET", "/read/1", ""), "HTTP/1.1", "HTTP/"+proto, 1))
+				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+				if err == nil {
+					_, err = io.Copy(io.Discard, resp.Body)
+				}
+				if err == nil {
+					t.Errorf("looks whole to a client of HTTP/%s", proto)
+				}
+				nodetest.Wait(t, got)
 			}
-			if err == nil {
-				t.Errorf("%s: looks whole to a client of HTTP/%s", name, proto)
+			if len(got) > 0 {
+				t.Errorf("another attempt followed")
 			}
-			nodetest.Wait(t, got)
-		}
-		if len(got) > 0 {
-			t.Errorf("%s: another attempt followed", name)
-		}
-		for end := time.Now().Add(nodetest.Limit); vars(t, n).Results["read"] != (metrics.ClassResults{Failed: 2}); {
-			if time.Now().After(end) {
-				t.Fatalf("%s: %+v", name, vars(t, n))
+			for end := time.Now().Add(nodetest.Limit); vars(t, n).Results["read"] != (metrics.ClassResults{Failed: 2}); {
+				if time.Now().After(end) {
+					t.Fatalf("%+v", vars(t, n))
+				}
 			}
-		}
+		})
 	}
 }
 
--- a/internal/node/longrequest_test.go
+++ b/internal/node/longrequest_test.go
@@ -35,30 +35,32 @@
 		"chunks":  {"Transfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n", chunked(body, 777)},
 		"expects": {fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d\r\n", len(body)), body},
 	} {
-		conn := nodetest.Dial(t, n.Addr().String())
-		r := bufio.NewReader(conn)
-		io.WriteString(conn, head("POST", "/order/1", c.more))
-		if strings.HasPrefix(c.more, "Expect") {
-			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusContinue {
-				t.Fatalf("%s: not asked for the body: %+v, %v", name, resp, err)
+		t.Run(name, func(t *testing.T) {
+			conn := nodetest.Dial(t, n.Addr().String())
+			r := bufio.NewReader(conn)
+			io.WriteString(conn, head("POST", "/order/1", c.more))
+			if strings.HasPrefix(c.more, "Expect") {
+				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusContinue {
+					t.Fatalf("not asked for the body: %+v, %v", resp, err)
+				}
 			}
-		}
-		io.WriteString(conn, c.body)
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %+v, %v", name, resp, err)
-		}
-		if s := nodetest.Wait(t, got); s.Content != body || s.Header.Get("X-Correlation-Id") != "c-1" {
-			t.Errorf("%s: the server got %d bytes", name, len(s.Content))
-		}
-		if c.more[0] != 'T' { // a connection with chunks is closed, see ambiguous
-			_, _ = io.ReadAll(io.LimitReader(r, 2))
-			io.WriteString(conn, head("GET", "/read/2", ""))
-			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("%s: the next request: %+v, %v", name, resp, err)
+			io.WriteString(conn, c.body)
+			resp, err := http.ReadResponse(r, nil)
+			if err != nil || resp.StatusCode != http.StatusOK {
+				t.Fatalf("%+v, %v", resp, err)
 			}
-			nodetest.Wait(t, got)
-		}
+			if s := nodetest.Wait(t, got); s.Content != body || s.Header.Get("X-Correlation-Id") != "c-1" {
+				t.Errorf("the server got %d bytes", len(s.Content))
+			}
+			if c.more[0] != 'T' { // a connection with chunks is closed, see ambiguous
+				_, _ = io.ReadAll(io.LimitReader(r, 2))
+				io.WriteString(conn, head("GET", "/read/2", ""))
+				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
+					t.Errorf("the next request: %+v, %v", resp, err)
+				}
+				nodetest.Wait(t, got)
+			}
+		})
 	}
 }
 
@@ -114,25 +116,27 @@
 		first  string
 		status int
 	}{"not there": {l.Addr().String(), 200}, "quits": {quits, 503}, "turns away": {turnsAway, 503}} {
-		n := startNode(t, testConfig("127.0.0.1:1", serving("first", c.first), serving("second", good)),
-			firstThenSecond())
-		conn := nodetest.Dial(t, n.Addr().String())
-		var wrote sync.WaitGroup
-		wrote.Go(func() {
-			io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body)
-		})
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != c.status {
-			t.Fatalf("%s: %+v, %v", name, resp, err)
-		}
-		wrote.Wait()
-		if c.status == 200 {
-			if s := nodetest.Wait(t, got); s.Content != body {
-				t.Errorf("%s: the second server got %d bytes", name, len(s.Content))
+		t.Run(name, func(t *testing.T) {
+			n := startNode(t, testConfig("127.0.0.1:1", serving("first", c.first), serving("second", good)),
+				firstThenSecond())
+			conn := nodetest.Dial(t, n.Addr().String())
+			var wrote sync.WaitGroup
+			wrote.Go(func() {
+				io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body)
+			})
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil || resp.StatusCode != c.status {
+				t.Fatalf("%+v, %v", resp, err)
 			}
-		} else if len(got) > 0 {
-			t.Errorf("%s: a spent body reached the second server", name)
-		}
+			wrote.Wait()
+			if c.status == 200 {
+				if s := nodetest.Wait(t, got); s.Content != body {
+					t.Errorf("the second server got %d bytes", len(s.Content))
+				}
+			} else if len(got) > 0 {
+				t.Errorf("a spent body reached the second server")
+			}
+		})
 	}
 }
 
@@ -220,18 +224,20 @@
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	for name, more := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", bodybudget.MaxBodyBytes+1),
 		"chunks": "Transfer-Encoding: chunked\r\n"} {
-		conn := nodetest.Dial(t, n.Addr().String())
-		io.WriteString(conn, head("POST", "/order/1", more))
-		if name == "chunks" {
-			go func() {
-				fmt.Fprintf(conn, "%x\r\n", bodybudget.MaxBodyBytes+1)
-				_, _ = conn.Write(make([]byte, bodybudget.MaxBodyBytes+1))
-			}()
-		}
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Errorf("%s: %+v, %v", name, resp, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			conn := nodetest.Dial(t, n.Addr().String())
+			io.WriteString(conn, head("POST", "/order/1", more))
+			if name == "chunks" {
+				go func() {
+					fmt.Fprintf(conn, "%x\r\n", bodybudget.MaxBodyBytes+1)
+					_, _ = conn.Write(make([]byte, bodybudget.MaxBodyBytes+1))
+				}()
+			}
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
+				t.Errorf("%+v, %v", resp, err)
+			}
+		})
 	}
 	if len(got) > 0 {
 		t.Error("a body that is too long reached the server")
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -47,17 +47,20 @@
 		"served": {served, metrics.ClassResults{Succeeded: 1}}, "failing": {failing, metrics.ClassResults{Failed: 1}},
 		"full": {full, metrics.ClassResults{Rejected: 1}},
 	} {
-		cfg := testConfig("127.0.0.1:1", serving("s", c.addr))
-		cfg.Settings.MaxAttempts = 1
-		n := startControlled(t, cfg)
-		if f := vars(t, n); f.Results["order"] != (metrics.ClassResults{}) || len(f.Results) != 3 || f.Discovered != 1 || f.Forwards != 0 {
-			t.Errorf("%s: at the start %+v", name, f)
-		}
-		nodetest.Do(t, newRequest(t, n, "POST", "/order/1", ""))
-		nodetest.Do(t, newRequest(t, n, "PUT", "/order/1", "")) // no client's request
-		if f := vars(t, n); f.Results["order"] != c.want || f.Forwards != 1 || f.Outstanding != 0 {
-			t.Errorf("%s: %+v", name, f)
-		}
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cfg := testConfig("127.0.0.1:1", serving("s", c.addr))
+			cfg.Settings.MaxAttempts = 1
+			n := startControlled(t, cfg)
+			if f := vars(t, n); f.Results["order"] != (metrics.ClassResults{}) || len(f.Results) != 3 || f.Discovered != 1 || f.Forwards != 0 {
+				t.Errorf("at the start %+v", f)
+			}
+			nodetest.Do(t, newRequest(t, n, "POST", "/order/1", ""))
+			nodetest.Do(t, newRequest(t, n, "PUT", "/order/1", "")) // no client's request
+			if f := vars(t, n); f.Results["order"] != c.want || f.Forwards != 1 || f.Outstanding != 0 {
+				t.Errorf("%+v", f)
+			}
+		})
 	}
 }
 
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -174,11 +174,13 @@
 		"method":        {"PUT", "/read/1", "A", "", 0, 400},
 		"no key":        {"POST", "/send/1", "A", "", 0, 400},
 	} {
-		r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
-		r.Header.Set(c.header, c.value)
-		if resp, _ := nodetest.Do(t, r); resp.StatusCode != c.status {
-			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.status)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
+			r.Header.Set(c.header, c.value)
+			if resp, _ := nodetest.Do(t, r); resp.StatusCode != c.status {
+				t.Errorf("%d, want %d", resp.StatusCode, c.status)
+			}
+		})
 	}
 	if len(got) > 0 {
 		t.Error("a malformed request reached the server")
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -179,43 +179,46 @@
 func TestFirstUpdateBeforeServing(t *testing.T) {
 	t.Parallel()
 	for name, news := range map[string]string{"news": nodetest.Message(9, true, nodetest.Target("a", "SERVING")), "none": "", "silence": "silence"} {
-		told, serve := make(chan struct{}), make(chan struct{})
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if news == "silence" {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			told, serve := make(chan struct{}), make(chan struct{})
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if news == "silence" {
+					<-r.Context().Done()
+					return
+				}
+				<-serve
+				fmt.Fprintln(w, news)
+				w.(http.Flusher).Flush()
 				<-r.Context().Done()
-				return
-			}
-			<-serve
-			fmt.Fprintln(w, news)
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}))
-		t.Cleanup(s.CloseClientConnections)
-		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
-		cfg.Settings.PollDiscovery = false
-		started := time.Now()
-		n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
-			if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
-				close(told)
+			}))
+			t.Cleanup(s.CloseClientConnections)
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+			cfg.Settings.PollDiscovery = false
+			started := time.Now()
+			n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
+					close(told)
+				}
+				return nil
+			}))
+			if serves := n.serving.Load(); serves && time.Since(started) < firstUpdateTimeout {
+				t.Errorf("it serves before its agent has answered")
 			}
-			return nil
-		}))
-		if serves := n.serving.Load(); serves && time.Since(started) < firstUpdateTimeout {
-			t.Errorf("%s: it serves before its agent has answered", name)
-		}
-		close(serve)
-		for end := time.Now().Add(nodetest.Limit); !n.serving.Load(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: it never serves", name)
+			close(serve)
+			for end := time.Now().Add(nodetest.Limit); !n.serving.Load(); time.Sleep(time.Millisecond) {
+				if time.Now().After(end) {
+					t.Fatalf("it never serves")
+				}
 			}
-		}
-		if name == "news" {
-			select {
-			case <-told:
-			default:
-				t.Error("it serves before it knows the news")
+			if name == "news" {
+				select {
+				case <-told:
+				default:
+					t.Error("it serves before it knows the news")
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -238,40 +241,43 @@
 		},
 		"by its targets": func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, `{"rev":9,"all":true}`) },
 	} {
-		asked := make(chan string, 100)
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if nodetest.IsPoll(r) {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			asked := make(chan string, 100)
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if nodetest.IsPoll(r) {
+					<-r.Context().Done()
+					return
+				}
+				asked <- r.URL.Query().Get("since")
+				if len(asked) == 1 {
+					cut(w, r)
+					return
+				}
+				fmt.Fprintln(w, whole)
+				w.(http.Flusher).Flush()
 				<-r.Context().Done()
-				return
+			}))
+			t.Cleanup(s.CloseClientConnections)
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+			cfg.Settings.PollDiscovery = false
+			lists := make(chan balancer.EndpointUpdate, 10)
+			startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+				if l, is := e.(balancer.EndpointUpdate); is {
+					lists <- l
+				}
+				return nil
+			}))
+			if l := nodetest.Wait(t, lists); !l.Cached {
+				t.Fatalf("%+v", l)
 			}
-			asked <- r.URL.Query().Get("since")
-			if len(asked) == 1 {
-				cut(w, r)
-				return
+			if l := nodetest.Wait(t, lists); !l.Full || len(l.Endpoints) != 2 {
+				t.Errorf("the first news is %+v", l)
 			}
-			fmt.Fprintln(w, whole)
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}))
-		t.Cleanup(s.CloseClientConnections)
-		cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
-		cfg.Settings.PollDiscovery = false
-		lists := make(chan balancer.EndpointUpdate, 10)
-		startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
-			if l, is := e.(balancer.EndpointUpdate); is {
-				lists <- l
+			if first, second := nodetest.Wait(t, asked), nodetest.Wait(t, asked); first != "7" || second != "7" {
+				t.Errorf("asked since %s, then %s", first, second)
 			}
-			return nil
-		}))
-		if l := nodetest.Wait(t, lists); !l.Cached {
-			t.Fatalf("%s: %+v", name, l)
-		}
-		if l := nodetest.Wait(t, lists); !l.Full || len(l.Endpoints) != 2 {
-			t.Errorf("%s: the first news is %+v", name, l)
-		}
-		if first, second := nodetest.Wait(t, asked), nodetest.Wait(t, asked); first != "7" || second != "7" {
-			t.Errorf("%s: asked since %s, then %s", name, first, second)
-		}
+		})
 	}
 }
 
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -149,29 +149,32 @@
 		"other protocol":    {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", balancer.Failure, false},
 		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
 	} {
-		release := make(chan struct{})
-		addr := nodetest.Listen(t, func(conn net.Conn, r *bufio.Reader) {
-			if req, err := http.ReadRequest(r); err == nil {
-				_, _ = io.Copy(io.Discard, req.Body)
-				io.WriteString(conn, c.answer)
-				if c.kept {
-					<-release
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			release := make(chan struct{})
+			addr := nodetest.Listen(t, func(conn net.Conn, r *bufio.Reader) {
+				if req, err := http.ReadRequest(r); err == nil {
+					_, _ = io.Copy(io.Discard, req.Body)
+					io.WriteString(conn, c.answer)
+					if c.kept {
+						<-release
+					}
 				}
+			})
+			u := newTestPool(10)
+			res := try(t, u, newReadyEndpoint(addr))
+			if res.Result != c.result {
+				t.Errorf("ending %d, want %d", res.Result, c.result)
+			}
+			want := 0
+			if c.kept {
+				want = 1
+			}
+			if open, idle := u.Connections(); open != want || idle != want {
+				t.Errorf("%d connections open and %d idle, want %d", open, idle, want)
 			}
+			close(release)
 		})
-		u := newTestPool(10)
-		res := try(t, u, newReadyEndpoint(addr))
-		if res.Result != c.result {
-			t.Errorf("%s: ending %d, want %d", name, res.Result, c.result)
-		}
-		want := 0
-		if c.kept {
-			want = 1
-		}
-		if open, idle := u.Connections(); open != want || idle != want {
-			t.Errorf("%s: %d connections open and %d idle, want %d", name, open, idle, want)
-		}
-		close(release)
 	}
 }
 
@@ -271,17 +274,19 @@
 	u, s := newTestPool(10), newReadyEndpoint(addr)
 	for cause, want := range map[error]balancer.Result{
 		ErrTimedOut: balancer.TimedOut, ErrCancelled: balancer.Cancelled} {
-		ctx, cancel := context.WithCancelCause(context.Background())
-		go func() {
-			<-began
-			cancel(cause)
-		}()
-		if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: free}); res.Result != want {
-			t.Errorf("%v: ending %d, want %d", cause, res.Result, want)
-		}
-		if err := nodetest.Wait(t, ended); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("%v: the server saw %v", cause, err)
-		}
+		t.Run(cause.Error(), func(t *testing.T) {
+			ctx, cancel := context.WithCancelCause(context.Background())
+			go func() {
+				<-began
+				cancel(cause)
+			}()
+			if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: free}); res.Result != want {
+				t.Errorf("%v: ending %d, want %d", cause, res.Result, want)
+			}
+			if err := nodetest.Wait(t, ended); !errors.Is(err, syscall.ECONNRESET) {
+				t.Errorf("%v: the server saw %v", cause, err)
+			}
+		})
 	}
 	if open, _ := u.Connections(); open != 0 {
 		t.Errorf("%d connections open", open)
