--- a/cmd/umberbank/config.go
+++ b/cmd/umberbank/config.go
@@ -6,10 +6,12 @@
 	"umberbank/internal/node/config"
 )
 
+// configCmd groups the commands for node configurations.
 type configCmd struct {
 	Check configCheckCmd `name:"check" cmd:"" help:"Check configurations without starting anything."`
 }
 
+// configCheckCmd is "umberbank config check".
 type configCheckCmd struct {
 	Files []string `arg:"" name:"file" help:"Configurations as the platform writes them (JSON)."`
 }
@@ -19,6 +21,7 @@
 	return "Example:\n  umberbank config check /run/balancer/config.json"
 }
 
+// Run checks each configuration and prints what is wrong with it.
 func (c *configCheckCmd) Run(env *environment) error {
 	var bad error
 	for _, f := range c.Files {
--- a/cmd/umberbank/faulttest.go
+++ b/cmd/umberbank/faulttest.go
@@ -4,12 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
+	"strings"
 	"sync"
 
 	"golang.org/x/sync/errgroup"
 )
 
-// runMany plays many runs, some at once, and gives their results in order.
+// runMany makes n runs, so many of them in parallel, and returns their results in order.
 func runMany[T any](env *environment, n, parallel int, run func(ctx context.Context, i int) (T, error)) ([]T, error) {
 	if n < 1 || parallel < 1 {
 		return nil, errors.New("--runs and --parallel: want 1 or more")
@@ -41,3 +43,10 @@
 	}
 	return results, err
 }
+
+// printViolations prints what a run violated and the faults it was exposed to; nothing if it violated nothing.
+func printViolations(w io.Writer, seed uint64, violations, faults []string) {
+	if len(violations) > 0 {
+		fmt.Fprintf(w, "BROKEN seed %d: %s\n  after %s\n", seed, strings.Join(violations, "; "), strings.Join(faults, ", "))
+	}
+}
--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -5,6 +5,7 @@
 	"strings"
 )
 
+// fleetCmd groups the commands that coordinate the units of a site.
 type fleetCmd struct {
 	Budget       fleetBudgetCmd       `name:"budget" cmd:"" help:"Say how much of each tier may be out at once."`
 	Status       fleetStatusCmd       `name:"status" cmd:"" help:"Show what is out, what may be, who holds permits, and how releases stand."`
@@ -21,15 +22,15 @@
 	FaultTest    fleetFaultTestCmd    `name:"fault-test" aliases:"trial" cmd:"" help:"Play faults on releases of real processes, and judge what they did."`
 }
 
-// forEachUnit does something for each of several units and says what came of it; what fails leaves the others be.
-func forEachUnit(env *environment, uids []string, do func(uid string) (string, error)) error {
+// forEachUnit calls do for each unit and prints what it returns. It goes on after an error, and then returns errCheckFailed.
+func forEachUnit(env *environment, uids []string, do func(uid string) (done string, err error)) error {
 	failed := false
 	for _, uid := range uids {
-		said, err := do(uid)
+		outcome, err := do(uid)
 		if err != nil {
-			failed, said = true, err.Error()
+			failed, outcome = true, err.Error()
 		}
-		fmt.Fprintf(env.stdout, "%s: %s\n", uid, strings.TrimPrefix(said, uid+": "))
+		fmt.Fprintf(env.stdout, "%s: %s\n", uid, strings.TrimPrefix(outcome, uid+": "))
 	}
 	if failed {
 		return errCheckFailed
--- a/cmd/umberbank/fleet_agent.go
+++ b/cmd/umberbank/fleet_agent.go
@@ -7,6 +7,7 @@
 	"umberbank/internal/registry/state"
 )
 
+// fleetAgentCmd is "umberbank fleet agent".
 type fleetAgentCmd struct {
 	registryFlags
 	UID          string        `name:"uid" help:"The unit." required:""`
@@ -34,24 +35,52 @@
 	return "Example:\n  umberbank fleet agent --uid s1 --endpoint 10.1.0.18:3000 --tier web --zone a --version v1 --readiness-url http://10.1.0.18:3000/health -- /srv/{version}/server"
 }
 
+// Run runs a unit until the context ends.
 func (c *fleetAgentCmd) Run(env *environment) error {
-	j, err := openEventLog(c.EventLog)
+	events, err := openEventLog(c.EventLog)
 	if err != nil {
 		return err
 	}
-	if len(c.Command) > 0 && c.Command[0] == "--" {
-		c.Command = c.Command[1:]
+	command := c.Command
+	if len(command) > 0 && command[0] == "--" {
+		command = command[1:]
 	}
-	role := ""
-	if c.Node {
-		role = state.RoleNode
-	}
-	e := state.Instance{UID: c.UID, Endpoint: c.Endpoint, Role: role, Tier: c.Tier, Zone: c.Zone, Region: c.Region, Rack: c.Rack,
-		Kind: c.Kind, Capacity: c.Capacity, Version: c.Version, State: state.Serving}
-	if err := e.Validate(); err != nil {
+	instance := c.instance()
+	if err := instance.Validate(); err != nil {
 		return err
 	}
-	unit := &agent.Agent{Registry: c.Endpoints, Instance: e, TTL: c.TTL, Command: c.Command, ReadyURL: c.ReadinessURL, DrainTime: c.DrainDelay, StopTimeout: c.GracePeriod, VersionFile: c.VersionFile,
-		Events: j, Log: env.log, Clock: func() time.Time { return time.Now().Add(c.ClockSkew) }}
+	unit := &agent.Agent{
+		Registry:    c.Endpoints,
+		Instance:    instance,
+		TTL:         c.TTL,
+		Command:     command,
+		ReadyURL:    c.ReadinessURL,
+		DrainTime:   c.DrainDelay,
+		StopTimeout: c.GracePeriod,
+		VersionFile: c.VersionFile,
+		Events:      events,
+		Log:         env.log,
+		Clock:       func() time.Time { return time.Now().Add(c.ClockSkew) },
+	}
 	return unit.Run(env.ctx)
 }
+
+// instance returns the unit's entry in the registry.
+func (c *fleetAgentCmd) instance() state.Instance {
+	instance := state.Instance{
+		UID:      c.UID,
+		Endpoint: c.Endpoint,
+		Tier:     c.Tier,
+		Zone:     c.Zone,
+		Region:   c.Region,
+		Rack:     c.Rack,
+		Kind:     c.Kind,
+		Capacity: c.Capacity,
+		Version:  c.Version,
+		State:    state.Serving,
+	}
+	if c.Node {
+		instance.Role = state.RoleNode
+	}
+	return instance
+}
--- a/cmd/umberbank/fleet_budget.go
+++ b/cmd/umberbank/fleet_budget.go
@@ -9,6 +9,7 @@
 	"umberbank/internal/stricttoml"
 )
 
+// fleetBudgetCmd is "umberbank fleet budget".
 type fleetBudgetCmd struct {
 	registryFlags
 	File string `name:"file" arg:"" help:"Limits (TOML)."`
@@ -30,6 +31,7 @@
   rack = 1.0`
 }
 
+// Run sets the disruption limits that a file holds.
 func (c *fleetBudgetCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/umberbank/fleet_config.go
+++ b/cmd/umberbank/fleet_config.go
@@ -10,6 +10,7 @@
 	"umberbank/internal/simwire"
 )
 
+// fleetConfigCmd groups the commands for the rollout of settings.
 type fleetConfigCmd struct {
 	Push     fleetConfigPushCmd     `name:"push" cmd:"" help:"Propose a version; controllers bring it to nodes stage by stage."`
 	Status   fleetConfigStatusCmd   `name:"status" cmd:"" help:"Show which version is in force, which is under way, and what each node runs."`
@@ -18,6 +19,7 @@
 	Rollback fleetConfigRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Propose the old content anew, for a version that some nodes run."`
 }
 
+// fleetConfigPushCmd is "umberbank fleet config push".
 type fleetConfigPushCmd struct {
 	registryFlags
 	File     string        `name:"file" arg:"" help:"The settings, as in a node's configuration (JSON)."`
@@ -39,6 +41,7 @@
 // errNoRollout says that no node takes part.
 var errNoRollout = errors.New("no node takes its settings from this registry (a node's configuration names it under agreed)")
 
+// Run proposes a version of the settings.
 func (c *fleetConfigPushCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -72,11 +75,13 @@
 	return nil
 }
 
+// fleetConfigHaltCmd is "umberbank fleet config halt".
 type fleetConfigHaltCmd struct {
 	registryFlags
 	Reason string `name:"reason" aliases:"why" help:"What others are to read." default:"by staff"`
 }
 
+// Run halts the version under way.
 func (c *fleetConfigHaltCmd) Run(env *environment) error {
 	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpHalt, Holder: c.Reason}); err != nil {
 		return err
@@ -85,8 +90,10 @@
 	return nil
 }
 
+// fleetConfigWithdrawCmd is "umberbank fleet config withdraw".
 type fleetConfigWithdrawCmd struct{ registryFlags }
 
+// Run withdraws the version under way.
 func (c *fleetConfigWithdrawCmd) Run(env *environment) error {
 	view, err := c.coordinationState(env.ctx)
 	switch {
@@ -102,8 +109,10 @@
 	return nil
 }
 
+// fleetConfigRollbackCmd is "umberbank fleet config rollback".
 type fleetConfigRollbackCmd struct{ registryFlags }
 
+// Run proposes the content in force before as a new version.
 func (c *fleetConfigRollbackCmd) Run(env *environment) error {
 	answer, err := c.apply(env.ctx, state.Op{Kind: state.OpRollback})
 	if err != nil {
--- a/cmd/umberbank/fleet_config_status.go
+++ b/cmd/umberbank/fleet_config_status.go
@@ -13,11 +13,13 @@
 	"umberbank/internal/coordination/rollout"
 )
 
+// fleetConfigStatusCmd is "umberbank fleet config status".
 type fleetConfigStatusCmd struct {
 	registryFlags
 	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
+// Run prints the state of the rollout and of each node.
 func (c *fleetConfigStatusCmd) Run(env *environment) error {
 	view, err := c.coordinationState(env.ctx)
 	if err != nil {
--- a/cmd/umberbank/fleet_controller.go
+++ b/cmd/umberbank/fleet_controller.go
@@ -9,6 +9,7 @@
 	"umberbank/internal/coordination/eventlog"
 )
 
+// fleetControllerCmd is "umberbank fleet controller".
 type fleetControllerCmd struct {
 	registryFlags
 	Name     string        `name:"name" help:"Which controller this is; none: this machine and process." default:""`
@@ -16,22 +17,24 @@
 	EventLog string        `name:"event-log" aliases:"journal" help:"Write what it did to this file." placeholder:"FILE"`
 }
 
+// Run runs a controller until the context ends.
 func (c *fleetControllerCmd) Run(env *environment) error {
-	j, err := openEventLog(c.EventLog)
+	events, err := openEventLog(c.EventLog)
 	if err != nil {
 		return err
 	}
 	if c.Name == "" {
-		machine, err := os.Hostname()
+		host, err := os.Hostname()
 		if err != nil {
 			return err
 		}
-		c.Name = fmt.Sprintf("%s-%d", machine, os.Getpid())
+		c.Name = fmt.Sprintf("%s-%d", host, os.Getpid())
 	}
-	ctl := &controller.Controller{Registry: c.Endpoints, Name: c.Name, TTL: c.TTL, Events: j, Log: env.log}
+	ctl := &controller.Controller{Registry: c.Endpoints, Name: c.Name, TTL: c.TTL, Events: events, Log: env.log}
 	return ctl.Run(env.ctx)
 }
 
+// openEventLog opens the log of a controller or an agent; nil, which logs nothing, if there is no path.
 func openEventLog(path string) (*eventlog.Log, error) {
 	if path == "" {
 		return nil, nil
--- a/cmd/umberbank/fleet_faulttest.go
+++ b/cmd/umberbank/fleet_faulttest.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"strings"
+	"io"
 
 	"umberbank/internal/coordination/faulttest"
 )
 
+// fleetFaultTestCmd is "umberbank fleet fault-test".
 type fleetFaultTestCmd struct {
 	Runs     int    `name:"runs" help:"How many runs, each with a seed of its own." default:"10"`
 	Seed     uint64 `name:"seed" help:"The first seed." default:"1"`
@@ -32,33 +33,52 @@
   umberbank fleet fault-test --runs 50 --json`
 }
 
-// fleetFaultTestSummary is what came of all runs.
+// fleetFaultTestSummary sums up runs.
 type fleetFaultTestSummary struct {
-	Runs       int     `json:"runs"`
-	Failed     int     `json:"failed"`
-	Faults     int     `json:"faults"`
-	Permits    int     `json:"permits"`
-	Acts       int     `json:"acts"`
-	OverBudget int     `json:"over_budget"`
-	TwoActors  int     `json:"two_actors"`
-	LateBegins int     `json:"late_begins"`
-	SettleS    float64 `json:"settle_s_max"`
+	Runs             int     `json:"runs"`
+	Failed           int     `json:"failed"`
+	Faults           int     `json:"faults"`
+	Permits          int     `json:"permits"`
+	Acts             int     `json:"acts"` // of controllers
+	OverBudget       int     `json:"over_budget"`
+	ActsWithoutLease int     `json:"two_actors"`
+	BegunAfterHalt   int     `json:"late_begins"`
+	MaxSettleS       float64 `json:"settle_s_max"` // seconds until every unit ran what it should
 }
 
-// print prints one run: all of it, or what did not hold.
-func (c *fleetFaultTestCmd) print(env *environment, r any, seed uint64, broken, faults []string) (err error) {
-	switch {
-	case c.JSON:
-		err = json.NewEncoder(env.stdout).Encode(r)
-	case len(broken) > 0:
-		_, err = fmt.Fprintf(env.stdout, "BROKEN seed %d: %s\n  after %s\n", seed, strings.Join(broken, "; "), strings.Join(faults, ", "))
+func (s *fleetFaultTestSummary) add(r *faulttest.Result) {
+	s.Runs++
+	s.Faults += len(r.Faults)
+	s.Permits += r.Permits
+	s.Acts += r.Acts
+	s.OverBudget += r.OverBudget
+	s.ActsWithoutLease += r.ActsWithoutLease
+	s.BegunAfterHalt += r.BegunAfterHalt
+	s.MaxSettleS = max(s.MaxSettleS, r.SettleS)
+	if len(r.Violations) > 0 {
+		s.Failed++
 	}
+}
+
+func (s *fleetFaultTestSummary) print(w io.Writer) error {
+	_, err := fmt.Fprintf(w, "%d runs, %d failed; %d faults, %d permits, %d acts of controllers; over budget %d, two actors %d, begun after a halt %d; settled within %.1f s\n",
+		s.Runs, s.Failed, s.Faults, s.Permits, s.Acts, s.OverBudget, s.ActsWithoutLease, s.BegunAfterHalt, s.MaxSettleS)
 	return err
 }
 
+// printRun prints a run as JSON, or only what it violated.
+func (c *fleetFaultTestCmd) printRun(env *environment, result any, seed uint64, violations, faults []string) error {
+	if c.JSON {
+		return json.NewEncoder(env.stdout).Encode(result)
+	}
+	printViolations(env.stdout, seed, violations, faults)
+	return nil
+}
+
+// Run runs the fault-injection tests and prints their results.
 func (c *fleetFaultTestCmd) Run(env *environment) error {
 	if c.Config {
-		return c.runRollouts(env)
+		return c.runSettings(env)
 	}
 	results, err := runMany(env, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
 		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), NoFaults: c.NoFaults})
@@ -66,29 +86,20 @@
 	if err != nil {
 		return err
 	}
-	var sum fleetFaultTestSummary
+	var summary fleetFaultTestSummary
 	for _, r := range results {
-		sum.Runs++
-		sum.Faults, sum.Permits, sum.Acts = sum.Faults+len(r.Faults), sum.Permits+r.Permits, sum.Acts+r.Acts
-		sum.OverBudget, sum.TwoActors, sum.LateBegins = sum.OverBudget+r.OverBudget, sum.TwoActors+r.ActsWithoutLease, sum.LateBegins+r.BegunAfterHalt
-		sum.SettleS = max(sum.SettleS, r.SettleS)
-		if len(r.Violations) > 0 {
-			sum.Failed++
-		}
-		if err := c.print(env, r, r.Seed, r.Violations, r.Faults); err != nil {
+		summary.add(r)
+		if err := c.printRun(env, r, r.Seed, r.Violations, r.Faults); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		if err := json.NewEncoder(env.stdout).Encode(sum); err != nil {
-			return err
-		}
+		err = json.NewEncoder(env.stdout).Encode(summary)
 	} else {
-		fmt.Fprintf(env.stdout, "%d runs, %d failed; %d faults, %d permits, %d acts of controllers; over budget %d, two actors %d, begun after a halt %d; settled within %.1f s\n",
-			sum.Runs, sum.Failed, sum.Faults, sum.Permits, sum.Acts, sum.OverBudget, sum.TwoActors, sum.LateBegins, sum.SettleS)
+		err = summary.print(env.stdout)
 	}
-	if sum.Failed > 0 {
-		return errCheckFailed
+	if err == nil && summary.Failed > 0 {
+		err = errCheckFailed
 	}
-	return nil
+	return err
 }
--- a/cmd/umberbank/fleet_release.go
+++ b/cmd/umberbank/fleet_release.go
@@ -10,6 +10,7 @@
 	"umberbank/internal/registry/state"
 )
 
+// fleetReleaseCmd is "umberbank fleet release".
 type fleetReleaseCmd struct {
 	registryFlags
 	Plan  string `name:"plan" arg:"" help:"The plan (TOML)."`
@@ -36,6 +37,7 @@
   share = 1.0`
 }
 
+// Run checks a plan against the present state and enters it.
 func (c *fleetReleaseCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
@@ -70,16 +72,17 @@
 	return nil
 }
 
-// putPlan enters a plan, unless another release runs.
+// putPlan enters a plan. It fails if another release runs or has the name.
 func (r registryFlags) putPlan(env *environment, plan *release.Plan, view *state.CoordinationView) error {
-	for _, o := range release.ActivePlans(release.View{Records: view.Records}) {
-		return fmt.Errorf("release %s runs", o.Name)
+	if active := release.ActivePlans(release.View{Records: view.Records}); len(active) > 0 {
+		return fmt.Errorf("release %s runs", active[0].Name)
 	}
 	value, err := json.Marshal(plan)
 	if err != nil {
 		return err
 	}
-	if _, err := r.apply(env.ctx, state.Op{Kind: state.OpPutRecord, Key: release.PlanKeyPrefix + plan.Name, Value: value, IfModRevision: state.Absent}); err != nil {
+	op := state.Op{Kind: state.OpPutRecord, Key: release.PlanKeyPrefix + plan.Name, Value: value, IfModRevision: state.Absent}
+	if _, err := r.apply(env.ctx, op); err != nil {
 		return fmt.Errorf("a release of the name %s: %w", plan.Name, err)
 	}
 	return nil
--- a/cmd/umberbank/fleet_rollback.go
+++ b/cmd/umberbank/fleet_rollback.go
@@ -7,26 +7,28 @@
 	"umberbank/internal/registry/state"
 )
 
+// fleetHaltCmd is "umberbank fleet halt".
 type fleetHaltCmd struct {
 	registryFlags
 	Name   string `name:"name" arg:"" help:"The release."`
 	Reason string `name:"reason" aliases:"why" help:"What others are to read." default:"by staff"`
 }
 
-// findRelease gives a release by its name.
+// findRelease returns a release by its name, with the view that holds it.
 func (r registryFlags) findRelease(env *environment, name string) (*releaseRecord, *state.CoordinationView, error) {
 	view, err := r.coordinationState(env.ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, x := range listReleases(view) {
-		if x.plan.Name == name {
-			return &x, view, nil
+	for _, r := range listReleases(view) {
+		if r.plan.Name == name {
+			return &r, view, nil
 		}
 	}
 	return nil, nil, fmt.Errorf("there is no release %q", name)
 }
 
+// Run halts a release.
 func (c *fleetHaltCmd) Run(env *environment) error {
 	if _, _, err := c.findRelease(env, c.Name); err != nil {
 		return err
@@ -34,21 +36,23 @@
 	return c.haltRelease(env, c.Name, c.Reason)
 }
 
-// haltRelease halts a release; one that is halted stays so.
-func (r registryFlags) haltRelease(env *environment, name, why string) error {
-	answer, err := r.apply(env.ctx, release.HaltOp(name, why))
-	if err != nil && answer.Code != state.CodeConflict {
+// haltRelease halts a release. One that is halted stays so, with the reason that it has.
+func (r registryFlags) haltRelease(env *environment, name, reason string) error {
+	result, err := r.apply(env.ctx, release.HaltOp(name, reason))
+	if err != nil && result.Code != state.CodeConflict {
 		return err
 	}
 	fmt.Fprintf(env.stdout, "%s: nothing more of it begins; what has begun goes on to its end\n", name)
 	return nil
 }
 
+// fleetResumeCmd is "umberbank fleet resume".
 type fleetResumeCmd struct {
 	registryFlags
 	Name string `name:"name" arg:"" help:"The release."`
 }
 
+// Run lifts the halt of a release.
 func (c *fleetResumeCmd) Run(env *environment) error {
 	_, err := c.apply(env.ctx, state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + c.Name})
 	if err != nil {
@@ -58,11 +62,13 @@
 	return nil
 }
 
+// fleetRollbackCmd is "umberbank fleet rollback".
 type fleetRollbackCmd struct {
 	registryFlags
 	Name string `name:"name" arg:"" help:"The release."`
 }
 
+// Run halts a release and enters the plan that undoes it.
 func (c *fleetRollbackCmd) Run(env *environment) error {
 	if _, _, err := c.findRelease(env, c.Name); err != nil {
 		return err
@@ -70,14 +76,14 @@
 	if err := c.haltRelease(env, c.Name, "taken back"); err != nil {
 		return err
 	}
-	x, view, err := c.findRelease(env, c.Name) // what was asked for before the halt
+	halted, view, err := c.findRelease(env, c.Name) // read after the halt, so that the progress is final
 	if err != nil {
 		return err
 	}
-	b := release.RollbackPlan(&x.plan, x.progress)
-	if err := c.putPlan(env, b, view); err != nil {
+	plan := release.RollbackPlan(&halted.plan, halted.progress)
+	if err := c.putPlan(env, plan, view); err != nil {
 		return err
 	}
-	fmt.Fprintf(env.stdout, "%s: %d units are to go back\n", b.Name, len(b.Stages[0]))
+	fmt.Fprintf(env.stdout, "%s: %d units are to go back\n", plan.Name, len(plan.Stages[0]))
 	return nil
 }
--- a/cmd/umberbank/fleet_status.go
+++ b/cmd/umberbank/fleet_status.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"strings"
 	"text/tabwriter"
 
@@ -10,11 +11,13 @@
 	"umberbank/internal/registry/state"
 )
 
+// fleetStatusCmd is "umberbank fleet status".
 type fleetStatusCmd struct {
 	registryFlags
 	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
+// Run prints limits, unavailable units, permits and releases.
 func (c *fleetStatusCmd) Run(env *environment) error {
 	view, err := c.coordinationState(env.ctx)
 	if err != nil {
@@ -27,28 +30,21 @@
 		fmt.Fprintln(env.stdout, "no limits are set: nothing is counted, and there are no permits (umberbank fleet budget)")
 		return nil
 	}
-	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
+	return printCoordination(env.stdout, view)
+}
+
+// printCoordination prints the state as a table.
+func printCoordination(w io.Writer, view *state.CoordinationView) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "limit of\tcapacity\tout\tmay be out\t")
-	for _, u := range view.Usages {
-		over := ""
-		if u.Unavailable > u.Allowed {
-			over = "OVER"
-		}
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", u.Scope, u.Capacity, u.Unavailable, u.Allowed, over)
+	for _, usage := range view.Usages {
+		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", usage.Scope, usage.Capacity, usage.Unavailable, usage.Allowed, choose(usage.Unavailable > usage.Allowed, "OVER", ""))
 	}
-	for _, o := range view.Unavailable {
-		by := "by permit"
-		if !o.Permitted {
-			by = "without a permit"
-		}
-		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", o.Unit, 100*o.Share, o.Reason, by)
+	for _, unit := range view.Unavailable {
+		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", unit.Unit, 100*unit.Share, unit.Reason, choose(unit.Permitted, "by permit", "without a permit"))
 	}
-	for _, p := range view.Permits {
-		did := "not begun"
-		if p.Begun {
-			did = "begun"
-		}
-		fmt.Fprintf(t, "permit: %s\t%s\t%s\t%s\t%s\n", p.Unit, p.Holder, p.Plan, p.TargetVersion, did)
+	for _, permit := range view.Permits {
+		fmt.Fprintf(t, "permit: %s\t%s\t%s\t%s\t%s\n", permit.Unit, permit.Holder, permit.Plan, permit.TargetVersion, choose(permit.Begun, "begun", "not begun"))
 	}
 	if view.Leader != nil {
 		fmt.Fprintf(t, "controller: %s\t\t\t\t\n", view.Leader.Endpoint)
@@ -59,31 +55,44 @@
 	return t.Flush()
 }
 
+// choose returns one of two texts.
+func choose(condition bool, yes, no string) string {
+	if condition {
+		return yes
+	}
+	return no
+}
+
 // releaseRecord is a release as the registry holds it.
 type releaseRecord struct {
-	plan     release.Plan
-	progress release.Progress
-	halt     string
+	plan       release.Plan
+	progress   release.Progress
+	haltReason string // "": it is not halted
 }
 
-func listReleases(v *state.CoordinationView) (l []releaseRecord) {
-	view := release.View{Records: v.Records}
-	for _, r := range v.Records {
+// listReleases returns the releases among the records of a view.
+func listReleases(view *state.CoordinationView) []releaseRecord {
+	records := release.View{Records: view.Records}
+	var releases []releaseRecord
+	for _, r := range view.Records {
 		var x releaseRecord
-		if strings.HasPrefix(r.Key, release.PlanKeyPrefix) && json.Unmarshal(r.Value, &x.plan) == nil {
-			x.progress, x.halt = release.ProgressOf(view, x.plan.Name), release.HaltReason(view, x.plan.Name)
-			l = append(l, x)
+		if !strings.HasPrefix(r.Key, release.PlanKeyPrefix) || json.Unmarshal(r.Value, &x.plan) != nil {
+			continue
 		}
+		x.progress = release.ProgressOf(records, x.plan.Name)
+		x.haltReason = release.HaltReason(records, x.plan.Name)
+		releases = append(releases, x)
 	}
-	return l
+	return releases
 }
 
+// status describes how far the release has come.
 func (r releaseRecord) status() string {
 	switch {
 	case r.progress.Done:
 		return "done"
-	case r.halt != "":
-		return fmt.Sprintf("HALTED at stage %d of %d: %s", r.progress.Stage+1, len(r.plan.Stages), r.halt)
+	case r.haltReason != "":
+		return fmt.Sprintf("HALTED at stage %d of %d: %s", r.progress.Stage+1, len(r.plan.Stages), r.haltReason)
 	}
 	return fmt.Sprintf("stage %d of %d", r.progress.Stage+1, len(r.plan.Stages))
 }
--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -224,7 +224,7 @@
 		"fleet-trial.json":        encodings[fleettrial.Result](t, indented),
 		"fleet-trial-sum.json":    encodings[fleetFaultTestSummary](t, indented),
 		"fleet-trial-config.json": encodings[fleettrial.SettingsResult](t, indented),
-		"fleet-config-sum.json":   encodings[configFaultTestSummary](t, indented),
+		"fleet-config-sum.json":   encodings[settingsFaultTestSummary](t, indented),
 		"release-plan.json":       encodings[release.Plan](t, indented),
 		"release-progress.json":   encodings[release.Progress](t, indented),
 		"state-inspect.json":      encodings[fileReport](t, indented),
--- a/cmd/umberbank/lab.go
+++ b/cmd/umberbank/lab.go
@@ -9,6 +9,7 @@
 	"umberbank/labs"
 )
 
+// labCmd groups the commands of the lab.
 type labCmd struct {
 	Run     labRunCmd     `name:"run" cmd:"" help:"Play one scenario."`
 	Compare labCompareCmd `name:"compare" cmd:"" help:"Play two ways on the same seeds and tell the differences."`
--- a/cmd/umberbank/lab_check.go
+++ b/cmd/umberbank/lab_check.go
@@ -4,6 +4,7 @@
 	"fmt"
 )
 
+// labCheckCmd is "umberbank lab check".
 type labCheckCmd struct {
 	Files []string `arg:"" name:"file" help:"Scenarios (TOML)."`
 }
@@ -13,6 +14,7 @@
 	return "A fault is shown on one line: file, line, key and reason.\n\nExample:\n  umberbank lab check labs/*.toml"
 }
 
+// Run checks each scenario and prints what is wrong with it.
 func (c *labCheckCmd) Run(env *environment) error {
 	var bad error
 	for _, f := range c.Files {
--- a/cmd/umberbank/lab_compare.go
+++ b/cmd/umberbank/lab_compare.go
@@ -54,6 +54,7 @@
 	return s, nil
 }
 
+// labCompareCmd is "umberbank lab compare".
 type labCompareCmd struct {
 	A         string        `name:"a" arg:"" help:"One way of playing: words for a file, keys, clock=virtual, node=COMMAND (its parts joined by commas). \"\": the default scenario."`
 	B         string        `name:"b" arg:"" help:"The other."`
@@ -89,6 +90,7 @@
 	Differences []compare.Difference `json:"differences"`
 }
 
+// Run plays all variants on the same seeds and prints the differences.
 func (c *labCompareCmd) Run(env *environment) error {
 	if c.Seeds < 1 {
 		return fmt.Errorf("--seeds: %d is below 1", c.Seeds)
--- a/cmd/umberbank/lab_cost.go
+++ b/cmd/umberbank/lab_cost.go
@@ -11,6 +11,7 @@
 	"umberbank/internal/lab/cost"
 )
 
+// labCostCmd is "umberbank lab cost".
 type labCostCmd struct {
 	Duration time.Duration `name:"duration" aliases:"for" help:"How long each measurement lasts." default:"3s"`
 	Node     string        `name:"node" help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
@@ -31,6 +32,7 @@
   umberbank lab cost --rate 391 --servers 31,920 --duration 10s`
 }
 
+// Run measures the cost of a node for each number of servers.
 func (c *labCostCmd) Run(env *environment) error {
 	if c.Duration <= 0 {
 		return fmt.Errorf("--duration: %v is not above 0", c.Duration)
@@ -102,6 +104,7 @@
 	Stats   string   `name:"stats" hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
 }
 
+// Run serves until the context ends.
 func (c *labBareRelayCmd) Run(env *environment) error {
 	if c.Stats != "" {
 		cost.Watch(c.Stats)
--- a/cmd/umberbank/lab_report.go
+++ b/cmd/umberbank/lab_report.go
@@ -10,6 +10,7 @@
 	"umberbank/internal/lab/report"
 )
 
+// labReportCmd is "umberbank lab report".
 type labReportCmd struct {
 	Result string `name:"result" arg:"" help:"A result, as lab run --output keeps it."`
 	Output string `name:"output" aliases:"out" help:"The page; none: the result's name with .html." placeholder:"FILE"`
@@ -26,6 +27,7 @@
   umberbank lab report partition.json`
 }
 
+// Run writes the page for a result.
 func (c *labReportCmd) Run(env *environment) error {
 	f, err := os.Open(c.Result)
 	if err != nil {
--- a/cmd/umberbank/lab_run.go
+++ b/cmd/umberbank/lab_run.go
@@ -13,6 +13,7 @@
 	"umberbank/internal/lab"
 )
 
+// labRunCmd is "umberbank lab run".
 type labRunCmd struct {
 	scenarioFlags
 	File     string `name:"file" arg:"" optional:"" help:"The scenario (TOML); none: the default one, which is built in."`
@@ -37,6 +38,7 @@
   umberbank lab run --node "bin/umberbank-node"`
 }
 
+// Run plays a scenario, prints the result, and fails if an expectation was missed.
 func (c *labRunCmd) Run(env *environment) error {
 	sc, err := c.load(c.File)
 	if err != nil {
--- a/cmd/umberbank/lab_scale.go
+++ b/cmd/umberbank/lab_scale.go
@@ -9,6 +9,7 @@
 	"umberbank/internal/lab/scale"
 )
 
+// labScaleCmd is "umberbank lab scale".
 type labScaleCmd struct {
 	Nodes []int  `name:"nodes" help:"Sizes, rising." default:"115,230,460,920" placeholder:"N,N,..."`
 	Plays int    `name:"plays" help:"Plays of each size." default:"3"`
@@ -30,6 +31,7 @@
   umberbank lab scale --check docs/CAPACITY.md`
 }
 
+// Run measures the control plane at each size, or checks a page of earlier figures.
 func (c *labScaleCmd) Run(env *environment) error {
 	if c.Check != "" {
 		text, err := os.ReadFile(c.Check)
--- a/cmd/umberbank/main.go
+++ b/cmd/umberbank/main.go
@@ -1,4 +1,6 @@
-// Command umberbank is the whole product on one command line: the node, and the lab that tries fleets of them.
+// Command umberbank is the whole product on one command line: it runs a node, a replica of the registry, a controller or an
+// agent, reads and changes what they hold, and plays scenarios on fleets of them in the lab. Each file of the package is one
+// command. Names and defaults of commands and flags are an interface that scripts rely on: see testdata/commands.golden.
 package main
 
 import (
@@ -18,11 +20,11 @@
 // Exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1
-	exitError  = 2
+	exitFailed = 1 // the command ran, and something that it checks does not hold
+	exitError  = 2 // the command line is wrong, or the command could not run
 )
 
-// errCheckFailed says that a run was played and something did not hold, which has been printed.
+// errCheckFailed makes the exit code exitFailed. The command has printed what does not hold.
 var errCheckFailed = errors.New("not held")
 
 // cli is the command line.
@@ -39,7 +41,7 @@
 	Version  versionCmd  `name:"version" cmd:"" help:"Say which version this is."`
 }
 
-// environment is what commands work with.
+// environment is what commands run in. ctx ends at SIGTERM and interrupt.
 type environment struct {
 	ctx            context.Context
 	stdout, stderr io.Writer
@@ -63,47 +65,61 @@
 	os.Exit(code)
 }
 
-// exitRequest carries kong's wish to end, as after --help.
+// exitRequest is the panic by which kong's exit function ends a run, as after --help.
 type exitRequest int
 
-// run carries out one command line and returns the exit code.
-func run(ctx context.Context, args []string, out, errOut io.Writer) (code int) {
+// run runs the command that args name and returns the exit code.
+func run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		if e, is := recover().(exitRequest); is {
+		if e, ok := recover().(exitRequest); ok {
 			code = int(e)
 		} else if r := recover(); r != nil {
 			panic(r)
 		}
 	}()
 	var c cli
-	parser, err := kong.New(&c, kong.Name("umberbank"), kong.Description(description), kong.UsageOnError(), kong.Writers(out, errOut),
-		kong.Exit(func(n int) {
-			if n != 0 {
-				n = exitError
-			}
-			panic(exitRequest(n))
-		}))
+	parser, err := newParser(&c, stdout, stderr)
 	if err != nil {
-		fmt.Fprintln(errOut, "umberbank:", err)
+		fmt.Fprintln(stderr, "umberbank:", err)
 		return exitError
 	}
-	parsed, err := parser.Parse(args)
+	command, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(errOut, "umberbank: %v (see umberbank --help)\n", err)
+		fmt.Fprintf(stderr, "umberbank: %v (see umberbank --help)\n", err)
 		return exitError
 	}
-	opts := &slog.HandlerOptions{Level: c.LogLevel}
-	var handler slog.Handler = slog.NewTextHandler(errOut, opts)
-	if c.LogFormat == "json" {
-		handler = slog.NewJSONHandler(errOut, opts)
-	}
-	switch err := parsed.Run(&environment{ctx: ctx, stdout: out, stderr: errOut, log: slog.New(handler)}); {
+	err = command.Run(&environment{ctx: ctx, stdout: stdout, stderr: stderr, log: c.logger(stderr)})
+	switch {
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errCheckFailed):
 		return exitFailed
 	default:
-		fmt.Fprintln(errOut, "umberbank:", strings.TrimSpace(err.Error()))
+		fmt.Fprintln(stderr, "umberbank:", strings.TrimSpace(err.Error()))
 		return exitError
 	}
 }
+
+// newParser returns a parser of command lines into c.
+func newParser(c *cli, stdout, stderr io.Writer) (*kong.Kong, error) {
+	return kong.New(c,
+		kong.Name("umberbank"),
+		kong.Description(description),
+		kong.UsageOnError(),
+		kong.Writers(stdout, stderr),
+		kong.Exit(func(code int) {
+			if code != 0 {
+				code = exitError
+			}
+			panic(exitRequest(code))
+		}))
+}
+
+// logger returns the log that the flags ask for.
+func (c *cli) logger(w io.Writer) *slog.Logger {
+	options := &slog.HandlerOptions{Level: c.LogLevel}
+	if c.LogFormat == "json" {
+		return slog.New(slog.NewJSONHandler(w, options))
+	}
+	return slog.New(slog.NewTextHandler(w, options))
+}
--- a/cmd/umberbank/node.go
+++ b/cmd/umberbank/node.go
@@ -9,6 +9,7 @@
 	"umberbank/internal/node"
 )
 
+// nodeCmd is "umberbank node".
 type nodeCmd struct {
 	Stats string `name:"stats" hidden:"" help:"Write what was used between SIGUSR1 and SIGUSR2 here."`
 }
@@ -22,6 +23,7 @@
   ROUTER_CONFIG=config.json umberbank node`
 }
 
+// Run runs a node until the context ends.
 func (c *nodeCmd) Run(env *environment) error {
 	if c.Stats != "" {
 		cost.Watch(c.Stats)
--- a/cmd/umberbank/output.go
+++ b/cmd/umberbank/output.go
@@ -10,6 +10,7 @@
 	"github.com/mattn/go-isatty"
 )
 
+// writeJSON writes a value to a file as indented JSON.
 func writeJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -18,10 +19,10 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// progress writes one line over and over where somebody looks, else nothing.
+// progress returns a function that rewrites one line of progress; nil if w is no terminal.
 func progress(w io.Writer, name string) func(done, total time.Duration) {
-	f, is := w.(*os.File)
-	if !is || !isatty.IsTerminal(f.Fd()) {
+	f, ok := w.(*os.File)
+	if !ok || !isatty.IsTerminal(f.Fd()) {
 		return nil
 	}
 	return func(done, total time.Duration) {
--- a/cmd/umberbank/registry_backup.go
+++ b/cmd/umberbank/registry_backup.go
@@ -3,29 +3,34 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"os"
 
 	"umberbank/internal/registry/state"
 )
 
+// registryBackupCmd is "umberbank registry backup".
 type registryBackupCmd struct {
 	registryFlags
 	File string `name:"file" arg:"" help:"Where to."`
 }
 
+// Run writes a backup to a file.
 func (c *registryBackupCmd) Run(env *environment) error {
 	var text json.RawMessage
-	if err := c.call(env.ctx, "GET", "/registry/backup", nil, &text); err != nil {
+	if err := c.call(env.ctx, http.MethodGet, "/registry/backup", nil, &text); err != nil {
 		return err
 	}
 	return os.WriteFile(c.File, text, 0o600)
 }
 
+// registryRestoreCmd is "umberbank registry restore".
 type registryRestoreCmd struct {
 	registryFlags
 	File string `name:"file" arg:"" help:"A backup."`
 }
 
+// Run replaces what the registry holds by a backup.
 func (c *registryRestoreCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -34,5 +39,5 @@
 	if _, err := state.Load(text); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.call(env.ctx, "POST", "/registry/restore", json.RawMessage(text), &struct{}{})
+	return c.call(env.ctx, http.MethodPost, "/registry/restore", json.RawMessage(text), &struct{}{})
 }
--- a/cmd/umberbank/registry_bench.go
+++ b/cmd/umberbank/registry_bench.go
@@ -11,6 +11,7 @@
 	"umberbank/internal/registry/bench"
 )
 
+// registryBenchCmd is "umberbank registry bench".
 type registryBenchCmd struct {
 	Instances int    `name:"instances" help:"Servers in the list." default:"10000"`
 	Watches   int    `name:"watches" help:"Watchers of it." default:"2000"`
@@ -30,6 +31,7 @@
   umberbank registry bench --list-sizes 10,100,1000,10000 --watches 200 --plot change.svg`
 }
 
+// Run measures a registry and prints the figures.
 func (c *registryBenchCmd) Run(env *environment) error {
 	if len(c.ListSizes) > 0 {
 		return c.benchListSizes(env)
--- /dev/null
+++ b/cmd/umberbank/registry_client.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"umberbank/internal/coordination/controller"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+)
+
+// registryFlags select the registry that a command talks to.
+type registryFlags struct {
+	Endpoints []string      `name:"endpoints" aliases:"at" help:"Replicas, as host:port; any that answers will do." default:"127.0.0.1:7400"`
+	Timeout   time.Duration `name:"timeout" aliases:"within" help:"How long to try." default:"5s"`
+}
+
+// withClient calls do with a client of the registry and a context that ends after the timeout.
+func (r registryFlags) withClient(ctx context.Context, do func(context.Context, *client.Client) error) error {
+	c, err := client.New(client.Options{Endpoints: r.Endpoints})
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
+	defer cancel()
+	return do(ctx, c)
+}
+
+// call makes one call of the registry's API.
+func (r registryFlags) call(ctx context.Context, method, path string, body, into any) error {
+	return r.withClient(ctx, func(ctx context.Context, c *client.Client) error {
+		return c.Call(ctx, method, path, body, into)
+	})
+}
+
+// coordinationState returns the coordination state of the site.
+func (r registryFlags) coordinationState(ctx context.Context) (view *state.CoordinationView, err error) {
+	err = r.withClient(ctx, func(ctx context.Context, c *client.Client) error {
+		view, err = controller.ReadView(ctx, c)
+		return err
+	})
+	return view, err
+}
+
+// applyAll makes writes and returns the result of each.
+func (r registryFlags) applyAll(ctx context.Context, ops ...state.Op) (results []state.Result, err error) {
+	err = r.withClient(ctx, func(ctx context.Context, c *client.Client) error {
+		results, err = c.Write(ctx, ops...)
+		return err
+	})
+	return results, err
+}
+
+// apply makes one write. If the registry rejects it the result has the code, and the error says why.
+func (r registryFlags) apply(ctx context.Context, op state.Op) (state.Result, error) {
+	results, err := r.applyAll(ctx, op)
+	if err != nil {
+		return state.Result{}, err
+	}
+	return results[0], results[0].Err()
+}
+
+// writeInstances makes writes and prints the result of each. It returns errCheckFailed if the registry rejected one.
+func (r registryFlags) writeInstances(env *environment, ops ...state.Op) error {
+	results, err := r.applyAll(env.ctx, ops...)
+	if err != nil {
+		return err
+	}
+	failed := false
+	for i, result := range results {
+		uid := ops[i].UID
+		if ops[i].Instance != nil {
+			uid = ops[i].Instance.UID
+		}
+		if result.Code != "" {
+			failed = true
+			fmt.Fprintf(env.stdout, "%s: %s\n", uid, result.Code)
+		} else {
+			fmt.Fprintf(env.stdout, "%s: done at revision %d\n", uid, result.Revision)
+		}
+	}
+	if failed {
+		return errCheckFailed
+	}
+	return nil
+}
--- a/cmd/umberbank/registry_faulttest.go
+++ b/cmd/umberbank/registry_faulttest.go
@@ -4,11 +4,11 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"strings"
 
 	"umberbank/internal/registry/faulttest"
 )
 
+// registryFaultTestCmd is "umberbank registry fault-test".
 type registryFaultTestCmd struct {
 	Runs     int    `name:"runs" help:"How many runs, each with a seed of its own." default:"20"`
 	Seed     uint64 `name:"seed" help:"The first seed." default:"1"`
@@ -27,13 +27,14 @@
   umberbank registry fault-test --runs 200`
 }
 
+// Run runs the fault-injection tests and prints their results.
 func (c *registryFaultTestCmd) Run(env *environment) error {
 	results, err := runMany(env, c.Runs, c.Parallel, func(ctx context.Context, i int) (*faulttest.Result, error) {
-		n := c.Replicas
-		if n == 0 {
-			n = 3 + 2*(i%2)
+		replicas := c.Replicas
+		if replicas == 0 {
+			replicas = 3 + 2*(i%2) // three and five in turn
 		}
-		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Replicas: n})
+		return faulttest.Run(ctx, faulttest.Options{Seed: c.Seed + uint64(i), Replicas: replicas})
 	})
 	if err != nil {
 		return err
@@ -41,30 +42,43 @@
 	return c.print(env, results)
 }
 
+// registryFaultTestSummary sums up runs.
+type registryFaultTestSummary struct {
+	runs, failed, faults         int
+	writes, unknownWrites, reads int
+	watchEvents                  int
+	maxRecoverySeconds           float64
+}
+
+func (s *registryFaultTestSummary) add(r *faulttest.Result) {
+	s.runs++
+	s.faults += len(r.Faults)
+	s.writes += r.Writes
+	s.unknownWrites += r.UnknownWrites
+	s.reads += r.Reads
+	s.watchEvents += r.WatchEvents
+	s.maxRecoverySeconds = max(s.maxRecoverySeconds, r.RecoverySeconds)
+	if len(r.Violations) > 0 {
+		s.failed++
+	}
+}
+
+// print prints the runs as JSON, or what they violated and a summary.
 func (c *registryFaultTestCmd) print(env *environment, results []*faulttest.Result) error {
-	var sum faulttest.Result
-	failed, faults, worst := 0, 0, 0.0
+	var summary registryFaultTestSummary
 	for _, r := range results {
-		if c.JSON {
-			if err := json.NewEncoder(env.stdout).Encode(r); err != nil {
-				return err
-			}
-		}
-		sum.Writes, sum.UnknownWrites, sum.Reads, sum.WatchEvents = sum.Writes+r.Writes, sum.UnknownWrites+r.UnknownWrites, sum.Reads+r.Reads, sum.WatchEvents+r.WatchEvents
-		faults += len(r.Faults)
-		worst = max(worst, r.RecoverySeconds)
-		if len(r.Violations) > 0 {
-			failed++
-			if !c.JSON {
-				fmt.Fprintf(env.stdout, "BROKEN seed %d: %s\n  after %s\n", r.Seed, strings.Join(r.Violations, "; "), strings.Join(r.Faults, ", "))
-			}
+		summary.add(r)
+		if !c.JSON {
+			printViolations(env.stdout, r.Seed, r.Violations, r.Faults)
+		} else if err := json.NewEncoder(env.stdout).Encode(r); err != nil {
+			return err
 		}
 	}
 	if !c.JSON {
 		fmt.Fprintf(env.stdout, "%d runs, %d failed; %d faults, %d writes (%d without an answer), %d consistent reads, %d states of watchers; back within %.1f s\n",
-			len(results), failed, faults, sum.Writes, sum.UnknownWrites, sum.Reads, sum.WatchEvents, worst)
+			summary.runs, summary.failed, summary.faults, summary.writes, summary.unknownWrites, summary.reads, summary.watchEvents, summary.maxRecoverySeconds)
 	}
-	if failed > 0 {
+	if summary.failed > 0 {
 		return errCheckFailed
 	}
 	return nil
--- a/cmd/umberbank/registry_get.go
+++ b/cmd/umberbank/registry_get.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"net/http"
 	"slices"
 	"text/tabwriter"
 
@@ -12,13 +14,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// instanceList is a list as the registry gives it.
+// instanceList is the registry's answer with instances.
 type instanceList struct {
-	Rev     int64             `json:"rev"`
-	All     bool              `json:"all"`
-	Targets []*state.Instance `json:"targets"`
+	Revision  int64             `json:"rev"`
+	Complete  bool              `json:"all"` // all instances of the registry are in it
+	Instances []*state.Instance `json:"targets"`
 }
 
+// registryGetCmd is "umberbank registry get".
 type registryGetCmd struct {
 	registryFlags
 	UIDs        []string `arg:"" optional:"" name:"uid" help:"Only these."`
@@ -27,6 +30,7 @@
 	JSON        bool     `name:"json" help:"Print one JSON object."`
 }
 
+// Run prints the instances. It fails if one that was named is missing.
 func (c *registryGetCmd) Run(env *environment) error {
 	path := "/registry/instances?"
 	if c.Consistent {
@@ -35,40 +39,46 @@
 	if c.MinRevision > 0 {
 		path += fmt.Sprintf("at_least=%d", c.MinRevision)
 	}
-	var l instanceList
-	if err := c.call(env.ctx, "GET", path, nil, &l); err != nil {
+	var list instanceList
+	if err := c.call(env.ctx, http.MethodGet, path, nil, &list); err != nil {
 		return err
 	}
 	if len(c.UIDs) > 0 {
-		l.Targets = slices.DeleteFunc(l.Targets, func(e *state.Instance) bool { return !slices.Contains(c.UIDs, e.UID) })
-		l.All = false
+		list.Instances = slices.DeleteFunc(list.Instances, func(e *state.Instance) bool { return !slices.Contains(c.UIDs, e.UID) })
+		list.Complete = false
 	}
 	if c.JSON {
-		return json.NewEncoder(env.stdout).Encode(l)
+		return json.NewEncoder(env.stdout).Encode(list)
 	}
-	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "uid\tendpoint\tzone\track\tkind\tstate\tcapacity\tlease ms\trevision\t")
-	for _, e := range l.Targets {
-		st := e.State
-		if e.Suspect {
-			st += " (suspect)"
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%.4g\t%d\t%d\t\n", e.UID, e.Endpoint, e.Zone, e.Rack, e.Kind, st, e.Capacity, e.TTLMS, e.ModRevision)
-	}
-	if err := t.Flush(); err != nil {
+	if err := printInstances(env.stdout, list.Instances); err != nil {
 		return err
 	}
-	if len(l.Targets) < len(c.UIDs) {
+	if len(list.Instances) < len(c.UIDs) {
 		return errCheckFailed
 	}
 	return nil
 }
 
+func printInstances(w io.Writer, instances []*state.Instance) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "uid\tendpoint\tzone\track\tkind\tstate\tcapacity\tlease ms\trevision\t")
+	for _, e := range instances {
+		status := e.State
+		if e.Suspect {
+			status += " (suspect)"
+		}
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%.4g\t%d\t%d\t\n", e.UID, e.Endpoint, e.Zone, e.Rack, e.Kind, status, e.Capacity, e.TTLMS, e.ModRevision)
+	}
+	return t.Flush()
+}
+
+// registryWatchCmd is "umberbank registry watch".
 type registryWatchCmd struct {
 	registryFlags
 	Count int `name:"count" help:"End after so many changes; 0: never." default:"0"`
 }
 
+// Run prints a line for each change until the context ends.
 func (c *registryWatchCmd) Run(env *environment) error {
 	r, err := client.NewWatcher(client.Options{Endpoints: c.Endpoints})
 	if err != nil {
--- a/cmd/umberbank/registry_members.go
+++ b/cmd/umberbank/registry_members.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
+	"net/http"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -10,6 +12,7 @@
 	"umberbank/internal/registry/replica"
 )
 
+// registryMembersCmd is "umberbank registry members".
 type registryMembersCmd struct {
 	registryFlags
 	Add    string `name:"add" help:"Take a replica in: ID,RAFT,ADDRESS." placeholder:"ID,RAFT,ADDRESS"`
@@ -21,41 +24,50 @@
 	return "Replace one at a time: take the new one in, then the old one out.\n\nExample:\n  umberbank registry members --add r4,10.0.0.4:7401,10.0.0.4:7400"
 }
 
+// Run adds or removes a replica, or prints the members.
 func (c *registryMembersCmd) Run(env *environment) error {
-	change := map[string]any{}
+	change := memberChange{Remove: c.Remove}
 	if c.Add != "" {
-		p := strings.Split(c.Add, ",")
-		if len(p) != 3 {
-			return fmt.Errorf("--add: %q is no ID,RAFT,ADDRESS", c.Add)
+		peer, err := parsePeer(c.Add)
+		if err != nil {
+			return err
 		}
-		change["add"] = replica.Peer{ID: p[0], RaftAddress: p[1], ClientAddress: p[2]}
+		change.Add = peer
 	}
-	if c.Remove != "" {
-		change["remove"] = c.Remove
-	}
-	if len(change) > 1 {
+	switch {
+	case change.Add != nil && change.Remove != "":
 		return errors.New("one replica at a time: --add or --remove")
+	case change.Add != nil || change.Remove != "":
+		return c.call(env.ctx, http.MethodPost, "/registry/members", change, &struct{}{})
 	}
-	if len(change) == 1 {
-		return c.call(env.ctx, "POST", "/registry/members", change, &struct{}{})
+	return c.print(env)
+}
+
+// memberChange is the body of the call that changes the members.
+type memberChange struct {
+	Add    *replica.Peer `json:"add,omitempty"`
+	Remove string        `json:"remove,omitempty"`
+}
+
+// parsePeer parses ID,RAFT,ADDRESS.
+func parsePeer(text string) (*replica.Peer, error) {
+	parts := strings.Split(text, ",")
+	if len(parts) != 3 {
+		return nil, fmt.Errorf("--add: %q is no ID,RAFT,ADDRESS", text)
 	}
-	var st replica.Status
-	if err := c.call(env.ctx, "GET", "/registry/status", nil, &st); err != nil {
+	return &replica.Peer{ID: parts[0], RaftAddress: parts[1], ClientAddress: parts[2]}, nil
+}
+
+// print prints the members.
+func (c *registryMembersCmd) print(env *environment) error {
+	var status replica.Status
+	if err := c.call(env.ctx, http.MethodGet, "/registry/status", nil, &status); err != nil {
 		return err
 	}
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "replica\traft\taddress\tleads\t")
-	for _, id := range sortedKeys(st.RaftAddresses) {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t\n", id, st.RaftAddresses[id], st.ClientAddresses[id], id == st.LeaderID)
+	for _, id := range slices.Sorted(maps.Keys(status.RaftAddresses)) {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t\n", id, status.RaftAddresses[id], status.ClientAddresses[id], id == status.LeaderID)
 	}
 	return t.Flush()
 }
-
-func sortedKeys(m map[string]string) []string {
-	var l []string
-	for k := range m {
-		l = append(l, k)
-	}
-	slices.Sort(l)
-	return l
-}
--- a/cmd/umberbank/registry_serve.go
+++ b/cmd/umberbank/registry_serve.go
@@ -6,6 +6,7 @@
 	"umberbank/internal/registry/replica"
 )
 
+// registryServeCmd is "umberbank registry serve".
 type registryServeCmd struct {
 	Config string `name:"config" help:"The replica's configuration (TOML); none: a whole registry on this machine's loopback, data in ./umberbank-registry." placeholder:"FILE"`
 }
@@ -20,6 +21,7 @@
   umberbank registry serve --config r1.toml`
 }
 
+// Run runs a replica until the context ends.
 func (c *registryServeCmd) Run(env *environment) error {
 	return replica.Serve(env.ctx, c.Config, env.log, func(address string) { fmt.Fprintf(env.stdout, "serving on %s\n", address) })
 }
--- a/cmd/umberbank/registry_servers.go
+++ b/cmd/umberbank/registry_servers.go
@@ -9,6 +9,7 @@
 	"umberbank/internal/registry/state"
 )
 
+// registryPutCmd is "umberbank registry put".
 type registryPutCmd struct {
 	registryFlags
 	File string `name:"file" arg:"" help:"Entries as JSON, one or a list: uid, endpoint, az, model, pod_group, state, capacity_hint, boot_ms. Without ttl_ms they stay until they are removed."`
@@ -19,6 +20,7 @@
 	return "Example:\n  echo '{\"uid\":\"s1\",\"endpoint\":\"10.1.0.18:3000\",\"az\":\"a\",\"state\":\"SERVING\",\"capacity_hint\":1}' > s1.json\n  umberbank registry put s1.json"
 }
 
+// Run registers the instances of a file.
 func (c *registryPutCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -41,15 +43,17 @@
 		}
 		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
 	}
-	return c.write(env, ops...)
+	return c.writeInstances(env, ops...)
 }
 
+// registryDrainCmd is "umberbank registry drain".
 type registryDrainCmd struct {
 	registryFlags
 	UIDs []string `arg:"" name:"uid" help:"The servers."`
 	Undo bool     `name:"undo" aliases:"off" help:"Let them serve again."`
 }
 
+// Run drains servers, or lets them serve again.
 func (c *registryDrainCmd) Run(env *environment) error {
 	var ops []state.Op
 	for _, uid := range c.UIDs {
@@ -59,18 +63,20 @@
 		}
 		ops = append(ops, op)
 	}
-	return c.write(env, ops...)
+	return c.writeInstances(env, ops...)
 }
 
+// registryRemoveCmd is "umberbank registry remove".
 type registryRemoveCmd struct {
 	registryFlags
 	UIDs []string `arg:"" name:"uid" help:"The servers."`
 }
 
+// Run removes servers.
 func (c *registryRemoveCmd) Run(env *environment) error {
 	var ops []state.Op
 	for _, uid := range c.UIDs {
 		ops = append(ops, state.Op{Kind: state.OpRemove, UID: uid})
 	}
-	return c.write(env, ops...)
+	return c.writeInstances(env, ops...)
 }
--- a/cmd/umberbank/registry_status.go
+++ b/cmd/umberbank/registry_status.go
@@ -4,16 +4,19 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"text/tabwriter"
 
 	"umberbank/internal/registry/replica"
 )
 
+// registryStatusCmd is "umberbank registry status".
 type registryStatusCmd struct {
 	registryFlags
 	JSON bool `name:"json" help:"Print one JSON object for each replica."`
 }
 
+// Run prints the status of each replica.
 func (c *registryStatusCmd) Run(env *environment) error {
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
 	if !c.JSON {
@@ -23,7 +26,7 @@
 	for _, at := range c.Endpoints {
 		var st replica.Status
 		one := registryFlags{Endpoints: []string{at}, Timeout: c.Timeout}
-		if err := one.call(env.ctx, "GET", "/registry/status", nil, &st); err != nil {
+		if err := one.call(env.ctx, http.MethodGet, "/registry/status", nil, &st); err != nil {
 			failed = fmt.Errorf("%s: %w", at, err)
 			fmt.Fprintf(t, "?\t%s\tdoes not answer\t\n", at)
 			continue
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,44 +13,50 @@
 	"umberbank/internal/node/snapshotter"
 )
 
+// stateCmd groups the commands for state files.
 type stateCmd struct {
 	Inspect stateInspectCmd `name:"inspect" cmd:"" help:"Show what a file of state holds."`
 	Verify  stateVerifyCmd  `name:"verify" cmd:"" help:"Say which files of state are whole."`
 	Repair  stateRepairCmd  `name:"repair" cmd:"" help:"Move damaged files out of a folder of state; nothing is deleted."`
 }
 
-// fileReport is what is said of one file.
+// fileReport describes a state file.
 type fileReport struct {
-	File   string          `json:"file"`
-	Kind   string          `json:"kind,omitempty"`
-	Schema uint32          `json:"schema,omitempty"`
-	Seq    uint64          `json:"number,omitempty"`
-	Taken  time.Time       `json:"taken,omitzero"`
-	Bytes  int             `json:"bytes,omitempty"`
-	Holds  json.RawMessage `json:"holds,omitempty"`
-	Fault  string          `json:"fault,omitempty"` // "": it is whole
+	File     string          `json:"file"`
+	Kind     string          `json:"kind,omitempty"`
+	Schema   uint32          `json:"schema,omitempty"`
+	Sequence uint64          `json:"number,omitempty"`
+	Taken    time.Time       `json:"taken,omitzero"`
+	Bytes    int             `json:"bytes,omitempty"` // of its payload
+	Content  json.RawMessage `json:"holds,omitempty"` // the payload, if it can be shown
+	Damage   string          `json:"fault,omitempty"` // why the file cannot be used; "": it is intact
 }
 
-// inspectFile reads a file; the payload of a kind that is known is read too.
+// inspectFile reads a state file, and its payload if it is of a known kind.
 func inspectFile(path string) fileReport {
-	f := fileReport{File: path}
-	s, err := durable.ReadFile(path)
+	report := fileReport{File: path}
+	snapshot, err := durable.ReadFile(path)
 	if err != nil {
-		f.Fault = strings.TrimPrefix(err.Error(), path+": ")
-		return f
+		report.Damage = strings.TrimPrefix(err.Error(), path+": ")
+		return report
 	}
-	f.Kind, f.Schema, f.Seq, f.Taken, f.Bytes = s.Kind, s.Schema, s.Seq, s.Taken.UTC(), len(s.Payload)
+	report.Kind = snapshot.Kind
+	report.Schema = snapshot.Schema
+	report.Sequence = snapshot.Seq
+	report.Taken = snapshot.Taken.UTC()
+	report.Bytes = len(snapshot.Payload)
 	switch {
-	case s.Kind == snapshotter.Kind:
-		if f.Holds, err = snapshotter.Describe(s); err != nil {
-			f.Fault = err.Error()
+	case snapshot.Kind == snapshotter.Kind:
+		if report.Content, err = snapshotter.Describe(snapshot); err != nil {
+			report.Damage = err.Error()
 		}
-	case json.Valid(s.Payload):
-		f.Holds = s.Payload
+	case json.Valid(snapshot.Payload):
+		report.Content = snapshot.Payload
 	}
-	return f
+	return report
 }
 
+// stateInspectCmd is "umberbank state inspect".
 type stateInspectCmd struct {
 	File string `name:"file" arg:"" help:"A file of state, such as node-0000000000000007.state or the cache of a registry's list."`
 	JSON bool   `name:"json" help:"Print one JSON object."`
@@ -60,19 +67,21 @@
 	return "Example:\n  umberbank state inspect /var/lib/balancer/node-0000000000000007.state"
 }
 
+// Run prints the content of a state file.
 func (c *stateInspectCmd) Run(env *environment) error {
-	f := inspectFile(c.File)
-	if f.Fault != "" {
-		return fmt.Errorf("%s: %s", c.File, f.Fault)
+	report := inspectFile(c.File)
+	if report.Damage != "" {
+		return fmt.Errorf("%s: %s", c.File, report.Damage)
 	}
 	if c.JSON {
-		return json.NewEncoder(env.stdout).Encode(f)
+		return json.NewEncoder(env.stdout).Encode(report)
 	}
-	_, err := fmt.Fprintf(env.stdout, "%s\nkind %s, form %d, number %d, taken %s, %d bytes\n%s\n", f.File, f.Kind, f.Schema, f.Seq,
-		f.Taken.Format(time.RFC3339Nano), f.Bytes, f.Holds)
+	_, err := fmt.Fprintf(env.stdout, "%s\nkind %s, form %d, number %d, taken %s, %d bytes\n%s\n", report.File, report.Kind, report.Schema, report.Sequence,
+		report.Taken.Format(time.RFC3339Nano), report.Bytes, report.Content)
 	return err
 }
 
+// stateVerifyCmd is "umberbank state verify".
 type stateVerifyCmd struct {
 	Paths []string `arg:"" name:"path" help:"Files of state, or folders of them."`
 	JSON  bool     `name:"json" help:"Print one JSON object for each file."`
@@ -83,41 +92,48 @@
 	return "Exit codes: 0 all are whole, 1 some are not, 2 one could not be read.\n\nExample:\n  umberbank state verify /var/lib/balancer"
 }
 
+// Run prints for each state file whether it is intact.
 func (c *stateVerifyCmd) Run(env *environment) error {
-	bad := error(nil)
-	for _, p := range c.Paths {
-		files, err := stateFiles(p)
+	var result error
+	for _, path := range c.Paths {
+		files, err := stateFiles(path)
 		if err != nil {
 			return err
 		}
-		for _, path := range files {
-			f := inspectFile(path)
-			f.Holds = nil
-			if f.Fault != "" {
-				bad = errCheckFailed
+		for _, file := range files {
+			report := inspectFile(file)
+			if report.Damage != "" {
+				result = errCheckFailed
 			}
-			if c.JSON {
-				err = json.NewEncoder(env.stdout).Encode(f)
-			} else if f.Fault != "" {
-				_, err = fmt.Fprintf(env.stdout, "%s: DAMAGED: %s\n", path, f.Fault)
-			} else {
-				_, err = fmt.Fprintf(env.stdout, "%s: whole: kind %s, number %d, %d bytes of %s\n", path, f.Kind, f.Seq, f.Bytes, f.Taken.Format(time.RFC3339))
-			}
-			if err != nil {
+			if err := c.print(env.stdout, report); err != nil {
 				return err
 			}
 		}
 	}
-	return bad
+	return result
+}
+
+// print prints a file's report without its content.
+func (c *stateVerifyCmd) print(w io.Writer, report fileReport) error {
+	if c.JSON {
+		report.Content = nil
+		return json.NewEncoder(w).Encode(report)
+	}
+	if report.Damage != "" {
+		_, err := fmt.Fprintf(w, "%s: DAMAGED: %s\n", report.File, report.Damage)
+		return err
+	}
+	_, err := fmt.Fprintf(w, "%s: whole: kind %s, number %d, %d bytes of %s\n", report.File, report.Kind, report.Sequence, report.Bytes, report.Taken.Format(time.RFC3339))
+	return err
 }
 
-// stateFiles are the files of state in a folder, or the file itself.
+// stateFiles returns the state files in a directory, or the file itself.
 func stateFiles(path string) ([]string, error) {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !st.IsDir() {
+	if !info.IsDir() {
 		return []string{path}, nil
 	}
 	return filepath.Glob(filepath.Join(path, "*"+durable.SnapshotSuffix))
--- a/cmd/umberbank/state_repair.go
+++ b/cmd/umberbank/state_repair.go
@@ -11,6 +11,7 @@
 	"umberbank/internal/durable"
 )
 
+// stateRepairCmd is "umberbank state repair".
 type stateRepairCmd struct {
 	Dir string `name:"dir" arg:"" help:"A folder of state whose process does not run."`
 }
@@ -24,8 +25,9 @@
   umberbank state repair /var/lib/balancer`
 }
 
+// Run moves damaged state files aside.
 func (c *stateRepairCmd) Run(env *environment) error {
-	lock, err := durable.LockDir(c.Dir) // before the look: a process that runs changes what is there
+	lock, err := durable.LockDir(c.Dir) // before reading: a running process changes the files
 	if err != nil {
 		return err
 	}
@@ -34,25 +36,22 @@
 	if err != nil {
 		return err
 	}
-	aside := filepath.Join(c.Dir, "damaged")
-	moved, newest := 0, fileReport{}
-	for _, path := range files {
-		f := inspectFile(path)
-		if f.Fault == "" {
-			if f.Seq > newest.Seq {
-				newest = f
+	moved := 0
+	var newest fileReport
+	for _, file := range files {
+		report := inspectFile(file)
+		if report.Damage == "" {
+			if report.Sequence > newest.Sequence {
+				newest = report
 			}
 			continue
 		}
-		if err := os.Mkdir(aside, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
-			return err
-		}
-		to := filepath.Join(aside, fmt.Sprintf("%s.%d", filepath.Base(path), time.Now().UnixNano()))
-		if err := os.Rename(path, to); err != nil {
+		to, err := moveAside(file)
+		if err != nil {
 			return err
 		}
 		moved++
-		fmt.Fprintf(env.stdout, "%s: %s: moved to %s\n", path, f.Fault, to)
+		fmt.Fprintf(env.stdout, "%s: %s: moved to %s\n", file, report.Damage, to)
 	}
 	if newest.File == "" {
 		_, err = fmt.Fprintf(env.stdout, "%d moved; no whole state is left: the process begins anew\n", moved)
@@ -61,3 +60,13 @@
 	}
 	return err
 }
+
+// moveAside moves a file to the directory damaged beside it, under a name of its own, and returns where to.
+func moveAside(file string) (string, error) {
+	dir := filepath.Join(filepath.Dir(file), "damaged")
+	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
+		return "", err
+	}
+	to := filepath.Join(dir, fmt.Sprintf("%s.%d", filepath.Base(file), time.Now().UnixNano()))
+	return to, os.Rename(file, to)
+}
--- a/cmd/umberbank/version.go
+++ b/cmd/umberbank/version.go
@@ -6,8 +6,10 @@
 	"runtime/debug"
 )
 
+// versionCmd is "umberbank version".
 type versionCmd struct{}
 
+// Run prints the revision that was built.
 func (versionCmd) Run(env *environment) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
