--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -13,13 +13,13 @@
 
 // The test binary is the replicas too.
 func TestMain(m *testing.M) {
-	if os.Getenv("BENCH_TEST_REPLICA") == "" {
+	if os.Getenv("REGISTRYBENCH_REPLICA") == "" {
 		os.Exit(m.Run())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err := replica.Serve(ctx, os.Args[len(os.Args)-1], log, func(string) {}); err != nil {
+	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	if err := replica.Serve(ctx, os.Args[len(os.Args)-1], logger, func(string) {}); err != nil {
 		panic(err)
 	}
 }
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Measure(t.Context(), Options{Instances: 200, Watches: 30, Changes: 10, ReplicaCommand: []string{"/usr/bin/env", "BENCH_TEST_REPLICA=1", self}})
+	r, err := Measure(t.Context(), Options{Instances: 200, Watches: 30, Changes: 10, ReplicaCommand: []string{"/usr/bin/env", "REGISTRYBENCH_REPLICA=1", self}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,16 +39,18 @@
 	}
 }
 
-func TestHead(t *testing.T) {
+func TestParseEventHead(t *testing.T) {
 	for text, want := range map[string]struct {
-		rev       int64
-		whole, ok bool
+		revision     int64
+		fullList, ok bool
 	}{
 		`{"rev":17,"all":true,"targets":[`: {17, true, true}, `{"rev":18,"all":false,"ta`: {18, false, true},
 		"": {}, `{"all":true}`: {}, `{"rev":x,"all":true`: {0, true, false},
 	} {
-		if rev, whole, ok := parseHead([]byte(text)); rev != want.rev || whole != want.whole || ok != want.ok {
-			t.Errorf("%q: %d, %v, %v", text, rev, whole, ok)
-		}
+		t.Run(text, func(t *testing.T) {
+			if revision, fullList, ok := parseEventHead([]byte(text)); revision != want.revision || fullList != want.fullList || ok != want.ok {
+				t.Errorf("%d, %v, %v", revision, fullList, ok)
+			}
+		})
 	}
 }
