--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -316,15 +316,15 @@
 pre{background:#f5f5f5;padding:.6rem;overflow:auto;font-size:12px}h2{margin-bottom:0}
 </style>
 <h1>{{.R.Scenario}}</h1>
-<p>Seed {{.R.Seed}}, {{if .R.Virtual}}virtual clock{{else}}real processes{{end}}, {{printf "%.0f" .R.Seconds}} s of load, {{.R.Asked}} requests.
-Served {{printf "%.3f" .R.Served}}, worth {{printf "%.3f" .R.Worth}}, {{printf "%.2f" .R.Attempts}} attempts a request.
-{{if .R.Partial}}<span class="bad">Broken off.</span>{{else if not .R.Valid}}<span class="bad">Not valid: the load went out late.</span>{{else if .R.Failed}}<span class="bad">Not held.</span>{{else}}All held.{{end}}</p>
-{{range .R.Failed}}<p class="bad">{{.}}</p>{{end}}
+<p>Seed {{.R.Seed}}, {{if .R.Virtual}}virtual clock{{else}}real processes{{end}}, {{printf "%.0f" .R.Seconds}} s of load, {{.R.Requests}} requests.
+Served {{printf "%.3f" .R.ServedShare}}, worth {{printf "%.3f" .R.WeightedServedShare}}, {{printf "%.2f" .R.AttemptsPerRequest}} attempts a request.
+{{if .R.Partial}}<span class="bad">Broken off.</span>{{else if not .R.Valid}}<span class="bad">Not valid: the load went out late.</span>{{else if .R.FailedExpectations}}<span class="bad">Not held.</span>{{else}}All held.{{end}}</p>
+{{range .R.FailedExpectations}}<p class="bad">{{.}}</p>{{end}}
 <table><tr><th>class<th>asked<th>served<th>late<th>refused<th>failed<th>left<th>share<th>p50 ms<th>p90 ms<th>p99 ms</tr>
-{{range $n := .R.ClassNames}}{{with index $.R.Classes $n}}<tr><td>{{$n}}<td>{{.Asked}}<td>{{.Served}}<td>{{.Late}}<td>{{.Refused}}<td>{{.Failed}}<td>{{.Gone}}<td>{{printf "%.3f" .Share}}<td>{{printf "%.1f" .P50MS}}<td>{{printf "%.1f" .P90MS}}<td>{{printf "%.1f" .P99MS}}</tr>{{end}}{{end}}</table>
+{{range $n := .R.ClassNames}}{{with index $.R.Classes $n}}<tr><td>{{$n}}<td>{{.Requests}}<td>{{.Served}}<td>{{.Late}}<td>{{.Rejected}}<td>{{.Failed}}<td>{{.Abandoned}}<td>{{printf "%.3f" .ServedShare}}<td>{{printf "%.1f" .P50MS}}<td>{{printf "%.1f" .P90MS}}<td>{{printf "%.1f" .P99MS}}</tr>{{end}}{{end}}</table>
 {{range .Pictures}}<h2>{{.Title}}</h2><p class="note">{{.Note}}</p>{{.SVG}}{{end}}
 {{if .R.Faults}}<h2>Faults</h2><table><tr><th>kind<th>from s<th>to s<th>hits</tr>
-{{range .R.Faults}}<tr><td>{{.Kind}}<td>{{printf "%.1f" .From}}<td>{{printf "%.1f" .To}}<td>{{range .Nodes}}{{.}} {{end}}{{range .Servers}}{{.}} {{end}}</tr>{{end}}</table>{{end}}
+{{range .R.Faults}}<tr><td>{{.Kind}}<td>{{printf "%.1f" .FromSeconds}}<td>{{printf "%.1f" .ToSeconds}}<td>{{range .Nodes}}{{.}} {{end}}{{range .Servers}}{{.}} {{end}}</tr>{{end}}</table>{{end}}
 {{if .R.Violations}}<h2>Rules broken</h2>{{range .R.Violations}}<p class="bad">{{.Rule}}: {{.Request}} {{.Detail}}</p><pre>{{range .Trace}}{{.}}
 {{end}}</pre>{{end}}{{end}}
 </html>
