--- a/cmd/umberbank/config.go
+++ b/cmd/umberbank/config.go
@@ -23,15 +23,15 @@
 
 // Run checks each configuration and prints what is wrong with it.
 func (c *configCheckCmd) Run(env *environment) error {
-	var bad error
+	var result error
 	for _, f := range c.Files {
 		cfg, err := config.Load(f)
 		if err != nil {
-			bad = errCheckFailed
+			result = errCheckFailed
 			fmt.Fprintln(env.stdout, err)
 			continue
 		}
 		fmt.Fprintf(env.stdout, "%s: in order: %s listens on %s\n", f, cfg.Name, cfg.Listen)
 	}
-	return bad
+	return result
 }
--- a/cmd/umberbank/lab.go
+++ b/cmd/umberbank/lab.go
@@ -21,22 +21,19 @@
 	BareRelay labBareRelayCmd `name:"bare-relay" cmd:"" hidden:"" help:"The relay that lab cost measures beside the node."`
 }
 
-// scenarioFlags say what is played.
+// scenarioFlags select and change a scenario.
 type scenarioFlags struct {
 	Set      []string      `name:"set" help:"Win over a key of the file, as --set load.rate=200." placeholder:"KEY=VALUE" sep:"none"`
 	Duration time.Duration `name:"duration" help:"Win over the file's duration; faults at later times are left out."`
 }
 
-// load reads a scenario; no file: the default one.
+// load reads a scenario, the built-in default one if file is empty, and applies the flags to it.
 func (s scenarioFlags) load(file string) (*scenario.Scenario, error) {
-	text, name := []byte(nil), file
-	var err error
+	name, read := file, os.ReadFile
 	if file == "" {
-		name = labs.Default
-		text, err = labs.Files.ReadFile(name)
-	} else {
-		text, err = os.ReadFile(file)
+		name, read = labs.Default, labs.Files.ReadFile
 	}
+	text, err := read(name)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/umberbank/lab_check.go
+++ b/cmd/umberbank/lab_check.go
@@ -1,8 +1,6 @@
 package main
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // labCheckCmd is "umberbank lab check".
 type labCheckCmd struct {
@@ -16,15 +14,15 @@
 
 // Run checks each scenario and prints what is wrong with it.
 func (c *labCheckCmd) Run(env *environment) error {
-	var bad error
+	var result error
 	for _, f := range c.Files {
 		sc, err := scenarioFlags{}.load(f)
 		if err != nil {
-			bad = errCheckFailed
+			result = errCheckFailed
 			fmt.Fprintln(env.stdout, err)
 			continue
 		}
 		fmt.Fprintf(env.stdout, "%s: in order: %d nodes at the front, %d faults, %v\n", f, sc.Nodes, len(sc.Faults), sc.Duration.D())
 	}
-	return bad
+	return result
 }
--- a/cmd/umberbank/lab_run.go
+++ b/cmd/umberbank/lab_run.go
@@ -5,12 +5,10 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"strings"
-	"text/tabwriter"
-	"time"
 
 	"umberbank/internal/lab"
+	"umberbank/internal/lab/scenario"
 )
 
 // labRunCmd is "umberbank lab run".
@@ -44,37 +42,49 @@
 	if err != nil {
 		return err
 	}
-	opt := lab.Options{Seed: c.Seed, Virtual: c.Virtual, Progress: progress(env.stderr, sc.Name),
-		Log: func(format string, args ...any) { env.log.Info(strings.TrimSpace(fmt.Sprintf(format, args...))) }}
-	if c.Node != "" {
-		opt.Node = strings.Fields(c.Node)
-	}
-	var res *lab.Result
-	for range max(1, c.Attempts) {
-		res, err = lab.Run(env.ctx, sc, opt)
-		if err != nil && (res == nil || !errors.Is(err, context.Canceled)) {
-			return err
-		}
-		if res.Valid || res.Partial {
-			break
-		}
+	result, err := c.play(env, sc)
+	if err != nil {
+		return err
 	}
 	if c.Output != "" {
-		if err := writeJSON(c.Output, res); err != nil {
+		if err := writeJSON(c.Output, result); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		if err := json.NewEncoder(env.stdout).Encode(res); err != nil {
-			return err
-		}
-	} else if err := printResult(env.stdout, res); err != nil {
+		err = json.NewEncoder(env.stdout).Encode(result)
+	} else {
+		err = printResult(env.stdout, result)
+	}
+	if err != nil {
 		return err
 	}
-	return verdict(res)
+	return verdict(result)
 }
 
-// verdict is what a result means for the exit code.
+// play plays the scenario until a run is valid, at most as often as the flags allow. A run that was interrupted is returned as
+// far as it came.
+func (c *labRunCmd) play(env *environment, sc *scenario.Scenario) (*lab.Result, error) {
+	options := lab.Options{Seed: c.Seed, Virtual: c.Virtual, Progress: progress(env.stderr, sc.Name),
+		Log: func(format string, args ...any) { env.log.Info(strings.TrimSpace(fmt.Sprintf(format, args...))) }}
+	if c.Node != "" {
+		options.Node = strings.Fields(c.Node)
+	}
+	var result *lab.Result
+	for range max(1, c.Attempts) {
+		var err error
+		result, err = lab.Run(env.ctx, sc, options)
+		if err != nil && (result == nil || !errors.Is(err, context.Canceled)) {
+			return nil, err
+		}
+		if result.Valid || result.Partial {
+			break
+		}
+	}
+	return result, nil
+}
+
+// verdict returns the error that gives a result its exit code.
 func verdict(r *lab.Result) error {
 	switch {
 	case r.Partial:
@@ -86,53 +96,3 @@
 	}
 	return nil
 }
-
-// printResult shows a result as a table.
-func printResult(w io.Writer, r *lab.Result) error {
-	clock := "real processes"
-	if r.Virtual {
-		clock = "virtual clock"
-	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%s, seed %d, %s, %.0f s of load, %d requests\n", r.Scenario, r.Seed, clock, r.Seconds, r.Requests)
-	fmt.Fprintln(t, "class\tasked\tserved\tlate\trefused\tfailed\tleft\tshare\tp50 ms\tp90 ms\tp99 ms\t")
-	for _, name := range r.ClassNames {
-		c := r.Classes[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, c.Requests, c.Served, c.Late, c.Rejected, c.Failed, c.Abandoned, c.ServedShare, c.P50MS, c.P90MS, c.P99MS)
-	}
-	if err := t.Flush(); err != nil {
-		return err
-	}
-	fmt.Fprintf(w, "served %.3f, worth %.3f, last quarter %.3f; %.2f tries and %.2f attempts a request\n", r.ServedShare, r.WeightedServedShare, r.LastQuarterServedShare, r.ClientAttemptsPerRequest, r.AttemptsPerRequest)
-	fmt.Fprintf(w, "loader late (over 5 ms): %.4f of requests, worst %.1f ms\n", r.LoaderLateShare, r.LoaderMaxDelayMS)
-	for _, f := range r.Faults {
-		fmt.Fprintf(w, "fault %s from %.1f s to %.1f s: %s\n", f.Kind, f.FromSeconds, f.ToSeconds, abbreviate(append(f.Nodes, f.Servers...)))
-	}
-	for i, v := range r.Violations {
-		if i == 5 {
-			fmt.Fprintf(w, "... and %d more; --json shows up to 50\n", r.RulesBroken-i)
-			break
-		}
-		fmt.Fprintf(w, "BROKEN %s at %v: %s %s\n", v.Rule, v.At.Round(time.Millisecond), v.Request, v.Detail)
-		for _, line := range v.Trace {
-			fmt.Fprintf(w, "    %s\n", line)
-		}
-	}
-	for _, f := range r.FailedExpectations {
-		fmt.Fprintf(w, "NOT HELD %s\n", f)
-	}
-	switch {
-	case r.Partial:
-		fmt.Fprintln(w, "broken off: this is what came until then")
-	case r.Passed():
-		fmt.Fprintln(w, "held: all that the scenario expects")
-	}
-	return nil
-}
-
-func abbreviate(l []string) string {
-	if len(l) > 8 {
-		return fmt.Sprintf("%s and %d more", strings.Join(l[:8], " "), len(l)-8)
-	}
-	return strings.Join(l, " ")
-}
