--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// deadlineRecorder notes the write deadline that an answer was given.
+// deadlineRecorder records the write deadline that an answer was given.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// A client that does not read its answer must not hold its place for good.
+// A client that does not read its answer must not occupy its connection forever.
 func TestAnswersHaveADeadline(t *testing.T) {
 	before := time.Now()
 	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
@@ -38,7 +38,7 @@
 	}
 }
 
-// A refusal is 503 with the advice in decimal seconds, a failure 502.
+// A rejection is a 503 with Retry-After in decimal seconds, a failure a 502.
 func TestFinalAnswers(t *testing.T) {
 	t.Parallel()
 	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
@@ -60,13 +60,13 @@
 	}
 }
 
-// Whatever the module forgets, the client has an answer before its time is out.
+// If the decisions never answer a request, the client gets an answer before its deadline.
 func TestSilentDecisions(t *testing.T) {
 	t.Parallel()
-	gone := make(chan balancer.ClientDisconnected, 1)
+	disconnected := make(chan balancer.ClientDisconnected, 1)
 	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
 		if e, is := e.(balancer.ClientDisconnected); is {
-			gone <- e
+			disconnected <- e
 		}
 		return nil
 	}))
@@ -75,10 +75,10 @@
 	if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	nodetest.Wait(t, gone)
+	nodetest.Wait(t, disconnected)
 }
 
-// A client with next to no time left gets a final answer too, not a closed connection.
+// A client with next to no time left gets a final answer too, and no closed connection.
 func TestNoTimeLeft(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A finished request sends nothing more; Sends past the nodetest.Limit or to servers not listed are Void too.
+// Attempts of a finished request, attempts over the limit and attempts to endpoints that are not listed are not sent.
 func TestSendsThatAreNotSent(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -131,7 +131,8 @@
 	}
 }
 
-// The first success is the answer and Ended; an attempt that ends later still reaches the module.
+// The first success is the answer and marked RequestDone; the decisions still get the outcome of an attempt that ends
+// later.
 func TestLateOutcome(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -165,7 +166,7 @@
 	}
 }
 
-// An endless head must not fill the memory: the attempt ends broken, long before its time is out.
+// An endless response head must not fill the memory: the attempt ends with its connection, long before its deadline.
 func TestEndlessHead(t *testing.T) {
 	t.Parallel()
 	const most = 256 << 20
--- a/internal/node/bodybudget/bodybudget_test.go
+++ b/internal/node/bodybudget/bodybudget_test.go
@@ -6,7 +6,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Bodies that are held wait for room, and answers never wait for requests.
+// Bodies wait for capacity, and responses never wait for requests.
 func TestBudget(t *testing.T) {
 	t.Parallel()
 	b := New(2 * MaxBufferedBytes)
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -47,8 +47,8 @@
 	mu           sync.Mutex
 	ahead        []byte        // read ahead of net/http, for its next Read
 	err          error         // what reading ahead ended with, for the Read after that
-	probed       bool          // net/http's own look for a disconnect got a byte, and it looks no more
-	disconnected func()        // to be called when the client is seen to have disconnected; nil: nobody asks
+	probed       bool          // net/http's own check for a disconnect read a byte, and it checks no more
+	disconnected func()        // to be called when the client is seen to have disconnected; nil: there is no watch
 	readingAhead chan struct{} // closed when reading ahead has ended; nil: it has not begun
 }
 
@@ -199,7 +199,7 @@
 	if err != nil {
 		return true
 	}
-	poll := []unix.PollFd{{Events: unix.POLLRDHUP}} // what has failed or hung up is told unasked
+	poll := []unix.PollFd{{Events: unix.POLLRDHUP}} // POLLERR and POLLHUP are always reported
 	if raw.Control(func(fd uintptr) {
 		poll[0].Fd = int32(fd)
 		_, err = unix.Poll(poll, 0)
--- a/internal/node/clientconn/conn_test.go
+++ b/internal/node/clientconn/conn_test.go
@@ -10,7 +10,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The system knows that a client has gone before anybody has read that.
+// The system knows that a client has disconnected before anybody has read that.
 func TestDisconnectedWithoutReading(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*net.TCPConn){
@@ -21,7 +21,7 @@
 			ours, theirs := nodetest.TCPPair(t)
 			c := newConn(ours, func() {})
 			if c.Disconnected() {
-				t.Errorf("gone before")
+				t.Errorf("disconnected before")
 			}
 			leave(theirs)
 			nodetest.Eventually(t, name, c.Disconnected)
@@ -29,13 +29,13 @@
 	}
 }
 
-// heldConn lets a read that has its bytes return only once gate is closed.
-type heldConn struct {
+// delayedConn lets a read that has its bytes return only once gate is closed.
+type delayedConn struct {
 	net.Conn
 	has, gate chan struct{}
 }
 
-func (c heldConn) Read(p []byte) (int, error) {
+func (c delayedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.has <- struct{}{}
@@ -44,13 +44,13 @@
 	return n, err
 }
 
-// A request that comes as its resting connection is closed: read before the decision it keeps the connection, read
-// after it it is no request any more.
+// A request comes as its idle connection is closed: read before the decision it keeps the connection, read after the
+// decision it is not handled.
 func TestRequestAsItsConnectionIsClosed(t *testing.T) {
 	t.Parallel()
 	for _, decided := range []bool{false, true} {
 		ours, theirs := nodetest.TCPPair(t)
-		h := heldConn{ours, make(chan struct{}, 1), make(chan struct{})}
+		h := delayedConn{ours, make(chan struct{}, 1), make(chan struct{})}
 		c := newConn(h, func() {})
 		conns := NewIdleConns()
 		conns.since[c] = time.Now().Add(-time.Minute)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A close over bytes that nobody has read does not reset the connection: the last answer arrives, and its end.
+// A close over unread bytes does not reset the connection: the last answer arrives, and its end.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	for _, more := range []int{0, 100_000} { // that come while it closes
@@ -97,7 +97,7 @@
 	}
 }
 
-// Nor does it wait for good for a client that stays.
+// A close does not wait forever for a client that stays connected.
 func TestCloseBesideAClientThatStays(t *testing.T) {
 	t.Parallel()
 	ours, _ := nodetest.TCPPair(t)
--- a/internal/node/config/config_test.go
+++ b/internal/node/config/config_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// What the configuration may say of the state, and how a fault of it is worded.
+// The key "state" of the configuration, and the errors of its faults.
 func TestParseSnapshots(t *testing.T) {
 	for text, want := range map[string]struct {
 		state Snapshots
--- a/internal/node/config/golden_test.go
+++ b/internal/node/config/golden_test.go
@@ -27,22 +27,22 @@
   "registry-mode":"on_request","rules":{"ask-within-ms":70,"cold-from":0.4,"fall-ms":80,"fall-multiple":3,"warm-after-ms":900},
   "me":2,"tick-ms":5,"tier":1,"weights":"live"}}`
 
-// goType is what an error of encoding/json says of the Go type that a key is read into.
+// goType matches what an error of encoding/json says of Go types.
 var goType = regexp.MustCompile(`(?:Go struct field \w*\.|Go value)|(?: of type .*$)`)
 
-// settingFault is what the settings' own check says of a value: its wording is the decisions'.
+// settingFault matches an error of balancer.Settings.Validate, whose wording is that package's.
 var settingFault = regexp.MustCompile(`^\w+: setting .*$`)
 
-// faultOf is an error of a configuration without the names of Go types and without the wording of the settings' own check.
+// faultOf returns an error of a configuration without Go types and without the wording of balancer.Settings.Validate.
 func faultOf(err error) string {
 	return settingFault.ReplaceAllString(goType.ReplaceAllString(err.Error(), ""), "a setting is missing or out of range")
 }
 
-// Each key of a configuration in turn is left out, and then has a value of another kind: what that does at the start and at a
-// reload. A key that were read under another name would show as one that changes nothing.
+// Each key of a configuration in turn is left out, and then has a value of another kind: what that does at the start and at
+// a reload. A key that is read under another name shows as one that changes nothing.
 func TestGoldenKeys(t *testing.T) {
 	t.Parallel()
-	whole, err := Parse([]byte(fullConfig))
+	complete, err := Parse([]byte(fullConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,10 +57,10 @@
 		if err != nil {
 			start, reload = faultOf(err), "-"
 		} else {
-			if err := whole.CheckReload(cfg); err != nil {
+			if err := complete.CheckReload(cfg); err != nil {
 				reload = err.Error()
 			}
-			if cfg.document, cfg.text = whole.document, whole.text; !reflect.DeepEqual(cfg, whole) {
+			if cfg.document, cfg.text = complete.document, complete.text; !reflect.DeepEqual(cfg, complete) {
 				start = "changes the configuration"
 			}
 		}
@@ -90,7 +90,7 @@
 	nodetest.Golden(t, "keys.golden", b.String())
 }
 
-// keyPaths are the paths of all keys of an object, in order; a list is stood for by its first entry.
+// keyPaths returns the paths of all keys of an object, in order; of a list, those of its first entry.
 func keyPaths(path string, object map[string]any) (paths []string) {
 	keys := make([]string, 0, len(object))
 	for key := range object {
@@ -105,7 +105,7 @@
 	return paths
 }
 
-// inner is the object that a value is, or begins with; nil: none.
+// inner is the object that a value is, or that is its first entry; nil: none.
 func inner(v any) map[string]any {
 	if list, is := v.([]any); is && len(list) > 0 {
 		v = list[0]
@@ -114,7 +114,7 @@
 	return object
 }
 
-// locate finds the object in which the last key of a path stands.
+// locate finds the object with the last key of a path.
 func locate(file map[string]any, path string) (object map[string]any, key string) {
 	keys := strings.Split(path, ".")
 	for _, key := range keys[:len(keys)-1] {
@@ -123,7 +123,7 @@
 	return file, keys[len(keys)-1]
 }
 
-// Bad values of single keys, and the one line that each gives.
+// Bad values of single keys, and the error that each gives.
 func TestGoldenFaults(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -31,7 +31,7 @@
 		"CHECK\n": "fail unknown call\n",
 	} {
 		t.Run(strconv.Quote(line), func(t *testing.T) {
-			got := ask(t, n, line)
+			got := sendCommand(t, n, line)
 			if !strings.HasPrefix(got, begins) || !strings.HasPrefix(got, "ok") && !strings.HasPrefix(got, "fail ") ||
 				strings.Count(got, "\n") != 1 {
 				t.Errorf("%.20q is answered %q", line, got)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A line that never ends is no call.
+// A line without an end is no command.
 func TestControlUnfinishedLine(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
@@ -55,7 +55,7 @@
 	}
 }
 
-// Clients that finish no call are let go, and hold up no other, however many they are.
+// Connections that finish no command are closed, and delay no other, however many they are.
 func TestControlStalledConnections(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
@@ -65,7 +65,7 @@
 		io.WriteString(c, "che")
 		stalled = append(stalled, c)
 	}
-	if got := ask(t, n, "drain-off\n"); got != "ok\n" {
+	if got := sendCommand(t, n, "drain-off\n"); got != "ok\n" {
 		t.Errorf("beside stalled clients: %q", got)
 	}
 	for _, c := range stalled {
@@ -76,7 +76,7 @@
 	}
 }
 
-// A loop that hangs holds up no call.
+// An event loop that hangs delays no command.
 func TestControlNeverWaitsForTheLoop(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
@@ -85,7 +85,7 @@
 	defer close(free)
 	nodetest.Wait(t, busy)
 	for _, line := range []string{"check\n", "drain-on\n", "drain-off\n"} {
-		if got := ask(t, n, line); got != "ok\n" {
+		if got := sendCommand(t, n, line); got != "ok\n" {
 			t.Errorf("%q: %q", line, got)
 		}
 	}
@@ -94,11 +94,11 @@
 func TestNoControlUnlessConfigured(t *testing.T) {
 	t.Parallel()
 	if n := startNode(t, testConfig("127.0.0.1:1"), nil); n.control != nil {
-		t.Error("a node that was told no address answers operators")
+		t.Error("a node without an address answers operators")
 	}
 }
 
-// A draining node says so, serves what comes, and parts with every connection; then it is back.
+// A draining node is not ready, serves what comes and closes every connection; after the drain it serves as before.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -128,7 +128,7 @@
 		exchange(used, usedR)
 		exchange(idle, idleR)
 	}
-	if got := ask(t, n, "drain-on\n"); got != "ok\n" {
+	if got := sendCommand(t, n, "drain-on\n"); got != "ok\n" {
 		t.Fatalf("drain-on: %q", got)
 	}
 	if s := ready(); s != http.StatusServiceUnavailable {
@@ -145,7 +145,7 @@
 			t.Errorf("the %s connection is not closed: %v", name, err)
 		}
 	}
-	if got := ask(t, n, "drain-off\n"); got != "ok\n" {
+	if got := sendCommand(t, n, "drain-off\n"); got != "ok\n" {
 		t.Fatalf("drain-off: %q", got)
 	}
 	if s := ready(); s != http.StatusOK {
@@ -160,7 +160,7 @@
 	}
 }
 
-// A client amid its request's head is not idle: neither a drain nor the process's end cuts it off.
+// A connection with a part of a request's head is not idle: neither a drain nor the shutdown closes it.
 func TestSlowHeadIsNotIdle(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -21,18 +21,18 @@
 	"umberbank/internal/node/upstream"
 )
 
-// A client that goes behind bytes that it sent ahead of its answer is seen to go, though net/http reads one of those
-// bytes and looks no more.
+// A client that disconnects behind bytes that it sent ahead of its answer is seen to disconnect, though net/http reads one
+// of those bytes and then stops reading.
 func TestDisconnectBehindBytesAhead(t *testing.T) {
 	t.Parallel()
 	for _, request := range []string{head("GET", "/read/1", ""), head("POST", "/order/1", "Content-Length: 2\r\n") + "ab"} {
-		taken, gone := make(chan struct{}), make(chan struct{})
+		taken, disconnected := make(chan struct{}), make(chan struct{})
 		n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
 			switch e.(type) {
 			case balancer.Request:
 				close(taken)
 			case balancer.ClientDisconnected:
-				close(gone)
+				close(disconnected)
 			}
 			return nil
 		}))
@@ -41,11 +41,11 @@
 		nodetest.Wait(t, taken)
 		io.WriteString(conn, "\r\nGET")
 		conn.Close()
-		nodetest.Wait(t, gone)
+		nodetest.Wait(t, disconnected)
 	}
 }
 
-// What a client sends ahead of its answer is its next request all the same.
+// What a client sends ahead of its answer is its next request.
 func TestBytesAheadAreKept(t *testing.T) {
 	t.Parallel()
 	taken, answer := make(chan string, 2), make(chan struct{})
@@ -84,14 +84,14 @@
 	}
 }
 
-// A client that goes while its attempt's connection comes up has gone: not a byte is written, though the loop is busy
-// and has not heard.
+// A client disconnects while the connection of its attempt is dialled: not a byte is written, though the loop is busy and
+// does not know yet.
 func TestDisconnectWhileDialling(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
 	n := newNodeFor(t, testConfig("127.0.0.1:1", serving("s", addr)))
 	began, gate := make(chan struct{}, 1), make(chan struct{})
-	gatedDials(n, began, gate)
+	delayDials(n, began, gate)
 	runNode(t, n)
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, head("GET", "/read/1", ""))
@@ -105,14 +105,14 @@
 		return idle == 1 || len(got) > 0
 	})
 	release()
-	nodetest.Eventually(t, "it is forgotten", func() bool { return onLoop(t, n, func() bool { return len(n.loop.requests) == 0 }) })
+	nodetest.Eventually(t, "it is forgotten", func() bool { return callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 }) })
 	if len(got) > 0 {
-		t.Error("it was sent on")
+		t.Error("it was forwarded")
 	}
 }
 
-// A client that goes behind the rest of its long body, which nobody reads between attempts, has gone: no attempt begins,
-// first or further, though its bytes stand unread before its close.
+// A client disconnects behind the unread rest of its long body: no attempt begins, first or retry, though bytes stand
+// unread before its close.
 func TestDisconnectBehindALongBody(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*net.TCPConn){
@@ -120,10 +120,10 @@
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		for first := range 2 { // the attempt that is to begin
-			heard := make(chan struct{}, 4)
+			begun := make(chan struct{}, 4)
 			addr := nodetest.Listen(t, func(_ net.Conn, r *bufio.Reader) {
 				if _, err := r.ReadByte(); err == nil {
-					heard <- struct{}{}
+					begun <- struct{}{}
 				}
 			})
 			n := newNodeFor(t, testConfig("127.0.0.1:1", serving("away", "127.0.0.1:1"), serving("s", addr)))
@@ -162,18 +162,18 @@
 			for range first + 1 {
 				nodetest.Wait(t, outcomes)
 			}
-			if len(heard) > 0 {
+			if len(begun) > 0 {
 				t.Errorf("%s: attempt %d was begun", name, first)
 			}
 			nodetest.Eventually(t, name+": its place is free and it is forgotten", func() bool {
-				return n.frontend.conns.Load() == 0 && onLoop(t, n, func() bool { return len(n.loop.requests) == 0 })
+				return n.frontend.conns.Load() == 0 && callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 })
 			})
 			conn.Close()
 		}
 	}
 }
 
-// Clients that leave all at once, before the loop has come to any of them: not one of their requests is sent on.
+// Many clients disconnect at once, before the loop has handled any of their requests: none of the requests is forwarded.
 func TestManyClientsDisconnect(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -195,14 +195,14 @@
 	nodetest.Eventually(t, "all are seen to go", func() bool { return n.frontend.conns.Load() == 0 })
 	release()
 	nodetest.Eventually(t, "all are forgotten", func() bool {
-		return onLoop(t, n, func() bool { return len(n.loop.requests) == 0 && len(n.loop.events) == 0 })
+		return callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 && len(n.loop.events) == 0 })
 	})
 	if len(got) > 0 {
-		t.Errorf("%d of %d were sent on", len(got), crowd)
+		t.Errorf("%d of %d were forwarded", len(got), crowd)
 	}
 }
 
-// Clients that rest on every place make room for one that asks; one that is at work does not.
+// When all connections are in use, idle ones are closed for a new client; one with a request in flight is not.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
@@ -245,7 +245,7 @@
 	}
 }
 
-// A connection that comes up only when a keyed request's window is over carries no repeat of it.
+// A connection that is established only after the idempotency window of a request carries no retry of it.
 func TestRetryPastItsIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
@@ -283,12 +283,12 @@
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 	if a, b := nodetest.Wait(t, outcomes), nodetest.Wait(t, outcomes); a.Result != balancer.Failure || b.Result != balancer.NotSent || len(got) > 0 {
-		t.Errorf("outcomes %+v, %+v, %d sent on", a, b, len(got))
+		t.Errorf("outcomes %+v, %+v, %d forwarded", a, b, len(got))
 	}
 }
 
-// The time that an attempt tells its server is what is left when its head is written, not when it was decided: what a
-// connection took to come up is gone, for the first attempt and for further ones.
+// X-Time-Left is what is left when the head of an attempt is written, not when the attempt was decided: the time of the
+// dial is subtracted, for the first attempt and for retries.
 func TestTimeLeftAtTheFirstByte(t *testing.T) {
 	t.Parallel()
 	const late, given = 100 * time.Millisecond, 10 * time.Second
@@ -314,15 +314,14 @@
 	runNode(t, n)
 	nodetest.Do(t, newRequest(t, n, "GET", "/read/1", "")) // which gives 10 s
 	for i := range 2 {
-		told, err := header.ParseTimeLeft(nodetest.Wait(t, got).Header.Get("X-Time-Left"))
-		if most := given - time.Duration(i+1)*late; err != nil || told > most {
-			t.Errorf("attempt %d tells %v, at most %v are left, %v", i, told, most, err)
+		timeLeft, err := header.ParseTimeLeft(nodetest.Wait(t, got).Header.Get("X-Time-Left"))
+		if most := given - time.Duration(i+1)*late; err != nil || timeLeft > most {
+			t.Errorf("attempt %d tells %v, at most %v are left, %v", i, timeLeft, most, err)
 		}
 	}
 }
 
-// A client that closes its connection has gone: the module hears of it, and the cancel that it
-// orders closes the attempt's connection.
+// The decisions are notified of a client that closes its connection, and their cancel closes the connection of the attempt.
 func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
 	began, closed := make(chan struct{}), make(chan struct{})
@@ -342,8 +341,8 @@
 	nodetest.Wait(t, closed)
 }
 
-// A client that ends its sending has gone too. It must get no answer at all, least of all the empty 200
-// that net/http makes of a handler that wrote nothing.
+// A client that ends its sending has disconnected too. It must get no answer at all, least of all the empty 200 that
+// net/http makes of a handler that wrote nothing.
 func TestClientHalfCloses(t *testing.T) {
 	t.Parallel()
 	addr := nodetest.Listen(t, func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -29,13 +29,13 @@
 )
 
 // responseTimeouts are how long a new watch may take to begin its answer, by the number of watches before it that never
-// did. The agent answers at once, so the first are given up soon. The last is as patient as an open watch, for an agent whose
+// did. The agent answers at once, so the first timeouts are short. The last equals that of an open watch, for an agent whose
 // answer begins with its first heartbeat; then the first applies again.
 var responseTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, SilenceTimeout}
 
 // serializedResponseTimeouts are the same where discovery serves the calls of all nodes one after the other. A watch that is given
 // up while it waits has still to be served, and the next one waits behind it, so that none would ever be answered. Three in a
-// row still leave the 6 s after which a change counts as told.
+// row still leave the 6 s within which a change has to be known.
 var serializedResponseTimeouts = []time.Duration{time.Second, time.Second, time.Second, SilenceTimeout}
 
 // Why a watch or a poll ended.
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// However a message is laid out, it is news once it is whole, with its end of line, and not before.
+// However a message is laid out, it is complete with the end of its last line, and not before.
 func TestAssembler(t *testing.T) {
 	t.Parallel()
 	plain := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "DRAINING"))
@@ -30,9 +30,9 @@
 			var m assembler
 			lines := strings.Split(text, "\n")
 			for i, line := range lines {
-				l, whole, err := m.add(bytes.TrimSpace([]byte(line)))
-				if last := i == len(lines)-1; err != nil || whole != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
-					t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, whole, err)
+				l, complete, err := m.add(bytes.TrimSpace([]byte(line)))
+				if last := i == len(lines)-1; err != nil || complete != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
+					t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, complete, err)
 				}
 			}
 			if m.pending() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// A watch on a machine that was cut off stays open and silent; heartbeats keep one alive.
+// A watch that is silent ends.
 func TestWatchSilence(t *testing.T) {
 	t.Parallel()
 	addr, lines, _ := nodetest.Discovery(t)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Heartbeats keep a watch whose list does not change.
+// Heartbeats keep a watch open whose list does not change.
 func TestHeartbeats(t *testing.T) {
 	t.Parallel()
 	addr, lines, _ := nodetest.Discovery(t)
@@ -103,7 +103,7 @@
 	}
 }
 
-// handler takes the updates of a watch, and nothing else of it.
+// handler takes the updates of a watch alone.
 func handler(update func(Update)) Handler {
 	return Handler{Opened: func() {}, Heartbeat: func() {}, Update: update}
 }
--- a/internal/node/discovery/golden_test.go
+++ b/internal/node/discovery/golden_test.go
@@ -21,7 +21,7 @@
 
 var portNumber = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 
-// What discovery is asked, byte for byte.
+// The requests to discovery, byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	t.Parallel()
 	heads := make(chan string, 2)
@@ -42,11 +42,11 @@
 	nodetest.Golden(t, "requests.golden", b.String())
 }
 
-// What is read of discovery's messages: every key counts, and how a bad message is described.
+// What is read of discovery's messages, each key of them, and the errors of bad messages.
 func TestGoldenMessages(t *testing.T) {
 	t.Parallel()
-	whole := `{"rev":42,"all":true,"targets":[` + fullTarget + `]}`
-	l, err := ParseUpdate([]byte(whole))
+	complete := `{"rev":42,"all":true,"targets":[` + fullTarget + `]}`
+	l, err := ParseUpdate([]byte(complete))
 	if err != nil || l.Revision != 42 || !l.Complete || len(l.Targets) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
@@ -55,13 +55,13 @@
 		t.Errorf("got %+v, want %+v", l.Targets[0], want)
 	}
 	for name, state := range map[string]balancer.EndpointState{"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed} {
-		if l, err := ParseUpdate([]byte(strings.Replace(whole, "DRAINING", name, 1))); err != nil || l.Targets[0].Endpoint().State != state {
+		if l, err := ParseUpdate([]byte(strings.Replace(complete, "DRAINING", name, 1))); err != nil || l.Targets[0].Endpoint().State != state {
 			t.Errorf("%s: %+v, %v", name, l, err)
 		}
 	}
 	var b strings.Builder
-	for _, bad := range []string{`{"rev":42,"all":true}`, strings.Replace(whole, "s-1", "", 1), strings.Replace(whole, "DRAINING", "SLEEPING", 1),
-		strings.Replace(whole, "127.0.0.1:9", "here", 1), "nonsense"} {
+	for _, bad := range []string{`{"rev":42,"all":true}`, strings.Replace(complete, "s-1", "", 1), strings.Replace(complete, "DRAINING", "SLEEPING", 1),
+		strings.Replace(complete, "127.0.0.1:9", "here", 1), "nonsense"} {
 		_, err := ParseUpdate([]byte(bad))
 		fmt.Fprintf(&b, "%s\n%v\n", bad, err)
 	}
--- a/internal/node/follower/cost_test.go
+++ b/internal/node/follower/cost_test.go
@@ -15,9 +15,9 @@
 	"umberbank/internal/registry/state"
 )
 
-// round is a registry in this process without a clock: in each round it answers every node that holds an older revision, and
-// then applies all that they wrote, together, as a log that is busy does.
-type round struct {
+// roundRegistry is a registry in this process without a clock: in each round it answers every node that has an older
+// revision, and then applies all their writes together.
+type roundRegistry struct {
 	st    *state.State
 	mu    sync.Mutex // of ops and counts
 	ops   []state.Op
@@ -27,8 +27,8 @@
 	bytes, messages map[string]int // by node, both ways, without headers
 }
 
-// ServeHTTP takes writes for the end of the round.
-func (r *round) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP queues writes for the end of the round.
+func (r *roundRegistry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	text, err := io.ReadAll(q.Body)
 	var c struct{ Ops []state.Op }
 	if err == nil {
@@ -46,23 +46,23 @@
 	io.WriteString(w, answer)
 }
 
-func (r *round) count(node string, bytes int) {
+func (r *roundRegistry) count(node string, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bytes[node] += bytes
 	r.messages[node]++
 }
 
-// play plays rounds until nobody has anything to hear or say, and gives how many there were.
-func (r *round) play(t *testing.T) (rounds int) {
+// play plays rounds until no node has anything to receive or write, and returns how many there were.
+func (r *roundRegistry) play(t *testing.T) (rounds int) {
 	t.Helper()
 	for ; ; rounds++ {
-		heard := false
+		updated := false
 		for i, f := range r.nodes {
 			if r.revs[i] == r.st.Revision() {
 				continue
 			}
-			heard = true
+			updated = true
 			has := map[int64]bool{}
 			for _, text := range strings.Split(f.knownVersions(), ",") {
 				n, err := strconv.ParseInt(text, 10, 64)
@@ -83,7 +83,7 @@
 			r.revs[i] = a.Revision
 			f.handle(t.Context(), a.NodeSettings, a.Revision)
 		}
-		if !heard {
+		if !updated {
 			return rounds
 		}
 		r.mu.Lock()
@@ -98,13 +98,13 @@
 	}
 }
 
-// A version costs each node as many messages and as many bytes whether there are 10 nodes, 100 or 1,000.
+// A version costs each node as many messages and bytes whether there are 10 nodes, 100 or 1,000.
 func TestVersionCostsNoMoreWithNodes(t *testing.T) {
 	t.Parallel()
 	type cost struct{ bytes, messages, rounds int }
 	costs := map[int]cost{}
 	for _, n := range []int{10, 100, 1000} {
-		r := &round{st: state.New(), revs: make([]int64, n), bytes: map[string]int{}, messages: map[string]int{}}
+		r := &roundRegistry{st: state.New(), revs: make([]int64, n), bytes: map[string]int{}, messages: map[string]int{}}
 		server := httptest.NewServer(r)
 		defer server.Close()
 		for i := range n {
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	// pollTimeout is how long the registry may hold a poll that has no news.
+	// pollTimeout is how long the registry may delay its response to a poll while there is nothing new.
 	pollTimeout = time.Second
 	// retryDelay is the pause after a registration that failed.
 	retryDelay = 300 * time.Millisecond
--- a/internal/node/follower/golden_test.go
+++ b/internal/node/follower/golden_test.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// The version of settings that an earlier process kept is what the next one starts with, and is kept in the same bytes.
+// The version of settings that an earlier process saved is what the next one starts with, and is saved in the same bytes.
 func TestGoldenKeptVersion(t *testing.T) {
 	t.Parallel()
 	const stored = "testdata/kept-version.json"
@@ -41,7 +41,7 @@
 
 var timeAtEnd = regexp.MustCompile(` at \d+$`)
 
-// What a node writes of the versions it runs, which the fault-injection tests read.
+// The lines about versions in the log, which the fault-injection tests read.
 func TestGoldenVersionLog(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
@@ -63,7 +63,7 @@
 	nodetest.Golden(t, "version-log.golden", b.String())
 }
 
-// configWith is a configuration that keeps its version in a file.
+// configWith is a configuration that saves its version in a file.
 func configWith(t *testing.T, keep string) config.Config {
 	t.Helper()
 	text := strings.Replace(nodetest.Config, `"peers"`, `"agreed":{"endpoints":["127.0.0.1:1"],"tier":"front","keep":"`+keep+`"},"peers"`, 1)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Every line that operators can send to the second address, and the answer to it.
+// Every command of the second address, faulty lines, and the answers to them.
 func TestGoldenControl(t *testing.T) {
 	t.Parallel()
 	n := startControlled(t, testConfig("127.0.0.1:1"))
@@ -23,7 +23,7 @@
 	say := func(line, answer string) { fmt.Fprintf(&b, "%.40q -> %q\n", line, answer) }
 	for _, line := range []string{"check\n", "check\r\n", "drain-on\n", "drain-off\n", "\n", "nonsense\n", "CHECK\n", "check it\n", "vars \n",
 		strings.Repeat("x", 300) + "\n"} {
-		say(line, ask(t, n, line))
+		say(line, sendCommand(t, n, line))
 	}
 	calls := n.commands()
 	n.stopping.Store(true)
@@ -41,7 +41,7 @@
 	portNumber   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
-// What clients get, byte for byte but for the date, for requests that are not taken, are refused, fail, and are served.
+// The answers to clients, byte for byte but for the date: to requests that are not accepted, rejected, failed and served.
 func TestGoldenAnswers(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -82,7 +82,7 @@
 	nodetest.Golden(t, "answers.golden", b.String())
 }
 
-// rawAnswer is the whole answer to a request, without its date.
+// rawAnswer returns the complete answer to a request, without its date.
 func rawAnswer(t *testing.T, n *Node, request string) string {
 	t.Helper()
 	c := nodetest.Dial(t, n.Addr().String())
@@ -98,7 +98,7 @@
 	return dateLine.ReplaceAllString(raw.String(), "")
 }
 
-// What servers get, byte for byte but for the time that is left: what of a client's headers is forwarded, and what is added.
+// The requests that servers get, byte for byte but for the time left: which headers are forwarded, and which are added.
 func TestGoldenForwarded(t *testing.T) {
 	t.Parallel()
 	heads := make(chan string, 10)
@@ -131,7 +131,7 @@
 	nodetest.Golden(t, "forwarded.golden", b.String())
 }
 
-// What the decisions are told of a client's request.
+// What the decisions learn of a client's request.
 func TestGoldenRequestHeaders(t *testing.T) {
 	t.Parallel()
 	requests := make(chan balancer.Request, 1)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -20,8 +20,8 @@
 	"umberbank/internal/simwire"
 )
 
-// ask makes an operator's call and returns the whole answer.
-func ask(t *testing.T, n *Node, line string) string {
+// sendCommand sends an operator's command and returns the complete answer.
+func sendCommand(t *testing.T, n *Node, line string) string {
 	t.Helper()
 	c := nodetest.Dial(t, n.control.Addr().String())
 	io.WriteString(c, line)
@@ -37,7 +37,7 @@
 	t.Helper()
 	cfg.Control = "127.0.0.1:0"
 	n := startNode(t, cfg, nil)
-	for end := time.Now().Add(nodetest.Limit); ask(t, n, "check\n") != "ok\n"; {
+	for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
 		if time.Now().After(end) {
 			t.Fatal("the node never serves")
 		}
@@ -45,15 +45,15 @@
 	return n
 }
 
-// onLoop is what f says on the node's loop.
-func onLoop[T any](t *testing.T, n *Node, f func() T) T {
+// callOnLoop returns the result of f, called on the node's event loop.
+func callOnLoop[T any](t *testing.T, n *Node, f func() T) T {
 	t.Helper()
 	said := make(chan T, 1)
 	n.loop.post(func() { said <- f() })
 	return nodetest.Wait(t, said)
 }
 
-// holdLoop keeps the node's loop busy until release is called.
+// holdLoop blocks the node's event loop until release is called.
 func holdLoop(t *testing.T, n *Node) (release func()) {
 	t.Helper()
 	held, busy := make(chan struct{}), make(chan struct{})
@@ -62,8 +62,8 @@
 	return func() { close(held) }
 }
 
-// gatedDials makes the node's connections come up only once gate is closed; each tells began first.
-func gatedDials(n *Node, began, gate chan struct{}) {
+// delayDials delays the node's dials until gate is closed; each sends to began first.
+func delayDials(n *Node, began, gate chan struct{}) {
 	dial := n.loop.pool.Dial
 	n.loop.pool.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 		began <- struct{}{}
@@ -72,7 +72,7 @@
 	}
 }
 
-// newNodeFor is a node that does not run yet.
+// newNodeFor returns a node that does not run yet.
 func newNodeFor(t *testing.T, cfg config.Config) *Node {
 	t.Helper()
 	n, err := New(cfg)
@@ -119,7 +119,7 @@
 	return discovery.Target{UID: uid, Address: addr, Zone: "a", State: "SERVING", Weight: 1}
 }
 
-// startNode runs a node until the test ends; nil m stands for the real module.
+// startNode runs a node until the test ends. Its decisions are a balancer.Balancer if d is nil.
 func startNode(t *testing.T, cfg config.Config, d decisions) *Node {
 	t.Helper()
 	if d == nil {
@@ -151,7 +151,7 @@
 	})
 }
 
-// decisionsFunc is a module of a test's own.
+// decisionsFunc implements decisions with a function of a test.
 type decisionsFunc func(e balancer.Event) []balancer.Action
 
 func (f decisionsFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
@@ -177,7 +177,7 @@
 	return resp.StatusCode
 }
 
-// newTestPool is a pool of one connection.
+// newTestPool returns a pool of one connection.
 func newTestPool(cfg config.Config) *upstream.Pool {
 	return upstream.NewPool(upstream.Options{
 		Connections:    cfg.Connections,
--- a/internal/node/insync_test.go
+++ b/internal/node/insync_test.go
@@ -19,25 +19,25 @@
 	"umberbank/internal/registry/state"
 )
 
-// oneReplica is a registry of one replica without leases: a State behind the calls that a follower makes. gate holds back what
-// it is asked to write; nil: nothing.
-type oneReplica struct {
+// fakeRegistry is a registry of one replica without leases: a State behind the calls of a follower. gate is called before
+// each write and may delay it; nil: nothing is called.
+type fakeRegistry struct {
 	mu    sync.Mutex
 	state *state.State
 	wake  chan struct{} // closed with the next change
 	gate  func(state.Op)
 }
 
-func newOneReplica(t *testing.T) (*oneReplica, string) {
+func newFakeRegistry(t *testing.T) (*fakeRegistry, string) {
 	t.Helper()
-	r := &oneReplica{state: state.New(), wake: make(chan struct{})}
+	r := &fakeRegistry{state: state.New(), wake: make(chan struct{})}
 	s := httptest.NewServer(r)
 	t.Cleanup(s.Close)
 	return r, strings.TrimPrefix(s.URL, "http://")
 }
 
-// write carries writes out.
-func (r *oneReplica) write(ops ...state.Op) (l []state.Result) {
+// write applies writes.
+func (r *fakeRegistry) write(ops ...state.Op) (l []state.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, op := range ops {
@@ -49,15 +49,15 @@
 	return l
 }
 
-// node is what the book knows of a node.
-func (r *oneReplica) node(uid string) (inTouch bool, running int64) {
+// node returns what the rollout state has of a node.
+func (r *fakeRegistry) node(uid string) (inTouch bool, running int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.state.Rollout().Nodes[uid]
 	return n.InSync(), n.RunningVersion
 }
 
-func (r *oneReplica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *fakeRegistry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	var body struct {
 		Ops    []state.Op
 		Leases []struct {
@@ -94,8 +94,8 @@
 	}
 }
 
-// agreed answers once there is more than the asker knows, or its wait is over.
-func (r *oneReplica) agreed(w http.ResponseWriter, q *http.Request) {
+// agreed answers once there is a newer revision than the follower knows, or its wait is over.
+func (r *fakeRegistry) agreed(w http.ResponseWriter, q *http.Request) {
 	after, _ := strconv.ParseInt(q.URL.Query().Get("after"), 10, 64) // the client's own
 	ms, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
 	over := time.After(time.Duration(ms) * time.Millisecond)
@@ -122,8 +122,8 @@
 	}
 }
 
-// force brings a version into force with the word of two other nodes.
-func (r *oneReplica) force(t *testing.T, content json.RawMessage) int64 {
+// force puts a version in force, acknowledged and reported by two other nodes.
+func (r *fakeRegistry) force(t *testing.T, content json.RawMessage) int64 {
 	t.Helper()
 	var start [2]int64
 	ops := []state.Op{}
@@ -155,15 +155,15 @@
 	return number
 }
 
-// A node starts with a version that an earlier process kept, while another is in force. It serves only once the registry has
-// its word that it runs that one; one that ends before has served nobody. A while later nobody hears from it, two versions
-// pass by, and it comes back through the last, serving all along.
+// A node starts with a version that an earlier process saved, while another is in force. It serves only once the registry
+// has its report that it runs that one; a process that ends before has served nobody. Later its lease ends, two versions
+// are put in force, and the node is in sync again with the last, serving all along.
 func TestServesOnceInSync(t *testing.T) {
 	t.Parallel()
-	r, addr := newOneReplica(t)
-	first := attempts(t, 5)
+	r, addr := newFakeRegistry(t)
+	first := settingsWithAttempts(t, 5)
 	r.force(t, first)
-	r.force(t, attempts(t, 6))
+	r.force(t, settingsWithAttempts(t, 6))
 	keep := filepath.Join(t.TempDir(), "kept")
 	text, err := json.Marshal(follower.Version{Number: 1, Hash: state.ContentHash(first), Settings: first})
 	if err != nil {
@@ -219,8 +219,8 @@
 	start := r.state.Get("n3").Token
 	r.mu.Unlock()
 	r.write(state.Op{Kind: state.OpExpire, UID: "n3", Token: start})
-	r.force(t, attempts(t, 7))
-	r.force(t, attempts(t, 8))
+	r.force(t, settingsWithAttempts(t, 7))
+	r.force(t, settingsWithAttempts(t, 8))
 	nodetest.Eventually(t, "it is back in touch", func() bool { inTouch, running := r.node("n3"); return inTouch && running == 4 })
 	if got := n.running(t); got != 8 {
 		t.Errorf("it is in touch with version 4 and makes %d attempts", got)
@@ -229,5 +229,5 @@
 
 // running is how many attempts a node makes, by which its settings are known.
 func (n *Node) running(t *testing.T) int {
-	return onLoop(t, n, func() int { return n.loop.maxAttempts })
+	return callOnLoop(t, n, func() int { return n.loop.maxAttempts })
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -20,7 +20,7 @@
 	killGrace         = 700 * time.Millisecond
 	killMargin        = 250 * time.Millisecond
 	// firstUpdateTimeout is how long a node that starts waits for what its agent holds before it serves by the endpoint list in its
-	// configuration. The agent answers at once if it can, and what it holds counts as told from the first moment on.
+	// configuration. The agent answers at once if it can, and the node is expected to know what the agent knows from its start on.
 	firstUpdateTimeout = 250 * time.Millisecond
 )
 
@@ -98,7 +98,7 @@
 	return n.awaitInSync(ctx)
 }
 
-// awaitFirstUpdate waits until what the agent holds is known, for firstUpdateTimeout at the most.
+// awaitFirstUpdate waits until the node knows the list of its discovery agent, for firstUpdateTimeout at the most.
 func (n *Node) awaitFirstUpdate(ctx context.Context) {
 	select {
 	case <-n.loop.watcher.firstAnswer:
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -16,8 +16,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// platformSocket is a listening socket that outlives every process of the node; inherit gives the
-// descriptor under which one of them finds it.
+// platformSocket is a listening socket that outlives every process of the node. inherit returns the descriptor under which
+// one process finds it.
 func platformSocket(t *testing.T) (addr string, inherit func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	}
 }
 
-// dup gives a descriptor of its own for an open file, for the node to keep or the test to leave.
+// dup returns a descriptor of its own for an open file, for the node to keep.
 func dup(t *testing.T, f *os.File) int {
 	t.Helper()
 	fd, err := syscall.Dup(int(f.Fd()))
@@ -46,7 +46,7 @@
 	return fd
 }
 
-// quota is the part of the limits that the process has now.
+// quota is the fraction of the limits that the process has now.
 func (n *Node) quota() float64 {
 	spare := n.cfg.Sockets - reservedDescriptors - control.MaxConnections - 1
 	return float64(n.listener.Limit()) / float64(spare-spare*2/5)
@@ -55,7 +55,8 @@
 // stopped reports whether the process accepts no more.
 func (n *Node) stopped() bool { return n.listener.Closed() }
 
-// Two processes on one socket: the first ends its work and takes no more; what waits goes to the second.
+// Two processes on one socket: the first ends its requests and accepts no more; connections in the backlog go to the
+// second.
 func TestReplacedWithoutALostRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	begun, release := make(chan struct{}, 10), make(chan struct{})
@@ -79,7 +80,7 @@
 		}
 		done := make(chan error, 1)
 		go func() { done <- n.Run(ctx) }()
-		for end := time.Now().Add(nodetest.Limit); ask(t, n, "check\n") != "ok\n"; {
+		for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
 			if time.Now().After(end) {
 				t.Fatal("the node never serves")
 			}
@@ -166,7 +167,7 @@
 	}
 }
 
-// A process that is told to stop does not break off a long answer, however long that goes on.
+// A process that is stopped does not truncate a long answer, however long that takes.
 func TestStopLeavesALongAnswerWhole(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -207,8 +208,8 @@
 	}
 }
 
-// After the signal new connections come for a while: they are served, and so is all that was taken,
-// each with the word that its connection closes, before Run returns.
+// After the signal new connections come for a while: they are served, and so is all that was accepted, each with
+// Connection: close, before Run returns.
 func TestStopServesWhatCame(t *testing.T) {
 	t.Parallel()
 	began, release := make(chan struct{}, 2), make(chan struct{})
@@ -268,7 +269,7 @@
 	}
 }
 
-// What would outlast the kill is failed before it.
+// A request that would outlast the process is failed before the process is killed.
 func TestStopAnswersBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	began := make(chan struct{})
@@ -304,13 +305,13 @@
 	}
 }
 
-// What comes when the process is about to be killed is refused at once: no answer would come in time.
+// A request that comes when the process is about to be killed is rejected at once: no answer would come in time.
 func TestRejectsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
 	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
 	n.loop.post(n.loop.abandonAll)
 	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusServiceUnavailable || len(got) > 0 {
-		t.Errorf("answer %d, %d sent on", resp.StatusCode, len(got))
+		t.Errorf("answer %d, %d forwarded", resp.StatusCode, len(got))
 	}
 }
--- a/internal/node/listener/listener_test.go
+++ b/internal/node/listener/listener_test.go
@@ -27,7 +27,7 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept must not end the node, whatever the reason.
+// A failed accept must not end a server, whatever the reason.
 func TestFailedAccept(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/longanswer_test.go
+++ b/internal/node/longanswer_test.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Long answers reach the client whole, however they are framed and in whatever pieces they come.
+// Long answers reach the client complete, however they are framed and in whatever pieces they come.
 func TestLongAnswers(t *testing.T) {
 	t.Parallel()
 	body := nodetest.Text(3 << 20)
@@ -37,7 +37,7 @@
 	}
 }
 
-// The first bytes of a long answer do not wait for the rest, and nothing of it for more.
+// The first bytes of a long answer do not wait for what follows.
 func TestLongAnswerIsNotHeldBack(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ head, first, rest string }{
@@ -73,7 +73,7 @@
 	}
 }
 
-// A long answer that breaks off is no whole one to any client, and no other attempt follows.
+// A truncated long answer does not look complete to any client, and no other attempt follows.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]string{
@@ -92,7 +92,7 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
 				if err == nil {
-					t.Errorf("looks whole to a client of HTTP/%s", proto)
+					t.Errorf("looks complete to a client of HTTP/%s", proto)
 				}
 				nodetest.Wait(t, got)
 			}
@@ -108,7 +108,7 @@
 	}
 }
 
-// A client that leaves amid a long answer ends the attempt, and no server is blamed.
+// A client that disconnects amid a long answer ends the attempt, and no server is blamed.
 func TestClientLeavesALongAnswer(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
--- a/internal/node/longrequest_test.go
+++ b/internal/node/longrequest_test.go
@@ -24,7 +24,7 @@
 	return nodetest.Stub(t, nodetest.OK, false)
 }
 
-// Long requests reach the server whole, as clients frame them, and count from their last byte.
+// Long requests reach the server complete, however clients frame them, and connections are used again after them.
 func TestLongRequests(t *testing.T) {
 	t.Parallel()
 	body := nodetest.Text(2 << 20)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A long request's body goes to the server as it comes, not when it is all here.
+// A long request's body is forwarded as it comes.
 func TestLongRequestIsPassedOnAsItComes(t *testing.T) {
 	t.Parallel()
 	const size = 1 << 20
@@ -92,8 +92,8 @@
 	}
 }
 
-// A server that is not there costs a long request nothing: nothing of the body was read for it. One that
-// leaves amid the body ends it with a refusal, as it can't have run and can't be sent again.
+// A long request is retried while nothing of its body was read. When a server fails amid the body the request is rejected:
+// it cannot have run, and cannot be sent again.
 func TestLongRequestMovesOnWhileItCan(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,7 +106,7 @@
 		_, _ = http.ReadRequest(r)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	turnsAway := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+	rejects := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		_, _ = io.Copy(io.Discard, r)
@@ -115,7 +115,7 @@
 	for name, c := range map[string]struct {
 		first  string
 		status int
-	}{"not there": {l.Addr().String(), 200}, "quits": {quits, 503}, "turns away": {turnsAway, 503}} {
+	}{"not there": {l.Addr().String(), 200}, "quits": {quits, 503}, "rejects": {rejects, 503}} {
 		t.Run(name, func(t *testing.T) {
 			n := startNode(t, testConfig("127.0.0.1:1", serving("first", c.first), serving("second", good)),
 				firstThenSecond())
@@ -134,13 +134,13 @@
 					t.Errorf("the second server got %d bytes", len(s.Content))
 				}
 			} else if len(got) > 0 {
-				t.Errorf("a spent body reached the second server")
+				t.Errorf("a consumed body reached the second server")
 			}
 		})
 	}
 }
 
-// firstThenSecond is a module that sends to one server, then to the other unless the body is spent.
+// firstThenSecond are decisions that send to one server, then to the other unless the body is consumed.
 func firstThenSecond() decisionsFunc {
 	return func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// The time of a long request begins when the server has it all, however long that took.
+// The time of a long request begins when the server has all of it, however long that took.
 func TestTimeBeginsWhenALongRequestIsSent(t *testing.T) {
 	t.Parallel()
 	addr, _ := sink(t)
@@ -188,7 +188,7 @@
 	}
 }
 
-// A client that stands still amid a body of any length has an error in time, and its server is let go.
+// A client that pauses for too long amid a body of any length gets an error, and the connection to its server is closed.
 func TestClientPausesAmidItsBody(t *testing.T) {
 	t.Parallel()
 	if clientconn.MaxBodyPause >= 3*time.Second || clientconn.FirstBodyTimeout >= 3*time.Second {
@@ -217,7 +217,7 @@
 	}
 }
 
-// A body over the most that one may be is refused by its head, or when it has gone too far.
+// A body that is too long is rejected by its Content-Length, or when it has become too long.
 func TestBodyTooLong(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -244,7 +244,8 @@
 	}
 }
 
-// What stands inside a long body is no request, also when the answer comes before the body's end.
+// What looks like a request inside a long body is not handled as one, also when the answer comes before the end of the
+// body.
 func TestRequestInsideALongBody(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -271,6 +272,6 @@
 		t.Errorf("a second answer: %q, %v", rest, err)
 	}
 	if len(got) > 0 {
-		t.Error("what stood in a body was sent on")
+		t.Error("what stood in a body was forwarded")
 	}
 }
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// figures are the operators' figures as vars tells them.
+// figures are the answer to the command vars.
 type figures struct {
 	Results        map[string]metrics.ClassResults `json:"results"`
 	Outstanding    int                             `json:"outstanding"`
@@ -24,8 +24,8 @@
 
 func vars(t *testing.T, n *Node) (f figures) {
 	t.Helper()
-	text, whole := strings.CutSuffix(ask(t, n, "vars\n"), "\neof\n")
-	if !whole || strings.Contains(text, "\n") {
+	text, complete := strings.CutSuffix(sendCommand(t, n, "vars\n"), "\neof\n")
+	if !complete || strings.Contains(text, "\n") {
 		t.Fatalf("vars: %q", text)
 	}
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
@@ -34,7 +34,7 @@
 	return f
 }
 
-// Each figure follows what happens: an answer of each kind, a request in hand, the list.
+// Each figure follows what happens: an answer of each kind, a request in flight, the endpoint list.
 func TestFiguresFollowWhatHappens(t *testing.T) {
 	t.Parallel()
 	served, _ := nodetest.Stub(t, nodetest.OK, false)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,8 +25,8 @@
 	"umberbank/internal/registry/client"
 )
 
-// Node is one node of the load balancer. New returns one that listens, and Run serves; the other methods may be called by any
-// goroutine while it runs.
+// Node is one node of the load balancer. New returns a node that listens, and Run serves, once; the other methods may be called by
+// any goroutine while it runs.
 type Node struct {
 	loop        *loop
 	frontend    *frontend
@@ -53,11 +53,11 @@
 const (
 	// reservedDescriptors are for the listener, the watch, the log and the runtime.
 	reservedDescriptors = 32
-	// upstreamFraction is the part of the descriptors for connections to servers. An attempt needs a client, and clients hold idle
-	// connections besides: they get the larger part.
+	// upstreamFractionNum/upstreamFractionDen of the descriptors are for connections to servers. An attempt needs a client, and clients
+	// have idle connections besides: they get the larger part.
 	upstreamFractionNum, upstreamFractionDen = 2, 5
-	// memoryLimitFraction of the memory limit makes the garbage collector work harder, well before the limit at which the node is
-	// killed.
+	// memoryLimitFraction is the fraction of the memory limit from which on the garbage collector works harder, well below the limit at
+	// which the node is killed.
 	memoryLimitFraction = 0.7
 )
 
@@ -109,7 +109,7 @@
 	return net.Listen("tcp", cfg.Listen)
 }
 
-// assemble puts the parts of a node together that can not fail.
+// assemble creates the parts of a node whose creation cannot fail.
 func assemble(cfg config.Config, decisions decisions, socket net.Listener) *Node {
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(upstream.Options{
@@ -137,7 +137,7 @@
 	return n
 }
 
-// openFacilities opens what the configuration asks for besides the clients' socket.
+// openFacilities opens the registry client, the process lock and the operators' address, where the configuration asks for them.
 func (n *Node) openFacilities() (err error) {
 	if err := n.openRegistry(); err != nil {
 		return fmt.Errorf("registry: %w", err)
@@ -160,7 +160,7 @@
 // Addr is the address that the node listens on for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// setQuota gives the process a part of the node's limits.
+// setQuota limits the process to a fraction of the node's descriptors and memory.
 func (n *Node) setQuota(quota float64) {
 	descriptors := n.cfg.Sockets - reservedDescriptors
 	if n.cfg.Control != "" {
@@ -176,7 +176,7 @@
 	}
 }
 
-// commands are what operators may ask for at the second address. Their names and answers are in docs/oncall.
+// commands are the commands at the operators' address. Their names and answers are documented in docs/oncall.
 func (n *Node) commands() control.Commands {
 	return control.Commands{
 		"check": func() string {
--- a/internal/node/processlock/processlock_test.go
+++ b/internal/node/processlock/processlock_test.go
@@ -7,7 +7,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The name of the lock under which processes of a node replace each other: two builds of the program must use one.
+// The name of the lock file: processes of two builds of the program must use one lock.
 func TestGoldenLockName(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -13,8 +13,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// wholeFile is a complete configuration, as the platform writes it, for a node with one server.
-func wholeFile(server string) map[string]any {
+// completeFile is a complete configuration, as the platform writes it, for a node with one server.
+func completeFile(server string) map[string]any {
 	lane := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "key-scope": "all", "target-ms": 2000.0,
 			"deadline-ms": 5000.0, "window-ms": 10000.0, "worth": 1.0, "stream": false, "late-share": 0.0}
@@ -36,7 +36,7 @@
 
 func lanesOf(file map[string]any) []any { return settingsOf(file)["lanes"].([]any) }
 
-// writeFile puts a configuration where the platform does and returns its path.
+// writeFile writes a configuration and returns its path.
 func writeFile(t *testing.T, file any) string {
 	t.Helper()
 	text, is := file.(string)
@@ -72,11 +72,11 @@
 	}
 }
 
-// A new class is served, a dropped one is unknown, and a changed effect and number of attempts bind.
+// A new class is served, a removed one is unknown, and a changed effect and number of attempts apply.
 func TestReloadTakesNewSettings(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
-	file := wholeFile(addr)
+	file := completeFile(addr)
 	n := startFromFile(t, file)
 	if s := status(t, n, "GET", "/fresh/1"); s != http.StatusNotFound || len(got) > 0 {
 		t.Fatalf("a class before its time: %d", s)
@@ -104,30 +104,30 @@
 	}
 }
 
-// A file with any fault leaves everything as it was, and is counted.
+// A file with any fault changes nothing, and is counted.
 func TestReloadRejectsBrokenFiles(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
-	n := startFromFile(t, wholeFile(addr))
-	whole, err := json.Marshal(wholeFile(addr))
+	n := startFromFile(t, completeFile(addr))
+	complete, err := json.Marshal(completeFile(addr))
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken := map[string]any{"empty": "", "cut off": string(whole[:len(whole)-40]), "a list": "[]", "null": "null"}
+	broken := map[string]any{"empty": "", "cut off": string(complete[:len(complete)-40]), "a list": "[]", "null": "null"}
 	change := func(name string, f func(file map[string]any)) {
-		file := wholeFile(addr)
+		file := completeFile(addr)
 		file["discovery"] = "127.0.0.1:2"
 		lanesOf(file)[0].(map[string]any)["name"] = "fresh"
 		f(file)
 		broken[name] = file
 	}
-	for key := range wholeFile(addr) {
+	for key := range completeFile(addr) {
 		change("no "+key, func(file map[string]any) { delete(file, key) })
 	}
-	for key := range settingsOf(wholeFile(addr)) {
+	for key := range settingsOf(completeFile(addr)) {
 		change("no settings."+key, func(file map[string]any) { delete(settingsOf(file), key) })
 	}
-	for key := range lanesOf(wholeFile(addr))[1].(map[string]any) {
+	for key := range lanesOf(completeFile(addr))[1].(map[string]any) {
 		change("no lane's "+key, func(file map[string]any) { delete(lanesOf(file)[1].(map[string]any), key) })
 	}
 	for _, key := range []string{"deadline-ms", "target-ms"} {
@@ -160,8 +160,8 @@
 	})
 }
 
-// A request that came before the settings changed keeps its attempts; one the front read by the old
-// settings and the loop accepts after them follows the new.
+// A request that came before a reload keeps its number of attempts; one that the frontend read before and the loop accepts
+// after the reload follows the new settings.
 func TestReloadBetweenFrontendAndLoop(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig("127.0.0.1:1")
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -16,20 +16,20 @@
 // client has given up. Of a short time it leaves no more than 1/4.
 const overhead = 20 * time.Millisecond
 
-// request is a client's request. The loop owns it, but for what the frontend fills in before accept and for the atomics. Times are
-// clock times unless they are named as durations.
+// request is a client's request. The loop owns it, except for the fields that the frontend sets before accept and for the atomics.
+// deadline, fallbackAt and firstSentAt are clock times.
 type request struct {
 	id           string // ours: a client's id may come twice
 	class        string
-	clientRetry  bool          // the client has sent it before
-	costHint     time.Duration // the work to expect; 0: not known
-	timeLeft     time.Duration // how long the client waits from the request's last byte on
-	deadline     time.Duration // by which the decisions are to answer
-	fallbackAt   time.Duration // at which the node answers by itself
-	outgoing     *http.Request // what goes to a server
-	body         []byte        // as much of it as is held
-	streamedBody *clientconn.Body
-	answer       chan answer // holds the final answer; never blocks
+	clientRetry  bool             // the client has sent it before
+	costHint     time.Duration    // the work to expect; 0: not known
+	timeLeft     time.Duration    // how long the client waits from the request's last byte on
+	deadline     time.Duration    // by which the decisions are to answer
+	fallbackAt   time.Duration    // at which the node answers by itself
+	outgoing     *http.Request    // what goes to a server
+	body         []byte           // as much of it as is buffered
+	streamedBody *clientconn.Body // what follows body; nil: nothing
+	answer       chan answer      // holds the final answer; never blocks
 
 	maxAttempts int            // by the settings when it was accepted
 	settings    balancer.Class // likewise
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -20,7 +20,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Whoever is sent away keeps no place by a body that never comes.
+// A request that is rejected by its head does not keep its connection for a body that never comes.
 func TestUnreadBodyKeepsNoConnection(t *testing.T) {
 	t.Parallel()
 	n := startNode(t, testConfig("127.0.0.1:1"), nil)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Requests that follow each other without waiting are answered in their order, bodies among them.
+// Pipelined requests are answered in their order, long bodies among them.
 func TestPipelined(t *testing.T) {
 	t.Parallel()
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// A client that names no host, as HTTP/1.0 lets it, is served like any other.
+// A client that names no host, as HTTP/1.0 allows, is served like any other.
 func TestNoHost(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A client's id may come twice at once; each request gets its own answer.
+// Two requests in flight may have the same correlation ID; each gets its own answer.
 func TestSameCorrelationIDTwice(t *testing.T) {
 	t.Parallel()
 	both := make(chan struct{}, 2)
@@ -187,7 +187,7 @@
 	}
 }
 
-// What one framing takes for the body and another for the next request never reaches a server.
+// Bytes that are a body by one framing and a request by another never reach a server as a request.
 func TestRequestInsideABody(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
@@ -224,8 +224,7 @@
 	}
 }
 
-// Whoever has no proper request to make keeps no client from its place: the connection ends with the
-// answer.
+// The connection of a peer without a proper request is closed after the answer, for another client.
 func TestRejectedPeersAreClosed(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -261,8 +260,8 @@
 	}
 }
 
-// A peer that sends nothing, or half a request, has an error or a close soon after it connected, and a
-// request that took its time until then is served for as long as its client waits.
+// A peer that sends nothing, or half a request, gets an error or a close soon after it connected. A request that was slow
+// but in time is served.
 func TestSlowPeers(t *testing.T) {
 	t.Parallel()
 	if requestTimeout >= 3*time.Second {
@@ -303,7 +302,7 @@
 	}
 }
 
-// The module is told the work to expect, where a request's figures tell it.
+// The decisions get the cost hint of a request.
 func TestCostHint(t *testing.T) {
 	t.Parallel()
 	costs := make(chan time.Duration, 1)
@@ -325,7 +324,7 @@
 	}
 }
 
-// More clients than descriptors wait their turn; none is lost and the node stays up.
+// Clients over the connection limit wait; none is lost and the node stays up.
 func TestClientsOverTheLimit(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -345,7 +344,7 @@
 				resp.Body.Close()
 				switch resp.StatusCode {
 				case http.StatusOK:
-				case http.StatusServiceUnavailable: // by the module, for want of room
+				case http.StatusServiceUnavailable: // by the decisions, for want of capacity
 					refused.Add(1)
 				default:
 					err = errors.New(resp.Status)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -14,13 +14,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// agreedConfig is a configuration that takes its settings from a registry, which nobody answers for.
+// agreedConfig is a configuration with a rollout, whose registry does not answer.
 func agreedConfig(t *testing.T, keep string) config.Config {
 	t.Helper()
 	return agreedConfigAt(t, "127.0.0.1:1", keep)
 }
 
-// agreedConfigAt is one that takes them from a registry at an address, with a short lease.
+// agreedConfigAt is a configuration with a rollout from a registry at an address, with a short lease.
 func agreedConfigAt(t *testing.T, addr, keep string) config.Config {
 	t.Helper()
 	cfg, err := config.Parse([]byte(agreedConfigText(addr, keep)))
@@ -36,7 +36,7 @@
 	return strings.Replace(text, `"127.0.0.1:3000"`, `"127.0.0.1:0"`, 1)
 }
 
-// otherSettings are the settings of nodetest.Config with something else in their place.
+// otherSettings are the settings of nodetest.Config with a part of the text replaced.
 func otherSettings(t *testing.T, old, replacement string) json.RawMessage {
 	t.Helper()
 	var file struct{ Settings json.RawMessage }
@@ -50,8 +50,8 @@
 	return text
 }
 
-// A version is looked at as at SIGHUP and changes nothing; told, it is run and kept, and the process after this one starts with
-// it. What was kept and is spoilt is passed over.
+// A proposed version is validated like a reload and changes nothing. An activated one is run and saved, and the next
+// process starts with it. A saved version that is damaged is ignored.
 func TestVersionIsValidatedRunAndKept(t *testing.T) {
 	t.Parallel()
 	keep := filepath.Join(t.TempDir(), "kept")
@@ -91,8 +91,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoilt := range map[string][]byte{"cut": text[:len(text)/2], "changed": []byte(strings.Replace(string(text), "400", "401", 1)), "empty": nil} {
-		if err := os.WriteFile(keep, spoilt, 0o600); err != nil {
+	for name, damaged := range map[string][]byte{"cut": text[:len(text)/2], "changed": []byte(strings.Replace(string(text), "400", "401", 1)), "empty": nil} {
+		if err := os.WriteFile(keep, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, kept := follower.Restore(agreedConfig(t, keep)); kept.Number != 0 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// Settings that were agreed on stay at SIGHUP; the rest of the file is taken over.
+// A reload keeps settings from a rollout, and takes over the rest of the file.
 func TestReloadKeepsRolloutSettings(t *testing.T) {
 	t.Parallel()
 	cfg := agreedConfig(t, "")
@@ -133,6 +133,6 @@
 	}
 }
 
-func attempts(t *testing.T, next int) json.RawMessage {
+func settingsWithAttempts(t *testing.T, next int) json.RawMessage {
 	return otherSettings(t, `"limits":{`, fmt.Sprintf(`"limits":{"max-attempts":%d,`, next))
 }
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -14,9 +14,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// What an agent may do in place of telling its news, several times in a row, and the time by which the node must
-// know all the same: news that was missed counts as told 6 s after its watch fell silent, and 4 s after SIGHUP or at
-// once where the process is new.
+// What discovery may do in place of sending its update, several times in a row, and by when the node must have the update
+// anyhow: 6 s after its watch fell silent, 4 s after SIGHUP, and at once in a new process.
 func TestSilentAgents(t *testing.T) {
 	t.Parallel()
 	says := func(text string) func(http.ResponseWriter, *http.Request) {
@@ -26,13 +25,13 @@
 			<-r.Context().Done()
 		}
 	}
-	whole := nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
+	complete := nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
 	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	refuses := func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	answers := func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole) }
+	answers := func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) }
 	breaks := func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }
 	trickles := func(w http.ResponseWriter, r *http.Request) {
-		for _, b := range []byte(whole) {
+		for _, b := range []byte(complete) {
 			w.Write([]byte{b})
 			w.(http.Flusher).Flush()
 			select {
@@ -42,24 +41,24 @@
 			}
 		}
 	}
-	// The bound by construction: the whole list is asked for so long after the last proof, and answered at once.
+	// The bound by construction: the complete list is polled so long after the last confirmation, and answered at once.
 	const bound = discovery.SilenceTimeout + pollInterval
 	type handler = func(http.ResponseWriter, *http.Request)
 	for name, c := range map[string]struct {
-		ask   bool
-		bad   []handler
-		plain handler // answers questions for the whole list; nil: nothing does, and watches alone must do
-		most  time.Duration
+		ask    bool
+		bad    []handler
+		polled handler // answers polls; nil: nothing does, and watches alone must do
+		most   time.Duration
 	}{
-		"three in a row answer and fall silent":          {bad: []handler{says("\n"), says("\n"), says("\n")}, plain: answers, most: bound},
-		"three in a row where the list is asked for":     {ask: true, bad: []handler{says("\n"), says("\n"), says("\n")}, plain: answers, most: bound},
-		"three in a row that are refused":                {bad: []handler{refuses, refuses, refuses, refuses, refuses}, plain: answers, most: bound},
-		"five that break":                                {bad: []handler{breaks, breaks, breaks, breaks, breaks}, plain: answers, most: bound},
-		"a byte a second, and silent ones":               {bad: []handler{trickles, trickles, silent, silent}, plain: answers, most: bound},
-		"a half list, a broken one and two silent ones":  {bad: []handler{says(whole[:40]), says("no list\n"), says("\n"), says("\n")}, plain: answers, most: bound},
-		"a broken list is asked for at once":             {bad: []handler{says("\n\nno list\n"), says("\n"), says("\n")}, plain: answers, most: pollInterval},
-		"a list without its targets, the same":           {bad: []handler{says(`{"rev":9,"all":true}` + "\n"), says("\n"), says("\n")}, plain: answers, most: pollInterval},
-		"the first of a new process, and the whole list": {bad: []handler{says(""), says("")}, plain: answers, most: pollInterval},
+		"three in a row answer and fall silent":          {bad: []handler{says("\n"), says("\n"), says("\n")}, polled: answers, most: bound},
+		"three in a row where the list is asked for":     {ask: true, bad: []handler{says("\n"), says("\n"), says("\n")}, polled: answers, most: bound},
+		"three in a row that are refused":                {bad: []handler{refuses, refuses, refuses, refuses, refuses}, polled: answers, most: bound},
+		"five that break":                                {bad: []handler{breaks, breaks, breaks, breaks, breaks}, polled: answers, most: bound},
+		"a byte a second, and silent ones":               {bad: []handler{trickles, trickles, silent, silent}, polled: answers, most: bound},
+		"a half list, a broken one and two silent ones":  {bad: []handler{says(complete[:40]), says("no list\n"), says("\n"), says("\n")}, polled: answers, most: bound},
+		"a broken list is asked for at once":             {bad: []handler{says("\n\nno list\n"), says("\n"), says("\n")}, polled: answers, most: pollInterval},
+		"a list without its targets, the same":           {bad: []handler{says(`{"rev":9,"all":true}` + "\n"), says("\n"), says("\n")}, polled: answers, most: pollInterval},
+		"the first of a new process, and the whole list": {bad: []handler{says(""), says("")}, polled: answers, most: pollInterval},
 
 		"a watch falls silent":         {bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
 		"it is asked for":              {ask: true, bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
@@ -79,21 +78,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			plain := c.plain
-			if plain == nil {
-				plain = silent
+			polled := c.polled
+			if polled == nil {
+				polled = silent
 			}
 			var asked atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if nodetest.IsPoll(r) {
-					plain(w, r)
+					polled(w, r)
 					return
 				}
 				if i := int(asked.Add(1)) - 1; i < len(c.bad) {
 					c.bad[i](w, r)
 					return
 				}
-				says(whole+"\n")(w, r)
+				says(complete+"\n")(w, r)
 			}))
 			t.Cleanup(s.CloseClientConnections)
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
@@ -111,14 +110,14 @@
 			took := nodetest.Wait(t, news).Sub(started)
 			// The waits add up by design; how late this machine runs them is not the node's doing.
 			t.Logf("news after %v", took)
-			if slack := 2 * time.Second; took > c.most+slack || c.plain == nil && int(asked.Load()) != len(c.bad)+1 {
+			if slack := 2 * time.Second; took > c.most+slack || c.polled == nil && int(asked.Load()) != len(c.bad)+1 {
 				t.Errorf("news after %v and %d watches, due after %v", took, asked.Load(), c.most)
 			}
 		})
 	}
 }
 
-// Calls overtake each other: an older list that is late undoes nothing, whichever way the newer one came.
+// Calls overtake each other: an older list that comes late is ignored, whichever way the newer one came.
 func TestOlderListIsLate(t *testing.T) {
 	t.Parallel()
 	newer, older := nodetest.Message(9, true, nodetest.Target("a", "DRAINING")), nodetest.Message(8, true, nodetest.Target("a", "SERVING"))
@@ -161,11 +160,11 @@
 			if l := nodetest.Wait(t, lists); l.Endpoints[0].State != balancer.Draining {
 				t.Fatalf("first %+v", l)
 			}
-			start := onLoop(t, n, func() time.Duration { return n.loop.watcher.confirmedAt })
+			start := callOnLoop(t, n, func() time.Duration { return n.loop.watcher.confirmedAt })
 			close(gate)
 			// The older list has been dealt with once no question is out, or once its watch has proven something.
 			nodetest.Eventually(t, "the older list", func() bool {
-				return onLoop(t, n, func() bool { return late && n.loop.watcher.polls == 0 || !late && n.loop.watcher.confirmedAt > start })
+				return callOnLoop(t, n, func() bool { return late && n.loop.watcher.polls == 0 || !late && n.loop.watcher.confirmedAt > start })
 			})
 			if len(lists) > 0 {
 				t.Errorf("then %+v", <-lists)
@@ -174,14 +173,14 @@
 	}
 }
 
-// A node that starts serves by what its agent holds, not by the list it was given, which may be old; an agent that
-// says nothing keeps it for a moment only.
+// A node that starts serves by the list of its discovery agent, not by the one in its configuration, which may be old. An
+// agent that does not answer delays it for a moment only.
 func TestFirstUpdateBeforeServing(t *testing.T) {
 	t.Parallel()
 	for name, news := range map[string]string{"news": nodetest.Message(9, true, nodetest.Target("a", "SERVING")), "none": "", "silence": "silence"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			told, serve := make(chan struct{}), make(chan struct{})
+			updated, serve := make(chan struct{}), make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if news == "silence" {
 					<-r.Context().Done()
@@ -198,7 +197,7 @@
 			started := time.Now()
 			n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
 				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
-					close(told)
+					close(updated)
 				}
 				return nil
 			}))
@@ -213,7 +212,7 @@
 			}
 			if name == "news" {
 				select {
-				case <-told:
+				case <-updated:
 				default:
 					t.Error("it serves before it knows the news")
 				}
@@ -222,20 +221,20 @@
 	}
 }
 
-// A list that stops short changes nothing and is asked for again, soon, from the revision that is held.
+// A truncated update changes nothing and is asked for again, soon, from the revision that the node has.
 func TestListCutShort(t *testing.T) {
 	t.Parallel()
-	whole := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "SERVING"))
+	complete := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "SERVING"))
 	for name, cut := range map[string]func(w http.ResponseWriter, r *http.Request){
-		"and ends": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole[:len(whole)/2]) },
+		"and ends": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete[:len(complete)/2]) },
 		"and breaks": func(w http.ResponseWriter, r *http.Request) {
-			fmt.Fprint(w, whole[:len(whole)/2])
+			fmt.Fprint(w, complete[:len(complete)/2])
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"by its end": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, whole) },
+		"by its end": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) },
 		"and stands still": func(w http.ResponseWriter, r *http.Request) {
-			fmt.Fprint(w, whole[:len(whole)/2])
+			fmt.Fprint(w, complete[:len(complete)/2])
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		},
@@ -254,7 +253,7 @@
 					cut(w, r)
 					return
 				}
-				fmt.Fprintln(w, whole)
+				fmt.Fprintln(w, complete)
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}))
@@ -281,9 +280,9 @@
 	}
 }
 
-// Where lists are asked for, discovery serves the calls of all nodes in turn. One that has refused a watch for its load is
-// waited for: the next watch is not given up while it stands in line, so there is one in line and not many; and no
-// question for the whole list goes out while another waits.
+// Where lists are polled, discovery serves the calls of all nodes one after the other. After it has rejected a watch for
+// its load the next watch is given all the time that there is, so that only one is waiting; and there is one poll at a
+// time.
 func TestSerializedDiscoveryIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	const line = 4 * time.Second / 3 // what standing in line takes; watches of an agent are given up long before
--- a/internal/node/snapshotter/golden_test.go
+++ b/internal/node/snapshotter/golden_test.go
@@ -13,10 +13,10 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// storedDir has the snapshots that a node kept under traffic, with servers that were slow, failing and gone.
+// storedDir has the snapshots that a node saved under traffic, with endpoints that were slow, failing and new.
 const storedDir = "testdata"
 
-// Snapshots that an earlier process wrote are found, read whole, and written again in the same bytes.
+// Snapshots that an earlier process saved are found, read completely, and encoded again in the same bytes.
 func TestGoldenSnapshots(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir() // loading may write beside them
--- a/internal/node/snapshotter/snapshotter_test.go
+++ b/internal/node/snapshotter/snapshotter_test.go
@@ -8,7 +8,7 @@
 	"umberbank/balancer"
 )
 
-// What one snapshot of 10,000 servers costs beside the loop; the node rests for pauseFactor times as long after it.
+// The cost of one snapshot of 10,000 endpoints, without the disk; the node pauses for pauseFactor times as long after it.
 func BenchmarkSave(b *testing.B) {
 	m := balancer.Snapshot{LimitPerEndpoint: 4}
 	for i := range 10_000 {
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -21,7 +21,7 @@
 	"umberbank/internal/simwire"
 )
 
-// A reset is no end of an answer, whether or not its length was told, and wherever it strikes.
+// A reset does not end a response, whether or not its length is known, and wherever it strikes.
 func TestResetIsNoEnd(t *testing.T) {
 	t.Parallel()
 	for _, said := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nall of",
@@ -42,31 +42,32 @@
 		connect := u.Dial
 		u.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 			c, err := connect(ctx, addr, within)
-			return readTeller{c, sync.OnceFunc(func() { close(read) })}, err
+			return notifyingConn{c, sync.OnceFunc(func() { close(read) })}, err
 		}
-		if res := try(t, u, newReadyEndpoint(addr)); res.Result != balancer.ConnectionLost {
-			t.Errorf("after %q: ending %d", said, res.Result)
+		if res := attemptWith(t, u, newReadyEndpoint(addr)); res.Result != balancer.ConnectionLost {
+			t.Errorf("after %q: result %d", said, res.Result)
 		}
 	}
 }
 
-// readTeller tells when its first bytes are read.
-type readTeller struct {
+// notifyingConn calls a function when its first bytes are read.
+type notifyingConn struct {
 	net.Conn
-	told func()
+	onRead func()
 }
 
-func (c readTeller) Read(p []byte) (int, error) {
+func (c notifyingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.told()
+		c.onRead()
 	}
 	return n, err
 }
 
-// serverIdleTimeout is after how long servers close idle connections, as pools of the tests are told.
+// serverIdleTimeout is after how long servers close idle connections, by the settings of the tests.
 const serverIdleTimeout = time.Minute
 
+// newTestPool returns a pool of one connection.
 func newTestPool(limit int) *Pool {
 	return NewPool(Options{
 		Connections:    simwire.Connections{IdleTimeout: serverIdleTimeout, ConnectTimeout: nodetest.Limit},
@@ -85,7 +86,7 @@
 	return s
 }
 
-func keyed(t *testing.T) *http.Request {
+func keyedRequest(t *testing.T) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "/send/1", strings.NewReader("body"))
 	if err != nil {
@@ -96,14 +97,14 @@
 	return r
 }
 
-// free is the clearance of an attempt of which nothing is asked.
-var free = Conditions{Now: noTime, Wanted: func() bool { return true }}
+// noConditions hold for every attempt.
+var noConditions = Conditions{Now: noTime, Wanted: func() bool { return true }}
 
-func try(t *testing.T, u *Pool, s *Endpoint) AttemptResult {
+func attemptWith(t *testing.T, u *Pool, s *Endpoint) AttemptResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeoutCause(context.Background(), nodetest.Limit, ErrTimedOut)
 	defer cancel()
-	return u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: free, ResponseStarted: func(d *Response) {
+	return u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions, ResponseStarted: func(d *Response) {
 		go func() {
 			_, err := io.Copy(io.Discard, d)
 			d.Finish(err)
@@ -127,7 +128,7 @@
 		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
-		"turned away":       {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"rejected":          {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
 		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
 		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
@@ -144,7 +145,7 @@
 		"long chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537) + "\r\n0\r\nTrailer: x\r\n\r\n", balancer.Success, true},
 		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), balancer.Success, true},
 		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", balancer.Failure, false},
-		"half turned away":  {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", balancer.Overloaded, false},
+		"half rejected":     {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", balancer.Overloaded, false},
 		"unframed and 1.0":  {"HTTP/1.0 200 OK\r\n\r\nall of it", balancer.Success, false},
 		"other protocol":    {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", balancer.Failure, false},
 		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
@@ -162,9 +163,9 @@
 				}
 			})
 			u := newTestPool(10)
-			res := try(t, u, newReadyEndpoint(addr))
+			res := attemptWith(t, u, newReadyEndpoint(addr))
 			if res.Result != c.result {
-				t.Errorf("ending %d, want %d", res.Result, c.result)
+				t.Errorf("result %d, want %d", res.Result, c.result)
 			}
 			want := 0
 			if c.kept {
@@ -178,8 +179,8 @@
 	}
 }
 
-// A reused connection that breaks once the request is written is an attempt that may have run: it
-// must not be sent again behind the module's back, GET or keyed though it be.
+// A reused connection that breaks once the request is written is an attempt that may have run: it must not be sent again
+// without the decisions, though it is idempotent.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var seen atomic.Int64
@@ -198,11 +199,11 @@
 		}
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
-	if res := try(t, u, s); res.Result != balancer.Success {
+	if res := attemptWith(t, u, s); res.Result != balancer.Success {
 		t.Fatalf("first: %d", res.Result)
 	}
-	if res := try(t, u, s); res.Result != balancer.ConnectionLost {
-		t.Errorf("second: ending %d, want Broken", res.Result)
+	if res := attemptWith(t, u, s); res.Result != balancer.ConnectionLost {
+		t.Errorf("second: result %d, want ConnectionLost", res.Result)
 	}
 	if n := seen.Load(); n != 2 {
 		t.Errorf("the server saw %d requests of 2", n)
@@ -217,15 +218,15 @@
 	}
 	l.Close()
 	u := newTestPool(10)
-	if res := try(t, u, newReadyEndpoint(l.Addr().String())); res.Result != balancer.Unreachable {
-		t.Errorf("ending %d", res.Result)
+	if res := attemptWith(t, u, newReadyEndpoint(l.Addr().String())); res.Result != balancer.Unreachable {
+		t.Errorf("result %d", res.Result)
 	}
 	if open, _ := u.Connections(); open != 0 {
 		t.Errorf("%d connections counted", open)
 	}
 }
 
-// A dial takes time: what has changed meanwhile is seen before the first byte.
+// What has changed during a dial is seen before the first byte.
 func TestNothingWrittenAfterTheDial(t *testing.T) {
 	t.Parallel()
 	var bytes atomic.Int64
@@ -237,22 +238,22 @@
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
 	ctx := context.Background()
-	if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: Conditions{Now: noTime, Wanted: func() bool { return false }}}); res.Result != balancer.NotSent {
-		t.Errorf("request finished: ending %d, want Void", res.Result)
+	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: func() bool { return false }}}); res.Result != balancer.NotSent {
+		t.Errorf("request finished: result %d, want NotSent", res.Result)
 	}
 	if _, idle := u.Connections(); idle != 1 {
 		t.Error("the new connection was not kept for the next attempt")
 	}
 	gone := func() bool { s.SetReady(false); return true }
-	if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: Conditions{Now: noTime, Wanted: gone}}); res.Result != balancer.Unreachable {
-		t.Errorf("server gone: ending %d, want Unreachable", res.Result)
+	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: gone}}); res.Result != balancer.Unreachable {
+		t.Errorf("server gone: result %d, want Unreachable", res.Result)
 	}
 	nodetest.Wait(t, eof)
 	s.SetReady(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(ErrCancelled)
-	if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: free}); res.Result != balancer.NotSent {
-		t.Errorf("cancelled: ending %d, want Void", res.Result)
+	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != balancer.NotSent {
+		t.Errorf("cancelled: result %d, want NotSent", res.Result)
 	}
 	if n := bytes.Load(); n > 0 {
 		t.Errorf("%d bytes written", n)
@@ -280,8 +281,8 @@
 				<-began
 				cancel(cause)
 			}()
-			if res := u.Attempt(ctx, s, Call{Request: keyed(t), Conditions: free}); res.Result != want {
-				t.Errorf("%v: ending %d, want %d", cause, res.Result, want)
+			if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != want {
+				t.Errorf("%v: result %d, want %d", cause, res.Result, want)
 			}
 			if err := nodetest.Wait(t, ended); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("%v: the server saw %v", cause, err)
--- a/internal/node/upstream/conn.go
+++ b/internal/node/upstream/conn.go
@@ -25,7 +25,7 @@
 
 // abort gives the connection up with all that was written to it and has not left this machine. After a plain close the system
 // goes on sending that for minutes, so a request written into a link that is down would arrive, and run, when the link is up
-// again, long after its client was told that it had failed. What has left this machine no sender can take back.
+// again, long after its client was told that it had failed. Bytes that have left this machine cannot be recalled.
 func (c *conn) abort() {
 	if t, can := c.Conn.(interface{ SetLinger(sec int) error }); can {
 		_ = t.SetLinger(0) // where that cannot be, it is closed all the same
--- a/internal/node/upstream/pool_test.go
+++ b/internal/node/upstream/pool_test.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/simwire"
 )
 
-// Trust in idle connections follows a setting that is raised, unless a server has shaken it.
+// Trust in idle connections follows a setting that is raised, unless a server has dropped one early.
 func TestTrustFollowsItsSetting(t *testing.T) {
 	t.Parallel()
 	for _, shaken := range []bool{false, true} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// A server may close a connection at any time while it is idle; a request written to it then is lost.
+// A server may close an idle connection at any time; a request written to it then would be lost.
 func TestServerClosesIdle(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 10)
@@ -44,8 +44,8 @@
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
 	for range 2 {
-		if res := try(t, u, s); res.Result != balancer.Success {
-			t.Fatalf("ending %d", res.Result)
+		if res := attemptWith(t, u, s); res.Result != balancer.Success {
+			t.Fatalf("result %d", res.Result)
 		}
 		nodetest.Wait(t, closed)
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// Bytes that come while a connection is idle would pass for the next request's answer.
+// Bytes that come while a connection is idle must not pass for the next request's response.
 func TestBytesWhileIdle(t *testing.T) {
 	t.Parallel()
 	more, sent := make(chan struct{}), make(chan struct{})
@@ -80,16 +80,16 @@
 		}
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
-	try(t, u, s)
+	attemptWith(t, u, s)
 	more <- struct{}{}
 	close(more)
 	nodetest.Wait(t, sent)
-	if res := try(t, u, s); string(res.Body) != "hi" {
+	if res := attemptWith(t, u, s); string(res.Body) != "hi" {
 		t.Errorf("got %q", res.Body)
 	}
 }
 
-// Ours are closed before the server would close them, and the one used last is used next.
+// Idle connections are closed before the server would close them, and the one used last is used next.
 func TestIdlePool(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
@@ -124,41 +124,41 @@
 	}
 }
 
-// With no descriptor left an idle connection makes room, else the attempt fails without a dial.
+// At the limit an idle connection is closed for another one, else the attempt fails without a dial.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	a, _ := nodetest.Stub(t, nodetest.OK, false)
 	b, _ := nodetest.Stub(t, nodetest.OK, false)
 	u, sa, sb := newTestPool(1), newReadyEndpoint(a), newReadyEndpoint(b)
 	for _, s := range []*Endpoint{sa, sb} {
-		if res := try(t, u, s); res.Result != balancer.Success {
-			t.Fatalf("ending %d", res.Result)
+		if res := attemptWith(t, u, s); res.Result != balancer.Success {
+			t.Fatalf("result %d", res.Result)
 		}
 	}
 	c, err := u.get(context.Background(), sb) // the only one, busy
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res := try(t, u, sa); res.Result != balancer.Unreachable {
-		t.Errorf("over the budget: ending %d, want Unreachable", res.Result)
+	if res := attemptWith(t, u, sa); res.Result != balancer.Unreachable {
+		t.Errorf("over the budget: result %d, want Unreachable", res.Result)
 	}
 	u.close(c)
-	if res := try(t, u, sa); res.Result != balancer.Success {
-		t.Errorf("with room again: ending %d", res.Result)
+	if res := attemptWith(t, u, sa); res.Result != balancer.Success {
+		t.Errorf("with room again: result %d", res.Result)
 	}
 }
 
-// A server that drains gets none of its idle connections used, nor a busy one put back.
+// The idle connections to an endpoint that drains are not used, and one in use is not put back.
 func TestDrainDropsIdle(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
 	u, s := newTestPool(10), newReadyEndpoint(addr)
-	try(t, u, s)
+	attemptWith(t, u, s)
 	busy, err := u.get(context.Background(), s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	try(t, u, s)
+	attemptWith(t, u, s)
 	s.SetReady(false)
 	u.CloseIdle(s)
 	u.put(s, busy)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Servers that drop idle connections early: once one did, a request that must not run twice goes out on a
-// new connection, and others on none that stood idle for nearly as long. Answers bring the trust back.
+// Once a server has dropped an idle connection early, a request that must not run twice is sent on a new connection, and
+// others on none that was idle for nearly as long. Successes restore the trust.
 func TestEarlyIdleClose(t *testing.T) {
 	t.Parallel()
 	var dials atomic.Int64
@@ -188,8 +188,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res := u.Attempt(context.Background(), s, Call{Request: r, Conditions: free}); res.Result != balancer.Success {
-			t.Fatalf("%s ended with %d", method, res.Result)
+		if res := u.Attempt(context.Background(), s, Call{Request: r, Conditions: noConditions}); res.Result != balancer.Success {
+			t.Fatalf("%s ended with result %d", method, res.Result)
 		}
 	}
 	send("POST")
--- a/internal/node/upstream/response_test.go
+++ b/internal/node/upstream/response_test.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// A download holds no more than it may, and its two ends wait for each other.
+// A response buffers no more than it may, and its two ends wait for each other.
 func TestResponseIsBounded(t *testing.T) {
 	t.Parallel()
 	const size = 10 * bodybudget.MaxBufferedBytes
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -12,11 +12,11 @@
 	"umberbank/internal/node/discovery"
 )
 
-// The staleness bound. Once nothing has confirmed for discovery.SilenceTimeout that the list is current, be it that watches fall
-// silent, break, are refused or bring what is no list, the complete list is polled every pollInterval, beside whatever watch there is,
+// The staleness bound. Once nothing has confirmed for discovery.SilenceTimeout that the list is current, because watches are silent,
+// break, are rejected or deliver malformed messages, the complete list is polled every pollInterval, beside whatever watch there is,
 // until a response or a watch confirms it again. So discovery, from when it can be reached, is heard after SilenceTimeout +
-// pollInterval and the time of one response at the most: 2.75 s and that, of the 6 s after which a change counts as told, however
-// many watches go wrong in a row. Before a process has any confirmation, and after its discovery has moved, the first poll goes
+// pollInterval and the time of one response at the most: 2.75 s and that, of the 6 s within which a change has to be known,
+// however many watches go wrong in a row. Before a process has any confirmation, and after its discovery has moved, the first poll goes
 // out after pollInterval alone.
 const (
 	pollInterval = 250 * time.Millisecond
@@ -29,7 +29,7 @@
 	emptyWatchDelay = 20 * time.Millisecond
 )
 
-// Where the list is pushed, a watch that breaks is opened again after a pause: minRewatchDelay, doubled up to maxRewatchDelay as long as
+// Where discovery pushes the list, a watch that breaks is opened again after a pause: minRewatchDelay, doubled up to maxRewatchDelay as long as
 // watches break at once. Elsewhere the decisions say when.
 const (
 	minRewatchDelay = 50 * time.Millisecond
@@ -49,7 +49,7 @@
 	revision int64 // of the list that the node has
 	cached   bool  // and that is from before the start of the process
 
-	firstAnswer chan struct{} // closed once what discovery's agent holds is known
+	firstAnswer chan struct{} // closed once the list of discovery's agent is known
 	answered    bool          // it is closed
 
 	stop         context.CancelFunc // ends the watch
@@ -94,7 +94,7 @@
 	}
 }
 
-// noteAnswer notes that what discovery's agent holds is known.
+// noteAnswer records that the list of discovery's agent is known.
 func (w *watcher) noteAnswer() {
 	if !w.answered {
 		w.answered = true
@@ -102,8 +102,8 @@
 	}
 }
 
-// receive applies what discovery has said, of the clock time at, unless it is older than what the node has: calls overtake each other. What
-// the configuration knew is no such measure.
+// receive applies what discovery has said, of the clock time at, unless it is older than what the node has: calls overtake each other. A
+// list from before the start is replaced by any complete one.
 func (w *watcher) receive(u discovery.Update, at time.Duration) {
 	w.confirm(at)
 	if w.cached && u.Complete || u.Revision > w.revision {
@@ -116,7 +116,7 @@
 // confirm notes that the list was current at a clock time.
 func (w *watcher) confirm(at time.Duration) { w.confirmedAt = max(w.confirmedAt, at) }
 
-// setConfirmed lets the list count as current at a clock time and no later, so that a poll goes out SilenceTimeout after that.
+// setConfirmed sets the clock time at which the list was current, so that a poll is sent SilenceTimeout after that.
 func (w *watcher) setConfirmed(at time.Duration) {
 	w.confirmedAt = at
 	if w.pollTimer == nil {
--- a/internal/node/watcher_test.go
+++ b/internal/node/watcher_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// TestWatch follows a node through what a watch can bring.
+// TestWatch follows a node through everything that a watch can bring.
 func TestWatch(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := nodetest.Discovery(t)
@@ -77,7 +77,7 @@
 	list(false, false, "a")
 }
 
-// A reload amid a silent watch: whatever the new address's watches do, its list is here soon.
+// A reload while the watch is silent: whatever the new address's watches do, its list arrives soon.
 func TestReloadAmidSilence(t *testing.T) {
 	t.Parallel()
 	agent := func(first, list string) string { // what its watches say before they fall silent, and its whole list
@@ -116,7 +116,7 @@
 	}
 }
 
-// One watch at a time: a second Subscribe ends the first, whose news count no more.
+// There is one watch at a time: a second Subscribe ends the first.
 func TestOneWatch(t *testing.T) {
 	t.Parallel()
 	open, closed := make(chan struct{}, 10), make(chan struct{}, 10)
@@ -140,7 +140,7 @@
 	nodetest.Wait(t, closed)
 }
 
-// Where the list comes unasked the node watches by itself and again after a break.
+// Where the list is pushed the node watches by itself, and again after a watch has ended.
 func TestPushedList(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := nodetest.Discovery(t)
@@ -152,7 +152,7 @@
 	nodetest.Wait(t, asked)
 }
 
-// After a reload the list is followed at the new address, from where the old one left off.
+// After a reload the list is followed at the new address, from the revision that the node has.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	before, lines, asked := nodetest.Discovery(t)
@@ -181,7 +181,7 @@
 	}
 }
 
-// Boot times are Unix time, as is the node's clock, whenever the node itself started.
+// Start times are Unix time, as is the node's clock, whenever the node itself started.
 func TestStartTime(t *testing.T) {
 	c := clock{time.Now()}
 	boot := c.start.Add(-3 * time.Second) // before the node
@@ -194,7 +194,7 @@
 	}
 }
 
-// The loop must not use a server that a list no longer names, nor an address that it has left.
+// The loop must not use an endpoint that the list no longer names, nor an address that it has left.
 func TestListRulesServers(t *testing.T) {
 	m := decisionsFunc(func(balancer.Event) []balancer.Action { return nil })
 	cfg := testConfig("127.0.0.1:1")
@@ -218,7 +218,7 @@
 	}
 }
 
-// The rest between watches doubles while they break at once, and is short again after one that lasted.
+// The delay between watches doubles while they end at once, and is short again after one that lasted.
 func TestRewatchDelay(t *testing.T) {
 	w := &watcher{}
 	for i, want := range []time.Duration{minRewatchDelay, 2 * minRewatchDelay, 4 * minRewatchDelay} {
