--- /dev/null
+++ b/internal/lab/fleet/calls.go
@@ -0,0 +1,105 @@
+package fleet
+
+import (
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"umberbank/internal/lab/model"
+)
+
+// exchange is a call in flight. Its own goroutine writes and reads; disconnect ends it from the loop.
+type exchange struct {
+	mu           sync.Mutex
+	conn         *poolConn
+	disconnected bool
+}
+
+// use records the connection in use. It returns false if the client has disconnected.
+func (x *exchange) use(c *poolConn) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.conn = c
+	return !x.disconnected
+}
+
+// disconnect closes the connection in use.
+func (x *exchange) disconnect() {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.disconnected = true
+	if x.conn != nil {
+		x.conn.Close()
+	}
+}
+
+// Send sends a call to its node and calls done with the answer on the loop. The function that it returns disconnects the client.
+func (f *Fleet) Send(c *model.Call, done func(model.Answer)) func() {
+	f.retainCall(c)
+	x := &exchange{}
+	text := f.request(c)
+	go func() {
+		late := f.world.Loop.Elapsed() - c.Sent
+		a := f.pools[c.Node].exchange(x, text, c.Left+time.Second)
+		a.Late = late
+		f.world.Loop.Post(func() {
+			x.mu.Lock()
+			gone := x.disconnected
+			x.mu.Unlock()
+			if !gone {
+				done(a)
+			}
+		})
+	}()
+	return x.disconnect
+}
+
+// request encodes a call.
+func (f *Fleet) request(c *model.Call) []byte {
+	method, path, key, body := requestForm(f.world, c)
+	b := make([]byte, 0, 256)
+	b = append(b, method...)
+	b = append(b, ' ')
+	b = append(b, path...)
+	b = append(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "...)
+	b = append(b, c.ID...)
+	b = append(b, "\r\nX-Time-Left: "...)
+	b = strconv.AppendInt(b, int64(c.Left/time.Microsecond), 10)
+	b = append(b, "u\r\n"...)
+	if key != "" {
+		b = append(b, "Idempotency-Key: "+key+"\r\n"...)
+	}
+	if c.Repeat {
+		b = append(b, "X-Repeat: 1\r\n"...)
+	}
+	if method == http.MethodPost {
+		b = append(b, "Content-Length: "...)
+		b = strconv.AppendInt(b, int64(len(body)), 10)
+		b = append(b, "\r\n"...)
+	}
+	b = append(b, "\r\n"...)
+	return append(b, body...)
+}
+
+// requestForm returns the form of a call on the wire.
+func requestForm(w *model.World, c *model.Call) (method, path, key, body string) {
+	class := &w.Site.Classes[c.Class]
+	path = "/" + class.Name + "/" + c.ID + "?tier=" + w.Site.Tiers[c.Tier].Name
+	switch class.Effect {
+	case "safe":
+		return http.MethodGet, path, "", ""
+	case "keyed":
+		return http.MethodPost, path, c.Key, "order of " + c.ID
+	}
+	return http.MethodPost, path, "", "order of " + c.ID
+}
+
+// retainCall keeps a call as long as an attempt of it may arrive at a server.
+func (f *Fleet) retainCall(c *model.Call) {
+	f.calls[c.ID] = c
+	f.world.Loop.After(c.Left+lateAttemptRetention, func() { delete(f.calls, c.ID) })
+}
+
+// lateAttemptRetention is how long after a call's deadline that is.
+const lateAttemptRetention = 20 * time.Second
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// Each command that was not told is this program's own, whichever the other is.
+// Each command that is missing is this program's own, whichever the other is.
 func TestCommands(t *testing.T) {
 	for _, told := range []Options{{}, {Node: []string{"n"}}, {Replica: []string{"r"}}, {Node: []string{"n"}, Replica: []string{"r"}}} {
 		o := told
-		o.complete("self")
+		o.setDefaults("self")
 		if told.Node != nil && o.Node[0] != "n" || told.Node == nil && o.Node[0] != "self" ||
 			told.Replica != nil && o.Replica[0] != "r" || told.Replica == nil && o.Replica[0] != "self" {
 			t.Errorf("%v: node %v, replica %v", told, o.Node, o.Replica)
@@ -72,14 +72,16 @@
 	if err := cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	defer cmd.Wait()
-	defer cmd.Process.Kill()
+	defer func() {
+		cmd.Process.Kill()
+		_ = cmd.Wait() // killed
+	}()
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	p := newPool(strings.TrimSpace(addr))
+	p := newConnectionPool(strings.TrimSpace(addr))
 	defer p.close()
 	text := []byte("GET /read/1?tier=web HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: c1-1\r\nX-Time-Left: 1000000u\r\n\r\n")
 	busy := make(chan struct{}, 64)
--- /dev/null
+++ b/internal/lab/fleet/leases.go
@@ -0,0 +1,139 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/url"
+	"time"
+
+	"umberbank/internal/lab/model"
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+)
+
+// lease is a server's lease; cancel ends its heartbeats.
+type lease struct{ cancel context.CancelFunc }
+
+// instance returns a server in the form in which it registers.
+func (r *registry) instance(server int, st model.State) *state.Instance {
+	s := &r.fleet.world.Site.Servers[server]
+	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.fleet.world.Site.Tiers[s.Tier].Name, Zone: r.fleet.world.Site.Zones[s.Zone].Name, Region: r.fleet.world.Site.Zones[s.Zone].Region, Kind: s.Kind.Name,
+		Rack: s.Rack, State: st.String(), Capacity: s.Size(), TTLMS: time.Duration(r.fleet.world.Site.Registry.TTL).Milliseconds()}
+	if boot := r.fleet.world.Servers[server].Boot(); boot >= 0 {
+		e.StartTimeMS = float64(r.fleet.startedAt.Add(boot).UnixMicro()) / 1000
+	}
+	return e
+}
+
+// acquireLease registers a server and renews its lease until dropLease. It is called on the loop, or before the run.
+func (r *registry) acquireLease(server int, st model.State) {
+	r.dropLease(server)
+	if r.heartbeatsLost[server] {
+		return
+	}
+	ctx, cancel := context.WithCancel(r.ctx)
+	r.leases[server] = &lease{cancel}
+	e := r.instance(server, st)
+	ttl := r.fleet.world.Site.Registry.TTL.D()
+	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
+	if err != nil {
+		return // only without endpoints
+	}
+	r.running.Go(func() {
+		h := client.NewLeaseHolder(w)
+		for h.Register(ctx, e) != nil { // rejected by a newer registration
+			select {
+			case <-time.After(ttl / 4):
+			case <-ctx.Done():
+				return
+			}
+		}
+		h.Run(ctx, ttl)
+	})
+}
+
+// dropLease ends a server's heartbeats, as when its process ends.
+func (r *registry) dropLease(server int) {
+	if h := r.leases[server]; h != nil {
+		h.cancel()
+		r.leases[server] = nil
+	}
+}
+
+// Publish registers the state of a server that serves or drains. Removed servers are detected by their lease.
+func (f *Fleet) Publish(server int, st model.State) bool {
+	if f.registry == nil {
+		return false
+	}
+	if st != model.Deleted {
+		f.registry.acquireLease(server, st)
+	}
+	return true
+}
+
+// Lease lets a server's heartbeats reach the registry, or drops them.
+func (f *Fleet) Lease(server int, reach bool) {
+	r := f.registry
+	if r == nil {
+		return
+	}
+	r.heartbeatsLost[server] = !reach
+	if !reach {
+		r.dropLease(server)
+	} else if f.world.Servers[server].Up() {
+		r.acquireLease(server, model.Serving)
+	}
+}
+
+// permitTimeout bounds the request for a permit.
+const permitTimeout = 2 * time.Second
+
+// Take requests a disruption permit for a server from the registry, and begins it.
+func (f *Fleet) Take(server int, done func(error)) {
+	r := f.registry
+	if r == nil {
+		done(errors.New("a budget wants a registry on real processes"))
+		return
+	}
+	uid := f.world.Site.Servers[server].Name
+	r.running.Go(func() {
+		err := r.requestPermit(uid)
+		if err != nil {
+			f.options.Log("%s is not drained: %v", uid, err)
+		}
+		f.world.Loop.Post(func() { done(err) })
+	})
+}
+
+// requestPermit requests a permit and begins it.
+func (r *registry) requestPermit(uid string) error {
+	ctx, cancel := context.WithTimeout(r.ctx, permitTimeout)
+	defer cancel()
+	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
+	if err != nil {
+		return err
+	}
+	v, err := w.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
+	if err != nil {
+		return err
+	}
+	if len(v.Units) == 0 {
+		return errors.New("the registry does not know it")
+	}
+	permit, err := writeOne(ctx, w, state.Op{Kind: state.OpGrantPermit, UID: uid, Incarnation: v.Units[0].Token, Holder: "staff"})
+	if err != nil {
+		return err
+	}
+	_, err = writeOne(ctx, w, state.Op{Kind: state.OpBeginPermit, UID: uid, Token: permit.Token})
+	return err
+}
+
+// writeOne writes one operation. A rejection is an error.
+func writeOne(ctx context.Context, w *client.Client, op state.Op) (state.Result, error) {
+	a, err := w.WriteOne(ctx, op)
+	if err == nil && a.Code != "" {
+		err = fmt.Errorf("%s: %s", a.Code, a.Reason)
+	}
+	return a, err
+}
--- /dev/null
+++ b/internal/lab/fleet/network.go
@@ -0,0 +1,58 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+)
+
+// network is a /16 of 127/8 that one run has to itself. A listening socket reserves it.
+type network struct {
+	octet int
+	lock  net.Listener
+}
+
+// Indexes of the hosts of a network, and ports.
+const (
+	lockHostIndex   = 0
+	firstNodeHost   = 1
+	firstAgentHost  = 20_000
+	firstServerHost = 30_000
+	hostsPerOctet   = 250
+	firstOctet      = 20  // of 127.X
+	octets          = 200 // networks to choose from
+	nodePort        = "3000"
+	lockPort        = "2999"
+)
+
+// claimNetwork reserves the first network that is free.
+func claimNetwork() (*network, error) {
+	first := os.Getpid()
+	for i := range octets {
+		n := &network{octet: firstOctet + (first+i)%octets}
+		lock, err := net.Listen("tcp", net.JoinHostPort(n.host(lockHostIndex), lockPort))
+		if err == nil {
+			n.lock = lock
+			return n, nil
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) {
+			return nil, err
+		}
+	}
+	return nil, errors.New("every network of 127.20 to 127.219 is taken by another run")
+}
+
+// release frees the network.
+func (n *network) release() { n.lock.Close() }
+
+// host returns the i-th address.
+func (n *network) host(i int) string {
+	return fmt.Sprintf("127.%d.%d.%d", n.octet, i/hostsPerOctet, 1+i%hostsPerOctet)
+}
+
+// nodeAddr returns the address at which a node listens.
+func (f *Fleet) nodeAddr(i int) string {
+	return net.JoinHostPort(f.network.host(firstNodeHost+i), nodePort)
+}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -1,66 +1,37 @@
 package fleet
 
 import (
-	"bufio"
 	"context"
+	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
 
 	"umberbank/internal/lab/model"
 )
 
-// fleetProcess is a node's process, over its restarts. The loop owns it, but for what the goroutine that waits for the
-// fleetProcess posts.
-type fleetProcess struct {
-	f      *Fleet
-	node   int
-	cmd    *exec.Cmd // nil: it does not run
-	life   int
-	wanted bool // its end would be no crash
-	again  bool // it is to be started when it has ended
-	log    *tail
+// nodeProcess is a node's process over its restarts. It belongs to the loop; the goroutine that waits for the process posts to the loop.
+type nodeProcess struct {
+	fleet          *Fleet
+	node           int
+	cmd            *exec.Cmd // nil: not running
+	incarnation    int
+	exitExpected   bool // its exit is no crash
+	restartPending bool // it starts again once it has ended
+	log            *logTail
 }
 
-// tail keeps the last lines of what a process writes.
-type tail struct {
-	mu    sync.Mutex
-	lines []string
-}
-
-const tailLines = 8
-
-func (t *tail) follow(r io.Reader, each func(string)) {
-	s := bufio.NewScanner(r)
-	for s.Scan() {
-		t.mu.Lock()
-		t.lines = append(t.lines, s.Text())
-		t.lines = t.lines[max(0, len(t.lines)-tailLines):]
-		t.mu.Unlock()
-		each(s.Text())
-	}
-	io.Copy(io.Discard, r) // a line that was too long
-}
-
-func (t *tail) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return strings.Join(t.lines, " | ")
-}
-
-// spawn starts the node's process and lets ended hear of its end on the waiting goroutine.
-func (p *fleetProcess) spawn(ended func(cmd *exec.Cmd, err error)) error {
-	f := p.f
-	name := f.w.Site.Nodes[p.node].Name
+// spawn starts the node's process. It calls ended on the goroutine that waits for the process.
+func (p *nodeProcess) spawn(ended func(cmd *exec.Cmd, err error)) error {
+	f := p.fleet
+	name := f.world.Site.Nodes[p.node].Name
 	config := filepath.Join(f.dir, name+".json")
-	if err := os.WriteFile(config, f.config(p.node, p.life), 0o600); err != nil {
+	if err := os.WriteFile(config, f.nodeConfig(p.node, p.incarnation), 0o600); err != nil {
 		return err
 	}
 	tmp := filepath.Join(f.dir, name+".tmp")
@@ -70,7 +41,7 @@
 	if err := os.Mkdir(tmp, 0o700); err != nil {
 		return err
 	}
-	cmd := exec.Command(f.opt.Node[0], f.opt.Node[1:]...)
+	cmd := exec.Command(f.options.Node[0], f.options.Node[1:]...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_NAME="+name, "ROUTER_LISTEN="+f.nodeAddr(p.node),
 		"ROUTER_DISCOVERY="+f.agents[p.node].addr, "TMPDIR="+tmp)
 	r, w, err := os.Pipe()
@@ -78,28 +49,28 @@
 		return err
 	}
 	cmd.Stdout, cmd.Stderr = w, w
-	if err := f.launch.Start(cmd); err != nil {
+	if err := f.launcher.Start(cmd); err != nil {
 		r.Close()
 		w.Close()
 		return fmt.Errorf("node %s: %w", name, err)
 	}
 	w.Close()
-	p.cmd, p.wanted, p.log = cmd, false, &tail{}
-	p.life++
+	p.cmd, p.exitExpected, p.log = cmd, false, &logTail{}
+	p.incarnation++
 	log := p.log
 	f.running.Add(1)
 	go func() {
 		defer f.running.Done()
-		log.follow(r, func(line string) { f.opt.Log("%s: %s", name, line) })
+		log.follow(r, func(line string) { f.options.Log("%s: %s", name, line) })
 		r.Close()
 		ended(cmd, cmd.Wait())
 	}()
 	return nil
 }
 
-// awaitReady asks a node until it says that it is ready, ctx ends, or its time is over.
+// awaitReady polls a node until it is ready, ctx ends, or its time to start up is over.
 func (f *Fleet) awaitReady(ctx context.Context, node int) error {
-	ctx, cancel := context.WithTimeout(ctx, f.w.Site.Limits.StartUpWithin.D())
+	ctx, cancel := context.WithTimeout(ctx, f.world.Site.Limits.StartUpWithin.D())
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -115,22 +86,22 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("node %s is not ready after %v", f.w.Site.Nodes[node].Name, f.w.Site.Limits.StartUpWithin.D())
-		case <-time.After(readyEvery):
+			return fmt.Errorf("node %s is not ready after %v", f.world.Site.Nodes[node].Name, f.world.Site.Limits.StartUpWithin.D())
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// readyEvery is how often a starting node is asked.
-const readyEvery = 10 * time.Millisecond
+// readyPollInterval is the interval at which a starting node is polled.
+const readyPollInterval = 10 * time.Millisecond
 
-// Process acts on a node's process.
+// Process applies an action to a node's process.
 func (f *Fleet) Process(node int, act model.ProcessAct) {
-	p := f.procs[node]
+	p := f.processes[node]
 	switch act {
 	case model.Start:
 		if p.cmd != nil {
-			p.again = p.wanted // once it has ended; else it runs already
+			p.restartPending = p.exitExpected // a process that is about to end starts again; any other runs already
 			return
 		}
 		p.restart()
@@ -139,7 +110,7 @@
 	case model.Terminate:
 		p.signal(syscall.SIGTERM, true)
 		if cmd := p.cmd; cmd != nil {
-			f.w.Loop.After(f.killAfter(), func() {
+			f.world.Loop.After(f.shutdownTimeout(), func() {
 				if p.cmd == cmd {
 					f.observer.Process(node, model.Kill)
 					p.signal(syscall.SIGKILL, true)
@@ -147,35 +118,36 @@
 			})
 		}
 	case model.Pause:
-		p.signal(syscall.SIGSTOP, p.wanted)
+		p.signal(syscall.SIGSTOP, p.exitExpected)
 	case model.Resume:
-		p.signal(syscall.SIGCONT, p.wanted)
+		p.signal(syscall.SIGCONT, p.exitExpected)
 	}
 }
 
-// killAfter is how long a process has after SIGTERM.
-func (f *Fleet) killAfter() time.Duration {
+// shutdownTimeout returns the time between SIGTERM and SIGKILL.
+func (f *Fleet) shutdownTimeout() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range f.w.Site.Classes {
+	for _, c := range f.world.Site.Classes {
 		longest = max(longest, c.Deadline.D())
 	}
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-func (p *fleetProcess) signal(s syscall.Signal, wanted bool) {
+// signal sends a signal to the process, if it runs.
+func (p *nodeProcess) signal(s syscall.Signal, exitExpected bool) {
 	if p.cmd != nil {
-		p.wanted = wanted
-		p.cmd.Process.Signal(s) // it may have ended by now, which its waiting goroutine tells
+		p.exitExpected = exitExpected
+		p.cmd.Process.Signal(s) // fails on a process that has ended, which its goroutine reports
 	}
 }
 
-// restart starts the process while the run goes on.
-func (p *fleetProcess) restart() {
-	f := p.f
-	p.again = false
-	err := p.spawn(func(cmd *exec.Cmd, err error) { f.w.Loop.Post(func() { p.ended(cmd, err) }) })
+// restart starts the process during the run.
+func (p *nodeProcess) restart() {
+	f := p.fleet
+	p.restartPending = false
+	err := p.spawn(func(cmd *exec.Cmd, err error) { f.world.Loop.Post(func() { p.ended(cmd, err) }) })
 	if err != nil {
-		f.fail(err)
+		f.abort(err)
 		return
 	}
 	cmd := p.cmd
@@ -183,29 +155,92 @@
 	go func() {
 		defer f.running.Done()
 		err := f.awaitReady(f.ctx, p.node)
-		f.w.Loop.Post(func() {
+		f.world.Loop.Post(func() {
 			switch {
 			case p.cmd != cmd || f.ctx.Err() != nil:
 			case err != nil:
 				f.observer.Crashed(p.node, err.Error())
 			default:
-				f.opt.Ready(p.node)
+				f.options.Ready(p.node)
 			}
 		})
 	}()
 }
 
-// ended notes that the process has ended.
-func (p *fleetProcess) ended(cmd *exec.Cmd, err error) {
+// ended handles the end of the process.
+func (p *nodeProcess) ended(cmd *exec.Cmd, err error) {
 	if p.cmd != cmd {
 		return
 	}
 	p.cmd = nil
-	if !p.wanted {
-		p.f.observer.Crashed(p.node, fmt.Sprintf("it ended by itself: %v: %v", err, p.log))
-		p.f.observer.Process(p.node, model.Kill)
+	if !p.exitExpected {
+		p.fleet.observer.Crashed(p.node, fmt.Sprintf("it ended by itself: %v: %v", err, p.log))
+		p.fleet.observer.Process(p.node, model.Kill)
 	}
-	if p.again {
+	if p.restartPending {
 		p.restart()
 	}
 }
+
+// nodeConfig returns a node's configuration file.
+func (f *Fleet) nodeConfig(node, incarnation int) []byte {
+	n := &f.world.Site.Nodes[node]
+	l := &f.world.Site.Limits
+	seed := f.world.Site.Seed*1_000_003 + uint64(node)*7919 + uint64(incarnation)
+	a := f.agents[node]
+	a.mu.Lock()
+	known := a.fullList
+	a.mu.Unlock()
+	var state any
+	if s := f.world.Site.State; s.Keep {
+		state = map[string]any{"dir": filepath.Join(f.dir, n.Name+".state"), "every_ms": s.Every.D().Milliseconds(), "max_age_ms": s.Age.D().Milliseconds()}
+	}
+	text, err := json.Marshal(map[string]any{
+		"state": state, "name": n.Name, "listen": f.nodeAddr(node), "discovery": a.addr, "seed": fmt.Sprintf("%016x", seed),
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": l.MemoryMB, "sockets": l.Sockets},
+		"known":    json.RawMessage(known),
+		"settings": json.RawMessage(f.world.Site.Settings(node)),
+	})
+	if err != nil {
+		panic(err) // every value in it can be encoded
+	}
+	return text
+}
+
+// startNodes starts all processes and waits until they are ready. It fails if one ends before that.
+func (f *Fleet) startNodes() error {
+	ctx, cancel := context.WithCancelCause(f.ctx)
+	defer cancel(nil)
+	for _, p := range f.processes {
+		err := p.spawn(func(cmd *exec.Cmd, err error) {
+			cancel(fmt.Errorf("node %s ended while it started: %w: %v", f.world.Site.Nodes[p.node].Name, exitError(err), p.log))
+			f.world.Loop.Post(func() { p.ended(cmd, err) })
+		})
+		if err != nil {
+			return err
+		}
+	}
+	failed := make(chan error, len(f.processes))
+	for i := range f.processes {
+		go func() { failed <- f.awaitReady(ctx, i) }()
+	}
+	var first error
+	for range f.processes {
+		if err := <-failed; err != nil && first == nil {
+			first = err
+			cancel(err)
+		}
+	}
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	return first
+}
+
+// exitError returns the error of a process that ended, also where it exited with status 0.
+func exitError(err error) error {
+	if err == nil {
+		return errors.New("exit status 0")
+	}
+	return err
+}
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"net/url"
 	"sync"
 	"syscall"
 	"time"
@@ -16,279 +14,181 @@
 	"umberbank/internal/registry/state"
 )
 
-// registry is a registry of real processes that servers hold leases at and nodes' agents follow.
+// registry is a registry of real processes. Servers hold leases there, and the agents of nodes follow it.
 type registry struct {
-	f       *Fleet
-	cluster *cluster.Cluster
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	index   map[string]int // servers by name
-	holds   []*hold        // by server; nil: not held
-	lost    []bool         // by server: its heartbeats do not arrive
-	views   []map[int]model.Entry
-	cuts    map[int]*relay.Impairment // by replica
-	jobs    chan func()               // on processes, in order: they may take a moment, and the loop must not wait
+	fleet          *Fleet
+	cluster        *cluster.Cluster
+	ctx            context.Context
+	cancel         context.CancelFunc
+	running        sync.WaitGroup
+	serverIndex    map[string]int // servers by name
+	leases         []*lease       // by server; nil: none
+	heartbeatsLost []bool         // by server: its heartbeats do not reach the registry
+	views          []map[int]model.Entry
+	partitions     map[int]*relay.Impairment // by replica
+	jobs           chan func()               // run in order beside the loop, which must not wait for a process
 }
 
-// hold is a server's lease.
-type hold struct{ cancel context.CancelFunc }
+// registryStartTimeout bounds the start of the registry with all servers.
+const registryStartTimeout = 30 * time.Second
 
-// registryWithin is how long the registry may take to be there with all servers.
-const registryWithin = 30 * time.Second
+// unguarded is the configuration of replicas without the guard against mass expiry.
+const unguarded = "[guard]\nshare = 1.0\nleast = 1000000\nwindow = \"100ms\"\n"
 
-// startRegistry starts the replicas, registers all servers and lets the agents follow. It returns once every agent has
-// the whole list.
+// startRegistry starts the replicas, registers all servers and lets the agents follow. It returns once every agent has the full list.
 func (f *Fleet) startRegistry() error {
-	guard := ""
-	if f.w.Site.Registry.NoGuard {
-		guard = "[guard]\nshare = 1.0\nleast = 1000000\nwindow = \"100ms\"\n"
+	config := ""
+	if f.world.Site.Registry.NoGuard {
+		config = unguarded
 	}
-	c, err := cluster.New(f.opt.Replica, f.w.Site.Registry.Replicas, guard)
+	replicas, err := cluster.New(f.options.Replica, f.world.Site.Registry.Replicas, config)
 	if err != nil {
 		return err
 	}
-	r := &registry{f: f, cluster: c, index: map[string]int{}, holds: make([]*hold, len(f.w.Site.Servers)), lost: make([]bool, len(f.w.Site.Servers)),
-		views: make([]map[int]model.Entry, len(f.w.Site.Nodes)), cuts: map[int]*relay.Impairment{}, jobs: make(chan func(), linkJobs)}
-	r.ctx, r.cancel = context.WithCancel(context.Background())
-	f.registry = r
-	r.running.Go(func() {
-		for do := range r.jobs {
-			do()
-		}
-	})
-	for i := range c.Len() {
-		if err := c.Start(i); err != nil {
+	r := newRegistry(f, replicas)
+	f.registry = r // close ends it from here on
+	for i := range replicas.Len() {
+		if err := replicas.Start(i); err != nil {
 			return err
 		}
 	}
-	starting, cancel := context.WithTimeout(r.ctx, registryWithin)
+	ctx, cancel := context.WithTimeout(r.ctx, registryStartTimeout)
 	defer cancel()
-	for i := range f.w.Site.Servers {
-		r.index[f.w.Site.Servers[i].Name] = i
-	}
-	if err := c.AwaitReady(starting); err != nil {
+	if err := replicas.AwaitReady(ctx); err != nil {
 		return err
 	}
-	if f.w.Site.Budget.Set() {
-		limits := f.w.Site.BudgetLimits()
-		w, err := client.New(client.Options{Endpoints: c.Addresses()})
-		if err != nil {
-			return err
-		}
-		if _, err := w.Write(starting, state.Op{Kind: state.OpSetLimits, Limits: &limits}); err != nil {
-			return err
-		}
-	}
-	for i := range f.w.Site.Servers {
-		r.hold(i, model.Serving)
-	}
-	var all sync.WaitGroup
-	failed := make(chan error, len(f.w.Site.Nodes))
-	for n := range f.w.Site.Nodes {
-		all.Go(func() {
-			if err := r.follow(starting, n); err != nil {
-				failed <- err
-			}
-		})
-	}
-	all.Wait()
-	select {
-	case err := <-failed:
+	if err := r.setLimits(ctx); err != nil {
 		return err
-	default:
-		return nil
 	}
-}
-
-func (r *registry) close() {
-	r.cancel()
-	close(r.jobs)
-	r.running.Wait()
-	r.cluster.Close()
-}
-
-// entry is a server as it registers itself.
-func (r *registry) entry(server int, st model.State) *state.Instance {
-	s := &r.f.w.Site.Servers[server]
-	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.f.w.Site.Tiers[s.Tier].Name, Zone: r.f.w.Site.Zones[s.Zone].Name, Region: r.f.w.Site.Zones[s.Zone].Region, Kind: s.Kind.Name,
-		Rack: s.Rack, State: st.String(), Capacity: s.Size(), TTLMS: time.Duration(r.f.w.Site.Registry.TTL).Milliseconds()}
-	if boot := r.f.w.Servers[server].Boot(); boot >= 0 {
-		e.StartTimeMS = float64(r.f.began.Add(boot).UnixMicro()) / 1000
-	}
-	return e
-}
-
-// hold registers a server and keeps its lease until release. The loop's, but for the start.
-func (r *registry) hold(server int, st model.State) {
-	r.release(server)
-	if r.lost[server] {
-		return
-	}
-	ctx, cancel := context.WithCancel(r.ctx)
-	r.holds[server] = &hold{cancel}
-	e := r.entry(server, st)
-	ttl := r.f.w.Site.Registry.TTL.D()
-	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
-	if err != nil {
-		return // there are endpoints
-	}
-	r.running.Go(func() {
-		h := client.NewLeaseHolder(w)
-		for h.Register(ctx, e) != nil { // fenced, or it was told to stop
-			select {
-			case <-time.After(ttl / 4):
-			case <-ctx.Done():
-				return
-			}
-		}
-		h.Run(ctx, ttl)
-	})
-}
-
-// release ends a server's heartbeats: its process has gone.
-func (r *registry) release(server int) {
-	if h := r.holds[server]; h != nil {
-		h.cancel()
-		r.holds[server] = nil
+	for i := range f.world.Site.Servers {
+		r.acquireLease(i, model.Serving)
 	}
+	return r.followAll(ctx)
 }
 
-// takeWithin is how long a permit is asked for.
-const takeWithin = 2 * time.Second
-
-// Take asks the registry for a permit for a server, and begins it.
-func (f *Fleet) Take(server int, done func(error)) {
-	r := f.registry
-	if r == nil {
-		done(errors.New("a budget wants a registry on real processes"))
-		return
+// newRegistry returns a registry whose replicas have not started, and starts the goroutine that runs its jobs.
+func newRegistry(f *Fleet, replicas *cluster.Cluster) *registry {
+	servers := f.world.Site.Servers
+	r := &registry{
+		fleet:          f,
+		cluster:        replicas,
+		serverIndex:    map[string]int{},
+		leases:         make([]*lease, len(servers)),
+		heartbeatsLost: make([]bool, len(servers)),
+		views:          make([]map[int]model.Entry, len(f.world.Site.Nodes)),
+		partitions:     map[int]*relay.Impairment{},
+		jobs:           make(chan func(), maxQueuedJobs),
+	}
+	for i := range servers {
+		r.serverIndex[servers[i].Name] = i
 	}
-	uid := f.w.Site.Servers[server].Name
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.running.Go(func() {
-		err := r.take(uid)
-		if err != nil {
-			f.opt.Log("%s is not drained: %v", uid, err)
+		for do := range r.jobs {
+			do()
 		}
-		f.w.Loop.Post(func() { done(err) })
 	})
+	return r
 }
 
-func (r *registry) take(uid string) error {
-	ctx, cancel := context.WithTimeout(r.ctx, takeWithin)
-	defer cancel()
-	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
-	if err != nil {
-		return err
-	}
-	v, err := w.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
-	if err != nil {
-		return err
-	}
-	if len(v.Units) == 0 {
-		return errors.New("the registry does not know it")
+// setLimits writes the site's disruption budget, if it has one.
+func (r *registry) setLimits(ctx context.Context) error {
+	if !r.fleet.world.Site.Budget.Set() {
+		return nil
 	}
-	permit, err := one(ctx, w, state.Op{Kind: state.OpGrantPermit, UID: uid, Incarnation: v.Units[0].Token, Holder: "staff"})
+	limits := r.fleet.world.Site.BudgetLimits()
+	writer, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return err
 	}
-	_, err = one(ctx, w, state.Op{Kind: state.OpBeginPermit, UID: uid, Token: permit.Token})
+	_, err = writer.Write(ctx, state.Op{Kind: state.OpSetLimits, Limits: &limits})
 	return err
 }
 
-// one has one write carried out; a fault is an error.
-func one(ctx context.Context, w *client.Client, op state.Op) (state.Result, error) {
-	a, err := w.WriteOne(ctx, op)
-	if err == nil && a.Code != "" {
-		err = fmt.Errorf("%s: %s", a.Code, a.Reason)
-	}
-	return a, err
-}
-
-// Publish tells the registry of a server that serves or drains. That one has gone the registry finds by itself.
-func (f *Fleet) Publish(server int, st model.State) bool {
-	if f.registry == nil {
-		return false
-	}
-	if st != model.Deleted {
-		f.registry.hold(server, st)
+// followAll lets the agents of all nodes follow the registry, and returns once each has the full list.
+func (r *registry) followAll(ctx context.Context) error {
+	nodes := len(r.fleet.world.Site.Nodes)
+	var following sync.WaitGroup
+	errs := make([]error, nodes)
+	for n := range nodes {
+		following.Go(func() { errs[n] = r.follow(ctx, n) })
+	}
+	following.Wait()
+	for _, err := range errs {
+		if err != nil {
+			return err
+		}
 	}
-	return true
+	return nil
 }
 
-// Lease lets a server's heartbeats reach the registry, or not.
-func (f *Fleet) Lease(server int, reach bool) {
-	r := f.registry
-	if r == nil {
-		return
-	}
-	r.lost[server] = !reach
-	if !reach {
-		r.release(server)
-	} else if f.w.Servers[server].Up() {
-		r.hold(server, model.Serving)
-	}
+// close ends replicas, leases and watches.
+func (r *registry) close() {
+	r.cancel()
+	close(r.jobs)
+	r.running.Wait()
+	r.cluster.Close()
 }
 
-// Replicas kills, stops or cuts off replicas, or ends that.
-func (f *Fleet) Replicas(replicas []int, what string, on bool) {
+// Replicas begins or ends a fault at replicas: registry-kill, registry-stop or a partition.
+func (f *Fleet) Replicas(replicas []int, kind string, on bool) {
 	r := f.registry
 	if r == nil {
 		return
 	}
 	for _, i := range replicas {
-		r.jobs <- func() { r.act(i, what, on) }
+		r.jobs <- func() { r.applyFault(i, kind, on) }
 	}
 }
 
-// act runs beside the loop.
-func (r *registry) act(i int, what string, on bool) {
+// applyFault begins or ends a fault at a replica. It runs on the goroutine of the jobs.
+func (r *registry) applyFault(i int, kind string, on bool) {
 	switch {
-	case what == "registry-kill" && on:
+	case kind == "registry-kill" && on:
 		r.cluster.Kill(i)
-	case what == "registry-kill":
+	case kind == "registry-kill":
 		if err := r.cluster.Start(i); err != nil {
-			r.f.w.Loop.Post(func() { r.f.fail(err) })
+			r.fleet.world.Loop.Post(func() { r.fleet.abort(err) })
 		}
-	case what == "registry-stop" && on:
+	case kind == "registry-stop" && on:
 		r.cluster.Signal(i, syscall.SIGSTOP)
-	case what == "registry-stop":
+	case kind == "registry-stop":
 		r.cluster.Signal(i, syscall.SIGCONT)
 	case on:
-		r.cuts[i] = &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
-		r.eachLink(i, func(l *relay.Relay) error { return l.Add(r.cuts[i]) })
+		r.partitions[i] = &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
+		r.eachLink(i, func(l *relay.Relay) error { return l.Add(r.partitions[i]) })
 	default:
-		r.eachLink(i, func(l *relay.Relay) error { return l.Remove(r.cuts[i]) })
+		r.eachLink(i, func(l *relay.Relay) error { return l.Remove(r.partitions[i]) })
 	}
 }
 
-// eachLink does something to all links of a replica.
+// eachLink calls do for all links of a replica.
 func (r *registry) eachLink(i int, do func(*relay.Relay) error) {
 	r.cluster.EachLink(func(from, to int, l *relay.Relay) {
 		if from == i || to == i {
 			if err := do(l); err != nil {
-				r.f.w.Loop.Post(func() { r.f.fail(err) })
+				r.fleet.world.Loop.Post(func() { r.fleet.abort(err) })
 			}
 		}
 	})
 }
 
-// follow lets a node's agent follow the registry, and returns once it has all servers of the node's tier.
+// follow lets a node's agent follow the registry. It returns once the agent has all servers of the node's tier.
 func (r *registry) follow(ctx context.Context, node int) error {
 	reader, err := client.NewWatcher(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return err
 	}
 	want := 0
-	for i := range r.f.w.Site.Servers {
-		if r.f.w.Site.Servers[i].Tier == r.f.w.Site.Nodes[node].Tier {
+	for i := range r.fleet.world.Site.Servers {
+		if r.fleet.world.Site.Servers[i].Tier == r.fleet.world.Site.Nodes[node].Tier {
 			want++
 		}
 	}
-	there := make(chan struct{})
+	synced := make(chan struct{})
 	first := true
 	r.running.Go(func() {
-		reader.Run(r.ctx, func(client.WatchEvent) {
+		_ = reader.Run(r.ctx, func(client.WatchEvent) { // returns when ctx ends
 			view := r.entries(node, reader.View())
 			rev := reader.View().Revision
 			if first {
@@ -296,27 +196,27 @@
 					return
 				}
 				first = false
-				r.tell(node, rev, view, false)
-				close(there)
+				r.pushView(node, rev, view, false)
+				close(synced)
 				return
 			}
-			r.f.w.Loop.Post(func() { r.tell(node, rev, view, true) })
+			r.fleet.world.Loop.Post(func() { r.pushView(node, rev, view, true) })
 		})
 	})
 	select {
-	case <-there:
+	case <-synced:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("the agent of %s has not heard of all servers", r.f.w.Site.Nodes[node].Name)
+		return fmt.Errorf("the agent of %s has not heard of all servers", r.fleet.world.Site.Nodes[node].Name)
 	}
 }
 
-// entries are the servers of a node's tier as the registry lists them.
+// entries returns the servers of a node's tier as the registry lists them.
 func (r *registry) entries(node int, v client.View) map[int]model.Entry {
 	l := map[int]model.Entry{}
 	for _, e := range v.Instances {
-		i, known := r.index[e.UID]
-		if !known || r.f.w.Site.Servers[i].Tier != r.f.w.Site.Nodes[node].Tier {
+		i, known := r.serverIndex[e.UID]
+		if !known || r.fleet.world.Site.Servers[i].Tier != r.fleet.world.Site.Nodes[node].Tier {
 			continue
 		}
 		en := model.Entry{Server: i, Boot: -time.Hour}
@@ -324,23 +224,23 @@
 			en.State = model.Draining
 		}
 		if e.StartTimeMS > 0 {
-			en.Boot = time.UnixMicro(int64(e.StartTimeMS * 1000)).Sub(r.f.began)
+			en.Boot = time.UnixMicro(int64(e.StartTimeMS * 1000)).Sub(r.fleet.startedAt)
 		}
 		l[i] = en
 	}
 	return l
 }
 
-// tell gives an agent what the registry lists, and the oracle what has changed. observed is false before the run.
-func (r *registry) tell(node int, rev int64, view map[int]model.Entry, observed bool) {
+// pushView gives an agent what the registry lists, and the oracle what has changed. observed is false before the run.
+func (r *registry) pushView(node int, rev int64, view map[int]model.Entry, observed bool) {
 	before := r.views[node]
 	r.views[node] = view
-	var changed, whole []model.Entry
-	for i := range r.f.w.Site.Servers {
+	var changed, full []model.Entry
+	for i := range r.fleet.world.Site.Servers {
 		is, listed := view[i]
 		was, had := before[i]
 		if listed {
-			whole = append(whole, is)
+			full = append(full, is)
 		}
 		switch {
 		case listed && is != was:
@@ -354,9 +254,9 @@
 	}
 	if observed {
 		for _, e := range changed {
-			r.f.observer.Told(node, e.Server, e.State)
+			r.fleet.observer.Told(node, e.Server, e.State)
 		}
 	}
 	rev-- // messages count from 1
-	r.f.agents[node].push(rev+1, r.f.message(node, model.List{Rev: rev, Entries: changed}), r.f.message(node, model.List{Rev: rev, All: true, Entries: whole}), !observed)
+	r.fleet.agents[node].push(rev+1, r.fleet.encodeList(node, model.List{Rev: rev, Entries: changed}), r.fleet.encodeList(node, model.List{Rev: rev, All: true, Entries: full}), !observed)
 }
--- /dev/null
+++ b/internal/lab/fleet/servers.go
@@ -0,0 +1,142 @@
+package fleet
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+
+	"umberbank/internal/lab/model"
+	"umberbank/internal/process/relay"
+)
+
+// linkEnd is the server's end of a link.
+type linkEnd struct{ node, server int }
+
+// connectionKey is the key of a connection's state in its context.
+type connectionKey struct{}
+
+// connectionState is the state of a connection at a server.
+type connectionState struct {
+	linkEnd
+	used bool // it has carried a request
+}
+
+// startServers lets every server listen for each of its nodes, behind a relay if a fault touches the link.
+func (f *Fleet) startServers(touched map[nodeServer]bool) error {
+	for s := range f.world.Site.Servers {
+		host := f.network.host(firstServerHost + s)
+		srv := &http.Server{
+			Handler: http.HandlerFunc(f.serve),
+			// The listener of a connection says which node it is from.
+			BaseContext: func(ln net.Listener) context.Context {
+				return context.WithValue(context.Background(), connectionKey{}, ln.(*linkListener).linkEnd)
+			},
+			ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+				return context.WithValue(ctx, connectionKey{}, &connectionState{linkEnd: ctx.Value(connectionKey{}).(linkEnd)})
+			},
+			IdleTimeout: f.world.Site.Limits.Idle.D(),
+		}
+		open := &atomic.Int64{}
+		for n := range f.world.Site.Nodes {
+			if f.world.Site.Nodes[n].Tier != f.world.Site.Servers[s].Tier {
+				continue
+			}
+			ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+			if err != nil {
+				return err
+			}
+			l := &link{addr: ln.Addr().String(), impairments: map[*model.Effect]*relay.Impairment{}}
+			f.links[nodeServer{n, s}] = l
+			f.serveHTTP(&linkListener{ln, linkEnd{n, s}, open, int64(f.world.Site.Servers[s].Kind.Connections)}, srv)
+			if touched[nodeServer{n, s}] {
+				if err := f.addRelay(l, host); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// maxBodyBytes bounds what is read of a body.
+const maxBodyBytes = 64 << 10
+
+// response is what the model decides for an attempt.
+type response struct {
+	outcome     model.Outcome
+	body        string
+	unsolicited bool
+}
+
+// serve passes a request to the model and answers as the model decides.
+func (f *Fleet) serve(w http.ResponseWriter, r *http.Request) {
+	first := f.world.Loop.Elapsed()
+	conn := r.Context().Value(connectionKey{}).(*connectionState)
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
+	if err != nil {
+		return // it was not complete
+	}
+	fresh := !conn.used
+	conn.used = true
+	responses := make(chan response, 1)
+	at := &model.Attempt{Node: conn.node, First: first, Fresh: fresh}
+	at.Done = func(o model.Outcome, body string) { responses <- response{outcome: o, body: body} }
+	id := r.Header.Get("X-Correlation-Id")
+	f.world.Loop.Post(func() {
+		call := f.calls[id]
+		if reason := mismatch(f.world, call, r, body); reason != "" {
+			f.observer.Stray(conn.node, conn.server, id, reason)
+			responses <- response{unsolicited: true}
+			return
+		}
+		at.Call = call
+		f.world.Servers[conn.server].Arrive(at)
+	})
+	var v response
+	select {
+	case v = <-responses:
+	case <-r.Context().Done():
+		f.world.Loop.Post(func() {
+			if at.Call != nil {
+				f.world.Servers[conn.server].Cancel(at)
+			}
+		})
+		return
+	case <-f.ctx.Done():
+		return
+	}
+	switch {
+	case v.unsolicited:
+		http.Error(w, "no client sent this", http.StatusBadRequest)
+	case v.outcome == model.Done:
+		io.WriteString(w, v.body)
+	case v.outcome == model.Errored:
+		w.WriteHeader(http.StatusInternalServerError)
+	case v.outcome == model.TurnedAway:
+		w.Header().Set("X-Unprocessed", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	default: // reset, or dropped while the sender still reads
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// mismatch says how a request differs from what its client sent, or "" if it does not.
+func mismatch(w *model.World, c *model.Call, r *http.Request, body []byte) string {
+	if c == nil {
+		return "no client sent this id"
+	}
+	method, path, key, content := requestForm(w, c)
+	switch {
+	case r.Method != method:
+		return "the method was " + method + " and is " + r.Method
+	case r.URL.RequestURI() != path:
+		return "the path was " + path + " and is " + r.URL.RequestURI()
+	case r.Header.Get("Idempotency-Key") != key:
+		return "the key is another"
+	case string(body) != content:
+		return "the body is another"
+	}
+	return ""
+}
--- a/internal/lab/fleet/usage.go
+++ b/internal/lab/fleet/usage.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Usage is what a node's process holds.
+// Usage is the resource usage of a node's process.
 type Usage struct {
 	MemoryMB    float64 // resident
 	Descriptors int
 }
 
-// Usage reads what a node's process holds now; false: it does not run, or has just ended.
+// Usage returns the present usage of a node's process, or false if it does not run.
 func (f *Fleet) Usage(node int) (u Usage, runs bool) {
-	p := f.procs[node]
+	p := f.processes[node]
 	if p.cmd == nil {
 		return u, false
 	}
