--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,8 +5,14 @@
 	"time"
 )
 
-// shedSmoothing is the weight of a new sample in the share of requests that are shed.
-const shedSmoothing = classSmoothing / 4
+const (
+	// shedSmoothing is the weight of a new sample in the share of requests that are shed.
+	shedSmoothing = classSmoothing / 4
+	// likelyDeviations is how many mean deviations above the mean latency an answer is still likely to take.
+	likelyDeviations = 2
+	// minQueueTimeDivisor makes the least time in the queue that fraction of the latency objective.
+	minQueueTimeDivisor = 4
+)
 
 // pendingQueue holds requests that wait for an attempt, in the order in which they were enqueued.
 type pendingQueue struct {
@@ -53,8 +59,8 @@
 	b.send(r, e)
 }
 
-// limitReached reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier, the
-// concurrency limit is reached.
+// limitReached reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier,
+// the concurrency limit is reached.
 func (b *Balancer) limitReached() bool {
 	if len(b.endpoints.ready) == 0 {
 		return true
@@ -97,18 +103,18 @@
 	return deadline
 }
 
-// queueDeadline is how long it makes sense to wait: until the answer may well miss the latency objective, for
-// late answers take the capacity of those in time. While no endpoint is ready a late answer is the best there
-// can be. In any case the client hears before half of its time is over, while a retry of its own still makes
-// sense.
+// queueDeadline is when a pending request is rejected: when its answer may well miss the latency objective,
+// as late answers take the capacity of those in time. While no endpoint is ready, a late answer is the best
+// there can be. In any case the client is answered before half of its time is over, while a retry of its own
+// still makes sense.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	latest := r.acceptedAt + (r.deadline-r.acceptedAt)/2 - 2*b.settings.Tick
 	if len(b.endpoints.ready) == 0 {
 		return latest
 	}
 	c := r.class
-	likelyLatency := time.Duration(c.meanLatency + 2*c.latencyDeviation)
-	wait := max(c.LatencyObjective/4, c.LatencyObjective-likelyLatency)
+	likelyLatency := time.Duration(c.meanLatency + likelyDeviations*c.latencyDeviation)
+	wait := max(c.LatencyObjective/minQueueTimeDivisor, c.LatencyObjective-likelyLatency)
 	return min(latest, r.firstTriedAt+wait)
 }
 
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -4,7 +4,8 @@
 
 const (
 	// minBalancedLimit is the least number of own active attempts at which an endpoint is passed over in
-	// favor of others. It is above one so that the pick, not a search for idle endpoints, decides between none and one.
+	// favor of others. It is above one so that the pick, not a search for idle endpoints, decides between
+	// none and one.
 	minBalancedLimit = 2
 	// slownessExponent is the power of an endpoint's slowness by which it is drawn less often.
 	slownessExponent = 2.0
@@ -15,8 +16,8 @@
 
 // candidates returns the ready endpoints that the next attempt of a request may go to: those within the
 // scope of its idempotency key that it has not tried, not excluded as outliers, warm enough and, as long as
-// that leaves any, not busier than the others. The replica's subset comes before the whole list. If there is no other, a
-// first attempt may go to an idle endpoint that is warming up.
+// that leaves any, not busier than the others. The replica's subset comes before the whole list. If there is
+// no other, a first attempt may go to an idle endpoint that is warming up.
 func (b *Balancer) candidates(r *request) []*endpoint {
 	f := candidateFilter{
 		b:        b,
@@ -54,12 +55,17 @@
 func (f *candidateFilter) apply(from []*endpoint, limit attemptLimit) (preferred, warmingUp []*endpoint) {
 	var skipped []*endpoint // warm, but passed over by their draw
 	for _, e := range from {
+		if !f.eligible(e, limit) {
+			continue
+		}
+		warm := f.b.slowStart.warmFraction(e, f.b.now) == 1
+		if !warm && f.scarce && !f.withinBudget(e) {
+			continue
+		}
 		switch {
-		case !f.eligible(e, limit):
-		case f.scarce && f.b.slowStart.warmFraction(e, f.b.now) < 1 && !f.withinBudget(e):
 		case f.b.drawWarm(e) && f.b.drawByWeight(e):
 			preferred = append(preferred, e)
-		case f.b.slowStart.warmFraction(e, f.b.now) == 1:
+		case warm:
 			skipped = append(skipped, e)
 		case e.activeAttempts == 0 && len(f.request.attempts) == 0:
 			warmingUp = append(warmingUp, e)
@@ -76,15 +82,15 @@
 	return !f.excluded[e] && e.activeAttempts < limit(e) && f.request.inScope(e) && !f.request.tried(e)
 }
 
-// withinBudget reports whether an endpoint which is warming up may be drawn while warm capacity is scarce. Beyond
-// the subset none may, because other replicas count on those.
+// withinBudget reports whether an endpoint which is warming up may be drawn while warm capacity is scarce.
+// Beyond the subset none may, because other replicas count on those.
 func (f *candidateFilter) withinBudget(e *endpoint) bool {
 	return !f.beyondSubset && f.b.withinWarmupBudget(e, f.request.class)
 }
 
-// drawByWeight reports true with the probability that makes draws proportional to an endpoint's weight and, if
-// its answers take longer than others', to its speed: uniform draws would overload the small, the busy and
-// the stalling.
+// drawByWeight reports true with the probability that makes draws proportional to an endpoint's weight and,
+// if its answers take longer than others', to its speed: uniform draws would overload endpoints that are
+// small, busy with other work or stalling.
 func (b *Balancer) drawByWeight(e *endpoint) bool {
 	effectiveWeight := b.endpoints.weight(e) * math.Exp(-slownessExponent*max(0, e.slowness))
 	return b.random.Float64()*b.endpoints.maxWeight < effectiveWeight
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,7 @@
 	"umberbank/balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// One Balancer driven by hand: an endpoint list, a request, an attempt that never ran, and its retry.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, IdempotencyScope: balancer.ScopeAll,
@@ -24,23 +24,23 @@
 	b.Handle(0, balancer.EndpointUpdate{Full: true, Endpoints: []balancer.Endpoint{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
-	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
-	first := acts[0].(balancer.Send)
-	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
+	actions := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
+	first := actions[0].(balancer.Send)
+	fmt.Println("sent", first.ID, "with a timeout of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
+	actions = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
 		Result: balancer.Unreachable, Latency: 3 * time.Millisecond})
-	second := acts[0].(balancer.Send)
-	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
+	second := actions[0].(balancer.Send)
+	fmt.Println("retried at another endpoint:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
+	actions = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
 		Result: balancer.Success, Latency: 20 * time.Millisecond, RequestDone: true})
-	fmt.Println("left to do:", len(acts))
+	fmt.Println("left to do:", len(actions))
 	// Output:
-	// sent r1 with a time-out of 1s
-	// sent again to another server: true
+	// sent r1 with a timeout of 1s
+	// retried at another endpoint: true
 	// left to do: 0
 }
 
@@ -53,11 +53,11 @@
 	if err != nil {
 		bench.Fatal(err)
 	}
-	var list []balancer.Endpoint
+	var endpoints []balancer.Endpoint
 	for i := range 50 {
-		list = append(list, balancer.Endpoint{ID: fmt.Sprint("s", i)})
+		endpoints = append(endpoints, balancer.Endpoint{ID: fmt.Sprint("s", i)})
 	}
-	b.Handle(0, balancer.EndpointUpdate{Full: true, Endpoints: list})
+	b.Handle(0, balancer.EndpointUpdate{Full: true, Endpoints: endpoints})
 	bench.ReportAllocs()
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -70,8 +70,8 @@
 	return now-oldest.sentAt > wait && d.lastSuccess > answeredBy && e.lastSuccess < answeredBy
 }
 
-// isOutlier reports whether an endpoint must not get an attempt of a request now. After an ejection one attempt at a
-// time tries the endpoint, and never one of a request that cannot be repeated.
+// isOutlier reports whether an endpoint must not get an attempt of a request now. After an ejection one
+// attempt at a time tries the endpoint, and never one of a request that cannot be repeated.
 func (d *outlierDetector) isOutlier(e *endpoint, r *request, now time.Duration) bool {
 	if d.ejected(e, now) {
 		return true
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,17 +1,10 @@
 package balancer
 
-import (
-	"strings"
-	"time"
-)
+import "time"
 
-const (
-	// requestTimerPrefix begins the token of a request's timer; its ID follows.
-	requestTimerPrefix = "r:"
-	// retryTimeoutFraction is the share of a class's longest timeout under which a request counts as a retry by
-	// its client.
-	retryTimeoutFraction = 0.95
-)
+// retryTimeoutFraction is the share of a class's longest timeout below which a request counts as a retry
+// by its client.
+const retryTimeoutFraction = 0.95
 
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
@@ -190,41 +183,6 @@
 	}
 }
 
-// recordResult learns from the result of an attempt: the class's latency, the retry budget, and how its
-// endpoint does in comparison with the others.
-func (b *Balancer) recordResult(a *attempt, result Result) {
-	e, c := a.endpoint, a.request.class
-	latency := float64(b.now - a.sentAt)
-	switch result {
-	case Success:
-		b.retries.earn()
-		b.recordLatency(e, a.request, latency)
-		c.recordLatency(latency, a.request.costHint)
-		b.outliers.recordSuccess(e, b.now)
-	case Failure, ConnectionLost:
-		b.outliers.recordFailure(e, c, b.now)
-	case TimedOut:
-		b.limiter.charge(c, latency, b.now) // the endpoint may still be working on it
-		b.outliers.recordFailure(e, c, b.now)
-	case Overloaded, Unreachable:
-		b.recordRejection(e, c)
-	case Cancelled:
-		if latency > c.overdueAfter() {
-			b.recordLatency(e, a.request, latency)
-		}
-	case NotSent: // it shows nothing
-	}
-}
-
-// recordRejection limits an endpoint that rejected an attempt to the attempts that it had, for a time that
-// doubles with each rejection in a row. Rejections come at once, so the endpoint would else win every pick.
-func (b *Balancer) recordRejection(e *endpoint, c *classState) {
-	e.rejectionLimit = e.activeAttempts
-	wait := time.Duration((0.5 + b.random.Float64()) * ejectionLatencies * c.meanLatency)
-	e.rejectionLimitUntil = b.now + wait<<e.consecutiveRejections
-	e.consecutiveRejections = min(e.consecutiveRejections+1, maxEjectionLevel)
-}
-
 // activeAttempt finds an attempt that has not ended; nil: there is none.
 func (b *Balancer) activeAttempt(id string, number int) *attempt {
 	r := b.requests[id]
@@ -286,31 +244,3 @@
 		delete(b.requests, r.id)
 	}
 }
-
-// timerFired does what has come due. A host may round times down, so a timer can come up to a tick early:
-// nothing relies on its being late enough, and a review that finds nothing due sets another.
-func (b *Balancer) timerFired(e TimerFired) {
-	if e.Token == subscribeTimer {
-		b.subscribeIfDue()
-		return
-	}
-	id, ok := strings.CutPrefix(e.Token, requestTimerPrefix)
-	r := b.requests[id]
-	if !ok || r == nil {
-		return
-	}
-	if b.now+b.settings.Tick >= r.timerAt {
-		r.timerAt = 0
-	}
-	b.reviewPending(r)
-}
-
-// setRequestTimer asks for a review of a request, unless one comes by then already.
-func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	at = max(at, b.now+1)
-	if r.timerAt > b.now && r.timerAt <= at {
-		return
-	}
-	r.timerAt = at
-	b.do(SetTimer{At: at, Token: requestTimerPrefix + r.id})
-}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -74,7 +74,8 @@
 	return true
 }
 
-// inScope reports whether an endpoint shares the idempotency keys of those that may have executed the request.
+// inScope reports whether an endpoint shares the idempotency keys of those that may have executed the
+// request.
 func (r *request) inScope(e *endpoint) bool {
 	if r.class.Effect != WithIdempotencyKey {
 		return true
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -53,24 +53,25 @@
 		return
 	}
 	window := float64(max(1, s.settings.SlowStart.Duration))
-	kept := math.Exp(-float64(now-s.updatedAt) / window)
-	s.sends *= kept
-	s.sendsPerEndpoint *= kept
-	s.span = s.span*kept + window*(1-kept)
+	retained := math.Exp(-float64(now-s.updatedAt) / window)
+	s.sends *= retained
+	s.sendsPerEndpoint *= retained
+	s.span = s.span*retained + window*(1-retained)
 }
 
-// drawWarm reports true with the probability of an endpoint's warm-up fraction. While it is warming up it gets
-// one own attempt at a time: many replicas that each send a little overload it together.
+// drawWarm reports true with the probability of an endpoint's warm-up fraction. While it is warming up it
+// gets one own attempt at a time: many replicas that each send a little overload it together.
 func (b *Balancer) drawWarm(e *endpoint) bool {
 	fraction := b.slowStart.warmFraction(e, b.now)
 	return fraction == 1 || (e.activeAttempts == 0 && b.random.Float64() < fraction)
 }
 
 // warmCapacityScarce reports whether draws by warm-up fraction would overload endpoints that are warming up.
+//
 // Within OverloadWindow an endpoint bears N = OverloadMultiple x fraction x capacity x OverloadWindow
-// attempts, and a warm one has had so much of its capacity as this replica's attempts over the endpoints
-// that were ready. If fewer are warm than then, one that is warming up gets more than its fraction of that,
-// and up to warmupBudgetFraction x N it may.
+// attempts. The capacity that is known of a warm endpoint is what it has had of this replica's attempts. If
+// fewer endpoints are warm than then, one that is warming up gets more than its fraction of that; this is
+// accepted up to warmupBudgetFraction x N.
 func (b *Balancer) warmCapacityScarce() bool {
 	subset, ready := len(b.endpoints.subset), len(b.endpoints.ready)
 	rule := b.settings.SlowStart
@@ -88,13 +89,11 @@
 // withinWarmupBudget bounds what all replicas together send to an endpoint that is warming up while warm
 // capacity is scarce.
 //
-// Of its capacity a replica knows the number of attempts that it has sent to an endpoint, of which the sum
-// over the replicas was borne. If it has sent hardly any, it knows that an endpoint serves one request at a
-// time for all replicas together. The endpoint is in the subsets of a part of the replicas. So much, times
-// warmupBudgetFraction, is granted anew every OverloadWindow, with its fraction as a probability. A time of
-// OverloadWindow meets two grants at the most: N on the average where endpoints were used to three quarters
-// of their capacity, with a variance under N, however many the replicas are and whichever of them have the
-// requests.
+// Every OverloadWindow a replica is granted its part of warmupBudgetFraction x N attempts, with N as in
+// warmCapacityScarce; a fraction of an attempt is granted with that probability. Any OverloadWindow meets two
+// grants at most. Where endpoints were used to three quarters of their capacity, the grants of all replicas
+// make N attempts on the average, with a variance under N, however many replicas there are and whichever of
+// them have the requests.
 func (b *Balancer) withinWarmupBudget(e *endpoint, c *classState) bool {
 	if b.now >= e.warmupBudgetUntil {
 		window := b.settings.SlowStart.OverloadWindow
@@ -105,7 +104,9 @@
 }
 
 // warmupCapacity is how many attempts of this replica an endpoint that is warming up bears within
-// OverloadWindow.
+// OverloadWindow. A warm endpoint bore what this replica has sent to it, next to what others sent. A replica
+// that has sent hardly anything assumes that an endpoint serves one request at a time for all replicas
+// together. As only some replicas have the endpoint in their subset, each of them may use more.
 func (b *Balancer) warmupCapacity(e *endpoint, c *classState) float64 {
 	rule := b.settings.SlowStart
 	window := float64(rule.OverloadWindow)
--- a/cmd/umberbank-sim/main.go
+++ b/cmd/umberbank-sim/main.go
@@ -1,6 +1,6 @@
 // Command umberbank-sim hosts Balancers for the simulator: it reads batches of events from standard input and
-// writes one reply for each to standard output. It exits with 0 at the end of the input, and with 1 at an input
-// that it cannot read.
+// writes one reply for each to standard output. It exits with 0 at the end of the input, and with 1 at an
+// input that it cannot read.
 package main
 
 import (
@@ -23,9 +23,9 @@
 }
 
 // run serves batches until the input ends. A reply is written whole or not at all.
-func run(in io.Reader, out io.Writer) error {
-	decoder := simwire.NewDecoder(in)
-	h := newHost(out)
+func run(input io.Reader, output io.Writer) error {
+	decoder := simwire.NewDecoder(input)
+	h := newHost(output)
 	for {
 		m, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
@@ -46,16 +46,16 @@
 	now       time.Duration // clock time of the batch in hand
 	encoder   *simwire.Encoder
 	reply     *bytes.Buffer // of the batch in hand
-	out       io.Writer
+	output    io.Writer
 }
 
-func newHost(out io.Writer) *host {
+func newHost(output io.Writer) *host {
 	reply := &bytes.Buffer{}
 	return &host{
 		balancers: map[int]*balancer.Balancer{},
 		encoder:   simwire.NewEncoder(reply),
 		reply:     reply,
-		out:       out,
+		output:    output,
 	}
 }
 
@@ -65,11 +65,11 @@
 	case simwire.BatchStart:
 		h.now = m.Now
 	case simwire.InstanceInit:
-		return h.start(m)
+		return h.addInstance(m)
 	case simwire.InstanceKill:
 		delete(h.balancers, m.Instance)
 	case simwire.Event:
-		return h.event(m)
+		return h.handleEvent(m)
 	case simwire.Ignored:
 	case simwire.BatchEnd:
 		return h.flush()
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// start begins a new instance; an earlier one of its number is forgotten.
-func (h *host) start(m simwire.Message) error {
+// addInstance begins a new instance; an earlier one of its number is forgotten.
+func (h *host) addInstance(m simwire.Message) error {
 	b, err := balancer.New(m.Settings, m.Seed)
 	if err != nil {
 		return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// event gives an event to its instance and adds the actions to the reply.
-func (h *host) event(m simwire.Message) error {
+// handleEvent gives an event to its instance and adds the actions to the reply.
+func (h *host) handleEvent(m simwire.Message) error {
 	b := h.balancers[m.Instance]
 	if b == nil {
 		return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
@@ -104,6 +104,6 @@
 	if err := h.encoder.Flush(); err != nil {
 		return err
 	}
-	_, err := h.reply.WriteTo(h.out)
+	_, err := h.reply.WriteTo(h.output)
 	return err
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -76,11 +76,11 @@
 
 // decode decodes one line. It returns false for a line that only changes the decoder's state.
 func (d *Decoder) decode(line string) (m Message, complete bool, err error) {
-	name, rest, _ := strings.Cut(line, "\t")
+	name, values, _ := strings.Cut(line, "\t")
 	if err := d.checkOrder(name); err != nil {
 		return m, false, err
 	}
-	f := &fields{name: name, parts: strings.Split(rest, "\t")}
+	f := &fields{name: name, parts: strings.Split(values, "\t")}
 	m.Instance = d.instance
 	switch name {
 	case "about":
@@ -95,7 +95,7 @@
 		d.inBatch = false
 	case "hello":
 		m.Kind = InstanceInit
-		m.Seed, m.Settings, f.err = decodeHello(f, rest)
+		m.Seed, m.Settings, f.err = decodeHello(f, values)
 	case "crash_now":
 		m.Kind = InstanceKill
 	case "checked", "mail":
@@ -138,8 +138,8 @@
 }
 
 // decodeHello returns the seed and the settings of a new instance.
-func decodeHello(f *fields, rest string) (uint64, balancer.Settings, error) {
-	seed, text, ok := strings.Cut(rest, "\t")
+func decodeHello(f *fields, values string) (uint64, balancer.Settings, error) {
+	seed, text, ok := strings.Cut(values, "\t")
 	if !ok {
 		return 0, balancer.Settings{}, errors.New("hello lacks its settings")
 	}
@@ -167,11 +167,11 @@
 		if err != nil {
 			return fmt.Errorf("list ends after %d of %d items", i, length)
 		}
-		name, rest, _ := strings.Cut(line, "\t")
+		name, values, _ := strings.Cut(line, "\t")
 		if name != "item" {
 			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
 		}
-		item := &fields{name: name, parts: strings.Split(rest, "\t")}
+		item := &fields{name: name, parts: strings.Split(values, "\t")}
 		endpoint := decodeEndpoint(item)
 		if item.err != nil {
 			return item.err
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -81,8 +81,8 @@
 	ConnectTimeout time.Duration // an endpoint that does not accept one within it counts as unreachable
 }
 
-// ParseSettings reads the settings object. Unknown keys are ignored, an unknown effect is NonIdempotent and an
-// unknown scope is the narrowest. The settings are not validated.
+// ParseSettings reads the settings object. Unknown keys are ignored, an unknown effect is NonIdempotent and
+// an unknown scope is the narrowest. The settings are not validated.
 func ParseSettings(text []byte) (balancer.Settings, Connections, error) {
 	var o settingsObject
 	if err := json.Unmarshal(text, &o); err != nil {
