--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -24,9 +24,9 @@
 	"umberbank/internal/lab/cost"
 	"umberbank/internal/lab/scale"
 	"umberbank/internal/lab/scenario"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/bench"
 	registrytrial "umberbank/internal/registry/faulttest"
-	"umberbank/internal/registry/replica"
 	"umberbank/internal/registry/state"
 )
 
@@ -213,7 +213,7 @@
 		"lab-compare.json":        encodings[comparison](t, indented),
 		"lab-cost.json":           encodings[cost.Result](t, indented),
 		"lab-scale.json":          encodings[scale.Result](t, indented),
-		"registry-status.json":    encodings[replica.Status](t, indented),
+		"registry-status.json":    encodings[api.Status](t, indented),
 		"registry-get.json":       encodings[instanceList](t, indented),
 		"registry-bench.json":     encodings[bench.Result](t, indented),
 		"registry-permits.json":   encodings[bench.PermitResult](t, indented),
--- a/cmd/umberbank/registry_members.go
+++ b/cmd/umberbank/registry_members.go
@@ -9,6 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/replica"
 )
 
@@ -60,7 +61,7 @@
 
 // print prints the members.
 func (c *registryMembersCmd) print(env *environment) error {
-	var status replica.Status
+	var status api.Status
 	if err := c.call(env.ctx, http.MethodGet, "/registry/status", nil, &status); err != nil {
 		return err
 	}
--- a/cmd/umberbank/registry_status.go
+++ b/cmd/umberbank/registry_status.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"text/tabwriter"
 
-	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/api"
 )
 
 // registryStatusCmd is "umberbank registry status".
@@ -24,7 +24,7 @@
 	}
 	var failed error
 	for _, at := range c.Endpoints {
-		var st replica.Status
+		var st api.Status
 		one := registryFlags{Endpoints: []string{at}, Timeout: c.Timeout}
 		if err := one.call(env.ctx, http.MethodGet, "/registry/status", nil, &st); err != nil {
 			failed = fmt.Errorf("%s: %w", at, err)
--- a/internal/coordination/controller/lease.go
+++ b/internal/coordination/controller/lease.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"umberbank/internal/registry/replica"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -37,13 +37,9 @@
 func (c *Controller) renewLease(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.TTL)
 	defer cancel()
-	request := struct {
-		Leases []replica.Lease `json:"leases"`
-	}{[]replica.Lease{{UID: LeaderUID, Token: c.token}}}
-	var response struct {
-		Unknown []string `json:"unknown"`
-	}
-	err := c.registry.Call(ctx, http.MethodPost, "/registry/renew", request, &response)
+	request := api.RenewRequest{Leases: []api.Lease{{UID: LeaderUID, Token: c.token}}}
+	var response api.RenewResponse
+	err := c.registry.Call(ctx, http.MethodPost, api.PathRenew, request, &response)
 	if err == nil && len(response.Unknown) > 0 {
 		c.lostLease()
 	}
--- a/internal/registry/bench/watch.go
+++ b/internal/registry/bench/watch.go
@@ -11,6 +11,8 @@
 	"strconv"
 	"sync"
 	"sync/atomic"
+
+	"umberbank/internal/registry/api"
 )
 
 const (
@@ -35,7 +37,7 @@
 		return err
 	}
 	w.conn = conn
-	if _, err := fmt.Fprintf(conn, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: r\r\n\r\n", since); err != nil {
+	if _, err := fmt.Fprintf(conn, "GET %s?follow=1&since=%d HTTP/1.1\r\nHost: r\r\n\r\n", api.PathInstances, since); err != nil {
 		conn.Close()
 		return err
 	}
--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/agreed.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -21,7 +22,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
 	var agreed state.CoordinationView
-	return &agreed, c.Call(ctx, http.MethodGet, "/registry/agreed?"+query.Encode(), nil, &agreed)
+	return &agreed, c.Call(ctx, http.MethodGet, api.PathAgreed+"?"+query.Encode(), nil, &agreed)
 }
 
 // WriteOne has one write carried out, within a second.
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -14,6 +14,7 @@
 	"sync"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -114,9 +115,7 @@
 
 // responseError is the error that a replica answered with.
 func responseError(endpoint string, resp *http.Response, text []byte) error {
-	var body struct {
-		Error string `json:"error"`
-	}
+	var body api.Error
 	if json.Unmarshal(text, &body) != nil || body.Error == "" {
 		body.Error = resp.Status
 	}
@@ -127,16 +126,6 @@
 	return err
 }
 
-// writeRequest and writeResponse are the bodies of a call that writes.
-type (
-	writeRequest struct {
-		Ops []state.Op `json:"ops"`
-	}
-	writeResponse struct {
-		Answers []state.Result `json:"answers"`
-	}
-)
-
 // Write has ops carried out, in their order and each once, and returns what became of each. It retries until a replica
 // answers or ctx ends; in the latter case it is unknown whether they were carried out.
 func (c *Client) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
@@ -145,8 +134,8 @@
 			ops[i].ID = newOpID()
 		}
 	}
-	var response writeResponse
-	if err := c.Call(ctx, http.MethodPost, "/registry/write", writeRequest{ops}, &response); err != nil {
+	var response api.WriteResponse
+	if err := c.Call(ctx, http.MethodPost, api.PathWrite, api.WriteRequest{Ops: ops}, &response); err != nil {
 		return nil, err
 	}
 	if len(response.Answers) != len(ops) {
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -74,31 +75,15 @@
 	return h.tokens[uid]
 }
 
-// renewal names a lease to renew.
-type renewal struct {
-	UID   string `json:"uid"`
-	Token int64  `json:"token"`
-}
-
-// renewRequest and renewResponse are the bodies of a call that renews leases.
-type (
-	renewRequest struct {
-		Leases []renewal `json:"leases"`
-	}
-	renewResponse struct {
-		Unknown []string `json:"unknown"` // uids of leases that are not held by these tokens
-	}
-)
-
 // Renew renews all leases once, and registers again what the registry does not know.
 func (h *LeaseHolder) Renew(ctx context.Context) error {
-	renewals := h.renewals()
-	if len(renewals) == 0 {
+	leases := h.leases()
+	if len(leases) == 0 {
 		return nil
 	}
-	var response renewResponse
+	var response api.RenewResponse
 	sent := time.Now()
-	if err := h.client.Call(ctx, http.MethodPost, "/registry/renew", renewRequest{renewals}, &response); err != nil {
+	if err := h.client.Call(ctx, http.MethodPost, api.PathRenew, api.RenewRequest{Leases: leases}, &response); err != nil {
 		return err
 	}
 	unknown := h.noteRenewal(sent, response.Unknown)
@@ -108,11 +93,12 @@
 	return h.Register(ctx, unknown...)
 }
 
-func (h *LeaseHolder) renewals() (l []renewal) {
+// leases are those that are held.
+func (h *LeaseHolder) leases() (l []api.Lease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for uid, token := range h.tokens {
-		l = append(l, renewal{uid, token})
+		l = append(l, api.Lease{UID: uid, Token: token})
 	}
 	return l
 }
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -16,15 +16,12 @@
 	"sync"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
-// WatchEvent is a line of a watch: the full list, or the entries that have changed, deleted ones among them.
-type WatchEvent struct {
-	Revision  int64             `json:"rev"`
-	FullList  bool              `json:"all"`
-	Instances []*state.Instance `json:"targets"`
-}
+// WatchEvent is an event of a watch.
+type WatchEvent = api.WatchEvent
 
 // Why a watch was left.
 var (
@@ -153,7 +150,7 @@
 	w.mu.Lock()
 	since := w.revision
 	w.mu.Unlock()
-	url := "http://" + endpoint + "/registry/instances?follow=1&since=" + strconv.FormatInt(since, 10)
+	url := "http://" + endpoint + api.PathInstances + "?follow=1&since=" + strconv.FormatInt(since, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
--- a/internal/registry/cluster/control.go
+++ b/internal/registry/cluster/control.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/renameio/v2"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
-	"umberbank/internal/registry/replica"
 )
 
 const (
@@ -88,11 +88,11 @@
 }
 
 // status asks a replica for its status until it answers or ctx ends. maxBackoff is as in client.Options.
-func (m *member) status(ctx context.Context, maxBackoff time.Duration) (status replica.Status, err error) {
+func (m *member) status(ctx context.Context, maxBackoff time.Duration) (status api.Status, err error) {
 	c, err := client.New(client.Options{Endpoints: []string{m.clientAddress}, MaxBackoff: maxBackoff})
 	if err != nil {
 		return status, err
 	}
-	err = c.Call(ctx, http.MethodGet, "/registry/status", nil, &status)
+	err = c.Call(ctx, http.MethodGet, api.PathStatus, nil, &status)
 	return status, err
 }
--- a/internal/registry/faulttest/check.go
+++ b/internal/registry/faulttest/check.go
@@ -7,6 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 )
@@ -86,7 +87,7 @@
 }
 
 // check completes a result by what was seen. final is the registry's list in the end; nil: it is not known.
-func (h *history) check(res *Result, final *list) {
+func (h *history) check(res *Result, final *api.WatchEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	res.Writes, res.UnknownWrites, res.Reads, res.WatchEvents = h.writes, h.unanswered, h.reads, len(h.views)
@@ -126,7 +127,7 @@
 }
 
 // finalViolations finds that a watcher held another list at the registry's last revision.
-func (h *history) finalViolations(final *list) []string {
+func (h *history) finalViolations(final *api.WatchEvent) []string {
 	text, err := json.Marshal(final.Instances)
 	if held, known := h.lists[final.Revision]; err != nil || known && held != string(text) {
 		return []string{fmt.Sprintf("at revision %d the registry and a watcher hold different lists", final.Revision)}
--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 )
@@ -54,19 +55,19 @@
 		t.Fatal(err)
 	}
 	write("after", 5)
-	var all list
-	if err := w.Call(ctx, "GET", "/registry/instances?consistent=1", nil, &all); err != nil {
+	var all api.WatchEvent
+	if err := w.Call(ctx, "GET", api.PathInstances+"?consistent=1", nil, &all); err != nil {
 		t.Fatal(err)
 	}
 	recovered, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var recoveredList list
+	var recoveredList api.WatchEvent
 	if err := recovered.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", all.Revision), nil, &recoveredList); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(full))
 	}
-	for name, l := range map[string]list{"the registry": all, "the replica that was full": recoveredList} {
+	for name, l := range map[string]api.WatchEvent{"the registry": all, "the replica that was full": recoveredList} {
 		if len(l.Instances) != len(written) {
 			t.Errorf("%s has %d entries, %d were acknowledged", name, len(l.Instances), len(written))
 		}
@@ -154,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l list
+	var l api.WatchEvent
 	if err := late.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", a[0].Revision), nil, &l); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(behind))
 	}
--- a/internal/registry/faulttest/history.go
+++ b/internal/registry/faulttest/history.go
@@ -11,6 +11,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 )
@@ -99,8 +100,8 @@
 	called := time.Since(h.began)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
 	defer cancel()
-	var l list
-	if c.Call(ctx, http.MethodGet, "/registry/instances?consistent=1", nil, &l) != nil {
+	var l api.WatchEvent
+	if c.Call(ctx, http.MethodGet, api.PathInstances+"?consistent=1", nil, &l) != nil {
 		return
 	}
 	for _, e := range l.Instances {
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/cluster"
 	"umberbank/internal/registry/replica"
@@ -63,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l list
+	var l api.WatchEvent
 	if err := only.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", last), nil, &l); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/faulttest/run.go
+++ b/internal/registry/faulttest/run.go
@@ -14,6 +14,7 @@
 	"sync"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/cluster"
 	"umberbank/internal/registry/state"
@@ -196,7 +197,7 @@
 
 // recoverAll ends what faults have left, waits until the registry serves again, and returns the list that it holds then; nil
 // if it does not serve, which is a violation.
-func recoverAll(ctx context.Context, c *cluster.Cluster, w *client.Client, watchers *watchers, res *Result) *list {
+func recoverAll(ctx context.Context, c *cluster.Cluster, w *client.Client, watchers *watchers, res *Result) *api.WatchEvent {
 	began := time.Now()
 	c.ResumeAll()
 	final, err := awaitRecovery(ctx, w, watchers.all)
@@ -210,7 +211,7 @@
 
 // awaitRecovery waits until the registry is written to again and all watchers have that write, and returns the list that the
 // registry holds.
-func awaitRecovery(ctx context.Context, w *client.Client, watchers []*client.Watcher) (*list, error) {
+func awaitRecovery(ctx context.Context, w *client.Client, watchers []*client.Watcher) (*api.WatchEvent, error) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	last := &state.Instance{UID: "last", Endpoint: "10.0.0.9:3000", State: state.Serving}
@@ -225,8 +226,8 @@
 		case <-time.After(recoveryPoll):
 		}
 	}
-	var l list
-	if err := w.Call(ctx, http.MethodGet, "/registry/instances?consistent=1", nil, &l); err != nil {
+	var l api.WatchEvent
+	if err := w.Call(ctx, http.MethodGet, api.PathInstances+"?consistent=1", nil, &l); err != nil {
 		return nil, err
 	}
 	return &l, nil
@@ -241,9 +242,3 @@
 	}
 	return true
 }
-
-// list is a list as the registry returns it.
-type list struct {
-	Revision  int64             `json:"rev"`
-	Instances []*state.Instance `json:"targets"`
-}
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -5,17 +5,8 @@
 	"errors"
 	"io"
 	"net/http"
-)
 
-// Headers of the API.
-const (
-	// HeaderRevision is the revision of what was read.
-	HeaderRevision = "X-Registry-Revision"
-	// HeaderStaleness is how long ago, in milliseconds, the replica last heard from its leader: what it returns is no older
-	// than that and one heartbeat of raft.
-	HeaderStaleness = "X-Registry-Stale-Ms"
-	// headerForwarded is the id of the replica that forwarded a call to the leader.
-	headerForwarded = "X-Registry-Forwarded"
+	"umberbank/internal/registry/api"
 )
 
 // maxRequestBytes is the longest body of a call.
@@ -26,15 +17,15 @@
 // handler serves the API.
 func (r *Replica) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", r.handleInstances)
-	mux.HandleFunc("GET /registry/agreed", r.handleAgreed)
-	mux.HandleFunc("GET /registry/status", r.handleStatus)
-	mux.HandleFunc("GET /registry/backup", r.handleBackup)
-	mux.HandleFunc("POST /registry/write", r.onLeader(r.handleWrite))
-	mux.HandleFunc("POST /registry/restore", r.onLeader(r.handleRestore))
-	mux.HandleFunc("POST /registry/members", r.onLeader(r.handleMembers))
-	mux.HandleFunc("POST /registry/renew", r.onLeader(r.handleRenew))
-	mux.Handle("GET /metrics", r.metrics.handler())
+	mux.HandleFunc("GET "+api.PathInstances, r.handleInstances)
+	mux.HandleFunc("GET "+api.PathAgreed, r.handleAgreed)
+	mux.HandleFunc("GET "+api.PathStatus, r.handleStatus)
+	mux.HandleFunc("GET "+api.PathBackup, r.handleBackup)
+	mux.HandleFunc("POST "+api.PathWrite, r.onLeader(r.handleWrite))
+	mux.HandleFunc("POST "+api.PathRestore, r.onLeader(r.handleRestore))
+	mux.HandleFunc("POST "+api.PathMembers, r.onLeader(r.handleMembers))
+	mux.HandleFunc("POST "+api.PathRenew, r.onLeader(r.handleRenew))
+	mux.Handle("GET "+api.PathMetrics, r.metrics.handler())
 	return mux
 }
 
@@ -45,11 +36,6 @@
 
 func (e invalidRequestError) Unwrap() error { return e.err }
 
-// errorResponse is the body of an answer that is an error.
-type errorResponse struct {
-	Error string `json:"error"`
-}
-
 // emptyResponse is the body of an answer that has nothing to say.
 type emptyResponse struct{}
 
@@ -62,7 +48,7 @@
 			status = http.StatusBadRequest
 		}
 		w.WriteHeader(status)
-		v = errorResponse{err.Error()}
+		v = api.Error{Error: err.Error()}
 	}
 	json.NewEncoder(w).Encode(v) //nolint:errcheck // a caller that has disconnected needs no answer
 }
--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -12,6 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -33,22 +34,6 @@
 	errInvalidPollNumber = errors.New("after, wait_ms: no number")
 )
 
-// Status is what a replica reports of itself.
-type Status struct {
-	ID              string            `json:"id"`
-	IsLeader        bool              `json:"leads"`
-	LeaderID        string            `json:"leader"` // "" without a leader
-	Term            string            `json:"term"`   // of raft
-	Revision        int64             `json:"rev"`
-	Epoch           int64             `json:"epoch"`
-	Entries         int               `json:"entries"`
-	Suspects        int               `json:"suspects"`
-	Watchers        int64             `json:"watchers"`
-	StalenessMS     int64             `json:"stale_ms"` // since it last heard from its leader
-	ClientAddresses map[string]string `json:"members"`  // by the replicas' ids
-	RaftAddresses   map[string]string `json:"replicas"` // likewise
-}
-
 // staleness is how long ago this replica heard from the leader; 0 on the leader itself.
 func (r *Replica) staleness() time.Duration {
 	if r.raft.State() == raft.Leader {
@@ -63,7 +48,7 @@
 
 func (r *Replica) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	_, leader := r.raft.LeaderWithID()
-	status := Status{
+	status := api.Status{
 		ID:            r.cfg.ID,
 		IsLeader:      r.raft.State() == raft.Leader,
 		LeaderID:      string(leader),
@@ -127,8 +112,8 @@
 		reply(w, nil, err)
 		return
 	}
-	w.Header().Set(HeaderRevision, strconv.FormatInt(revision, 10))
-	w.Header().Set(HeaderStaleness, strconv.FormatInt(r.staleness().Milliseconds(), 10))
+	w.Header().Set(api.HeaderRevision, strconv.FormatInt(revision, 10))
+	w.Header().Set(api.HeaderStaleness, strconv.FormatInt(r.staleness().Milliseconds(), 10))
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(text)
 }
@@ -172,7 +157,7 @@
 		return
 	}
 	text, revision, err := r.encodeAgreed(query)
-	w.Header().Set(HeaderRevision, strconv.FormatInt(revision, 10))
+	w.Header().Set(api.HeaderRevision, strconv.FormatInt(revision, 10))
 	reply(w, json.RawMessage(text), err)
 }
 
--- a/internal/registry/replica/api_write.go
+++ b/internal/registry/replica/api_write.go
@@ -8,6 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -19,19 +20,9 @@
 	errNoPeer  = errors.New("want add (id, raft, address) or remove (id)")
 )
 
-// writeRequest and writeResponse are the bodies of a call that writes.
-type (
-	writeRequest struct {
-		Ops []state.Op `json:"ops"`
-	}
-	writeResponse struct {
-		Answers []state.Result `json:"answers"`
-	}
-)
-
 // handleWrite carries writes out, in their order.
 func (r *Replica) handleWrite(_ context.Context, body []byte) (any, error) {
-	var c writeRequest
+	var c api.WriteRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, invalidRequestError{err}
 	}
@@ -39,7 +30,7 @@
 		return nil, invalidRequestError{errOpCount}
 	}
 	answers, err := r.write(command{Ops: c.Ops})
-	return writeResponse{answers}, err
+	return api.WriteResponse{Answers: answers}, err
 }
 
 // handleRestore replaces the state by a backup.
@@ -51,24 +42,14 @@
 	return emptyResponse{}, err
 }
 
-// renewCall and renewResponse are the bodies of a call that renews leases.
-type (
-	renewCall struct {
-		Leases []Lease `json:"leases"`
-	}
-	renewResponse struct {
-		Unknown []string `json:"unknown"` // uids of leases that are not held by these tokens
-	}
-)
-
 // handleRenew renews leases.
 func (r *Replica) handleRenew(ctx context.Context, body []byte) (any, error) {
-	var c renewCall
+	var c api.RenewRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, invalidRequestError{err}
 	}
 	unknown, err := r.renew(ctx, c.Leases)
-	return renewResponse{unknown}, err
+	return api.RenewResponse{Unknown: unknown}, err
 }
 
 // membersRequest is the body of a call that changes the members.
--- a/internal/registry/replica/broadcaster.go
+++ b/internal/registry/replica/broadcaster.go
@@ -4,16 +4,10 @@
 	"encoding/json"
 
 	"umberbank/internal/modelcheck/checkedsync"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
-// watchEvent is what a watch sends in one line: the full list, or what has changed, in discovery's form.
-type watchEvent struct {
-	Revision  int64             `json:"rev"`
-	FullList  bool              `json:"all"`
-	Instances []*state.Instance `json:"targets"`
-}
-
 // Bounds of what a broadcaster keeps for watches to resume from.
 const (
 	maxHistoryEntries = 20_000 // changed entries
@@ -46,7 +40,7 @@
 
 // publish adds a change that leads to a revision.
 func (b *broadcaster) publish(revision int64, changed []*state.Instance) error {
-	text, err := encodeEvent(watchEvent{Revision: revision, Instances: changed})
+	text, err := encodeEvent(api.WatchEvent{Revision: revision, Instances: changed})
 	if err != nil {
 		return err
 	}
@@ -155,7 +149,7 @@
 		return text, revision, nil
 	}
 	revision, entries := list()
-	text, err := encodeEvent(watchEvent{Revision: revision, FullList: true, Instances: entries})
+	text, err := encodeEvent(api.WatchEvent{Revision: revision, FullList: true, Instances: entries})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -168,7 +162,7 @@
 }
 
 // encodeEvent encodes an event as a line. Entries with a role are no servers and stay out of it.
-func encodeEvent(e watchEvent) ([]byte, error) {
+func encodeEvent(e api.WatchEvent) ([]byte, error) {
 	servers := []*state.Instance{} // encoded as [], which readers tell from a missing list
 	for _, entry := range e.Instances {
 		if entry.Role == "" {
@@ -194,5 +188,5 @@
 			}
 		}
 	}
-	return encodeEvent(watchEvent{Revision: revision, Instances: latest})
+	return encodeEvent(api.WatchEvent{Revision: revision, Instances: latest})
 }
--- a/internal/registry/replica/broadcaster_test.go
+++ b/internal/registry/replica/broadcaster_test.go
@@ -13,6 +13,7 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -40,7 +41,7 @@
 				missed.frames, missed.revision = [][]byte{chunk(text)}, revision
 			}
 			for _, frame := range missed.frames {
-				var event watchEvent
+				var event api.WatchEvent
 				text, err := io.ReadAll(httputil.NewChunkedReader(io.MultiReader(bytes.NewReader(frame), strings.NewReader("0\r\n\r\n"))))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/registry/replica/forward.go
+++ b/internal/registry/replica/forward.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -14,7 +15,7 @@
 	_, id := r.raft.LeaderWithID()
 	var address string
 	r.fsm.read(func(s *state.State) { address = s.Members()[string(id)] })
-	if address == "" || q.Header.Get(headerForwarded) != "" {
+	if address == "" || q.Header.Get(api.HeaderForwarded) != "" {
 		reply(w, nil, ErrNotLeader)
 		return
 	}
@@ -23,14 +24,14 @@
 		reply(w, nil, err)
 		return
 	}
-	out.Header.Set(headerForwarded, r.cfg.ID)
+	out.Header.Set(api.HeaderForwarded, r.cfg.ID)
 	resp, err := r.forward.Do(out)
 	if err != nil {
 		reply(w, nil, err)
 		return
 	}
 	defer resp.Body.Close()
-	for _, h := range []string{"Content-Type", HeaderRevision, HeaderStaleness} {
+	for _, h := range []string{"Content-Type", api.HeaderRevision, api.HeaderStaleness} {
 		if v := resp.Header.Get(h); v != "" {
 			w.Header().Set(h, v)
 		}
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -11,6 +11,7 @@
 
 	"umberbank/internal/coordination/disruption"
 	"umberbank/internal/modelcheck"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -94,7 +95,7 @@
 						}
 						return rev, l
 					})
-					var m watchEvent
+					var m api.WatchEvent
 					if err != nil || json.Unmarshal(text, &m) != nil || int64(len(m.Instances)) != rev-1<<40 || m.Revision != rev {
 						modelcheck.Failf("%d entries at revision %d", len(m.Instances), rev-1<<40)
 					}
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -8,6 +8,7 @@
 	"github.com/hashicorp/raft"
 
 	"umberbank/internal/coordination/disruption"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -162,7 +163,7 @@
 }
 
 // renewLeases renews leases as of the last check.
-func (l *leaderLoop) renewLeases(renewals []Lease) renewReply {
+func (l *leaderLoop) renewLeases(renewals []api.Lease) renewReply {
 	if l.leases == nil {
 		return renewReply{err: ErrNotLeader}
 	}
--- a/internal/registry/replica/write.go
+++ b/internal/registry/replica/write.go
@@ -9,21 +9,16 @@
 
 	"github.com/hashicorp/raft"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
 // ErrNotLeader says that another replica leads, or none.
 var ErrNotLeader = errors.New("not the leader")
 
-// Lease names a lease to renew, by its entry and the token that the entry's registration got.
-type Lease struct {
-	UID   string `json:"uid"`
-	Token int64  `json:"token"`
-}
-
 // renewRequest asks leaderLoop to renew leases. reply has room for the answer.
 type renewRequest struct {
-	leases []Lease
+	leases []api.Lease
 	reply  chan<- renewReply
 }
 
@@ -56,7 +51,7 @@
 }
 
 // renew renews leases and returns the uids of those that this replica does not know by their tokens.
-func (r *Replica) renew(ctx context.Context, leases []Lease) ([]string, error) {
+func (r *Replica) renew(ctx context.Context, leases []api.Lease) ([]string, error) {
 	reply := make(chan renewReply, 1)
 	select {
 	case r.renewals <- renewRequest{leases, reply}:
