--- a/cmd/umberbank-node/main.go
+++ b/cmd/umberbank-node/main.go
@@ -1,5 +1,6 @@
-// Command umberbank-node is one real node. ROUTER_CONFIG names its configuration; SIGHUP makes it read
-// that again, and SIGTERM ends it once all that it has taken is answered.
+// Command umberbank-node runs one node of the load balancer. The environment variable ROUTER_CONFIG names its configuration;
+// SIGHUP makes it read that again, and SIGTERM ends it once all that it has accepted is answered. It exits with 0 then, and with
+// 1 after one line on standard error if it cannot start or serve.
 package main
 
 import (
@@ -12,6 +13,9 @@
 	"umberbank/internal/node"
 )
 
+// exitFailure is the exit code of a node that could not start or serve.
+const exitFailure = 1
+
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -19,6 +23,6 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	if err := node.RunProgram(ctx, hangups); err != nil {
 		fmt.Fprintf(os.Stderr, "umberbank-node: %v\n", err)
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
--- /dev/null
+++ b/cmd/umberbank-node/program_test.go
@@ -0,0 +1,165 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"umberbank/internal/durable"
+)
+
+const limit = 60 * time.Second
+
+// program returns the shell command that runs the program: the one in NODE_RUN, which .ci/run takes from the deploy file,
+// or a build that is made once.
+var program = sync.OnceValues(func() (string, error) {
+	if run := os.Getenv("NODE_RUN"); run != "" {
+		return run, nil
+	}
+	dir, err := os.MkdirTemp("", "umberbank-node-test-")
+	if err != nil {
+		return "", err
+	}
+	builtDir = dir
+	bin := filepath.Join(dir, "umberbank-node")
+	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
+		return "", fmt.Errorf("build: %w\n%s", err, out)
+	}
+	return "exec " + bin, nil
+})
+
+// builtDir is the directory of the build; "": there is none.
+var builtDir string
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if builtDir != "" {
+		os.RemoveAll(builtDir)
+	}
+	os.Exit(code)
+}
+
+// programCommand returns a command that runs the program with a configuration, after the shell commands of first.
+func programCommand(t *testing.T, config string, first ...string) *exec.Cmd {
+	t.Helper()
+	run, err := program()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command("/bin/sh", "-c", strings.Join(first, "")+run)
+	cmd.Dir = "../.."
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
+	return cmd
+}
+
+// configFor writes the configuration of a node with one server, and returns its path and text.
+func configFor(t *testing.T, server *httptest.Server, discovery, mode string) (path, text string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "config.json")
+	text = fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+		"known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","state":"SERVING"}]},
+		"settings":{"lanes":[{"name":"read","effect":"read_like","target-ms":1000,"deadline-ms":2000}],"limits":{"max-attempts":3},"registry-mode":%q}}`,
+		discovery, strings.TrimPrefix(server.URL, "http://"), mode)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path, text
+}
+
+// process is a running program and what it has logged.
+type process struct {
+	cmd    *exec.Cmd
+	listen string
+
+	mu    sync.Mutex
+	lines []string
+}
+
+// startProgram starts the program, after shell commands if there are any, and waits until it listens.
+func startProgram(t *testing.T, config string, first ...string) *process {
+	t.Helper()
+	p := &process{cmd: programCommand(t, config, first...)}
+	stderr, err := p.cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.kill)
+	listens := make(chan string, 1)
+	go func() {
+		defer close(listens)
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			p.mu.Lock()
+			p.lines = append(p.lines, lines.Text())
+			p.mu.Unlock()
+			if _, listen, is := strings.Cut(lines.Text(), "listening on "); is {
+				listens <- listen
+			}
+		}
+	}()
+	if p.listen = <-listens; p.listen == "" {
+		t.Fatalf("the program ended before it listened: %s", p.log())
+	}
+	return p
+}
+
+func (p *process) kill() {
+	p.cmd.Process.Kill()
+	_ = p.cmd.Wait() // killed
+}
+
+func (p *process) log() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return strings.Join(p.lines, "\n")
+}
+
+func (p *process) get(path string) string {
+	r, err := http.NewRequest(http.MethodGet, "http://"+p.listen+path, nil)
+	if err != nil {
+		return err.Error()
+	}
+	r.Header.Set("X-Correlation-Id", "c-1")
+	r.Header.Set("X-Time-Left", "30000m")
+	resp, err := (&http.Client{Timeout: limit}).Do(r)
+	if err != nil {
+		return err.Error()
+	}
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprintf("%d %s", resp.StatusCode, b)
+}
+
+// eventually waits until ok returns true.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s: not within %v", what, limit)
+		}
+	}
+}
+
+// savedSnapshots returns the snapshot files in a directory, the newest last.
+func savedSnapshots(t *testing.T, dir string) []string {
+	t.Helper()
+	l, err := filepath.Glob(filepath.Join(dir, "*"+durable.SnapshotSuffix))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
--- a/cmd/umberbank-node/start_test.go
+++ b/cmd/umberbank-node/start_test.go
@@ -8,10 +8,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strings"
 	"testing"
 )
 
-// What keeps the program from starting, the one line that it writes then, and its exit code.
+// Faults that keep the program from starting: the line on standard error, and the exit code.
 func TestProgramStartFaults(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
@@ -35,7 +36,7 @@
 		"bad second address": {whole, []string{"ROUTER_CONTROL=nowhere"}, "control: listen tcp: address nowhere: missing port in address"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cmd := command(t, c.config)
+			cmd := programCommand(t, c.config)
 			cmd.Env = append(cmd.Env, c.env...)
 			var stdout, stderr bytes.Buffer
 			cmd.Stdout, cmd.Stderr = &stdout, &stderr
@@ -50,3 +51,50 @@
 		})
 	}
 }
+
+// A configuration that is missing or malformed: one line on standard error and exit code 1.
+func TestProgramBadConfig(t *testing.T) {
+	bad := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(bad, []byte(`{"listen":7}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, config := range []string{"", filepath.Join(t.TempDir(), "none"), bad} {
+		t.Run(filepath.Base(config), func(t *testing.T) {
+			cmd := programCommand(t, config)
+			var stdout, stderr bytes.Buffer
+			cmd.Stdout, cmd.Stderr = &stdout, &stderr
+			err := cmd.Run()
+			if exit := new(exec.ExitError); !errors.As(err, &exit) || exit.ExitCode() != 1 {
+				t.Errorf("config %q: %v", config, err)
+			}
+			if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "umberbank-node: ") || stdout.Len() > 0 {
+				t.Errorf("config %q: standard error %q, output %q", config, s, stdout.String())
+			}
+		})
+	}
+}
+
+// An inherited descriptor that is not open, or no listening socket: one line on standard error and exit code 1.
+func TestProgramBadDescriptor(t *testing.T) {
+	config := filepath.Join(t.TempDir(), "config.json")
+	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
+		"settings":{"lanes":[{"name":"read","effect":"read_like","target-ms":1000,"deadline-ms":2000}],"limits":{"max-attempts":3}}}`
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, fd := range []string{"x", "-1", "1", "99"} {
+		t.Run(fd, func(t *testing.T) {
+			cmd := programCommand(t, config)
+			cmd.Env = append(cmd.Env, "ROUTER_ACCEPT_FD="+fd)
+			var stderr bytes.Buffer
+			cmd.Stderr = &stderr
+			err := cmd.Run()
+			if exit := new(exec.ExitError); !errors.As(err, &exit) || exit.ExitCode() != 1 {
+				t.Errorf("descriptor %q: %v", fd, err)
+			}
+			if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.Contains(s, "descriptor") {
+				t.Errorf("descriptor %q: standard error %q", fd, s)
+			}
+		})
+	}
+}
