--- a/cmd/umberbank/fleet_status.go
+++ b/cmd/umberbank/fleet_status.go
@@ -41,7 +41,7 @@
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", usage.Scope, usage.Capacity, usage.Unavailable, usage.Allowed, choose(usage.Unavailable > usage.Allowed, "OVER", ""))
 	}
 	for _, unit := range view.Unavailable {
-		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", unit.Unit, 100*unit.Share, unit.Reason, choose(unit.Permitted, "by permit", "without a permit"))
+		fmt.Fprintf(t, "out: %s\t%.0f%%\t%s\t%s\t\n", unit.Unit, 100*unit.Fraction, unit.Reason, choose(unit.Permitted, "by permit", "without a permit"))
 	}
 	for _, permit := range view.Permits {
 		fmt.Fprintf(t, "permit: %s\t%s\t%s\t%s\t%s\n", permit.Unit, permit.Holder, permit.Plan, permit.TargetVersion, choose(permit.Begun, "begun", "not begun"))
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -107,7 +107,7 @@
 	version := strconv.FormatInt(r.Pending.Number, 10)
 	sentAt := eventlog.Now()
 	// Before the write: the controller may be killed before it has the result.
-	c.appendEvent(eventlog.Event{Kind: eventlog.StageAsked, Version: version, Token: c.token})
+	c.appendEvent(eventlog.Event{Kind: eventlog.StageRequested, Version: version, Token: c.token})
 	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpAdvance, Number: r.Pending.Number, Stage: r.Stage, Fence: c.fence()})
 	if err != nil || result.Code != "" {
 		return
--- a/internal/coordination/disruption/budget.go
+++ b/internal/coordination/disruption/budget.go
@@ -2,16 +2,16 @@
 
 // Unit is a server or a node process.
 type Unit struct {
-	ID               string
-	Incarnation      int64   // fencing token of its present process
-	StartTimeMS      float64 // when that process started, by the unit's clock, in Unix milliseconds; a later one has a higher value
-	Tier             string
-	Zone             string
-	Region           string
-	Rack             int
-	Capacity         float64 // above 0
-	UnavailableShare float64 // share of its capacity that does not serve
-	Reason           string  // why UnavailableShare is not 0
+	ID                  string
+	Incarnation         int64   // fencing token of its present process
+	StartTimeMS         float64 // when that process started, by the unit's clock, in Unix milliseconds; a later one has a higher value
+	Tier                string
+	Zone                string
+	Region              string
+	Rack                int
+	Capacity            float64 // above 0
+	UnavailableFraction float64 // fraction of its capacity that does not serve
+	Reason              string  // why UnavailableFraction is not 0
 }
 
 // ReasonUnreachable is the reason of a unit whose lease has ended or that has left.
@@ -43,7 +43,7 @@
 	if old := b.units[u.ID]; old != nil {
 		b.count(old, -1)
 	}
-	u.UnavailableShare = min(max(u.UnavailableShare, 0), 1)
+	u.UnavailableFraction = min(max(u.UnavailableFraction, 0), 1)
 	if p := b.permits[u.ID]; p != nil && p.observe(&u) {
 		ended = p
 		delete(b.permits, u.ID)
@@ -69,7 +69,7 @@
 	if b.permits[u.ID] != nil {
 		return millionths(u.Capacity)
 	}
-	return millionths(u.Capacity * u.UnavailableShare)
+	return millionths(u.Capacity * u.UnavailableFraction)
 }
 
 // count adds a unit to the sums of its scopes (sign 1), or takes it out of them (sign -1). Between the two calls, neither
--- a/internal/coordination/disruption/budget_test.go
+++ b/internal/coordination/disruption/budget_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-func share(v float64) *float64 { return &v }
+func fraction(v float64) *float64 { return &v }
 
 func limits(total, zone float64) Limits {
-	return Limits{Tiers: []Limit{{Tier: "web", Total: share(total), Zone: share(zone)}}}
+	return Limits{Tiers: []Limit{{Tier: "web", Total: fraction(total), Zone: fraction(zone)}}}
 }
 
 func unit(i int) Unit {
@@ -56,7 +56,7 @@
 			if m.budget.Permit(u.ID) != nil {
 				unavailable += u.Capacity
 			} else {
-				unavailable += u.Capacity * u.UnavailableShare
+				unavailable += u.Capacity * u.UnavailableFraction
 			}
 		}
 		allowed := m.total * all
@@ -75,15 +75,15 @@
 	had := b.Permit(u.ID)
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0:
-		u.UnavailableShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "unavailable")
-		mustEnd := had != nil && (had.SeenUnavailable || u.StartTimeMS > had.StartTimeMS) && u.UnavailableShare == 0
+		u.UnavailableFraction = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "unavailable")
+		mustEnd := had != nil && (had.SeenUnavailable || u.StartTimeMS > had.StartTimeMS) && u.UnavailableFraction == 0
 		if ended := b.SetUnit(*u); (ended != nil) != mustEnd {
 			t.Fatalf("permit %+v ended: %v at %+v", had, ended != nil, u)
 		}
 	case 1:
 		u.Incarnation++
 		u.StartTimeMS++
-		u.UnavailableShare = 0.5
+		u.UnavailableFraction = 0.5
 		if ended := b.SetUnit(*u); ended != nil {
 			t.Fatalf("ended while warming up: %+v", ended)
 		}
@@ -156,7 +156,7 @@
 	_, err = b.Begin("s0", 11)
 	must("nobody begins without it", err != nil)
 	dead := unit(1)
-	dead.UnavailableShare, dead.Reason = 1, ReasonUnreachable
+	dead.UnavailableFraction, dead.Reason = 1, ReasonUnreachable
 	b.SetUnit(dead)
 	_, err = grant(2, 1, "a")
 	must("what a fault took counts: "+fmt.Sprint(err), err != nil && strings.Contains(err.Error(), "2 of 4 out"))
@@ -165,9 +165,9 @@
 	must("and cannot return it then", !b.Return("s0", 10))
 	must("while the unit is still available it stays", b.SetUnit(unit(0)) == nil)
 	u := unit(0)
-	u.Incarnation, u.StartTimeMS, u.UnavailableShare = 2, 2, 0.6
+	u.Incarnation, u.StartTimeMS, u.UnavailableFraction = 2, 2, 0.6
 	must("while the unit warms up it stays", b.SetUnit(u) == nil)
-	u.UnavailableShare = 0
+	u.UnavailableFraction = 0
 	must("once the unit is warm it ends", b.SetUnit(u) != nil)
 	_, err = grant(2, 1, "a")
 	must("and another fits", err == nil)
@@ -182,11 +182,11 @@
 func TestLimitsValidate(t *testing.T) {
 	for want, l := range map[string]Limits{
 		"tier: none":      {},
-		"tier[0].tier":    {Tiers: []Limit{{Total: share(1)}}},
-		"tier[1].tier":    {Tiers: []Limit{{Tier: "a", Total: share(1)}, {Tier: "a", Total: share(1)}}},
+		"tier[0].tier":    {Tiers: []Limit{{Total: fraction(1)}}},
+		"tier[1].tier":    {Tiers: []Limit{{Tier: "a", Total: fraction(1)}, {Tier: "a", Total: fraction(1)}}},
 		"tier[0].whole":   {Tiers: []Limit{{Tier: "a"}}},
-		"tier[0].zone: 2": {Tiers: []Limit{{Tier: "a", Total: share(1), Zone: share(2)}}},
-		"cold_from":       {Tiers: limits(1, 1).Tiers, InitialShare: math.NaN()},
+		"tier[0].zone: 2": {Tiers: []Limit{{Tier: "a", Total: fraction(1), Zone: fraction(2)}}},
+		"cold_from":       {Tiers: limits(1, 1).Tiers, InitialFraction: math.NaN()},
 		"warm_ms":         {Tiers: limits(1, 1).Tiers, WarmUpMS: -1},
 	} {
 		t.Run(want, func(t *testing.T) {
--- a/internal/coordination/disruption/doc.go
+++ b/internal/coordination/disruption/doc.go
@@ -18,7 +18,7 @@
 //
 // # Units of measure
 //
-// Capacities are in the unit of the endpoint list. Shares are between 0 and 1. Sums are kept in millionths, as integers:
+// Capacities are in the unit of the endpoint list. Fractions are between 0 and 1. Sums are kept in millionths, as integers:
 // they do not depend on the order of the additions, which differs between a replica that applied the writes and one that
 // read a snapshot.
 //
--- a/internal/coordination/disruption/limits.go
+++ b/internal/coordination/disruption/limits.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Limit is the share of a tier's capacity, from 0 to 1, that may be unavailable at once: of the whole tier, and of each of
+// Limit is the fraction of a tier's capacity, from 0 to 1, that may be unavailable at once: of the whole tier, and of each of
 // its zones, regions and racks. 1 and nil are no limit.
 type Limit struct {
 	Tier   string   `json:"tier" toml:"tier"`
@@ -15,18 +15,18 @@
 	Rack   *float64 `json:"rack,omitempty" toml:"rack"`
 }
 
-// shares returns the limits by kind of scope.
-func (l *Limit) shares() [scopeKinds]*float64 {
+// fractions returns the limits by kind of scope.
+func (l *Limit) fractions() [scopeKinds]*float64 {
 	return [scopeKinds]*float64{scopeTier: l.Total, scopeZone: l.Zone, scopeRegion: l.Region, scopeRack: l.Rack}
 }
 
 // Limits are the limits of all tiers of a site, how its units warm up, and how long permits wait. A tier without a Limit
 // gets no permits.
 type Limits struct {
-	Tiers          []Limit `json:"tiers" toml:"tier"`
-	InitialShare   float64 `json:"cold_from" toml:"cold_from"` // share of its capacity that a unit has when it starts
-	WarmUpMS       int64   `json:"warm_ms" toml:"warm_ms"`     // until a started unit has its whole capacity, in milliseconds; 0: at once
-	PermitExpiryMS int64   `json:"lapse_ms" toml:"lapse_ms"`   // until a permit that has not begun expires, in milliseconds; 0: 2,000
+	Tiers           []Limit `json:"tiers" toml:"tier"`
+	InitialFraction float64 `json:"cold_from" toml:"cold_from"` // fraction of its capacity that a unit has when it starts
+	WarmUpMS        int64   `json:"warm_ms" toml:"warm_ms"`     // until a started unit has its whole capacity, in milliseconds; 0: at once
+	PermitExpiryMS  int64   `json:"lapse_ms" toml:"lapse_ms"`   // until a permit that has not begun expires, in milliseconds; 0: 2,000
 }
 
 // Validate returns an error that names the first key with a wrong value.
@@ -42,8 +42,8 @@
 	switch {
 	case len(l.Tiers) == 0:
 		return errors.New("tier: none is named")
-	case !isShare(l.InitialShare):
-		return fmt.Errorf("cold_from: %v is no share from 0 to 1", l.InitialShare)
+	case !isFraction(l.InitialFraction):
+		return fmt.Errorf("cold_from: %v is no share from 0 to 1", l.InitialFraction)
 	case l.WarmUpMS < 0 || l.PermitExpiryMS < 0:
 		return errors.New("warm_ms, lapse_ms: a time cannot be negative")
 	}
@@ -59,9 +59,9 @@
 		return fmt.Errorf("tier: %q stands twice", l.Tier)
 	}
 	keys := [scopeKinds]string{scopeTier: "whole", scopeZone: "zone", scopeRegion: "region", scopeRack: "rack"}
-	for kind, share := range l.shares() {
-		if share != nil && !isShare(*share) {
-			return fmt.Errorf("%s: %v is no share from 0 to 1", keys[kind], *share)
+	for kind, fraction := range l.fractions() {
+		if fraction != nil && !isFraction(*fraction) {
+			return fmt.Errorf("%s: %v is no share from 0 to 1", keys[kind], *fraction)
 		}
 	}
 	if l.Total == nil {
@@ -70,5 +70,5 @@
 	return nil
 }
 
-// isShare reports whether v is between 0 and 1; NaN is not.
-func isShare(v float64) bool { return v >= 0 && v <= 1 }
+// isFraction reports whether v is between 0 and 1; NaN is not.
+func isFraction(v float64) bool { return v >= 0 && v <= 1 }
--- a/internal/coordination/disruption/permit.go
+++ b/internal/coordination/disruption/permit.go
@@ -23,10 +23,10 @@
 // observe records what a unit's present state says about its permit, and reports whether the permit ends.
 func (p *Permit) observe(u *Unit) bool {
 	restarted := u.StartTimeMS > p.StartTimeMS // an earlier start is one that a restored backup knows
-	if p.Begun && (u.UnavailableShare > 0 || restarted) {
+	if p.Begun && (u.UnavailableFraction > 0 || restarted) {
 		p.SeenUnavailable = true
 	}
-	return u.UnavailableShare == 0 && (p.SeenUnavailable || restarted)
+	return u.UnavailableFraction == 0 && (p.SeenUnavailable || restarted)
 }
 
 // Errors of [Budget.Begin].
@@ -78,16 +78,16 @@
 	if limit == nil {
 		return fmt.Errorf("%s: no limit says how much of tier %q may be out", u.ID, u.Tier)
 	}
-	shares := limit.shares()
+	fractions := limit.fractions()
 	more := millionths(u.Capacity) - b.unavailableCapacity(u)
 	for kind, k := range scopesOf(u) {
-		if shares[kind] == nil {
+		if fractions[kind] == nil {
 			continue
 		}
-		s, share := b.sums[k], *shares[kind]
-		if most := allowed(share, s.capacity); s.unavailable+more > most {
+		s, fraction := b.sums[k], *fractions[kind]
+		if most := allowed(fraction, s.capacity); s.unavailable+more > most {
 			return fmt.Errorf("%s: %s has %.4g of %.4g out and %.4g more would be, where %.4g may be (%.4g)",
-				u.ID, k, fromMillionths(s.unavailable), fromMillionths(s.capacity), fromMillionths(more), fromMillionths(most), share)
+				u.ID, k, fromMillionths(s.unavailable), fromMillionths(s.capacity), fromMillionths(more), fromMillionths(most), fraction)
 		}
 	}
 	return nil
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("%s: %w", unit, ErrUnitRestarted)
 	}
 	p.Begun = true
-	if u.UnavailableShare > 0 {
+	if u.UnavailableFraction > 0 {
 		p.SeenUnavailable = true
 	}
 	return p, nil
--- a/internal/coordination/disruption/scope.go
+++ b/internal/coordination/disruption/scope.go
@@ -56,6 +56,6 @@
 func fromMillionths(v int64) float64 { return float64(v) / 1e6 }
 
 // allowed is how much of a capacity, both in millionths, a limit allows to be unavailable.
-func allowed(share float64, capacity int64) int64 {
-	return int64(math.Round(share * float64(capacity)))
+func allowed(fraction float64, capacity int64) int64 {
+	return int64(math.Round(fraction * float64(capacity)))
 }
--- a/internal/coordination/disruption/usage.go
+++ b/internal/coordination/disruption/usage.go
@@ -22,11 +22,11 @@
 		if limit == nil {
 			continue
 		}
-		share := limit.shares()[k.kind]
-		if share == nil {
+		fraction := limit.fractions()[k.kind]
+		if fraction == nil {
 			continue
 		}
-		usages = append(usages, Usage{k.String(), fromMillionths(s.capacity), fromMillionths(s.unavailable), fromMillionths(allowed(*share, s.capacity))})
+		usages = append(usages, Usage{k.String(), fromMillionths(s.capacity), fromMillionths(s.unavailable), fromMillionths(allowed(*fraction, s.capacity))})
 	}
 	slices.SortFunc(usages, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.Unavailable-b.Allowed, a.Unavailable-a.Allowed), cmp.Compare(a.Scope, b.Scope))
@@ -37,7 +37,7 @@
 // UnavailableUnit is a unit that is not fully available, or that has a permit.
 type UnavailableUnit struct {
 	Unit      string  `json:"unit"`
-	Share     float64 `json:"share"` // of its capacity that is unavailable
+	Fraction  float64 `json:"share"` // of its capacity that is unavailable
 	Reason    string  `json:"why"`
 	Permitted bool    `json:"permitted"`
 }
@@ -50,11 +50,11 @@
 	var units []UnavailableUnit
 	for _, id := range slices.Sorted(maps.Keys(b.units)) {
 		u, permit := b.units[id], b.permits[id]
-		isUnavailable := u.UnavailableShare > 0
+		isUnavailable := u.UnavailableFraction > 0
 		if !isUnavailable && permit == nil {
 			continue
 		}
-		unavailable := UnavailableUnit{Unit: id, Share: u.UnavailableShare, Reason: u.Reason, Permitted: permit != nil}
+		unavailable := UnavailableUnit{Unit: id, Fraction: u.UnavailableFraction, Reason: u.Reason, Permitted: permit != nil}
 		if !isUnavailable {
 			unavailable.Reason = reasonPermitted
 		}
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -15,26 +15,26 @@
 	noticedAfter = 4 * time.Second
 	// haltTimeout is how soon after a halt no permit of the release begins any more.
 	haltTimeout = time.Second
-	// initialDeficit is the share of its capacity that a unit lacks when it starts, by the limits.
+	// initialDeficit is the fraction of its capacity that a unit lacks when it starts, by the limits.
 	initialDeficit = 0.6
-	// sumSlack absorbs the rounding of sums of shares.
+	// sumSlack absorbs the rounding of sums of fractions.
 	sumSlack = 1e-6
 )
 
 // checkedUnit is what the check knows of one unit at a time.
 type checkedUnit struct {
 	unit
-	out       bool          // it was taken out of service, and has not started since
+	takenOut  bool          // it was taken out of service, and has not started since
 	drained   bool          // an operator has drained it
 	killedAt  time.Duration // 0: it was not killed since it started
 	startedAt time.Duration // its last start, if a permit led to it; 0: none did
 }
 
-// unavailableShare is the share of its capacity that is unavailable at a time, as far as every decision must know.
-func (u *checkedUnit) unavailableShare(at, registryOK time.Duration, disturbances int) float64 {
+// unavailableFraction is the fraction of its capacity that is unavailable at a time, as far as every decision must know.
+func (u *checkedUnit) unavailableFraction(at, registryOK time.Duration, disturbances int) float64 {
 	warmingFor := at - u.startedAt
 	switch {
-	case u.out || u.drained:
+	case u.takenOut || u.drained:
 		return 1
 	case u.killedAt > 0 && disturbances == 0 && at-max(u.killedAt, registryOK) > noticedAfter:
 		return 1
@@ -94,14 +94,14 @@
 	switch e.Kind {
 	case eventlog.UnitStarted:
 		u.startedAt = 0 // a start that no permit led to is known later
-		if u.out {
+		if u.takenOut {
 			u.startedAt = e.At // its permit lasts until it has warmed up
 		}
-		u.out, u.killedAt = false, 0
+		u.takenOut, u.killedAt = false, 0
 	case processKilled:
 		u.killedAt = e.At
 	case eventlog.UnitOut:
-		u.out = true
+		u.takenOut = true
 		c.result.Permits++
 		if haltedAt, halted := c.haltedAt[e.Plan]; halted && e.SentAt > haltedAt+haltTimeout {
 			c.add(&c.result.BegunAfterHalt, "%s began %v after %s was halted", e.Unit, e.SentAt-haltedAt, e.Plan)
@@ -120,9 +120,9 @@
 // token has acted, no write of one with a lower token may be sent and applied.
 func checkLeader(leader *eventlog.Event, e eventlog.Event, violation func(string)) {
 	if e.Token == 0 {
-		violation(e.Process + " acted without the lead")
+		violation(e.Process + " acted without the lease")
 	} else if e.Token < leader.Token && e.SentAt > leader.At {
-		violation(fmt.Sprintf("%s acted with the lead %d after %s had with %d", e.Process, e.Token, leader.Process, leader.Token))
+		violation(fmt.Sprintf("%s acted with the lease %d after %s had with %d", e.Process, e.Token, leader.Process, leader.Token))
 	}
 	if e.Token > leader.Token {
 		*leader = e
@@ -137,7 +137,7 @@
 	})
 }
 
-// checkLimit checks the units of one scope. limit is the share of them that may be unavailable.
+// checkLimit checks the units of one scope. limit is the fraction of them that may be unavailable.
 func (c *releaseCheck) checkLimit(e eventlog.Event, scope string, limit float64, inScope func(*checkedUnit) bool) {
 	var all, unavailable float64
 	var who []string
@@ -146,10 +146,10 @@
 			continue
 		}
 		all++
-		share := u.unavailableShare(e.At, c.registryOK, c.disturbances)
-		unavailable += share
-		if share > 0 {
-			who = append(who, fmt.Sprintf("%s %.2f", u.id, share))
+		fraction := u.unavailableFraction(e.At, c.registryOK, c.disturbances)
+		unavailable += fraction
+		if fraction > 0 {
+			who = append(who, fmt.Sprintf("%s %.2f", u.id, fraction))
 		}
 	}
 	if unavailable > limit*all+sumSlack {
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -42,16 +42,16 @@
 	zones map[string]string // by node
 	nodes map[string]*checkedNode
 
-	startAsked   map[string]time.Duration   // by version: when a controller last asked to start a stage of it
-	acknowledged map[string]map[string]bool // by version: the nodes that could run it
-	hasRun       map[string]bool            // versions that some node has run
-	proposedAt   map[string]time.Duration   // by version
-	inForce      int                        // the highest version that a controller knew to be in force
-	progressAt   time.Duration              // when a version last came into force, or the first one was proposed
-	faulty       bool                       // faults have begun and are not over for good
-	leader       eventlog.Event             // the act with the highest token
-	registryOK   time.Duration              // since when no fault affects the registry
-	disturbances int                        // faults that affect the registry
+	startRequested map[string]time.Duration   // by version: when a controller last asked to start a stage of it
+	acknowledged   map[string]map[string]bool // by version: the nodes that could run it
+	hasRun         map[string]bool            // versions that some node has run
+	proposedAt     map[string]time.Duration   // by version
+	inForce        int                        // the highest version that a controller knew to be in force
+	progressAt     time.Duration              // when a version last came into force, or the first one was proposed
+	faulty         bool                       // faults have begun and are not over for good
+	leader         eventlog.Event             // the act with the highest token
+	registryOK     time.Duration              // since when no fault affects the registry
+	disturbances   int                        // faults that affect the registry
 }
 
 // checkSettings checks what nodes ran.
@@ -59,7 +59,7 @@
 	r.sort()
 	c := &settingsCheck{
 		events: r.events, result: result, violations: violations{&result.Result}, zones: zones, nodes: map[string]*checkedNode{},
-		startAsked: map[string]time.Duration{"0": 0}, acknowledged: map[string]map[string]bool{}, hasRun: map[string]bool{},
+		startRequested: map[string]time.Duration{"0": 0}, acknowledged: map[string]map[string]bool{}, hasRun: map[string]bool{},
 		proposedAt: map[string]time.Duration{},
 	}
 	for node := range zones {
@@ -75,8 +75,8 @@
 	e := c.events[i]
 	n := c.nodes[cmp.Or(e.Unit, e.Process)]
 	switch e.Kind {
-	case eventlog.StageAsked:
-		c.startAsked[e.Version] = e.At
+	case eventlog.StageRequested:
+		c.startRequested[e.Version] = e.At
 	case nodeCouldRun:
 		if c.acknowledged[e.Version] == nil {
 			c.acknowledged[e.Version] = map[string]bool{}
@@ -139,8 +139,8 @@
 		c.add(&c.result.Decreased, "%s runs version %d after %d", e.Process, version, n.highest)
 	}
 	n.version, n.highest, n.content = version, version, e.Reason
-	if _, asked := c.startAsked[e.Version]; !asked {
-		c.add(&c.result.Uncommitted, "%s runs version %s, which no controller had told anybody", e.Process, e.Version)
+	if _, requested := c.startRequested[e.Version]; !requested {
+		c.add(&c.result.Uncommitted, "%s runs version %s, which no controller had started", e.Process, e.Version)
 	}
 	if !c.hasRun[e.Version] && version > 0 {
 		c.hasRun[e.Version] = true
@@ -149,7 +149,7 @@
 	}
 	c.checkContents(i)
 	if strings.HasPrefix(lastHash, e.Reason) {
-		c.result.SpreadMS = (e.At - c.startAsked[e.Version]).Seconds() * 1000
+		c.result.SpreadMS = (e.At - c.startRequested[e.Version]).Seconds() * 1000
 	}
 }
 
@@ -157,10 +157,10 @@
 func (c *settingsCheck) inSync(i int, n *checkedNode) {
 	e := c.events[i]
 	if e.Token <= n.earlier {
-		c.add(&c.result.OldIncarnations, "%s counts as in touch by the start %d of an earlier process", e.Process, e.Token)
+		c.add(&c.result.OldIncarnations, "%s counts as in sync by the incarnation %d of an earlier process", e.Process, e.Token)
 	}
 	if n.version < n.required {
-		c.add(&c.result.ServedEarly, "%s counts as in touch with version %d, and %d was in force before", e.Process, n.version, n.required)
+		c.add(&c.result.ServedEarly, "%s counts as in sync with version %d, and %d was in force before", e.Process, n.version, n.required)
 	}
 	n.inSync, n.wasInSync, n.incarnation = n.faults == 0, true, e.Token
 	c.checkContents(i)
@@ -172,7 +172,7 @@
 	nodeOK := n.faults == 0 && e.At-max(n.healthySince, n.startedAt) > noticedAfter
 	registryOK := c.disturbances == 0 && e.At-c.registryOK > noticedAfter
 	if e.MaxRenewalGap < safeRenewalGap && nodeOK && registryOK {
-		c.add(&c.result.WronglyOutOfSync, "%s was called out of touch while nothing befell it", e.Process)
+		c.add(&c.result.WronglyOutOfSync, "%s was called out of sync while no fault affected it", e.Process)
 	}
 	n.inSync, n.required = false, c.inForce
 }
@@ -180,7 +180,7 @@
 // serves checks that a node serves only once it was in sync, with what is in force.
 func (c *settingsCheck) serves(e eventlog.Event, n *checkedNode) {
 	if !n.wasInSync {
-		c.add(&c.result.ServedEarly, "%s serves before it is in touch, with version %d", e.Process, n.version)
+		c.add(&c.result.ServedEarly, "%s serves before it is in sync, with version %d", e.Process, n.version)
 	} else if n.version < n.required {
 		c.add(&c.result.ServedEarly, "%s serves with version %d, and %d was in force before", e.Process, n.version, n.required)
 	}
@@ -221,7 +221,7 @@
 	}
 	if len(nodesByContent) > 2 {
 		e := c.events[i]
-		c.add(new(int), "%d contents run at once among nodes in touch, as %s runs version %s: %v", len(nodesByContent), e.Process, e.Version, nodesByContent)
+		c.add(new(int), "%d contents run at once among nodes in sync, as %s runs version %s: %v", len(nodesByContent), e.Process, e.Version, nodesByContent)
 	}
 	c.result.MaxContents = max(c.result.MaxContents, len(nodesByContent))
 }
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -46,12 +46,12 @@
 
 // Kinds of faults that affect a whole zone.
 const (
-	zoneCut   = "zone-cut"  // its nodes reach no replica
-	zoneKill  = "zone-kill" // its nodes are killed
-	zoneApart = "apart"     // its nodes, a replica and a controller reach each other and nobody else
+	zoneCut         = "zone-cut"  // its nodes reach no replica
+	zoneKill        = "zone-kill" // its nodes are killed
+	zonePartitioned = "apart"     // its nodes, a replica and a controller reach each other and nobody else
 )
 
-var zoneFaultKinds = []string{zoneCut, zoneKill, zoneApart}
+var zoneFaultKinds = []string{zoneCut, zoneKill, zonePartitioned}
 
 // zoneFault is a fault of a whole zone: what it silences and kills.
 type zoneFault struct {
@@ -69,7 +69,7 @@
 	s.noteFault(fmt.Sprintf("%s %s", kind, string("abc"[zone])), duration)
 	s.lostZones++
 	f := s.newZoneFault(kind, zone)
-	if kind == zoneApart {
+	if kind == zonePartitioned {
 		s.record.addNow(registryFaultBegan, "")
 	}
 	for _, p := range f.nodes {
@@ -97,7 +97,7 @@
 	for _, p := range f.nodes {
 		s.record.addNow(faultEnded, p.name)
 	}
-	if f.kind == zoneApart {
+	if f.kind == zonePartitioned {
 		s.record.addNow(registryFaultEnded, "")
 	}
 }
@@ -107,7 +107,7 @@
 	f := &zoneFault{kind: kind}
 	for i, p := range s.units {
 		if i%3 != zone {
-			if kind == zoneApart {
+			if kind == zonePartitioned {
 				f.links = append(f.links, p.links[zone])
 			}
 			continue
@@ -115,7 +115,7 @@
 		f.nodes = append(f.nodes, p)
 		f.addNode(p, zone, p.name == s.killedNode)
 	}
-	if kind == zoneApart {
+	if kind == zonePartitioned {
 		s.separateRegion(f, zone)
 	}
 	return f
@@ -130,7 +130,7 @@
 		f.killed = append(f.killed, p)
 	case f.kind == zoneCut:
 		f.links = append(f.links, p.links...)
-	case f.kind == zoneApart:
+	case f.kind == zonePartitioned:
 		for replica, l := range p.links {
 			if replica != zone {
 				f.links = append(f.links, l)
--- a/internal/coordination/release/capacity.go
+++ b/internal/coordination/release/capacity.go
@@ -11,31 +11,31 @@
 // much is unavailable as the plan may take out at once, or as is unavailable already if that is more. required is by tier;
 // a tier without an entry is not checked.
 func CheckCapacity(p *Plan, required map[string]float64, units []*state.Instance, limits disruption.Limits, unavailable []disruption.UnavailableUnit) error {
-	unavailableShare := map[string]float64{}
+	unavailableFraction := map[string]float64{}
 	for _, u := range unavailable {
-		unavailableShare[u.Unit] = u.Share
+		unavailableFraction[u.Unit] = u.Fraction
 	}
 	for _, limit := range limits.Tiers {
 		need, isRequired := required[limit.Tier]
 		if !isRequired {
 			continue
 		}
-		var capacity, alreadyOut, largest float64
+		var capacity, alreadyUnavailable, largest float64
 		for _, u := range units {
 			if u.Tier != limit.Tier {
 				continue
 			}
 			capacity += u.Capacity
-			alreadyOut += unavailableShare[u.UID] * u.Capacity
+			alreadyUnavailable += unavailableFraction[u.UID] * u.Capacity
 			largest = max(largest, u.Capacity)
 		}
 		allowed := *limit.Total * capacity
 		if p.MaxConcurrent > 0 {
 			allowed = min(allowed, float64(p.MaxConcurrent)*largest)
 		}
-		if left := capacity - max(allowed, alreadyOut); left < need {
+		if left := capacity - max(allowed, alreadyUnavailable); left < need {
 			return fmt.Errorf("tier %s has a capacity of %.4g, %.4g of it out, and up to %.4g may be out at once: %.4g would be left where the load needs %.4g",
-				limit.Tier, capacity, alreadyOut, max(allowed, alreadyOut), left, need)
+				limit.Tier, capacity, alreadyUnavailable, max(allowed, alreadyUnavailable), left, need)
 		}
 	}
 	return nil
--- a/internal/coordination/release/doc.go
+++ b/internal/coordination/release/doc.go
@@ -15,5 +15,5 @@
 //     decommissioned, and has been so for the bake time.
 //   - A halted release asks for no permits, and the registry lets none of its permits begin.
 //
-// Shares are between 0 and 1, capacities in the unit of the endpoint list, times in milliseconds where a name ends in MS.
+// Fractions are between 0 and 1, capacities in the unit of the endpoint list, times in milliseconds where a name ends in MS.
 package release
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -23,13 +23,13 @@
 	Stages           []PlanFileStage    `toml:"stage"`
 }
 
-// PlanFileStage is one stage of a PlanFile: a share of a tier, which includes the units of earlier stages, or units by
+// PlanFileStage is one stage of a PlanFile: a fraction of a tier, which includes the units of earlier stages, or units by
 // name.
 type PlanFileStage struct {
-	Tier  string   `toml:"tier"`
-	Zones []string `toml:"zones"` // none: all
-	Share float64  `toml:"share"`
-	Units []string `toml:"units"`
+	Tier     string   `toml:"tier"`
+	Zones    []string `toml:"zones"` // none: all
+	Fraction float64  `toml:"share"`
+	Units    []string `toml:"units"`
 }
 
 // Defaults of a plan file.
@@ -38,7 +38,7 @@
 	defaultRecoveryTimeout = time.Minute
 )
 
-// roundingSlack absorbs the error of a share times a number of units, so that 0.1 of 30 units is 3 and not 4.
+// roundingSlack absorbs the error of a fraction times a number of units, so that 0.1 of 30 units is 3 and not 4.
 const roundingSlack = 1e-9
 
 // ParsePlan reads a plan file and picks the units of each stage among those of the site, which must be in ascending order
@@ -124,15 +124,15 @@
 
 // unitPicker picks the units of one stage after the other. Every unit is picked at most once.
 type unitPicker struct {
-	units []*state.Instance // in the order of their UIDs
-	byUID map[string]*state.Instance
-	tiers map[string]bool
-	zones map[string]bool
-	taken map[string]bool // by earlier stages
+	units  []*state.Instance // in the order of their UIDs
+	byUID  map[string]*state.Instance
+	tiers  map[string]bool
+	zones  map[string]bool
+	picked map[string]bool // by earlier stages
 }
 
 func newUnitPicker(units []*state.Instance) *unitPicker {
-	p := &unitPicker{units: units, byUID: map[string]*state.Instance{}, tiers: map[string]bool{}, zones: map[string]bool{}, taken: map[string]bool{}}
+	p := &unitPicker{units: units, byUID: map[string]*state.Instance{}, tiers: map[string]bool{}, zones: map[string]bool{}, picked: map[string]bool{}}
 	for _, u := range units {
 		p.byUID[u.UID] = u
 		p.tiers[u.Tier] = true
@@ -143,43 +143,43 @@
 
 // pick returns the units of a stage. Errors begin with the key that is wrong.
 func (p *unitPicker) pick(stage *PlanFileStage) ([]*state.Instance, error) {
-	pick := p.pickShare
+	pick := p.pickFraction
 	if len(stage.Units) > 0 {
 		pick = p.pickNamed
 	}
-	picked, err := pick(stage)
+	units, err := pick(stage)
 	if err != nil {
 		return nil, err
 	}
-	for _, u := range picked {
-		p.taken[u.UID] = true
+	for _, u := range units {
+		p.picked[u.UID] = true
 	}
-	return picked, nil
+	return units, nil
 }
 
 // pickNamed returns the units that a stage names.
 func (p *unitPicker) pickNamed(stage *PlanFileStage) ([]*state.Instance, error) {
-	var picked []*state.Instance
+	var units []*state.Instance
 	for _, uid := range stage.Units {
 		u := p.byUID[uid]
 		switch {
 		case u == nil:
 			return nil, fmt.Errorf("units: there is no unit %q", uid)
-		case p.taken[uid]:
+		case p.picked[uid]:
 			return nil, fmt.Errorf("units: %q is in an earlier stage", uid)
 		}
-		picked = append(picked, u)
+		units = append(units, u)
 	}
-	return picked, nil
+	return units, nil
 }
 
-// pickShare returns as many further units as make up a stage's share of its tier, evenly along the order of their UIDs.
-func (p *unitPicker) pickShare(stage *PlanFileStage) ([]*state.Instance, error) {
+// pickFraction returns as many further units as make up a stage's fraction of its tier, evenly along the order of their UIDs.
+func (p *unitPicker) pickFraction(stage *PlanFileStage) ([]*state.Instance, error) {
 	if !p.tiers[stage.Tier] {
 		return nil, fmt.Errorf("tier: there is no tier %q", stage.Tier)
 	}
-	if !(stage.Share > 0 && stage.Share <= 1) {
-		return nil, fmt.Errorf("share: %v is no share above 0", stage.Share)
+	if !(stage.Fraction > 0 && stage.Fraction <= 1) {
+		return nil, fmt.Errorf("share: %v is no share above 0", stage.Fraction)
 	}
 	for _, zone := range stage.Zones {
 		if !p.zones[zone] {
@@ -187,23 +187,23 @@
 		}
 	}
 	var free []*state.Instance
-	taken := 0
+	alreadyPicked := 0
 	for _, u := range p.units {
 		switch {
 		case u.Tier != stage.Tier || len(stage.Zones) > 0 && !slices.Contains(stage.Zones, u.Zone):
-		case p.taken[u.UID]:
-			taken++
+		case p.picked[u.UID]:
+			alreadyPicked++
 		default:
 			free = append(free, u)
 		}
 	}
-	want := int(math.Ceil(stage.Share*float64(len(free)+taken)-roundingSlack)) - taken
+	want := int(math.Ceil(stage.Fraction*float64(len(free)+alreadyPicked)-roundingSlack)) - alreadyPicked
 	if want <= 0 {
 		return nil, nil
 	}
-	picked := make([]*state.Instance, want)
-	for i := range picked {
-		picked[i] = free[i*len(free)/want]
+	units := make([]*state.Instance, want)
+	for i := range units {
+		units[i] = free[i*len(free)/want]
 	}
-	return picked, nil
+	return units, nil
 }
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -22,7 +22,7 @@
 
 func newSite(units int, whole float64) *site {
 	s := &site{State: state.New()}
-	s.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &whole}}, InitialShare: 0.5, WarmUpMS: 1}})
+	s.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &whole}}, InitialFraction: 0.5, WarmUpMS: 1}})
 	for i := range units {
 		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(fmt.Sprintf("s%02d", i), "v1", 0)})
 	}
--- a/internal/coordination/release/scheduler.go
+++ b/internal/coordination/release/scheduler.go
@@ -30,8 +30,8 @@
 	// maxPermitsPerIncarnation is how many permits one incarnation of a unit is given before the release halts: the unit
 	// returns with the old version each time, or its agent does not begin.
 	maxPermitsPerIncarnation = 20
-	// maxPermitsHeld bounds the permits that a release holds at once where its plan does not.
-	maxPermitsHeld = 256
+	// maxConcurrentPermits bounds the permits that a release holds at once where its plan does not.
+	maxConcurrentPermits = 256
 )
 
 // PermitGranted records that the registry granted the permit that w asked for.
@@ -78,7 +78,7 @@
 	units       map[string]*state.Instance
 	unavailable map[string]disruption.UnavailableUnit
 	permits     map[string]*disruption.Permit // by unit
-	held        int                           // permits of this plan
+	concurrent  int                           // permits of this plan
 }
 
 func newRound(s *Scheduler, p *Plan, v *View, now time.Duration) *round {
@@ -99,7 +99,7 @@
 	for _, permit := range v.Permits {
 		r.permits[permit.Unit] = permit
 		if permit.Plan == p.Name {
-			r.held++
+			r.concurrent++
 		}
 	}
 	return r
@@ -147,7 +147,7 @@
 // isFinished reports whether a step's unit is decommissioned, or fully available in its new version.
 func (r *round) isFinished(step Step) bool {
 	u, permit := r.units[step.Unit], r.permits[step.Unit]
-	return u == nil || permit == nil && u.Version == step.ToVersion && r.unavailable[step.Unit].Share == 0
+	return u == nil || permit == nil && u.Version == step.ToVersion && r.unavailable[step.Unit].Fraction == 0
 }
 
 // canRequest reports whether a permit for an unfinished step can be requested: the unit has none, is reachable and runs
@@ -175,14 +175,14 @@
 	var writes []Write
 	requested := slices.Clone(r.progress.Requested)
 	for _, step := range steps {
-		if r.held >= cmp.Or(r.plan.MaxConcurrent, maxPermitsHeld) {
+		if r.concurrent >= cmp.Or(r.plan.MaxConcurrent, maxConcurrentPermits) {
 			break
 		}
 		u := r.units[step.Unit]
 		if r.scheduler.permits[permitKey(r.plan.Name, step.Unit, u.Token)] > maxPermitsPerIncarnation {
 			return r.halt(fmt.Sprintf("%s was given %d permits and still runs %q", step.Unit, maxPermitsPerIncarnation, u.Version))
 		}
-		r.held++
+		r.concurrent++
 		if !slices.Contains(requested, step.Unit) {
 			requested = append(requested, step.Unit)
 		}
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// roundingSlack absorbs the error of a share times a number of nodes, so that 0.1 of 30 nodes is 3 and not 4.
+// roundingSlack absorbs the error of a fraction times a number of nodes, so that 0.1 of 30 nodes is 3 and not 4.
 const roundingSlack = 1e-9
 
 // Advance starts the next stage of the pending version: it becomes the target of more nodes, and with the last stage the
--- a/internal/coordination/rollout/doc.go
+++ b/internal/coordination/rollout/doc.go
@@ -1,7 +1,7 @@
 // Package rollout decides which version of their settings the nodes of a site run.
 //
 // A version is proposed, acknowledged by a quorum of nodes, and then started stage by stage: each stage gives a larger
-// share of the nodes the version as their target. The last stage gives it to all nodes, and the version is committed.
+// fraction of the nodes the version as their target. The last stage gives it to all nodes, and the version is committed.
 // A version that only some nodes have as their target is undone by a rollback, which is another version with the
 // committed content.
 //
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -105,14 +105,14 @@
 	return false
 }
 
-// checkStages returns an error unless the shares are above 0 and increase to 1.
+// checkStages returns an error unless the fractions are above 0 and increase to 1.
 func checkStages(stages []float64) error {
 	last := 0.0
-	for i, share := range stages {
-		if !(share > last && share <= 1) {
-			return fmt.Errorf("stages[%d]: %v is not between the stage before and 1", i, share)
+	for i, fraction := range stages {
+		if !(fraction > last && fraction <= 1) {
+			return fmt.Errorf("stages[%d]: %v is not between the stage before and 1", i, fraction)
 		}
-		last = share
+		last = fraction
 	}
 	if last != 1 {
 		return errors.New("stages: the last is not 1, all nodes")
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -175,7 +175,7 @@
 		noError(t, s.Report(id, s.Nodes[id].Incarnation, 2, "x"))
 	}
 	for name, c := range map[string]struct {
-		share    float64 // of ten nodes, in the first stage
+		fraction float64 // of ten nodes, in the first stage
 		then     func(*testing.T, *State)
 		targeted string // the nodes with the version as their target after the next call
 		fails    string
@@ -210,7 +210,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := site(t, "ab", 5)
-			startFirstStage(t, s, c.share)
+			startFirstStage(t, s, c.fraction)
 			c.then(t, s)
 			checkError(t, s.Advance(2, 1), c.fails)
 			var targeted []string
@@ -226,13 +226,13 @@
 	}
 }
 
-// startFirstStage commits version 1, and starts version 2 on a share of all nodes, which run it.
-func startFirstStage(t *testing.T, s *State, share float64) {
+// startFirstStage commits version 1, and starts version 2 on a fraction of all nodes, which run it.
+func startFirstStage(t *testing.T, s *State, fraction float64) {
 	t.Helper()
 	if err := commitVersion(s, 1); err != nil {
 		t.Fatal(err)
 	}
-	v, err := s.Propose("x", 1, []float64{share, 1})
+	v, err := s.Propose("x", 1, []float64{fraction, 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -11,7 +11,7 @@
 	Number   int64     `json:"number"`
 	Hash     string    `json:"hash"`              // of the content
 	Replaces int64     `json:"replaces"`          // number of the version in force when this one was proposed
-	Stages   []float64 `json:"stages"`            // share of all nodes after each stage, increasing; the last is 1
+	Stages   []float64 `json:"stages"`            // fraction of all nodes after each stage, increasing; the last is 1
 	BakeMS   int64     `json:"bake_ms,omitempty"` // how long a stage must be ready before the next one, in milliseconds
 }
 
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -94,9 +94,9 @@
 	for _, t := range s.Tiers {
 		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Total: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
 	}
-	l.InitialShare = 1
+	l.InitialFraction = 1
 	for _, sv := range s.Servers {
-		l.InitialShare = min(l.InitialShare, sv.Kind.ColdFrom)
+		l.InitialFraction = min(l.InitialFraction, sv.Kind.ColdFrom)
 		l.WarmUpMS = max(l.WarmUpMS, sv.ColdFor.Milliseconds())
 	}
 	return l
--- a/internal/lab/virtual/backend.go
+++ b/internal/lab/virtual/backend.go
@@ -81,11 +81,11 @@
 		u := f.world.Site.Unit(i)
 		switch {
 		case !s.Up():
-			u.UnavailableShare, u.Reason = 1, disruption.ReasonUnreachable
+			u.UnavailableFraction, u.Reason = 1, disruption.ReasonUnreachable
 		case s.Drains():
-			u.UnavailableShare, u.Reason = 1, "draining"
+			u.UnavailableFraction, u.Reason = 1, "draining"
 		case s.Cold():
-			u.UnavailableShare, u.Reason = 1-s.Warmth(), "cold"
+			u.UnavailableFraction, u.Reason = 1-s.Warmth(), "cold"
 		}
 		budget.SetUnit(u)
 	}
--- a/internal/registry/state/coordination_test.go
+++ b/internal/registry/state/coordination_test.go
@@ -15,7 +15,7 @@
 
 func half() *disruption.Limits {
 	v := 0.5
-	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialShare: 0.4, WarmUpMS: 1000}
+	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialFraction: 0.4, WarmUpMS: 1000}
 }
 
 // site is a State with limits and so many units of capacity 1, s0 and on, all warmed up.
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -74,7 +74,7 @@
 	if m := s.Members(); len(m) != 2 || m["r2"] != "127.0.0.1:7002" {
 		t.Errorf("replicas: %v", m)
 	}
-	if l := s.Limits(); l == nil || len(l.Tiers) != 2 || *l.Tiers[0].Region != 0.9 || l.InitialShare != 0.4 || l.WarmUpMS != 8800 || l.PermitExpiryMS != 1500 {
+	if l := s.Limits(); l == nil || len(l.Tiers) != 2 || *l.Tiers[0].Region != 0.9 || l.InitialFraction != 0.4 || l.WarmUpMS != 8800 || l.PermitExpiryMS != 1500 {
 		t.Errorf("limits: %+v", l)
 	}
 	if p := s.Budget().Permit("s0"); p == nil || !p.Begun || !p.SeenUnavailable || p.Plan != "web-v2-back" || p.TargetVersion != "v1" || p.Holder != "c0" {
--- a/internal/registry/state/instance.go
+++ b/internal/registry/state/instance.go
@@ -39,7 +39,7 @@
 	ModRevision int64  `json:"mod,omitempty"`     // revision of its last change
 	Suspect     bool   `json:"suspect,omitempty"` // its lease has ended together with too many others to believe it
 
-	WarmUpDeficit float64 `json:"cold,omitempty"` // share of its capacity that it lacks while it warms up
+	WarmUpDeficit float64 `json:"cold,omitempty"` // fraction of its capacity that it lacks while it warms up
 }
 
 // maxText bounds the texts of an instance and the keys of records, in bytes.
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -15,7 +15,7 @@
 	epoch := max(Epoch(backup.revision), Epoch(running.revision)) + 1
 	s := New()
 	s.revision, s.instances, s.members = epoch<<epochShift, maps.Clone(backup.instances), maps.Clone(running.members)
-	s.keepController(running)
+	s.preserveController(running)
 	coordination := backup.coordinationSnapshot()
 	coordination.Ejected = nil
 	if len(running.rollout.Nodes) > 0 {
@@ -34,9 +34,9 @@
 	return s
 }
 
-// keepController replaces the backup's elected controller by the present one: with the backup's, a controller that has
+// preserveController replaces the backup's elected controller by the present one: with the backup's, a controller that has
 // lost its lease since could write again.
-func (s *State) keepController(running *State) {
+func (s *State) preserveController(running *State) {
 	maps.DeleteFunc(s.instances, func(_ string, e *Instance) bool { return e.Role == RoleController })
 	for uid, e := range running.instances {
 		if e.Role == RoleController {
--- a/internal/registry/state/settings.go
+++ b/internal/registry/state/settings.go
@@ -42,7 +42,7 @@
 	case OpPropose:
 		return s.propose(op)
 	case OpRollback:
-		return s.rollBack()
+		return s.proposeRollback()
 	case OpAcknowledge:
 		return 0, s.rollout.Acknowledge(op.UID, op.Token, op.Number, op.Hash, op.RejectReason)
 	case OpReport:
@@ -68,7 +68,7 @@
 	return version.Number, nil
 }
 
-func (s *State) rollBack() (number int64, err error) {
+func (s *State) proposeRollback() (number int64, err error) {
 	content := s.settings[s.rollout.Committed.Number]
 	version, err := s.rollout.Rollback()
 	if err != nil {
--- a/internal/registry/state/units.go
+++ b/internal/registry/state/units.go
@@ -46,15 +46,15 @@
 		unreachable := e.Suspect || s.unreachable[e.UID] != nil
 		s.rollout.SetNode(e.UID, e.Zone, e.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTime})
 	}
-	share, reason := s.unavailability(e)
+	fraction, reason := s.unavailability(e)
 	s.budget.SetUnit(disruption.Unit{
 		ID: e.UID, Incarnation: e.Token, StartTimeMS: e.StartTimeMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack,
-		Capacity: e.Capacity, UnavailableShare: share, Reason: reason,
+		Capacity: e.Capacity, UnavailableFraction: fraction, Reason: reason,
 	})
 }
 
-// unavailability returns the share of a unit's capacity that is unavailable, and why.
-func (s *State) unavailability(e *Instance) (share float64, reason string) {
+// unavailability returns the fraction of a unit's capacity that is unavailable, and why.
+func (s *State) unavailability(e *Instance) (fraction float64, reason string) {
 	switch {
 	case s.unreachable[e.UID] != nil:
 		return 1, disruption.ReasonUnreachable
@@ -77,12 +77,12 @@
 	s.rollout.Decommission(uid)
 }
 
-// initialWarmUpDeficit is the share of its capacity that an instance lacks when its process starts.
+// initialWarmUpDeficit is the fraction of its capacity that an instance lacks when its process starts.
 func (s *State) initialWarmUpDeficit(e *Instance) float64 {
 	if s.limits == nil || s.limits.WarmUpMS == 0 || e.StartTimeMS == 0 {
 		return 0
 	}
-	return 1 - s.limits.InitialShare
+	return 1 - s.limits.InitialFraction
 }
 
 // nodeChanged keeps up with a node that was put in place of old (nil: none), or removed: how many nodes send to a tier, and
