--- a/balancer/event.go
+++ b/balancer/event.go
@@ -42,7 +42,8 @@
 	return r == Overloaded || r == Unreachable || r == NotSent
 }
 
-// LoadReport is an endpoint's own report, late and noisy. Absent values are negative.
+// LoadReport is an endpoint's own report, late and noisy. Absent values are negative. No decision depends on
+// it.
 type LoadReport struct {
 	ActiveRequests float64
 	ServiceTime    time.Duration // recent, without waiting
@@ -72,12 +73,12 @@
 	// Outcome ends one attempt.
 	Outcome struct {
 		ID           string
-		Attempt      int // number of the attempt, from 0
-		Endpoint     string
+		Attempt      int    // number of the attempt, from 0
+		Endpoint     string // of the Send
 		Result       Result
-		Latency      time.Duration
-		RequestDone  bool // the request has its final answer
-		BodyConsumed bool // a streaming body cannot be sent again
+		Latency      time.Duration // as the host measured it; decisions use the time of the event
+		RequestDone  bool          // the request has its final answer
+		BodyConsumed bool          // a streaming body cannot be sent again
 		Load         *LoadReport
 	}
 	// RequestBodySent says that the last byte of a streaming body has gone out.
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -18,11 +18,12 @@
 	// initialUtilization stands for all three averages before the first answer.
 	initialUtilization = maxUtilization / 2
 
-	// The averages of the latency utilization follow this many times the answers that come while one attempt
-	// is in flight; noiseAnswers are added to those.
-	fastUtilizationGain  = 2.0
-	slowUtilizationGain  = 0.5
-	noiseAnswers         = 16
+	// A sample moves an average of the latency utilization by gain/n of their difference. n is the number of
+	// answers that come while one attempt is in flight, and noiseAnswers more to smooth out noise.
+	fastUtilizationGain = 2.0
+	slowUtilizationGain = 0.5
+	noiseAnswers        = 16
+	// baselineRecoveryGain is the share of the difference to the utilization by which the baseline rises.
 	baselineRecoveryGain = classSmoothing / 16
 
 	// limitIncrease is gained by an answer in good time if the limit is in use, and up to limitRecovery times
@@ -146,7 +147,7 @@
 // leakyBucket paces a replica whose limit is below minInFlight. It holds the time, in ns, that attempts
 // occupy endpoints beyond what the limit allows, and leaks at the rate of the limit.
 type leakyBucket struct {
-	level     float64
+	level     float64 // below 0: a replica that was idle may send at once
 	updatedAt time.Duration
 }
 
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -28,7 +28,8 @@
 func (b *Balancer) retryOrAnswer(r *request) {
 	cost := r.retryCost()
 	timeLeft := float64(r.deadline - b.now)
-	if !b.retryAllowed(r) || b.retries.tokens < cost || timeLeft < r.class.meanLatency/2 {
+	tooLate := timeLeft < r.class.meanLatency/2 // an answer in time is not likely
+	if tooLate || b.retries.tokens < cost || !b.retryAllowed(r) {
 		b.answer(r)
 		return
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -35,7 +35,7 @@
 	Deadline          time.Duration    // how long a client waits over all its retries
 	LateCredit        float64          // share of the credit that an answer after the objective earns
 	PriorityWeight    float64          // credit of an answer in time; more is served first under overload
-	Streaming         bool
+	Streaming         bool             // answers are streams; no decision depends on it
 }
 
 // WeightKind says what Endpoint.Weight means.
@@ -67,7 +67,7 @@
 	WorstClassWeight float64 // weight of the class that is served worst when shedding load
 
 	MaxAttempts   int  // attempts of a request, at least one
-	Hedging       bool // two attempts of a request may be active at once
+	Hedging       bool // two attempts of a request may be active at once; no decision makes use of it
 	Cancellation  bool // the host can carry out a Cancel
 	WeightKind    WeightKind
 	PollDiscovery bool          // the endpoint list comes only after a Subscribe
