--- a/cmd/umberbank/lab_compare.go
+++ b/cmd/umberbank/lab_compare.go
@@ -124,7 +124,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tA\tB\tB less A\t95% from\tto\tlargest\t")
 	for _, d := range differences {
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g\t%+.4g\t%.4g\t%s\n", d.Measure, d.A, d.B, d.Mean, d.Low, d.High, d.Worst, d.Verdict)
+		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g\t%+.4g\t%.4g\t%s\n", d.Metric, d.A, d.B, d.Mean, d.Low, d.High, d.LargestDifference, d.Verdict)
 	}
 	return t.Flush()
 }
@@ -153,5 +153,5 @@
 		names = append(names, v.name())
 		results = append(results, v.results)
 	}
-	return errors.Join(report.Served(f, names, results), f.Close())
+	return errors.Join(report.DrawServed(f, names, results), f.Close())
 }
--- a/cmd/umberbank/lab_cost.go
+++ b/cmd/umberbank/lab_cost.go
@@ -37,12 +37,12 @@
 	if c.Duration <= 0 {
 		return fmt.Errorf("--duration: %v is not above 0", c.Duration)
 	}
-	opt := cost.Options{Node: strings.Fields(c.Node), For: c.Duration, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
+	opt := cost.Options{Node: strings.Fields(c.Node), Duration: c.Duration, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
 	for _, n := range c.Servers { // all of them, before the first is started
 		if opt.Servers = n; n == 0 {
 			return errors.New("--servers: 0 is not from 1 on")
 		}
-		if err := opt.Check(); err != nil {
+		if err := opt.Validate(); err != nil {
 			return err
 		}
 	}
@@ -80,8 +80,8 @@
 		}
 		fmt.Fprintf(t, "%s\t%.*f\t%.*f\t%s\t\n", name, digits, n, digits, b, ratio)
 	}
-	row("requests/s held", func(s *cost.Subject) float64 { return s.Held }, 0)
-	row(fmt.Sprintf("added p50 us, %.0f/s", r.RatePaced), func(s *cost.Subject) float64 { return s.Added.P50 }, 0)
+	row("requests/s held", func(s *cost.Subject) float64 { return s.Throughput }, 0)
+	row(fmt.Sprintf("added p50 us, %.0f/s", r.PacedRate), func(s *cost.Subject) float64 { return s.Added.P50 }, 0)
 	row("added p99 us", func(s *cost.Subject) float64 { return s.Added.P99 }, 0)
 	row("CPU us a request", func(s *cost.Subject) float64 { return s.CPUMicros }, 1)
 	for _, p := range cost.Parts {
@@ -92,7 +92,7 @@
 		row("  "+p, func(s *cost.Subject) float64 { return s.AllocSplit[p] }, 0)
 	}
 	row("allocations a request", func(s *cost.Subject) float64 { return s.Allocs }, 1)
-	row("MB at rest", func(s *cost.Subject) float64 { return s.MemoryRest }, 1)
+	row("MB at rest", func(s *cost.Subject) float64 { return s.IdleMemoryMB }, 1)
 	row("MB under load", func(s *cost.Subject) float64 { return s.MemoryMB }, 1)
 	return t.Flush()
 }
@@ -107,7 +107,7 @@
 // Run serves until the context ends.
 func (c *labBareRelayCmd) Run(env *environment) error {
 	if c.Stats != "" {
-		cost.Watch(c.Stats)
+		cost.WriteStatsOnSignals(c.Stats)
 	}
 	return cost.ServeRelay(env.ctx, c.Listen, c.Targets)
 }
--- a/cmd/umberbank/node.go
+++ b/cmd/umberbank/node.go
@@ -26,7 +26,7 @@
 // Run runs a node until the context ends.
 func (c *nodeCmd) Run(env *environment) error {
 	if c.Stats != "" {
-		cost.Watch(c.Stats)
+		cost.WriteStatsOnSignals(c.Stats)
 	}
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := d[0]; got.Measure != "served_share" || !strings.Contains(got.Verdict, c.verdict) || got.Low > got.Mean || got.High < got.Mean {
+		if got := d[0]; got.Metric != "served_share" || !strings.Contains(got.Verdict, c.verdict) || got.Low > got.Mean || got.High < got.Mean {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -22,8 +22,10 @@
 	}
 	flags := flag.NewFlagSet(mode, flag.ExitOnError)
 	stats, listen, to := flags.String("stats", "", ""), flags.String("listen", "", ""), flags.String("to", "", "")
-	flags.Parse(os.Args[1:])
-	Watch(*stats)
+	if err := flags.Parse(os.Args[1:]); err != nil {
+		panic(err)
+	}
+	WriteStatsOnSignals(*stats)
 	var err error
 	if mode == "node" {
 		err = node.RunProgram(context.Background(), make(chan os.Signal))
@@ -46,12 +48,12 @@
 
 // A measurement of real processes: every figure is there, and the parts make up the whole.
 func TestMeasure(t *testing.T) {
-	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), For: 3 * time.Second}) // 100 samples a second, one in twenty of the module
+	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 3 * time.Second}) // 100 samples a second, one in twenty of the module
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, s := range map[string]Subject{"node": r.Node, "relay": r.Relay} {
-		if s.Held <= 0 || s.CPUMicros <= 0 || s.AllocBytes <= 0 || s.MemoryMB <= 0 || s.Descriptors <= 0 || s.Latency.P50 <= 0 || s.Latency.P99 < s.Latency.P50 {
+		if s.Throughput <= 0 || s.CPUMicros <= 0 || s.AllocBytes <= 0 || s.MemoryMB <= 0 || s.Descriptors <= 0 || s.Latency.P50 <= 0 || s.Latency.P99 < s.Latency.P50 {
 			t.Errorf("%s: %+v", name, s)
 		}
 		sum := 0.0
@@ -62,32 +64,32 @@
 			t.Errorf("%s: the parts are %v of %v us", name, sum, s.CPUMicros)
 		}
 	}
-	if r.Node.CPUSplit[Module] <= 0 || r.Relay.CPUSplit[Module] != 0 || r.Direct.P50 <= 0 {
-		t.Errorf("module %v and %v us, direct %v", r.Node.CPUSplit[Module], r.Relay.CPUSplit[Module], r.Direct)
+	if r.Node.CPUSplit[PartBalancer] <= 0 || r.Relay.CPUSplit[PartBalancer] != 0 || r.Direct.P50 <= 0 {
+		t.Errorf("module %v and %v us, direct %v", r.Node.CPUSplit[PartBalancer], r.Relay.CPUSplit[PartBalancer], r.Direct)
 	}
 }
 
 // At a given rate, with a list of a given length, the figures are of these; what makes no sense starts nothing.
 func TestRate(t *testing.T) {
-	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), For: 500 * time.Millisecond, Rate: 50, Servers: 31})
+	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 500 * time.Millisecond, Rate: 50, Servers: 31})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.RatePaced != 50 || r.Servers != 31 || r.Node.Refused != 0 || r.Node.Latency.P99 <= 0 || r.Relay.Latency.P99 <= 0 {
+	if r.PacedRate != 50 || r.Servers != 31 || r.Node.Rejected != 0 || r.Node.Latency.P99 <= 0 || r.Relay.Latency.P99 <= 0 {
 		t.Errorf("%+v", r)
 	}
-	if want := r.Node.Added.P99 / r.Relay.Added.P99; r.Relay.Added.P99 > 0 && r.AddedP99 != want {
-		t.Errorf("the ratio is %v, want %v", r.AddedP99, want)
+	if want := r.Node.Added.P99 / r.Relay.Added.P99; r.Relay.Added.P99 > 0 && r.AddedP99Ratio != want {
+		t.Errorf("the ratio is %v, want %v", r.AddedP99Ratio, want)
 	}
 	none := []string{"/bin/sh", "-c", "echo started; exit 1"}
 	for want, o := range map[string]Options{"rate: -1 is no number": {Rate: -1}, "rate: NaN": {Rate: math.NaN()}, "rate: +Inf": {Rate: math.Inf(1)},
-		"servers: -1 is not": {Servers: -1}, "servers: 4097 is not from 1 to 4096": {Servers: MostServers + 1}} {
+		"servers: -1 is not": {Servers: -1}, "servers: 4097 is not from 1 to 4096": {Servers: MaxServers + 1}} {
 		o.Node = none
 		if _, err := Measure(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "started") {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if _, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), For: 200 * time.Millisecond, Rate: 1e9}); err == nil || !strings.Contains(err.Error(), "is not below what is held") {
+	if _, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 200 * time.Millisecond, Rate: 1e9}); err == nil || !strings.Contains(err.Error(), "is not below what is held") {
 		t.Errorf("a rate that nobody holds: %v", err)
 	}
 }
@@ -105,17 +107,17 @@
 // The innermost frame that says a part decides, but the module has all that it calls.
 func TestParts(t *testing.T) {
 	for want, stack := range map[string][]string{
-		Module:  {"runtime.mapassign", "slices.SortFunc", "umberbank/balancer.(*Balancer).arrange", "umberbank/internal/node.(*loop).handle"},
-		Sockets: {"internal/runtime/syscall.Syscall6", "internal/poll.(*FD).Write", "net/http.(*conn).serve"},
-		Parsing: {"runtime.mallocgc", "net/textproto.(*Reader).ReadLine", "umberbank/internal/node.(*upstream).exchange"},
-		Own:     {"runtime.mallocgc", "umberbank/internal/node.(*download).fill", "net/http.HandlerFunc.ServeHTTP"},
-		Runtime: {"runtime.gcBgMarkWorker"},
+		PartBalancer: {"runtime.mapassign", "slices.SortFunc", "umberbank/balancer.(*Balancer).arrange", "umberbank/internal/node.(*loop).handle"},
+		PartSockets:  {"internal/runtime/syscall.Syscall6", "internal/poll.(*FD).Write", "net/http.(*conn).serve"},
+		PartParsing:  {"runtime.mallocgc", "net/textproto.(*Reader).ReadLine", "umberbank/internal/node.(*upstream).exchange"},
+		PartNode:     {"runtime.mallocgc", "umberbank/internal/node.(*download).fill", "net/http.HandlerFunc.ServeHTTP"},
+		PartRuntime:  {"runtime.gcBgMarkWorker"},
 	} {
 		s := &profile.Sample{}
 		for _, name := range stack {
 			s.Location = append(s.Location, &profile.Location{Line: []profile.Line{{Function: &profile.Function{Name: name}}}})
 		}
-		if got := part(s); got != want {
+		if got := partOf(s); got != want {
 			t.Errorf("%v is %s, want %s", stack, got, want)
 		}
 	}
--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,96 +14,39 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// instant is a server that answers at once, by as little as HTTP/1.1 asks for.
-type instant struct {
-	ln    net.Listener
-	conns sync.WaitGroup
-	mu    sync.Mutex
-	open  map[net.Conn]struct{}
-}
-
-func newInstant() (*instant, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	s := &instant{ln: ln, open: map[net.Conn]struct{}{}}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.open[c] = struct{}{}
-			s.mu.Unlock()
-			s.conns.Go(func() { s.serve(c) })
-		}
-	}()
-	return s, nil
-}
-
-func (s *instant) serve(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReader(c)
-	for {
-		req, err := http.ReadRequest(r)
-		if err != nil {
-			return
-		}
-		id := req.Header.Get("X-Correlation-Id")
-		b := append(make([]byte, 0, 128), "HTTP/1.1 200 OK\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(id)), 10)
-		b = append(append(b, "\r\n\r\n"...), id...)
-		if _, err := c.Write(b); err != nil {
-			return
-		}
-	}
-}
-
-func (s *instant) close() {
-	s.ln.Close()
-	s.mu.Lock()
-	for c := range s.open {
-		c.Close()
-	}
-	s.mu.Unlock()
-	s.conns.Wait()
-}
-
-// loader asks an address over a number of connections.
+// loader sends requests over a number of connections.
 type loader struct {
 	addr func(i int) string // of connection i
 	ids  atomic.Uint64
 }
 
-// count is what came of a load.
-type count struct {
+// loadResult counts the requests of a load.
+type loadResult struct {
 	served, other int
-	latency       *hdrhistogram.Histogram // in ns, from the intended time where there is one
-	late          int                     // sent over 5 ms late
+	latency       *hdrhistogram.Histogram // in ns, from the scheduled time where there is one
+	late          int                     // sent later than maxSendDelay
 }
 
-// late is how late a request may be sent, and answerWithin how long an answer is waited for.
+// late is how late a request may be sent, and responseTimeout how long its response may take.
 const (
-	late         = 5 * time.Millisecond
-	answerWithin = 10 * time.Second
-	mostNS       = int64(time.Minute)
+	maxSendDelay    = 5 * time.Millisecond
+	responseTimeout = 10 * time.Second
+	maxLatencyNS    = int64(time.Minute)
 )
 
-// closed keeps every connection busy for a time.
-func (l *loader) closed(ctx context.Context, conns int, d time.Duration) (count, error) {
+// runBusy keeps every connection busy for a duration.
+func (l *loader) runBusy(ctx context.Context, conns int, d time.Duration) (loadResult, error) {
 	end := time.Now().Add(d)
-	return l.each(ctx, conns, func(int) func() (time.Time, bool) {
+	return l.run(ctx, conns, func(int) func() (time.Time, bool) {
 		return func() (time.Time, bool) { return time.Time{}, time.Now().Before(end) }
 	})
 }
 
-// paced sends requests at equal distances, whatever becomes of them: connection i takes every conns-th.
-func (l *loader) paced(ctx context.Context, conns int, rate float64, d time.Duration) (count, error) {
+// runPaced sends requests at a constant rate, whatever the responses: connection i sends every conns-th.
+func (l *loader) runPaced(ctx context.Context, conns int, rate float64, d time.Duration) (loadResult, error) {
 	start := time.Now()
 	gap := float64(time.Second) / rate
-	return l.each(ctx, conns, func(i int) func() (time.Time, bool) {
+	return l.run(ctx, conns, func(i int) func() (time.Time, bool) {
 		n := i
 		return func() (time.Time, bool) {
 			at := start.Add(time.Duration(float64(n) * gap))
@@ -115,15 +57,15 @@
 	})
 }
 
-// each lets every connection ask as long as its next says so. A zero time means now.
-func (l *loader) each(ctx context.Context, conns int, plan func(i int) func() (time.Time, bool)) (count, error) {
-	counts, errs := make([]count, conns), make([]error, conns)
+// run runs all connections. The plan of connection i returns the time of its next request, zero for now, or false at the end.
+func (l *loader) run(ctx context.Context, conns int, plan func(i int) func() (time.Time, bool)) (loadResult, error) {
+	counts, errs := make([]loadResult, conns), make([]error, conns)
 	var all sync.WaitGroup
 	for i := range conns {
-		all.Go(func() { counts[i], errs[i] = l.ask(ctx, l.addr(i), plan(i)) })
+		all.Go(func() { counts[i], errs[i] = l.runConnection(ctx, l.addr(i), plan(i)) })
 	}
 	all.Wait()
-	sum := count{latency: hdrhistogram.New(1, mostNS, 3)}
+	sum := loadResult{latency: hdrhistogram.New(1, maxLatencyNS, 3)}
 	for i, c := range counts {
 		if errs[i] != nil {
 			return sum, errs[i]
@@ -134,9 +76,10 @@
 	return sum, ctx.Err()
 }
 
-func (l *loader) ask(ctx context.Context, addr string, next func() (time.Time, bool)) (count, error) {
-	n := count{latency: hdrhistogram.New(1, mostNS, 3)}
-	c, err := net.DialTimeout("tcp", addr, answerWithin)
+// runConnection sends the requests of one connection.
+func (l *loader) runConnection(ctx context.Context, addr string, next func() (time.Time, bool)) (loadResult, error) {
+	n := loadResult{latency: hdrhistogram.New(1, maxLatencyNS, 3)}
+	c, err := net.DialTimeout("tcp", addr, responseTimeout)
 	if err != nil {
 		return n, err
 	}
@@ -147,12 +90,12 @@
 		now := time.Now()
 		if at.IsZero() {
 			at = now
-		} else if now.Sub(at) > late {
+		} else if now.Sub(at) > maxSendDelay {
 			n.late++
 		}
 		id := l.ids.Add(1)
 		buf = fmt.Appendf(buf[:0], "GET /read/%d HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: %016x\r\nX-Time-Left: 9000m\r\n\r\n", id, id)
-		c.SetDeadline(now.Add(answerWithin))
+		c.SetDeadline(now.Add(responseTimeout))
 		if _, err := c.Write(buf); err != nil {
 			return n, err
 		}
@@ -166,7 +109,7 @@
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
 			n.served++
-			n.latency.RecordValue(int64(time.Since(at)))
+			_ = n.latency.RecordValue(int64(time.Since(at))) // within the bounds by responseTimeout
 		} else {
 			n.other++
 		}
--- a/internal/lab/cost/stats.go
+++ b/internal/lab/cost/stats.go
@@ -1,4 +1,5 @@
-// Package cost measures what one node on one core holds, adds and uses, beside a bare relay and no relay at all.
+// Package cost measures throughput, added latency, processor time and memory of one node on one core, in comparison with a baseline
+// relay and with no relay at all.
 package cost
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/google/pprof/profile"
 )
 
-// Stats is what a process used between two signals.
+// Stats is the resource usage of a process between two signals.
 type Stats struct {
 	AllocBytes uint64             `json:"alloc_bytes"`
 	Allocs     uint64             `json:"allocs"`
@@ -23,24 +24,25 @@
 	AllocShare map[string]float64 `json:"alloc_share"` // of the bytes
 }
 
-// The parts that cost is split into. Own is the node's code between them, runtime the scheduler and the collector.
+// The parts into which cost is split. PartNode is the node's own code between the others, PartRuntime the scheduler and the garbage
+// collector.
 const (
-	Module  = "module"
-	Sockets = "sockets"
-	Parsing = "parsing"
-	Own     = "own"
-	Runtime = "runtime"
+	PartBalancer = "module"
+	PartSockets  = "sockets"
+	PartParsing  = "parsing"
+	PartNode     = "own"
+	PartRuntime  = "runtime"
 )
 
-// Parts are all of them, in the order in which they are shown.
-var Parts = []string{Module, Sockets, Parsing, Own, Runtime}
+// Parts lists all parts in the order in which they are printed.
+var Parts = []string{PartBalancer, PartSockets, PartParsing, PartNode, PartRuntime}
 
-// allocRate is how many bytes are allocated for each that the profile looks at.
-const allocRate = 8 << 10
+// memProfileRate is the mean number of allocated bytes for each sample of the profile.
+const memProfileRate = 8 << 10
 
-// Watch makes this process write what it used between SIGUSR1 and SIGUSR2 to a file. It belongs at the very start.
-func Watch(path string) {
-	runtime.MemProfileRate = allocRate
+// WriteStatsOnSignals makes this process write its Stats between SIGUSR1 and SIGUSR2 to a file. It has to be called first of all.
+func WriteStatsOnSignals(path string) {
+	runtime.MemProfileRate = memProfileRate
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
 	go func() {
@@ -50,7 +52,7 @@
 		for s := range signals {
 			if s == syscall.SIGUSR1 {
 				cpu.Reset()
-				heap = allocs()
+				heap = allocProfile()
 				runtime.ReadMemStats(&before)
 				if err := pprof.StartCPUProfile(&cpu); err != nil {
 					fmt.Fprintln(os.Stderr, "stats:", err)
@@ -60,15 +62,15 @@
 			pprof.StopCPUProfile()
 			var after runtime.MemStats
 			runtime.ReadMemStats(&after)
-			if err := write(path, cpu.Bytes(), heap, allocs(), &before, &after); err != nil {
+			if err := writeStats(path, cpu.Bytes(), heap, allocProfile(), &before, &after); err != nil {
 				fmt.Fprintln(os.Stderr, "stats:", err)
 			}
 		}
 	}()
 }
 
-// allocs is the profile of all that was allocated until now; nil if there is none.
-func allocs() *profile.Profile {
+// allocProfile returns the profile of all allocations so far, or nil if there is none.
+func allocProfile() *profile.Profile {
 	runtime.GC() // the profile is as of the last collection
 	var b bytes.Buffer
 	if pprof.Lookup("allocs").WriteTo(&b, 0) != nil {
@@ -81,20 +83,21 @@
 	return p
 }
 
-func write(path string, cpu []byte, from, to *profile.Profile, before, after *runtime.MemStats) error {
+// writeStats writes the Stats of a window to a file, in one step.
+func writeStats(path string, cpu []byte, from, to *profile.Profile, before, after *runtime.MemStats) error {
 	s := Stats{AllocBytes: after.TotalAlloc - before.TotalAlloc, Allocs: after.Mallocs - before.Mallocs}
 	p, err := profile.ParseData(cpu)
 	if err != nil {
 		return err
 	}
-	s.CPUShare = split(p, len(p.SampleType)-1)
+	s.CPUShare = sharesByPart(p, len(p.SampleType)-1)
 	if from != nil && to != nil {
 		from.Scale(-1)
 		diff, err := profile.Merge([]*profile.Profile{from, to})
 		if err != nil {
 			return err
 		}
-		s.AllocShare = split(diff, 1) // alloc_space
+		s.AllocShare = sharesByPart(diff, 1) // alloc_space
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -106,14 +109,14 @@
 	return os.Rename(path+".new", path)
 }
 
-// split says which share of a profile's values belongs to which part.
-func split(p *profile.Profile, value int) map[string]float64 {
+// sharesByPart returns the share of each part in a profile's values.
+func sharesByPart(p *profile.Profile, value int) map[string]float64 {
 	sum := 0.0
 	shares := map[string]float64{}
 	for _, s := range p.Sample {
 		v := float64(s.Value[value])
 		sum += v
-		shares[part(s)] += v
+		shares[partOf(s)] += v
 	}
 	for k := range shares {
 		shares[k] /= sum
@@ -121,36 +124,36 @@
 	return shares
 }
 
-// part is the one that a sample belongs to: the module wherever it is on the stack, else the part of the innermost
-// frame that says one.
-func part(s *profile.Sample) string {
-	found := Runtime
-	for _, l := range s.Location { // the innermost first
+// partOf returns the part of a sample: the balancer if it is anywhere on the stack, otherwise that of the innermost frame that has a part.
+func partOf(s *profile.Sample) string {
+	found := PartRuntime
+	for _, l := range s.Location { // innermost first
 		for _, line := range l.Line {
 			if line.Function == nil {
 				continue
 			}
 			name := line.Function.Name
 			if strings.HasPrefix(name, "umberbank/balancer.") {
-				return Module
+				return PartBalancer
 			}
-			if found != Runtime {
+			if found != PartRuntime {
 				continue
 			}
 			switch {
-			case hasAny(name, "internal/poll.", "syscall.", "net.(*", "runtime.netpoll", "internal/runtime/syscall"):
-				found = Sockets
-			case hasAny(name, "net/http", "net/textproto.", "net/url.", "bufio.", "io.", "mime"):
-				found = Parsing
-			case hasAny(name, "umberbank/", "main.", "context.", "time."):
-				found = Own
+			case hasAnyPrefix(name, "internal/poll.", "syscall.", "net.(*", "runtime.netpoll", "internal/runtime/syscall"):
+				found = PartSockets
+			case hasAnyPrefix(name, "net/http", "net/textproto.", "net/url.", "bufio.", "io.", "mime"):
+				found = PartParsing
+			case hasAnyPrefix(name, "umberbank/", "main.", "context.", "time."):
+				found = PartNode
 			}
 		}
 	}
 	return found
 }
 
-func hasAny(name string, prefixes ...string) bool {
+// hasAnyPrefix says whether a name begins with one of the prefixes.
+func hasAnyPrefix(name string, prefixes ...string) bool {
 	for _, p := range prefixes {
 		if strings.HasPrefix(name, p) {
 			return true
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("the page has no %q", want)
 		}
 	}
-	if n := strings.Count(page.String(), "<svg"); n != len(plots(read)) || n < 6 {
+	if n := strings.Count(page.String(), "<svg"); n != len(charts(read)) || n < 6 {
 		t.Errorf("%d pictures", n)
 	}
 	if strings.Contains(page.String(), "http://") && strings.Contains(page.String(), "src=") {
--- a/internal/lab/report/served.go
+++ b/internal/lab/report/served.go
@@ -9,13 +9,13 @@
 	"umberbank/internal/lab"
 )
 
-// Served draws what several ways of playing serve second by second, each the mean of its runs, as SVG. The faults are those
-// of the first run.
-func Served(w io.Writer, names []string, runs [][]*lab.Result) error {
+// DrawServed draws the share served by second for several variants, each the mean of its runs, as SVG. The faults shown are those of
+// the first run.
+func DrawServed(w io.Writer, names []string, runs [][]*lab.Result) error {
 	if len(runs) == 0 || len(runs) != len(names) || len(runs[0]) == 0 {
 		return errors.New("nothing was played")
 	}
-	c := chart{unit: "share served", marks: runs[0][0].Faults, most: 1}
+	c := chart{unit: "share served", faults: runs[0][0].Faults, minTop: 1}
 	for k, side := range runs {
 		c.lines = append(c.lines, line{name: names[k], values: meanServed(side)})
 	}
@@ -27,23 +27,23 @@
 	return err
 }
 
-// meanServed is the share served of what came in each second, over all runs.
+// meanServed returns the share served of the requests that arrived in each second, over all runs.
 func meanServed(runs []*lab.Result) (xy plotter.XYs) {
-	var asked, served []int
+	var requests, served []int
 	for _, r := range runs {
 		for i := range r.Series {
-			if i == len(asked) {
-				asked, served = append(asked, 0), append(served, 0)
+			if i == len(requests) {
+				requests, served = append(requests, 0), append(served, 0)
 			}
 			for k := range r.Series[i].Requests {
-				asked[i] += r.Series[i].Requests[k]
+				requests[i] += r.Series[i].Requests[k]
 				served[i] += r.Series[i].Served[k]
 			}
 		}
 	}
-	for i := range asked {
-		if asked[i] > 0 {
-			xy = append(xy, plotter.XY{X: float64(i) + 0.5, Y: float64(served[i]) / float64(asked[i])})
+	for i := range requests {
+		if requests[i] > 0 {
+			xy = append(xy, plotter.XY{X: float64(i) + 0.5, Y: float64(served[i]) / float64(requests[i])})
 		}
 	}
 	return xy
