--- /dev/null
+++ b/cmd/umberbank/fleet_faulttest_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"umberbank/internal/coordination/faulttest"
+)
+
+// A release, drains and faults on a site of real processes: nothing is violated, and in the end every unit runs what it should.
+func TestFleetFaultTest(t *testing.T) {
+	t.Parallel()
+	r, err := faulttest.Run(t.Context(), faulttest.Options{Seed: 5, Duration: 3 * time.Second, Program: commandInMode(t, modeProgram)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(r.Violations) > 0 || r.Acts == 0 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// Versions of settings on real nodes, with faults.
+func TestFleetSettingsFaultTest(t *testing.T) {
+	t.Parallel()
+	r, err := faulttest.RunSettings(t.Context(), faulttest.Options{Seed: 4, Duration: 3 * time.Second, Program: commandInMode(t, modeProgram)}, 9)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(r.Violations) > 0 || r.Versions == 0 || r.KilledNode == "" {
+		t.Errorf("%+v", r)
+	}
+}
+
+// The checks of settings name what misbehaving processes do. Where none misbehaves they name nothing, also when a node is killed
+// and starts again.
+func TestFleetSettingsFaultTestFindsViolations(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name    string
+		options faulttest.Options
+		found   func(*faulttest.SettingsResult) int // nil: nothing is to be found
+	}{
+		{modeRunsUncommitted, faulttest.Options{Duration: time.Second, NodeCommand: commandInMode(t, modeRunsUncommitted)},
+			func(r *faulttest.SettingsResult) int { return r.Uncommitted }},
+		{modeServesEarly, faulttest.Options{Duration: time.Second, NodeCommand: commandInMode(t, modeServesEarly)},
+			func(r *faulttest.SettingsResult) int { return r.ServedEarly }},
+		{modeReusesIncarnation, faulttest.Options{Duration: time.Second, NodeCommand: commandInMode(t, modeReusesIncarnation), RestartNode: true},
+			func(r *faulttest.SettingsResult) int { return r.OldIncarnations }},
+		{modeExpiresLiveNodes, faulttest.Options{Duration: 6 * time.Second, ExtraProcess: func(endpoints []string, _ string) []string {
+			return append(commandInMode(t, modeExpiresLiveNodes), strings.Join(endpoints, ","))
+		}}, func(r *faulttest.SettingsResult) int { return r.WronglyOutOfSync }},
+		{"nothing", faulttest.Options{Duration: 2 * time.Second, RestartNode: true}, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) { // one after the other: each is some twenty processes
+			c.options.Seed, c.options.NoFaults, c.options.Program = 4, true, commandInMode(t, modeProgram)
+			r, err := faulttest.RunSettings(t.Context(), c.options, 6)
+			switch {
+			case err != nil:
+				t.Fatal(err)
+			case c.found == nil && (len(r.Violations) > 0 || r.Versions == 0):
+				t.Errorf("%+v", r)
+			case c.found != nil && c.found(r) == 0:
+				t.Errorf("not found: %+v", r)
+			}
+		})
+	}
+}
+
+// The checks of releases name what misbehaving processes do. Where dead units are not decommissioned they count as unavailable,
+// and nothing is named.
+func TestFleetFaultTestFindsViolations(t *testing.T) {
+	extraProcess := func(mode string) func([]string, string) []string {
+		return func(endpoints []string, dir string) []string {
+			return append(commandInMode(t, mode), strings.Join(endpoints, ","), filepath.Join(dir, mode+".events"))
+		}
+	}
+	overBudget := func(r *faulttest.Result) int { return r.OverBudget }
+	deadUnits := []string{"s00", "s02"}
+	for _, c := range []struct {
+		name    string
+		options faulttest.Options
+		found   func(*faulttest.Result) int // nil: nothing is to be found
+	}{
+		{modeActsWithoutLease, faulttest.Options{ExtraProcess: extraProcess(modeActsWithoutLease)}, func(r *faulttest.Result) int { return r.ActsWithoutLease }},
+		{modeDecommissionsDeadUnits, faulttest.Options{DeadUnits: deadUnits, ExtraProcess: extraProcess(modeDecommissionsDeadUnits)}, overBudget},
+		{modeDrainsWithoutPermit, faulttest.Options{ExtraProcess: extraProcess(modeDrainsWithoutPermit)}, overBudget},
+		{"nothing", faulttest.Options{DeadUnits: deadUnits}, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) { // one after the other: each is some twenty processes
+			const lastSeed = 4 // a misbehaving process does not win its race at every seed
+			for seed := uint64(1); seed <= lastSeed; seed++ {
+				c.options.Seed, c.options.Duration, c.options.NoFaults, c.options.Program = seed, 4*time.Second, true, commandInMode(t, modeProgram)
+				r, err := faulttest.Run(t.Context(), c.options)
+				if err != nil {
+					t.Fatal(err)
+				}
+				switch {
+				case c.found == nil:
+					if len(r.Violations) > 0 || r.Permits == 0 {
+						t.Errorf("%+v", r)
+					}
+					return
+				case c.found(r) > 0:
+					return
+				case seed == lastSeed:
+					t.Errorf("not found: %+v", r)
+				}
+			}
+		})
+	}
+}
--- a/cmd/umberbank/main_test.go
+++ b/cmd/umberbank/main_test.go
@@ -14,12 +14,14 @@
 	"umberbank/internal/node/snapshotter"
 )
 
+// call runs a command line and returns the exit code and what it printed.
 func call(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = run(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
+// tiny is a scenario that plays in an instant on the virtual clock.
 const tiny = `name = "tiny"
 duration = "2s"
 [[tier]]
@@ -34,6 +36,7 @@
 rate = 50
 `
 
+// write writes a file into a directory of its own and returns its path.
 func write(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -43,7 +46,16 @@
 	return path
 }
 
-// Exit codes: 0 held, 1 not held, 2 could not run; what is wrong stands on one line.
+// checkCall runs a command line and checks the exit code, parts of the output, and that errors take one line at the most.
+func checkCall(t *testing.T, args []string, wantCode int, wantOut, wantErr string) {
+	t.Helper()
+	code, out, errs := call(args...)
+	if code != wantCode || !strings.Contains(out, wantOut) || !strings.Contains(errs, wantErr) || strings.Count(errs, "\n") > 1 {
+		t.Errorf("%v: exit code %d, output %q, errors %q", args, code, out, errs)
+	}
+}
+
+// Exit codes, and errors on one line.
 func TestExitCodes(t *testing.T) {
 	good := write(t, "good.toml", tiny)
 	strict := write(t, "strict.toml", tiny+"[expect]\np99 = \"1ms\"\n")
@@ -82,15 +94,12 @@
 		{[]string{"lab", "scale", "--plot", filepath.Join(t.TempDir(), "none", "a.svg")}, exitError, "", "no such file"},
 		{[]string{"lab", "report", good}, exitError, "", "good.toml: no result of a run"},
 	} {
-		code, out, errs := call(c.args...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") > 1 {
-			t.Errorf("%v: exit %d, output %q, errors %q", c.args, code, out, errs)
-		}
+		checkCall(t, c.args, c.code, c.out, c.errs)
 	}
 }
 
-// --json prints one object with the keys that scripts rely on; the log keeps out of it.
-func TestJSON(t *testing.T) {
+// --json prints one object with the keys that scripts rely on, and the log goes to standard error.
+func TestLabRunJSON(t *testing.T) {
 	code, out, errs := call("--log-level", "info", "--log-format", "json", "lab", "run", write(t, "f.toml", tiny+"[[fault]]\nkind = \"kill\"\ncount = 1\nfor = \"1s\"\n"), "--virtual", "--json")
 	var got map[string]any
 	if err := json.Unmarshal([]byte(out), &got); err != nil || code != exitOK {
@@ -111,8 +120,8 @@
 	}
 }
 
-// Files of state: what is whole is shown, what is damaged is named and moved aside, and nothing is lost.
-func TestState(t *testing.T) {
+// Intact state files are shown; damaged ones are named and moved aside, and nothing is lost.
+func TestStateCommands(t *testing.T) {
 	dir := t.TempDir()
 	s, err := durable.Open(durable.Options{Dir: dir, Kind: snapshotter.Kind, Schema: 1})
 	if err != nil {
@@ -149,10 +158,7 @@
 		{[]string{"state", "inspect", files[2]}, exitError, "", files[2] + ": the checksum does not fit"},
 		{[]string{"state", "repair", dir}, exitError, "", "another process keeps its state there"},
 	} {
-		code, out, errs := call(c.args...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") > 1 {
-			t.Errorf("%v: exit %d, output %q, errors %q", c.args, code, out, errs)
-		}
+		checkCall(t, c.args, c.code, c.out, c.errs)
 	}
 	s.Close()
 	if code, out, errs := call("state", "repair", dir); code != exitOK || !strings.Contains(out, "1 moved; the process goes on from "+files[1]) {
