--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -57,7 +57,7 @@
 
 // WriteResponse has what became of each write.
 type WriteResponse struct {
-	Answers []state.Result `json:"answers"`
+	Results []state.Result `json:"answers"`
 }
 
 // Lease names a lease, by its instance and the token that the instance's registration got.
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -50,8 +50,10 @@
 // rejectedError is an error that a retry does not change.
 type rejectedError struct{ err error }
 
+// Error is the text of the underlying error.
 func (e rejectedError) Error() string { return e.err.Error() }
 
+// Unwrap returns the underlying error.
 func (e rejectedError) Unwrap() error { return e.err }
 
 // Call calls replicas in turn until one answers other than that it cannot now, or ctx ends. The JSON of body is sent, and
@@ -138,10 +140,10 @@
 	if err := c.Call(ctx, http.MethodPost, api.PathWrite, api.WriteRequest{Ops: ops}, &response); err != nil {
 		return nil, err
 	}
-	if len(response.Answers) != len(ops) {
-		return nil, fmt.Errorf("%d answers to %d writes", len(response.Answers), len(ops))
+	if len(response.Results) != len(ops) {
+		return nil, fmt.Errorf("%d answers to %d writes", len(response.Results), len(ops))
 	}
-	return response.Answers, nil
+	return response.Results, nil
 }
 
 func newOpID() string {
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -20,45 +20,45 @@
 	renewalSpread      = 0.4
 )
 
-// ErrFenced says that another process has taken an entry over.
+// ErrFenced says that another process has taken an instance over.
 var ErrFenced = errors.New("another process holds the entry")
 
-// LeaseHolder keeps entries registered: it renews their leases together, and registers again what the registry does not
+// LeaseHolder keeps instances registered: it renews their leases together, and registers again what the registry does not
 // know.
 type LeaseHolder struct {
 	client *Client
 
 	mu         sync.Mutex
-	entries    map[string]*state.Instance
+	instances  map[string]*state.Instance
 	tokens     map[string]int64
 	lastSent   time.Time     // when the last renewal that was answered was sent
 	longestGap time.Duration // see MaxRenewalGap
 }
 
-// NewLeaseHolder returns a LeaseHolder without entries.
+// NewLeaseHolder returns a LeaseHolder without instances.
 func NewLeaseHolder(c *Client) *LeaseHolder {
-	return &LeaseHolder{client: c, entries: map[string]*state.Instance{}, tokens: map[string]int64{}}
+	return &LeaseHolder{client: c, instances: map[string]*state.Instance{}, tokens: map[string]int64{}}
 }
 
-// Register registers entries and keeps them from then on. ErrFenced: a later process has registered one of them.
-func (h *LeaseHolder) Register(ctx context.Context, entries ...*state.Instance) error {
+// Register registers instances and keeps them from then on. ErrFenced: a later process has registered one of them.
+func (h *LeaseHolder) Register(ctx context.Context, instances ...*state.Instance) error {
 	var ops []state.Op
-	for _, e := range entries {
+	for _, e := range instances {
 		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
 	}
-	answers, err := h.client.Write(ctx, ops...)
+	results, err := h.client.Write(ctx, ops...)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for i, a := range answers {
-		uid := entries[i].UID
+	for i, a := range results {
+		uid := instances[i].UID
 		switch a.Code {
 		case "":
-			h.entries[uid], h.tokens[uid] = entries[i], a.Token
+			h.instances[uid], h.tokens[uid] = instances[i], a.Token
 		case state.CodeFenced:
-			delete(h.entries, uid)
+			delete(h.instances, uid)
 			delete(h.tokens, uid)
 			err = errors.Join(err, fmt.Errorf("%s: %w", uid, ErrFenced))
 		default:
@@ -68,7 +68,7 @@
 	return err
 }
 
-// Token returns the token that an entry is held by; 0: it is not held.
+// Token returns the token that an instance is held by; 0: it is not held.
 func (h *LeaseHolder) Token(uid string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,8 +103,8 @@
 	return l
 }
 
-// noteRenewal notes a renewal that was answered, and returns the held entries among those that the registry does not know.
-func (h *LeaseHolder) noteRenewal(sent time.Time, unknown []string) (entries []*state.Instance) {
+// noteRenewal notes a renewal that was answered, and returns the held instances among those that the registry does not know.
+func (h *LeaseHolder) noteRenewal(sent time.Time, unknown []string) (instances []*state.Instance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.lastSent.IsZero() {
@@ -112,11 +112,11 @@
 	}
 	h.lastSent = sent
 	for _, uid := range unknown {
-		if e := h.entries[uid]; e != nil {
-			entries = append(entries, e)
+		if e := h.instances[uid]; e != nil {
+			instances = append(instances, e)
 		}
 	}
-	return entries
+	return instances
 }
 
 // MaxRenewalGap returns the longest time, since it was last called, from sending one renewal to the answer to the next, or to
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -25,9 +25,9 @@
 
 // Why a watch was left.
 var (
-	errIdle         = errors.New("the registry is silent")
-	errOlder        = errors.New("the registry has gone back to an older revision")
-	errNoEntryField = errors.New("a list without targets")
+	errIdle        = errors.New("the registry is silent")
+	errOlder       = errors.New("the registry has gone back to an older revision")
+	errNoInstances = errors.New("a list without targets")
 )
 
 // Watcher follows the registry.
@@ -38,7 +38,7 @@
 
 	mu          sync.Mutex
 	revision    int64
-	entries     map[string]*state.Instance
+	instances   map[string]*state.Instance
 	lastContact time.Time // when a replica last sent anything; zero: never, the list is from the cache
 	fullLists   int       // applied
 	changes     int       // applied
@@ -50,9 +50,9 @@
 		return nil, err
 	}
 	w := &Watcher{
-		opt:     opt,
-		http:    &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}},
-		entries: map[string]*state.Instance{},
+		opt:       opt,
+		http:      &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: opt.Dial}},
+		instances: map[string]*state.Instance{},
 	}
 	if opt.CacheDir != "" {
 		c := newCache(opt.CacheDir, opt.Logger, &w.mu, w.fullListEvent)
@@ -77,21 +77,21 @@
 	defer w.mu.Unlock()
 	return View{
 		Revision:    w.revision,
-		Instances:   w.sortedEntries(),
+		Instances:   w.sortedInstances(),
 		LastContact: w.lastContact,
 		FullLists:   w.fullLists,
 		Changes:     w.changes,
 	}
 }
 
-// sortedEntries is the list in the order of uids. w.mu is held.
-func (w *Watcher) sortedEntries() []*state.Instance {
-	return slices.SortedFunc(maps.Values(w.entries), func(a, b *state.Instance) int { return strings.Compare(a.UID, b.UID) })
+// sortedInstances is the list in the order of uids. w.mu is held.
+func (w *Watcher) sortedInstances() []*state.Instance {
+	return slices.SortedFunc(maps.Values(w.instances), func(a, b *state.Instance) int { return strings.Compare(a.UID, b.UID) })
 }
 
 // fullListEvent is the list as an event. w.mu is held.
 func (w *Watcher) fullListEvent() WatchEvent {
-	return WatchEvent{Revision: w.revision, FullList: true, Instances: w.sortedEntries()}
+	return WatchEvent{Revision: w.revision, FullList: true, Instances: w.sortedInstances()}
 }
 
 // Run follows the registry until ctx ends, and calls changed with each event, once it is applied. Whatever ends a watch, Run
@@ -169,7 +169,7 @@
 		return err
 	}
 	if event.Instances == nil {
-		return errNoEntryField
+		return errNoInstances
 	}
 	if !w.apply(event) {
 		return errOlder
@@ -193,16 +193,16 @@
 		return false
 	}
 	if event.FullList {
-		w.entries = make(map[string]*state.Instance, len(event.Instances))
+		w.instances = make(map[string]*state.Instance, len(event.Instances))
 		w.fullLists++
 	} else {
 		w.changes++
 	}
 	for _, e := range event.Instances {
 		if e.State == state.Deleted {
-			delete(w.entries, e.UID)
+			delete(w.instances, e.UID)
 		} else {
-			w.entries[e.UID] = e
+			w.instances[e.UID] = e
 		}
 	}
 	w.revision = event.Revision
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -32,8 +32,10 @@
 // invalidRequestError is the caller's fault.
 type invalidRequestError struct{ err error }
 
+// Error is the text of the underlying error.
 func (e invalidRequestError) Error() string { return e.err.Error() }
 
+// Unwrap returns the underlying error.
 func (e invalidRequestError) Unwrap() error { return e.err }
 
 // emptyResponse is the body of an answer that has nothing to say.
--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -70,7 +70,7 @@
 	reply(w, status, nil)
 }
 
-// countSuspects is how many entries have an expired lease that is not believed.
+// countSuspects is how many instances have an expired lease that is not believed.
 func countSuspects(s *state.State) int {
 	n := 0
 	for _, e := range s.Instances() {
--- a/internal/registry/replica/api_write.go
+++ b/internal/registry/replica/api_write.go
@@ -29,8 +29,8 @@
 	if len(c.Ops) == 0 || len(c.Ops) > maxOpsPerWrite {
 		return nil, invalidRequestError{errOpCount}
 	}
-	answers, err := r.write(command{Ops: c.Ops})
-	return api.WriteResponse{Answers: answers}, err
+	results, err := r.write(command{Ops: c.Ops})
+	return api.WriteResponse{Results: results}, err
 }
 
 // handleRestore replaces the state by a backup.
--- a/internal/registry/replica/broadcaster.go
+++ b/internal/registry/replica/broadcaster.go
@@ -10,8 +10,8 @@
 
 // Bounds of what a broadcaster keeps for watches to resume from.
 const (
-	maxHistoryEntries = 20_000 // changed entries
-	maxEventsBehind   = 64     // a watch that is further behind gets one event with the latest state of what it missed
+	maxHistoryInstances = 20_000 // changed instances
+	maxEventsBehind     = 64     // a watch that is further behind gets one event with the latest state of what it missed
 )
 
 // eventBatch is a change, or several that were applied together, encoded once for all watches.
@@ -27,7 +27,7 @@
 	mu       checkedsync.Mutex
 	revision int64
 	batches  []eventBatch  // the newest last, without gaps
-	history  int           // changed entries in batches
+	history  int           // changed instances in batches
 	next     chan struct{} // closed at the next revision
 
 	fullList         []byte // encoded, of fullListRevision
@@ -48,7 +48,7 @@
 	defer b.mu.Unlock()
 	b.batches = append(b.batches, eventBatch{b.revision, revision, chunk(text), changed})
 	b.history += len(changed)
-	for b.history > maxHistoryEntries && len(b.batches) > 1 {
+	for b.history > maxHistoryInstances && len(b.batches) > 1 {
 		b.history -= len(b.batches[0].changed)
 		b.batches[0] = eventBatch{}
 		b.batches = b.batches[1:]
@@ -123,8 +123,8 @@
 	return found
 }
 
-// entriesSince returns the entries that have changed since a revision; ok is false if not all are known.
-func (b *broadcaster) entriesSince(since int64) (revision int64, next <-chan struct{}, changed []*state.Instance, ok bool) {
+// instancesSince returns the instances that have changed since a revision; ok is false if not all are known.
+func (b *broadcaster) instancesSince(since int64) (revision int64, next <-chan struct{}, changed []*state.Instance, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if since == b.revision {
@@ -140,7 +140,7 @@
 }
 
 // encodedList returns the encoded full list and its revision. It is encoded once for each revision that is asked for; list
-// returns the entries and their revision.
+// returns the instances and their revision.
 func (b *broadcaster) encodedList(list func() (int64, []*state.Instance)) ([]byte, int64, error) {
 	b.mu.Lock()
 	text, revision, now := b.fullList, b.fullListRevision, b.revision
@@ -148,8 +148,8 @@
 	if text != nil && revision == now {
 		return text, revision, nil
 	}
-	revision, entries := list()
-	text, err := encodeEvent(api.WatchEvent{Revision: revision, FullList: true, Instances: entries})
+	revision, instances := list()
+	text, err := encodeEvent(api.WatchEvent{Revision: revision, FullList: true, Instances: instances})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -161,12 +161,12 @@
 	return text, revision, nil
 }
 
-// encodeEvent encodes an event as a line. Entries with a role are no servers and stay out of it.
+// encodeEvent encodes an event as a line. Instances with a role are no servers and stay out of it.
 func encodeEvent(e api.WatchEvent) ([]byte, error) {
 	servers := []*state.Instance{} // encoded as [], which readers tell from a missing list
-	for _, entry := range e.Instances {
-		if entry.Role == "" {
-			servers = append(servers, entry)
+	for _, instance := range e.Instances {
+		if instance.Role == "" {
+			servers = append(servers, instance)
 		}
 	}
 	e.Instances = servers
--- a/internal/registry/replica/broadcaster_test.go
+++ b/internal/registry/replica/broadcaster_test.go
@@ -105,7 +105,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if a := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult); a.err != nil || a.answers[0].Code != "" {
+				if a := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult); a.err != nil || a.results[0].Code != "" {
 					b.Fatalf("%+v", a)
 				}
 			}
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -19,7 +19,7 @@
 
 // commandResult is what Apply returns for a command.
 type commandResult struct {
-	answers []state.Result
+	results []state.Result
 	err     error
 }
 
@@ -44,10 +44,10 @@
 	view(f.state)
 }
 
-// list returns all entries and the revision that they are of.
-func (f *fsm) list() (revision int64, entries []*state.Instance) {
-	f.read(func(s *state.State) { revision, entries = s.Revision(), s.Instances() })
-	return revision, entries
+// list returns all instances and the revision that they are of.
+func (f *fsm) list() (revision int64, instances []*state.Instance) {
+	f.read(func(s *state.State) { revision, instances = s.Revision(), s.Instances() })
+	return revision, instances
 }
 
 // Apply applies one entry of the log.
@@ -69,7 +69,7 @@
 	switch {
 	case b.restored:
 		f.events.reset(revision)
-	case revision != before: // an event even if no entry changes, for watches to go on from its revision
+	case revision != before: // an event even if no instance changes, for watches to go on from its revision
 		if err := f.events.publish(revision, b.changed); err != nil {
 			f.events.reset(revision) // watches take the full list instead
 		}
@@ -101,7 +101,7 @@
 	var result commandResult
 	for _, op := range c.Ops {
 		answer, changed := f.state.Apply(op)
-		result.answers = append(result.answers, answer)
+		result.results = append(result.results, answer)
 		f.onApplied(op.Kind, answer.Code)
 		if changed != nil {
 			b.changed = append(b.changed, changed)
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -23,7 +23,7 @@
 	}
 	order.Lock()
 	defer order.Unlock()
-	return f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult).answers
+	return f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult).results
 }
 
 func enter(uid string) state.Op {
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -37,12 +37,12 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case is, open := <-leads:
+		case leading, open := <-leads:
 			if !open {
 				return
 			}
 			l.leases, l.changed = nil, nil
-			if is {
+			if leading {
 				l.becomeLeader()
 			}
 		case <-l.changed:
@@ -69,29 +69,29 @@
 	if l.raft.Barrier(callTimeout).Error() != nil {
 		return // it leads no more
 	}
-	var entries []*state.Instance
+	var instances []*state.Instance
 	var address string
 	l.fsm.read(func(s *state.State) {
-		entries, l.revision, address = s.Instances(), s.Revision(), s.Members()[l.cfg.ID]
+		instances, l.revision, address = s.Instances(), s.Revision(), s.Members()[l.cfg.ID]
 	})
 	if address != l.Addr() {
 		l.propose([]state.Op{{Kind: state.OpSetMember, UID: l.cfg.ID, Address: l.Addr()}})
 	}
 	_, l.changed = l.fsm.events.current()
-	l.leases = newLeaseTable(l.cfg.Guard, entries, now)
+	l.leases = newLeaseTable(l.cfg.Guard, instances, now)
 }
 
 // applyChanges brings the leases up to date with the state.
 func (l *leaderLoop) applyChanges() {
 	now := l.now()
-	revision, changed, entries, complete := l.fsm.events.entriesSince(l.revision)
+	revision, changed, instances, complete := l.fsm.events.instancesSince(l.revision)
 	if complete {
-		for _, e := range entries {
+		for _, e := range instances {
 			l.leases.track(e, now)
 		}
 	} else {
-		l.fsm.read(func(s *state.State) { entries, revision = s.Instances(), s.Revision() })
-		*l.leases = *newLeaseTable(l.leases.guard, entries, now)
+		l.fsm.read(func(s *state.State) { instances, revision = s.Instances(), s.Revision() })
+		*l.leases = *newLeaseTable(l.leases.guard, instances, now)
 	}
 	l.revision, l.changed = revision, changed
 }
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -11,14 +11,14 @@
 // suspendedAfter is how long the leader may go without a check before it takes itself for the one that was suspended.
 const suspendedAfter = time.Second
 
-// lease is what the leader knows of the lease of one entry. Times are on the leader's clock.
+// lease is what the leader knows of the lease of one instance. Times are on the leader's clock.
 type lease struct {
 	token       int64
 	zone        string
 	ttl         time.Duration
 	expires     time.Duration
 	expiredAt   time.Duration // of the check that found it expired; 0: it has not
-	suspect     bool          // the state has the entry as a suspect
+	suspect     bool          // the state has the instance as a suspect
 	independent bool          // its expiry is believed whatever else expires
 }
 
@@ -37,7 +37,7 @@
 	permits       map[string]waitingPermit
 }
 
-func newLeaseTable(guard ExpiryGuard, entries []*state.Instance, now time.Duration) *leaseTable {
+func newLeaseTable(guard ExpiryGuard, instances []*state.Instance, now time.Duration) *leaseTable {
 	t := &leaseTable{
 		guard:     guard,
 		byUID:     map[string]*lease{},
@@ -45,13 +45,13 @@
 		warmUps:   map[string]*warmUp{},
 		permits:   map[string]waitingPermit{},
 	}
-	for _, e := range entries {
+	for _, e := range instances {
 		t.track(e, now)
 	}
 	return t
 }
 
-// track follows an entry as the state has it: a new registration gets a new lease, a deleted entry none.
+// track follows an instance as the state has it: a new registration gets a new lease, a deleted instance none.
 func (t *leaseTable) track(e *state.Instance, now time.Duration) {
 	t.trackWarmUp(e, now)
 	if e.State == state.Deleted || e.TTLMS == 0 {
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -129,6 +129,7 @@
 // slogWriter hands raft's log lines to a slog.Logger.
 type slogWriter struct{ logger *slog.Logger }
 
+// Write logs one line.
 func (w slogWriter) Write(line []byte) (int, error) {
 	w.logger.Warn("message of the raft library", "line", string(line))
 	return len(line), nil
--- a/internal/registry/replica/warmup.go
+++ b/internal/registry/replica/warmup.go
@@ -18,7 +18,7 @@
 	current float64       // and lacks now, as the state has it
 }
 
-// trackWarmUp begins, or goes on with, the warm-up of an entry as the state has it.
+// trackWarmUp begins, or goes on with, the warm-up of an instance as the state has it.
 func (t *leaseTable) trackWarmUp(e *state.Instance, now time.Duration) {
 	switch w := t.warmUps[e.UID]; {
 	case e.State == state.Deleted || e.WarmUpDeficit == 0:
--- a/internal/registry/replica/write.go
+++ b/internal/registry/replica/write.go
@@ -47,7 +47,7 @@
 	if !ok {
 		return nil, fmt.Errorf("the log gave %T for a write", future.Response())
 	}
-	return result.answers, result.err
+	return result.results, result.err
 }
 
 // renew renews leases and returns the uids of those that this replica does not know by their tokens.
