--- a/cmd/umberbank/fleet_config_status.go
+++ b/cmd/umberbank/fleet_config_status.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"io"
 	"maps"
 	"slices"
 	"strings"
@@ -25,39 +26,53 @@
 	if err != nil {
 		return err
 	}
-	b := view.Rollout
-	if b == nil {
+	if view.Rollout == nil {
 		return errNoRollout
 	}
 	if c.JSON {
-		return json.NewEncoder(env.stdout).Encode(b)
+		return json.NewEncoder(env.stdout).Encode(view.Rollout)
 	}
-	fmt.Fprintf(env.stdout, "in force: version %d %.12s\n", b.Committed.Number, b.Committed.Hash)
-	if p := b.Pending; p != nil {
-		stands := "is told on"
-		if b.HaltReason != "" {
-			stands = "HALTED: " + b.HaltReason
-		} else if err := b.CheckReady(); err != nil {
-			stands = "waits: " + err.Error()
-		}
-		fmt.Fprintf(env.stdout, "under way: version %d %.12s, %d of %d stages told; %s\n", p.Number, p.Hash, b.Stage, len(p.Stages), stands)
+	printRollout(env.stdout, view.Rollout)
+	return printRolloutNodes(env.stdout, view.Rollout)
+}
+
+// printRollout prints the versions in force and under way, and what stands in the way.
+func printRollout(w io.Writer, s *rollout.State) {
+	fmt.Fprintf(w, "in force: version %d %.12s\n", s.Committed.Number, s.Committed.Hash)
+	if p := s.Pending; p != nil {
+		fmt.Fprintf(w, "under way: version %d %.12s, %d of %d stages told; %s\n", p.Number, p.Hash, s.Stage, len(p.Stages), pendingStatus(s))
+	}
+	for _, zone := range slices.Sorted(maps.Keys(s.LostZones)) {
+		fmt.Fprintf(w, "zone %s is LOST since %s: its quorum is passed over\n", zone, formatTime(s.LostZones[zone]))
+	}
+	if outOfSync := s.OutOfSync(); len(outOfSync) > 0 {
+		fmt.Fprintf(w, "%d of %d nodes are not in touch: nothing waits for them, and they take what is in force before they count\n", len(outOfSync), len(s.Nodes))
 	}
-	for _, zone := range slices.Sorted(maps.Keys(b.LostZones)) {
-		fmt.Fprintf(env.stdout, "zone %s is LOST since %s: its quorum is passed over\n", zone, formatTime(b.LostZones[zone]))
+}
+
+// pendingStatus says why the version under way goes no further, if it does not.
+func pendingStatus(s *rollout.State) string {
+	if s.HaltReason != "" {
+		return "HALTED: " + s.HaltReason
 	}
-	if l := b.OutOfSync(); len(l) > 0 {
-		fmt.Fprintf(env.stdout, "%d of %d nodes are not in touch: nothing waits for them, and they take what is in force before they count\n", len(l), len(b.Nodes))
+	if err := s.CheckReady(); err != nil {
+		return "waits: " + err.Error()
 	}
-	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
+	return "is told on"
+}
+
+// printRolloutNodes prints a line for each node.
+func printRolloutNodes(w io.Writer, s *rollout.State) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "node\tzone\truns\ttold\tacknowledged\t")
-	for _, id := range slices.Sorted(maps.Keys(b.Nodes)) {
-		n := b.Nodes[id]
+	for _, id := range slices.Sorted(maps.Keys(s.Nodes)) {
+		n := s.Nodes[id]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", id, n.Zone, runningVersion(n), n.TargetVersion, n.Acknowledged, strings.TrimSpace(n.Violation+" "+n.RejectReason))
 	}
 	return t.Flush()
 }
 
-// runningVersion says what is known of what a node runs.
+// runningVersion describes which version a node runs, as far as it is known.
 func runningVersion(n *rollout.Node) string {
 	switch {
 	case n.InSync():
@@ -70,7 +85,7 @@
 	return possibleVersions(n) + ", catching up"
 }
 
-// possibleVersions is what a node may run that is not in touch.
+// possibleVersions describes which versions a node may run that is out of sync.
 func possibleVersions(n *rollout.Node) string {
 	if n.HighestPossible <= n.RunningVersion {
 		return fmt.Sprint(n.RunningVersion)
@@ -78,7 +93,7 @@
 	return fmt.Sprintf("%d to %d", n.RunningVersion, n.HighestPossible)
 }
 
-// formatTime is when something was written, for people: by the leader's clock, or where that is not said by the revision.
+// formatTime returns the time of a write by the leader's clock, or its revision where the time is unknown.
 func formatTime(m rollout.Timestamp) string {
 	switch {
 	case m.UnixMS > 0:
--- a/cmd/umberbank/lab_cost.go
+++ b/cmd/umberbank/lab_cost.go
@@ -16,9 +16,8 @@
 	Duration time.Duration `name:"duration" aliases:"for" help:"How long each measurement lasts." default:"3s"`
 	Node     string        `name:"node" help:"Command of a node that takes --stats FILE, such as an earlier umberbank's; none: this program's own." placeholder:"COMMAND"`
 	Rate     float64       `name:"rate" help:"Requests a second at which latencies are measured; 0: half of what the slower one holds." default:"0"`
-	// One measurement after the other, each on processes of its own.
-	Servers []int `name:"servers" help:"Servers in the list; several: a measurement of each." default:"8" placeholder:"N,N,..."`
-	JSON    bool  `name:"json" help:"Print one JSON object for each measurement."`
+	Servers  []int         `name:"servers" help:"Servers in the list; several: a measurement of each." default:"8" placeholder:"N,N,..."`
+	JSON     bool          `name:"json" help:"Print one JSON object for each measurement."`
 }
 
 // Help is shown by --help.
@@ -37,19 +36,19 @@
 	if c.Duration <= 0 {
 		return fmt.Errorf("--duration: %v is not above 0", c.Duration)
 	}
-	opt := cost.Options{Node: strings.Fields(c.Node), Duration: c.Duration, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
+	options := cost.Options{Node: strings.Fields(c.Node), Duration: c.Duration, Rate: c.Rate, Step: func(s string) { env.log.Info(s) }}
 	for _, n := range c.Servers { // all of them, before the first is started
-		if opt.Servers = n; n == 0 {
+		if options.Servers = n; n == 0 {
 			return errors.New("--servers: 0 is not from 1 on")
 		}
-		if err := opt.Validate(); err != nil {
+		if err := options.Validate(); err != nil {
 			return err
 		}
 	}
 	valid := true
 	for _, n := range c.Servers {
-		opt.Servers = n
-		r, err := cost.Measure(env.ctx, opt)
+		options.Servers = n
+		r, err := cost.Measure(env.ctx, options)
 		if err != nil {
 			return err
 		}
@@ -69,6 +68,7 @@
 	return nil
 }
 
+// printCost prints the figures of the node beside those of the bare relay.
 func printCost(env *environment, r *cost.Result) error {
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d servers\tnode\tbare relay\tratio\t\n", r.Servers)
--- a/cmd/umberbank/lab_scale.go
+++ b/cmd/umberbank/lab_scale.go
@@ -34,42 +34,53 @@
 // Run measures the control plane at each size, or checks a page of earlier figures.
 func (c *labScaleCmd) Run(env *environment) error {
 	if c.Check != "" {
-		text, err := os.ReadFile(c.Check)
-		if err != nil {
-			return err
-		}
-		if err := scale.CheckPage(text); err != nil {
-			return fmt.Errorf("%s: %w", c.Check, err)
-		}
-		_, err = fmt.Fprintf(env.stdout, "%s: its figures follow from its slopes\n", c.Check)
+		return c.checkPage(env)
+	}
+	options := scale.Options{Nodes: c.Nodes, Plays: c.Plays, Pace: scale.DefaultPace(), Step: func(s string) { fmt.Fprintln(env.stderr, s) }}
+	plot, err := c.createPlot(options)
+	if err != nil {
 		return err
 	}
-	opt := scale.Options{Nodes: c.Nodes, Plays: c.Plays, Pace: scale.DefaultPace(), Step: func(s string) { fmt.Fprintln(env.stderr, s) }}
-	var draw func(*scale.Result) error
-	if c.Plot != "" {
-		if err := opt.Validate(); err != nil {
-			return err
-		}
-		f, err := os.Create(c.Plot) // now, as a run takes minutes
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		draw = func(r *scale.Result) error { return errors.Join(scale.Draw(f, r), f.Close()) }
+	if plot != nil {
+		defer plot.Close()
 	}
-	r, err := scale.Run(env.ctx, opt)
-	if r == nil {
+	result, err := scale.Run(env.ctx, options)
+	if result == nil {
 		return err
 	}
 	if c.JSON {
-		err = errors.Join(err, json.NewEncoder(env.stdout).Encode(r))
+		err = errors.Join(err, json.NewEncoder(env.stdout).Encode(result))
 	} else {
-		err = errors.Join(err, scale.Print(env.stdout, r))
+		err = errors.Join(err, scale.Print(env.stdout, result))
 	}
-	if draw != nil {
-		if derr := draw(r); derr != nil {
-			err = errors.Join(err, fmt.Errorf("%s: %w", c.Plot, derr))
+	if plot != nil {
+		if plotErr := errors.Join(scale.Draw(plot, result), plot.Close()); plotErr != nil {
+			err = errors.Join(err, fmt.Errorf("%s: %w", c.Plot, plotErr))
 		}
 	}
 	return err
 }
+
+// checkPage checks that the figures of a page follow from its slopes.
+func (c *labScaleCmd) checkPage(env *environment) error {
+	text, err := os.ReadFile(c.Check)
+	if err != nil {
+		return err
+	}
+	if err := scale.CheckPage(text); err != nil {
+		return fmt.Errorf("%s: %w", c.Check, err)
+	}
+	_, err = fmt.Fprintf(env.stdout, "%s: its figures follow from its slopes\n", c.Check)
+	return err
+}
+
+// createPlot creates the file of the plot, nil if none is asked for. That is done before the run, which takes minutes.
+func (c *labScaleCmd) createPlot(options scale.Options) (*os.File, error) {
+	if c.Plot == "" {
+		return nil, nil
+	}
+	if err := options.Validate(); err != nil {
+		return nil, err
+	}
+	return os.Create(c.Plot)
+}
--- a/cmd/umberbank/registry_bench.go
+++ b/cmd/umberbank/registry_bench.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"text/tabwriter"
 	"time"
@@ -11,6 +12,9 @@
 	"umberbank/internal/registry/bench"
 )
 
+// permitsDuration is how long decisions about permits are measured.
+const permitsDuration = 10 * time.Second
+
 // registryBenchCmd is "umberbank registry bench".
 type registryBenchCmd struct {
 	Instances int    `name:"instances" help:"Servers in the list." default:"10000"`
@@ -49,7 +53,11 @@
 	if c.JSON {
 		return json.NewEncoder(env.stdout).Encode(r)
 	}
-	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
+	return printBench(env.stdout, r)
+}
+
+func printBench(w io.Writer, r *bench.Result) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "instances, watches\t%d, %d\n", r.Instances, r.Watches)
 	fmt.Fprintf(t, "a change comes to watchers\tp50 %.1f ms, p99 %.1f ms; the write alone %.1f ms\n", r.PropagationP50MS, r.PropagationP99MS, r.WriteMeanMS)
 	fmt.Fprintf(t, "durable writes\t%.0f/s\n", r.WritesPerSecond)
@@ -59,9 +67,9 @@
 	return t.Flush()
 }
 
-// benchPermits measures decisions about permits.
+// benchPermits measures the registry's decisions about permits.
 func (c *registryBenchCmd) benchPermits(env *environment) error {
-	p, err := bench.MeasurePermits(env.ctx, bench.Options{Instances: c.Instances, Progress: func(s string) { env.log.Info(s) }}, c.Permits, 10*time.Second)
+	p, err := bench.MeasurePermits(env.ctx, bench.Options{Instances: c.Instances, Progress: func(s string) { env.log.Info(s) }}, c.Permits, permitsDuration)
 	if err != nil {
 		return err
 	}
@@ -75,7 +83,7 @@
 
 // benchListSizes measures what a change costs over lists of several lengths.
 func (c *registryBenchCmd) benchListSizes(env *environment) error {
-	l, err := bench.MeasureListLengths(env.ctx, bench.Options{Watches: c.Watches, Progress: func(s string) { env.log.Info(s) }}, c.ListSizes)
+	results, err := bench.MeasureListLengths(env.ctx, bench.Options{Watches: c.Watches, Progress: func(s string) { env.log.Info(s) }}, c.ListSizes)
 	if err != nil {
 		return err
 	}
@@ -84,22 +92,26 @@
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(bench.Plot(f, l), f.Close()); err != nil {
+		if err := errors.Join(bench.Plot(f, results), f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", c.Plot, err)
 		}
 	}
 	if c.JSON {
 		enc := json.NewEncoder(env.stdout)
-		for _, r := range l {
+		for _, r := range results {
 			if err := enc.Encode(r); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	return printListSizes(env.stdout, results)
+}
+
+func printListSizes(w io.Writer, results []*bench.Result) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "instances\twrite ms\tto watchers p50 ms\tp99 ms\tprocessor ms\t")
-	for _, r := range l {
+	for _, r := range results {
 		fmt.Fprintf(t, "%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", r.Instances, r.WriteMeanMS, r.PropagationP50MS, r.PropagationP99MS, r.CPUPerChangeMS)
 	}
 	return t.Flush()
--- a/cmd/umberbank/registry_servers.go
+++ b/cmd/umberbank/registry_servers.go
@@ -26,26 +26,32 @@
 	if err != nil {
 		return err
 	}
-	var l []*state.Instance
-	if strings.HasPrefix(strings.TrimSpace(string(text)), "[") {
-		err = json.Unmarshal(text, &l)
-	} else {
-		l = []*state.Instance{{}}
-		err = json.Unmarshal(text, l[0])
-	}
+	instances, err := parseInstances(text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	var ops []state.Op
-	for i, e := range l {
-		if err := e.Validate(); err != nil {
+	for i, instance := range instances {
+		if err := instance.Validate(); err != nil {
 			return fmt.Errorf("%s: entry %d: %w", c.File, i, err)
 		}
-		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: e})
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: instance})
 	}
 	return c.writeInstances(env, ops...)
 }
 
+// parseInstances parses an instance, or a list of them.
+func parseInstances(text []byte) ([]*state.Instance, error) {
+	if strings.HasPrefix(strings.TrimSpace(string(text)), "[") {
+		var instances []*state.Instance
+		err := json.Unmarshal(text, &instances)
+		return instances, err
+	}
+	var instance state.Instance
+	err := json.Unmarshal(text, &instance)
+	return []*state.Instance{&instance}, err
+}
+
 // registryDrainCmd is "umberbank registry drain".
 type registryDrainCmd struct {
 	registryFlags
