--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -11,5 +11,15 @@
 //   - snapshotter saves what the decisions have learned; processlock lets processes take over from each other;
 //   - control and metrics are for operators.
 //
+// On disk a node has, where its configuration names a place: snapshots, written at an interval (snapshotter); the version of settings
+// that it runs, written before it is run (follower); and the last endpoint list of the registry (registry/client). It reads each once, at
+// its start, after the configuration. What is damaged is logged and ignored.
+//
+// While discovery or the registry cannot be reached, a node that serves goes on with the endpoint list and the settings that it has,
+// without a limit of time. A node with a rollout that starts then waits until the registry counts it as in sync.
+//
+// An attempt for a client that has disconnected is stopped at two places: the pre-send check of package upstream keeps it from being
+// sent, and the cancel of the decisions, which are notified by the loop, ends one that is in flight.
+//
 // The times of the event loop are Unix time, as durations, by a clock that never goes back.
 package node
--- /dev/null
+++ b/internal/node/endpoints.go
@@ -0,0 +1,57 @@
+package node
+
+import (
+	"umberbank/balancer"
+	"umberbank/internal/node/discovery"
+	"umberbank/internal/node/upstream"
+)
+
+// applyUpdate applies an update of the endpoint list: first to what attempts may use, then to the decisions. cached: it is from before
+// the start of the process.
+func (l *loop) applyUpdate(u discovery.Update, cached bool) {
+	l.watcher.updated(u.Revision, cached)
+	listed := map[string]bool{}
+	e := balancer.EndpointUpdate{Full: u.Complete, Cached: cached}
+	for _, t := range u.Targets {
+		endpoint := t.Endpoint()
+		e.Endpoints = append(e.Endpoints, endpoint)
+		listed[t.UID] = endpoint.State != balancer.Removed
+		l.applyTarget(t, endpoint)
+	}
+	if u.Complete {
+		for id := range l.endpoints {
+			if !listed[id] {
+				l.removeEndpoint(id)
+			}
+		}
+	}
+	l.metrics.EndpointsListed.Store(int64(len(l.endpoints)))
+	l.handle(e)
+}
+
+// applyTarget applies one entry of the endpoint list to what attempts may use. endpoint is the entry in the form of the decisions.
+func (l *loop) applyTarget(t discovery.Target, endpoint balancer.Endpoint) {
+	e := l.endpoints[t.UID]
+	if e == nil || e.Addr != t.Address || e.StartTime != endpoint.StartTime {
+		// Connections to an earlier process or address are of no use.
+		l.removeEndpoint(t.UID)
+		e = upstream.NewEndpoint(t.UID, t.Address, endpoint.StartTime)
+		l.endpoints[t.UID] = e
+	}
+	e.SetReady(endpoint.State == balancer.Ready)
+	if endpoint.State != balancer.Ready {
+		l.pool.CloseIdle(e)
+	}
+	if endpoint.State == balancer.Removed {
+		l.removeEndpoint(t.UID)
+	}
+}
+
+// removeEndpoint ends the use of an endpoint, if it is listed.
+func (l *loop) removeEndpoint(id string) {
+	if e := l.endpoints[id]; e != nil {
+		e.SetReady(false)
+		l.pool.CloseIdle(e)
+		delete(l.endpoints, id)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"os"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -50,24 +49,6 @@
 	stopping atomic.Bool // and will not be much longer
 }
 
-const (
-	// reservedDescriptors are for the listener, the watch, the log and the runtime.
-	reservedDescriptors = 32
-	// upstreamFractionNum/upstreamFractionDen of the descriptors are for connections to servers. An attempt needs a client, and clients
-	// have idle connections besides: they get the larger part.
-	upstreamFractionNum, upstreamFractionDen = 2, 5
-	// memoryLimitFraction is the fraction of the memory limit from which on the garbage collector works harder, well below the limit at
-	// which the node is killed.
-	memoryLimitFraction = 0.7
-)
-
-// A node whose process can be replaced is two processes for a while, under one set of limits. The one that serves keeps to
-// servingQuota of them, and one that starts beside it to startingQuota.
-const (
-	servingQuota  = 2.0 / 3
-	startingQuota = 1.0 / 3
-)
-
 // New returns a node that listens and does not serve yet.
 func New(cfg config.Config) (*Node, error) {
 	cfg, version := follower.Restore(cfg)
@@ -160,22 +141,6 @@
 // Addr is the address that the node listens on for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// setQuota limits the process to a fraction of the node's descriptors and memory.
-func (n *Node) setQuota(quota float64) {
-	descriptors := n.cfg.Sockets - reservedDescriptors
-	if n.cfg.Control != "" {
-		descriptors -= control.MaxConnections + 1
-	}
-	upstreams := max(1, descriptors*upstreamFractionNum/upstreamFractionDen)
-	clients := max(1, int(quota*float64(descriptors-upstreams)))
-	n.loop.pool.SetLimit(max(1, int(quota*float64(upstreams))))
-	n.listener.SetLimit(clients)
-	n.frontend.setConnectionLimit(clients)
-	if n.cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(quota * n.cfg.MemoryMB * memoryLimitFraction * (1 << 20)))
-	}
-}
-
 // commands are the commands at the operators' address. Their names and answers are documented in docs/oncall.
 func (n *Node) commands() control.Commands {
 	return control.Commands{
