--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -32,12 +32,12 @@
 }
 
 // readRegistry gives the event loop what the registry says until ctx ends. The reader applies nothing that is older or incomplete. An
-// update of which a node can make no sense is logged and left out.
+// update that makes no sense to a node is logged and ignored.
 func (n *Node) readRegistry(ctx context.Context) {
 	_ = n.registry.Run(ctx, func(u client.WatchEvent) {
 		update, err := fromRegistry(u)
 		if err != nil {
-			slog.Error("registry: update is of no use", "revision", u.Revision, "error", err)
+			slog.Error("registry: ignoring an update that makes no sense", "revision", u.Revision, "error", err)
 			return
 		}
 		n.loop.post(func() { n.loop.applyUpdate(update, false) })
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -26,7 +26,7 @@
 // Causes with which the context of an attempt ends.
 var (
 	ErrTimedOut  = errors.New("timed out")
-	ErrCancelled = errors.New("withdrawn")
+	ErrCancelled = errors.New("cancelled")
 )
 
 // Body is the part of a long request's body that is not buffered, which the client sends while the attempt is made.
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	errAbandoned = errors.New("the answer's reader has left")
-	errTooLong   = errors.New("the answer is too long")
+	errAbandoned = errors.New("the reader of the response has left")
+	errTooLong   = errors.New("the response is too long")
 )
 
 // Response is a server's response on its way to the client. The attempt's goroutine receives it and one other reads it; it buffers
