--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -210,8 +210,8 @@
 
 // followPermit changes the unit's version if a permit says so, or sets the unit to serve again if the change was rolled
 // back before the unit was touched. A write that fails is tried again after the next poll.
-func (a *Agent) followPermit(ctx context.Context, p *disruption.Permit, e *state.Instance) {
-	if a.isRolledBack(p, e) {
+func (a *Agent) followPermit(ctx context.Context, p *disruption.Permit, instance *state.Instance) {
+	if a.isRolledBack(p, instance) {
 		_, _ = a.registry.WriteOne(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
 		return
 	}
@@ -229,9 +229,9 @@
 
 // isRolledBack reports whether the permit's change was rolled back before the unit was touched: it drains for a change to
 // the version that it still runs.
-func (a *Agent) isRolledBack(p *disruption.Permit, e *state.Instance) bool {
-	return p.TargetVersion == a.Instance.Version && p.Begun && e.State == state.Draining &&
-		e.StartTimeMS == a.Instance.StartTimeMS && a.stopLease != nil
+func (a *Agent) isRolledBack(p *disruption.Permit, instance *state.Instance) bool {
+	return p.TargetVersion == a.Instance.Version && p.Begun && instance.State == state.Draining &&
+		instance.StartTimeMS == a.Instance.StartTimeMS && a.stopLease != nil
 }
 
 // changeVersion stops the unit once nodes have had time to drain it, and stores its next version.
--- a/internal/coordination/controller/lease.go
+++ b/internal/coordination/controller/lease.go
@@ -25,8 +25,10 @@
 
 // acquireLease asks for the lease.
 func (c *Controller) acquireLease(ctx context.Context) {
-	e := &state.Instance{UID: LeaderUID, Endpoint: c.Name, State: state.Serving, Role: state.RoleController, TTLMS: c.TTL.Milliseconds()}
-	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpRegister, Instance: e, IfModRevision: state.Absent})
+	instance := &state.Instance{
+		UID: LeaderUID, Endpoint: c.Name, State: state.Serving, Role: state.RoleController, TTLMS: c.TTL.Milliseconds(),
+	}
+	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpRegister, Instance: instance, IfModRevision: state.Absent})
 	if err == nil && result.Code == "" {
 		c.token = result.Token
 		c.Log.Info("became leader", "controller", c.Name, "token", result.Token)
--- a/internal/coordination/disruption/usage.go
+++ b/internal/coordination/disruption/usage.go
@@ -26,7 +26,10 @@
 		if fraction == nil {
 			continue
 		}
-		usages = append(usages, Usage{k.String(), fromMillionths(s.capacity), fromMillionths(s.unavailable), fromMillionths(allowed(*fraction, s.capacity))})
+		usages = append(usages, Usage{
+			Scope: k.String(), Capacity: fromMillionths(s.capacity),
+			Unavailable: fromMillionths(s.unavailable), Allowed: fromMillionths(allowed(*fraction, s.capacity)),
+		})
 	}
 	slices.SortFunc(usages, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.Unavailable-b.Allowed, a.Unavailable-a.Allowed), cmp.Compare(a.Scope, b.Scope))
--- a/internal/coordination/fakeregistry/fakeregistry.go
+++ b/internal/coordination/fakeregistry/fakeregistry.go
@@ -124,8 +124,8 @@
 		return 0, ErrUnreachable
 	}
 	startTime := float64(clock.UnixMilli())
-	for _, e := range r.state.UnitView(uid).Units {
-		startTime = max(startTime, e.StartTimeMS+1)
+	for _, instance := range r.state.UnitView(uid).Units {
+		startTime = max(startTime, instance.StartTimeMS+1)
 	}
 	return startTime, nil
 }
@@ -148,7 +148,7 @@
 	}
 	unknown := []string{}
 	for _, lease := range request.Leases {
-		if e := r.state.Get(lease.UID); e == nil || e.Token != lease.Token {
+		if instance := r.state.Get(lease.UID); instance == nil || instance.Token != lease.Token {
 			unknown = append(unknown, lease.UID)
 		}
 	}
@@ -190,8 +190,8 @@
 	defer h.mu.Unlock()
 	current := false
 	h.Registry.Read(func(s *state.State) {
-		e := s.Get(uid)
-		current = e != nil && e.Token == h.token
+		instance := s.Get(uid)
+		current = instance != nil && instance.Token == h.token
 	})
 	if !current {
 		return 0
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -154,6 +154,7 @@
 	}
 	if unavailable > limit*all+sumSlack {
 		slices.Sort(who)
-		c.add(&c.result.OverBudget, "%s was taken out, and of %s %.2f of %.0f were out (%v) where %.2f may be", e.Unit, scope, unavailable, all, who, limit*all)
+		c.add(&c.result.OverBudget, "%s was taken out, and of %s %.2f of %.0f were out (%v) where %.2f may be",
+			e.Unit, scope, unavailable, all, who, limit*all)
 	}
 }
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -221,7 +221,8 @@
 	}
 	if len(nodesByContent) > 2 {
 		e := c.events[i]
-		c.add(new(int), "%d contents run at once among nodes in sync, as %s runs version %s: %v", len(nodesByContent), e.Process, e.Version, nodesByContent)
+		c.add(new(int), "%d contents run at once among nodes in sync, as %s runs version %s: %v",
+			len(nodesByContent), e.Process, e.Version, nodesByContent)
 	}
 	c.result.MaxContents = max(c.result.MaxContents, len(nodesByContent))
 }
@@ -260,9 +261,11 @@
 		switch {
 		case 2*acknowledged[scope] > nodes[scope]:
 		case scope == allNodes:
-			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes could run", e.Process, e.Version, acknowledged[scope], nodes[scope])
+			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes could run",
+				e.Process, e.Version, acknowledged[scope], nodes[scope])
 		case healthy[scope]:
-			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s could run", e.Process, e.Version, acknowledged[scope], nodes[scope], scope)
+			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s could run",
+				e.Process, e.Version, acknowledged[scope], nodes[scope], scope)
 		}
 	}
 }
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -62,7 +62,10 @@
 		}
 		opt.Program = []string{self}
 	}
-	return &site{opt: opt, launcher: process.NewLauncher(), random: rand.New(rand.NewPCG(opt.Seed, 7)), result: result, record: newRecord()}, nil
+	return &site{
+		opt: opt, launcher: process.NewLauncher(), random: rand.New(rand.NewPCG(opt.Seed, 7)),
+		result: result, record: newRecord(),
+	}, nil
 }
 
 // close ends everything and removes the files.
@@ -138,7 +141,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.SetCommand(append(s.command("fleet", command, "--at", strings.Join(at, ","), "--journal", filepath.Join(s.dir, name+".events")), args...))
+	common := s.command("fleet", command, "--at", strings.Join(at, ","), "--journal", filepath.Join(s.dir, name+".events"))
+	p.SetCommand(append(common, args...))
 	return p, p.Start()
 }
 
--- a/internal/coordination/release/capacity.go
+++ b/internal/coordination/release/capacity.go
@@ -10,7 +10,9 @@
 // CheckCapacity returns an error with the figures if a tier would be left with less than its required capacity, while as
 // much is unavailable as the plan may take out at once, or as is unavailable already if that is more. required is by tier;
 // a tier without an entry is not checked.
-func CheckCapacity(p *Plan, required map[string]float64, units []*state.Instance, limits disruption.Limits, unavailable []disruption.UnavailableUnit) error {
+func CheckCapacity(
+	p *Plan, required map[string]float64, units []*state.Instance, limits disruption.Limits, unavailable []disruption.UnavailableUnit,
+) error {
 	unavailableFraction := map[string]float64{}
 	for _, u := range unavailable {
 		unavailableFraction[u.Unit] = u.Fraction
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -132,7 +132,10 @@
 }
 
 func newUnitPicker(units []*state.Instance) *unitPicker {
-	p := &unitPicker{units: units, byUID: map[string]*state.Instance{}, tiers: map[string]bool{}, zones: map[string]bool{}, picked: map[string]bool{}}
+	p := &unitPicker{
+		units: units, byUID: map[string]*state.Instance{},
+		tiers: map[string]bool{}, zones: map[string]bool{}, picked: map[string]bool{},
+	}
 	for _, u := range units {
 		p.byUID[u.UID] = u
 		p.tiers[u.Tier] = true
--- a/internal/coordination/rollout/acknowledge.go
+++ b/internal/coordination/rollout/acknowledge.go
@@ -109,11 +109,13 @@
 			continue
 		}
 		if c := zones[zone]; !c.isQuorum() {
-			return fmt.Errorf("zone %s: %d of %d nodes have acknowledged version %d, %d are needed", zone, c.acknowledged, c.nodes, s.Pending.Number, c.needed())
+			return fmt.Errorf("zone %s: %d of %d nodes have acknowledged version %d, %d are needed",
+				zone, c.acknowledged, c.nodes, s.Pending.Number, c.needed())
 		}
 	}
 	if !all.isQuorum() {
-		return fmt.Errorf("%d of %d nodes have acknowledged version %d, %d are needed", all.acknowledged, all.nodes, s.Pending.Number, all.needed())
+		return fmt.Errorf("%d of %d nodes have acknowledged version %d, %d are needed",
+			all.acknowledged, all.nodes, s.Pending.Number, all.needed())
 	}
 	return nil
 }
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -90,7 +90,8 @@
 		}
 	}
 	if inSync == 0 && len(ids) > 0 {
-		return fmt.Errorf("no node is in touch: node %s (zone %s) is not known to run version %d", ids[0], s.Nodes[ids[0]].Zone, s.Committed.Number)
+		return fmt.Errorf("no node is in touch: node %s (zone %s) is not known to run version %d",
+			ids[0], s.Nodes[ids[0]].Zone, s.Committed.Number)
 	}
 	return nil
 }
--- a/internal/registry/state/coordination_test.go
+++ b/internal/registry/state/coordination_test.go
@@ -148,22 +148,22 @@
 		s := site(5)
 		op := func(s *State) Op {
 			uid := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "unit"))
-			e := s.Get(uid)
-			if e == nil {
-				e = &Instance{UID: uid, Endpoint: "x:1", State: Serving, Tier: "web", Capacity: 1, StartTimeMS: rapid.SampledFrom([]float64{0, 7}).Draw(t, "boot")}
+			instance := s.Get(uid)
+			if instance == nil {
+				instance = &Instance{UID: uid, Endpoint: "x:1", State: Serving, Tier: "web", Capacity: 1, StartTimeMS: rapid.SampledFrom([]float64{0, 7}).Draw(t, "boot")}
 			}
 			var permit int64
 			if p := s.Budget().Permit(uid); p != nil {
 				permit = p.Token
 			}
-			cold := e.WarmUpDeficit / 2
-			again := *e
+			cold := instance.WarmUpDeficit / 2
+			again := *instance
 			again.StartTimeMS++
 			return rapid.SampledFrom([]Op{
-				{Kind: OpRegister, Instance: e}, {Kind: OpRegister, Instance: &again}, {Kind: OpGrantPermit, UID: uid, Incarnation: e.Token, Holder: "me", Plan: "p"},
-				{Kind: OpGrantPermit, UID: uid, Incarnation: e.Token, Holder: "me", Plan: "p-back", ReplacesPlan: "p"},
-				{Kind: OpBeginPermit, UID: uid, Token: permit}, {Kind: OpReturnPermit, UID: uid, Token: permit}, {Kind: OpExpire, UID: uid, Token: e.Token},
-				{Kind: OpWarmUp, UID: uid, Token: e.Token, WarmUpDeficit: &cold}, {Kind: OpDecommission, UID: uid}, {Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid},
+				{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &again}, {Kind: OpGrantPermit, UID: uid, Incarnation: instance.Token, Holder: "me", Plan: "p"},
+				{Kind: OpGrantPermit, UID: uid, Incarnation: instance.Token, Holder: "me", Plan: "p-back", ReplacesPlan: "p"},
+				{Kind: OpBeginPermit, UID: uid, Token: permit}, {Kind: OpReturnPermit, UID: uid, Token: permit}, {Kind: OpExpire, UID: uid, Token: instance.Token},
+				{Kind: OpWarmUp, UID: uid, Token: instance.Token, WarmUpDeficit: &cold}, {Kind: OpDecommission, UID: uid}, {Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid},
 				{Kind: OpUpdate, UID: uid, State: Draining}, {Kind: OpUpdate, UID: uid, State: Serving},
 			}).Draw(t, "op")
 		}
@@ -195,18 +195,18 @@
 		}
 		restored := RestoreBackup(backup, s)
 		for _, p := range s.Budget().Permits() {
-			e := restored.Get(p.Unit)
-			if e == nil {
-				e = restored.Unreachable(p.Unit)
+			instance := restored.Get(p.Unit)
+			if instance == nil {
+				instance = restored.Unreachable(p.Unit)
 			}
-			if e == nil || e.StartTimeMS > p.StartTimeMS {
+			if instance == nil || instance.StartTimeMS > p.StartTimeMS {
 				continue // declared gone, or back again
 			}
 			if restored.Budget().Permit(p.Unit) == nil {
 				t.Fatalf("the permit %+v was lost", p)
 			}
-			if restored.Unreachable(p.Unit) == nil && p.Begun && e.State != Draining {
-				t.Fatalf("%+v serves, though its permit has begun", e)
+			if restored.Unreachable(p.Unit) == nil && p.Begun && instance.State != Draining {
+				t.Fatalf("%+v serves, though its permit has begun", instance)
 			}
 		}
 	})
@@ -270,9 +270,9 @@
 	t.Helper()
 	s := New()
 	for i := range nodes {
-		e := Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Zone: string("ab"[i%2]), Capacity: 1, StartTimeMS: 1}
-		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &e})
-		if a, _ = s.Apply(Op{Kind: OpReport, UID: e.UID, Token: a.Token}); a.Code != "" {
+		instance := Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Zone: string("ab"[i%2]), Capacity: 1, StartTimeMS: 1}
+		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &instance})
+		if a, _ = s.Apply(Op{Kind: OpReport, UID: instance.UID, Token: a.Token}); a.Code != "" {
 			t.Fatal(a)
 		}
 	}
@@ -327,17 +327,17 @@
 		s := fleet(t, 4)
 		op := func(s *State) Op {
 			uid := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(rt, "node"))
-			e := s.Get(uid)
-			if e == nil {
-				e = s.Unreachable(uid)
+			instance := s.Get(uid)
+			if instance == nil {
+				instance = s.Unreachable(uid)
 			}
-			again, n, v := *e, s.Rollout().Nodes[uid], s.Rollout().Pending
+			again, n, v := *instance, s.Rollout().Nodes[uid], s.Rollout().Pending
 			again.StartTimeMS++
-			ops := []Op{{Kind: OpRegister, Instance: e}, {Kind: OpRegister, Instance: &again}, {Kind: OpExpire, UID: uid, Token: e.Token, WallTimeMS: 5}, {Kind: OpExpire, UID: uid, Token: e.Token},
-				{Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid}, {Kind: OpReport, UID: uid, Token: e.Token, Number: n.TargetVersion, Hash: s.Rollout().Hashes[n.TargetVersion]},
+			ops := []Op{{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &again}, {Kind: OpExpire, UID: uid, Token: instance.Token, WallTimeMS: 5}, {Kind: OpExpire, UID: uid, Token: instance.Token},
+				{Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid}, {Kind: OpReport, UID: uid, Token: instance.Token, Number: n.TargetVersion, Hash: s.Rollout().Hashes[n.TargetVersion]},
 				{Kind: OpPropose, Value: json.RawMessage(fmt.Sprint(s.Rollout().HighestNumber)), Replaces: s.Rollout().Committed.Number, Stages: []float64{0.4, 1}}, {Kind: OpRollback}}
 			if v != nil {
-				ops = append(ops, Op{Kind: OpAcknowledge, UID: uid, Token: e.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: OpAdvance, Number: v.Number, Stage: s.Rollout().Stage})
+				ops = append(ops, Op{Kind: OpAcknowledge, UID: uid, Token: instance.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: OpAdvance, Number: v.Number, Stage: s.Rollout().Stage})
 			}
 			return rapid.SampledFrom(ops).Draw(rt, "op")
 		}
--- a/internal/registry/state/instance.go
+++ b/internal/registry/state/instance.go
@@ -46,23 +46,23 @@
 const maxText = 256
 
 // Validate returns an error that names what is wrong with an instance as it registers.
-func (e *Instance) Validate() error {
+func (i *Instance) Validate() error {
 	switch {
-	case e.UID == "" || len(e.UID) > maxText:
+	case i.UID == "" || len(i.UID) > maxText:
 		return errors.New("uid: missing or too long")
-	case e.Endpoint == "" || len(e.Endpoint) > maxText:
+	case i.Endpoint == "" || len(i.Endpoint) > maxText:
 		return errors.New("endpoint: missing or too long")
-	case e.State != Serving && e.State != Draining:
-		return fmt.Errorf("state: %q is neither %s nor %s", e.State, Serving, Draining)
-	case e.Role != "" && e.Role != RoleNode && e.Role != RoleController:
-		return fmt.Errorf("role: %q is none", e.Role)
-	case len(e.Tier) > maxText || len(e.Zone) > maxText || len(e.Region) > maxText || len(e.Kind) > maxText || len(e.Version) > maxText:
+	case i.State != Serving && i.State != Draining:
+		return fmt.Errorf("state: %q is neither %s nor %s", i.State, Serving, Draining)
+	case i.Role != "" && i.Role != RoleNode && i.Role != RoleController:
+		return fmt.Errorf("role: %q is none", i.Role)
+	case len(i.Tier) > maxText || len(i.Zone) > maxText || len(i.Region) > maxText || len(i.Kind) > maxText || len(i.Version) > maxText:
 		return errors.New("a text is too long")
-	case e.Capacity < 0 || e.TTLMS < 0 || e.StartTimeMS < 0:
+	case i.Capacity < 0 || i.TTLMS < 0 || i.StartTimeMS < 0:
 		return errors.New("capacity, ttl and boot time cannot be negative")
 	}
 	return nil
 }
 
 // isUnit reports whether an instance counts in a disruption budget.
-func (e *Instance) isUnit() bool { return e.Tier != "" && e.Role != RoleController }
+func (i *Instance) isUnit() bool { return i.Tier != "" && i.Role != RoleController }
--- a/internal/registry/state/instances.go
+++ b/internal/registry/state/instances.go
@@ -6,43 +6,43 @@
 	if op.Instance == nil || op.Instance.Validate() != nil {
 		return Result{Code: CodeInvalid}, nil
 	}
-	e := *op.Instance
-	if s.mustDrain(&e) {
-		e.State = Draining
+	instance := *op.Instance
+	if s.mustDrain(&instance) {
+		instance.State = Draining
 	}
-	old := s.instances[e.UID]
+	old := s.instances[instance.UID]
 	if old != nil {
-		return s.registerAgain(old, e, op.IfModRevision)
+		return s.registerAgain(old, instance, op.IfModRevision)
 	}
-	if lost := s.unreachable[e.UID]; lost != nil && lost.StartTimeMS == e.StartTimeMS {
-		e.Token, e.WarmUpDeficit = lost.Token, lost.WarmUpDeficit // the same process is reachable again
-		return Result{Token: e.Token}, s.put(e)
+	if lost := s.unreachable[instance.UID]; lost != nil && lost.StartTimeMS == instance.StartTimeMS {
+		instance.Token, instance.WarmUpDeficit = lost.Token, lost.WarmUpDeficit // the same process is reachable again
+		return Result{Token: instance.Token}, s.put(instance)
 	}
-	return s.registerProcess(e)
+	return s.registerProcess(instance)
 }
 
 // registerProcess puts an instance in place with a new token.
-func (s *State) registerProcess(e Instance) (Result, *Instance) {
-	e.Token, e.WarmUpDeficit = s.revision+1, s.initialWarmUpDeficit(&e)
-	return Result{Token: e.Token}, s.put(e)
+func (s *State) registerProcess(instance Instance) (Result, *Instance) {
+	instance.Token, instance.WarmUpDeficit = s.revision+1, s.initialWarmUpDeficit(&instance)
+	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// registerAgain registers an instance e in the place of old.
-func (s *State) registerAgain(old *Instance, e Instance, ifModRevision int64) (Result, *Instance) {
+// registerAgain registers an instance in the place of old.
+func (s *State) registerAgain(old *Instance, instance Instance, ifModRevision int64) (Result, *Instance) {
 	if ifModRevision == Absent {
 		return Result{Code: CodeConflict}, nil
 	}
-	if e.StartTimeMS < old.StartTimeMS {
+	if instance.StartTimeMS < old.StartTimeMS {
 		return Result{Code: CodeFenced}, nil
 	}
-	e.Token, e.ModRevision, e.Suspect, e.WarmUpDeficit = old.Token, old.ModRevision, false, old.WarmUpDeficit
-	if e == *old {
+	instance.Token, instance.ModRevision, instance.Suspect, instance.WarmUpDeficit = old.Token, old.ModRevision, false, old.WarmUpDeficit
+	if instance == *old {
 		return Result{Token: old.Token}, nil
 	}
-	if e.StartTimeMS == old.StartTimeMS {
-		return Result{Token: old.Token}, s.put(e)
+	if instance.StartTimeMS == old.StartTimeMS {
+		return Result{Token: old.Token}, s.put(instance)
 	}
-	return s.registerProcess(e)
+	return s.registerProcess(instance)
 }
 
 // change changes or removes an instance that is there.
@@ -56,78 +56,78 @@
 	case op.IfModRevision != 0 && op.IfModRevision != old.ModRevision:
 		return Result{Code: CodeConflict}, nil
 	}
-	e := *old
+	instance := *old
 	switch op.Kind {
 	case OpRemove, OpExpire:
 		byOperator := op.Kind == OpRemove && op.Token == 0
-		return Result{Token: e.Token}, s.remove(e, byOperator)
+		return Result{Token: instance.Token}, s.remove(instance, byOperator)
 	case OpWarmUp:
-		if op.WarmUpDeficit == nil || !(*op.WarmUpDeficit >= 0 && *op.WarmUpDeficit <= e.WarmUpDeficit) {
+		if op.WarmUpDeficit == nil || !(*op.WarmUpDeficit >= 0 && *op.WarmUpDeficit <= instance.WarmUpDeficit) {
 			return Result{Code: CodeInvalid}, nil
 		}
-		e.WarmUpDeficit = *op.WarmUpDeficit
+		instance.WarmUpDeficit = *op.WarmUpDeficit
 	case OpSuspect, OpTrust:
-		e.Suspect = op.Kind == OpSuspect
+		instance.Suspect = op.Kind == OpSuspect
 	case OpUpdate:
-		if failure := s.update(old, &e, op); failure.Code != "" {
+		if failure := s.update(old, &instance, op); failure.Code != "" {
 			return failure, nil
 		}
 	}
-	if e == *old {
-		return Result{Token: e.Token}, nil
+	if instance == *old {
+		return Result{Token: instance.Token}, nil
 	}
-	return Result{Token: e.Token}, s.put(e)
+	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// update sets in e what an OpUpdate of old sets.
-func (s *State) update(old, e *Instance, op Op) (failure Result) {
+// update sets in the instance what an OpUpdate of old sets.
+func (s *State) update(old, instance *Instance, op Op) (failure Result) {
 	if plan, changing := s.changingRelease(old); changing && op.State == Serving {
 		return Result{Code: CodeConflict, Reason: "release " + plan + " is changing it"}
 	}
 	if op.State != "" {
-		e.State = op.State
+		instance.State = op.State
 	}
 	if op.Capacity != nil {
-		e.Capacity = *op.Capacity
+		instance.Capacity = *op.Capacity
 	}
-	if op.State == Deleted || e.Validate() != nil {
+	if op.State == Deleted || instance.Validate() != nil {
 		return Result{Code: CodeInvalid}
 	}
 	return Result{}
 }
 
 // put puts an instance in place under the next revision.
-func (s *State) put(e Instance) *Instance {
+func (s *State) put(instance Instance) *Instance {
 	s.revision++
-	e.ModRevision = s.revision
-	old := s.instances[e.UID]
-	s.instances[e.UID] = &e
-	s.nodeChanged(old, &e)
-	if e.isUnit() {
-		delete(s.unreachable, e.UID)
-		s.updateUnit(&e)
-	}
-	return &e
+	instance.ModRevision = s.revision
+	old := s.instances[instance.UID]
+	s.instances[instance.UID] = &instance
+	s.nodeChanged(old, &instance)
+	if instance.isUnit() {
+		delete(s.unreachable, instance.UID)
+		s.updateUnit(&instance)
+	}
+	return &instance
 }
 
 // remove removes an instance under the next revision, and returns it with the state Deleted. Unless it is decommissioned,
 // a unit counts as unreachable from then on; while no limits are set only nodes do.
-func (s *State) remove(e Instance, decommissioned bool) *Instance {
+func (s *State) remove(instance Instance, decommissioned bool) *Instance {
 	s.revision++
-	e.ModRevision = s.revision
-	old := s.instances[e.UID]
-	e.State = Deleted
-	delete(s.instances, e.UID)
-	s.nodeChanged(old, &e)
+	instance.ModRevision = s.revision
+	old := s.instances[instance.UID]
+	instance.State = Deleted
+	delete(s.instances, instance.UID)
+	s.nodeChanged(old, &instance)
 	switch {
-	case !e.isUnit():
-	case decommissioned || s.limits == nil && e.Role != RoleNode:
-		s.forgetUnit(e.UID)
+	case !instance.isUnit():
+	case decommissioned || s.limits == nil && instance.Role != RoleNode:
+		s.forgetUnit(instance.UID)
 	default:
-		unreachable := e
+		unreachable := instance
 		unreachable.State = old.State
-		s.unreachable[e.UID] = &unreachable
+		s.unreachable[instance.UID] = &unreachable
 		s.updateUnit(&unreachable)
 	}
-	return &e
+	return &instance
 }
--- a/internal/registry/state/permits.go
+++ b/internal/registry/state/permits.go
@@ -55,12 +55,12 @@
 	case hadBegun:
 		return Result{Token: p.Token}, nil
 	}
-	e := s.instances[op.UID]
-	if e == nil || e.Role != "" {
+	instance := s.instances[op.UID]
+	if instance == nil || instance.Role != "" {
 		s.revision++
 		return Result{Token: p.Token}, nil
 	}
-	draining := *e
+	draining := *instance
 	draining.State = Draining
 	return Result{Token: p.Token}, s.put(draining)
 }
@@ -87,16 +87,16 @@
 }
 
 // mustDrain reports whether a registering server belongs to a process that was taken out of service by a permit.
-func (s *State) mustDrain(e *Instance) bool {
-	p := s.budget.Permit(e.UID)
-	return p != nil && p.Begun && p.StartTimeMS == e.StartTimeMS && e.Role == ""
+func (s *State) mustDrain(instance *Instance) bool {
+	p := s.budget.Permit(instance.UID)
+	return p != nil && p.Begun && p.StartTimeMS == instance.StartTimeMS && instance.Role == ""
 }
 
 // changingRelease returns the plan of the release that is changing a unit to another version, if any. Until the unit runs
 // that version or the release is rolled back, it cannot be set to serve.
-func (s *State) changingRelease(e *Instance) (plan string, changing bool) {
-	p := s.budget.Permit(e.UID)
-	if p == nil || !p.Begun || p.TargetVersion == "" || p.TargetVersion == e.Version {
+func (s *State) changingRelease(instance *Instance) (plan string, changing bool) {
+	p := s.budget.Permit(instance.UID)
+	if p == nil || !p.Begun || p.TargetVersion == "" || p.TargetVersion == instance.Version {
 		return "", false
 	}
 	return p.Plan, true
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -21,9 +21,9 @@
 	if len(running.rollout.Nodes) > 0 {
 		coordination.Rollout, coordination.Settings = running.rollout, running.settings
 	}
-	for _, e := range running.coordinationSnapshot().Unreachable {
-		if backup.unreachable[e.UID] == nil {
-			coordination.Unreachable = append(coordination.Unreachable, e)
+	for _, instance := range running.coordinationSnapshot().Unreachable {
+		if backup.unreachable[instance.UID] == nil {
+			coordination.Unreachable = append(coordination.Unreachable, instance)
 		}
 	}
 	coordination.Permits = s.mergePermits(coordination.Permits, running)
@@ -37,10 +37,10 @@
 // preserveController replaces the backup's elected controller by the present one: with the backup's, a controller that has
 // lost its lease since could write again.
 func (s *State) preserveController(running *State) {
-	maps.DeleteFunc(s.instances, func(_ string, e *Instance) bool { return e.Role == RoleController })
-	for uid, e := range running.instances {
-		if e.Role == RoleController {
-			s.instances[uid] = e
+	maps.DeleteFunc(s.instances, func(_ string, instance *Instance) bool { return instance.Role == RoleController })
+	for uid, instance := range running.instances {
+		if instance.Role == RoleController {
+			s.instances[uid] = instance
 		}
 	}
 }
@@ -53,8 +53,8 @@
 		kept := *p
 		kept.SeenUnavailable = false // not yet in the new epoch
 		permits = append(permits, &kept)
-		if e := s.instances[p.Unit]; e != nil && p.Begun && p.StartTimeMS >= e.StartTimeMS && e.Role == "" {
-			draining := *e
+		if instance := s.instances[p.Unit]; instance != nil && p.Begun && p.StartTimeMS >= instance.StartTimeMS && instance.Role == "" {
+			draining := *instance
 			draining.State, draining.ModRevision = Draining, s.revision
 			s.instances[p.Unit] = &draining
 		}
--- a/internal/registry/state/snapshot.go
+++ b/internal/registry/state/snapshot.go
@@ -33,93 +33,93 @@
 
 // Snapshot encodes the State. [Load] reads it.
 func (s *State) Snapshot() ([]byte, error) {
-	m := snapshot{
+	stored := snapshot{
 		Revision: s.revision, Instances: s.Instances(), Members: s.members, ReplyIDs: s.replies.order,
 		coordinationSnapshot: s.coordinationSnapshot(),
 	}
 	for _, id := range s.replies.order {
-		m.Replies = append(m.Replies, s.replies.results[id])
+		stored.Replies = append(stored.Replies, s.replies.results[id])
 	}
-	return json.Marshal(m)
+	return json.Marshal(stored)
 }
 
 func (s *State) coordinationSnapshot() coordinationSnapshot {
-	m := coordinationSnapshot{
+	stored := coordinationSnapshot{
 		Limits: s.limits, Permits: s.budget.Permits(), Records: s.Records(""), Ejected: s.ejections.byNode,
 		Rollout: s.rollout, Settings: s.settings,
 	}
 	for _, uid := range sortedUIDs(s.unreachable) {
-		m.Unreachable = append(m.Unreachable, s.unreachable[uid])
+		stored.Unreachable = append(stored.Unreachable, s.unreachable[uid])
 	}
-	return m
+	return stored
 }
 
 // Load decodes what [State.Snapshot] encoded. The error says what is wrong with the text.
 func Load(text []byte) (*State, error) {
-	var m snapshot
-	if err := json.Unmarshal(text, &m); err != nil {
+	var stored snapshot
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return nil, err
 	}
-	if Epoch(m.Revision) < 1 || len(m.ReplyIDs) != len(m.Replies) {
+	if Epoch(stored.Revision) < 1 || len(stored.ReplyIDs) != len(stored.Replies) {
 		return nil, errors.New("no snapshot of a registry")
 	}
 	s := New()
-	s.revision, s.replies.order = m.Revision, m.ReplyIDs
-	for _, e := range m.Instances {
-		if err := e.Validate(); err != nil {
-			return nil, fmt.Errorf("entry %q: %w", e.UID, err)
+	s.revision, s.replies.order = stored.Revision, stored.ReplyIDs
+	for _, instance := range stored.Instances {
+		if err := instance.Validate(); err != nil {
+			return nil, fmt.Errorf("entry %q: %w", instance.UID, err)
 		}
-		s.instances[e.UID] = e
+		s.instances[instance.UID] = instance
 	}
-	maps.Copy(s.members, m.Members)
-	for i, id := range m.ReplyIDs {
-		s.replies.results[id] = m.Replies[i]
+	maps.Copy(s.members, stored.Members)
+	for i, id := range stored.ReplyIDs {
+		s.replies.results[id] = stored.Replies[i]
 	}
-	s.loadCoordination(m.coordinationSnapshot)
+	s.loadCoordination(stored.coordinationSnapshot)
 	return s, nil
 }
 
 // loadCoordination puts the rest of a snapshot in place once the instances are. The order matters: units count with the
 // rollout and the nodes in place, and permits are restored beside their units.
-func (s *State) loadCoordination(m coordinationSnapshot) {
-	if m.Limits != nil {
-		s.limits = m.Limits
-		s.budget.SetLimits(*m.Limits)
+func (s *State) loadCoordination(stored coordinationSnapshot) {
+	if stored.Limits != nil {
+		s.limits = stored.Limits
+		s.budget.SetLimits(*stored.Limits)
 	}
-	for _, r := range m.Records {
+	for _, r := range stored.Records {
 		s.records[r.Key] = r
 	}
-	if m.Rollout != nil {
-		s.rollout = m.Rollout.Clone()
+	if stored.Rollout != nil {
+		s.rollout = stored.Rollout.Clone()
 		s.rollout.MigrateLegacy()
 	}
-	maps.Copy(s.settings, m.Settings)
-	s.loadUnits(m)
-	for _, p := range m.Permits {
+	maps.Copy(s.settings, stored.Settings)
+	s.loadUnits(stored)
+	for _, p := range stored.Permits {
 		s.budget.Restore(*p)
-		if e := s.unit(p.Unit); e != nil {
-			s.updateUnit(e) // which ends a permit that a later process of the unit has outlived
+		if instance := s.unit(p.Unit); instance != nil {
+			s.updateUnit(instance) // which ends a permit that a later process of the unit has outlived
 		}
 	}
 }
 
 // loadUnits makes all units known to the budget and the rollout.
-func (s *State) loadUnits(m coordinationSnapshot) {
-	for _, e := range m.Unreachable {
-		if s.instances[e.UID] == nil {
-			s.unreachable[e.UID] = e
+func (s *State) loadUnits(stored coordinationSnapshot) {
+	for _, instance := range stored.Unreachable {
+		if s.instances[instance.UID] == nil {
+			s.unreachable[instance.UID] = instance
 		}
 	}
-	for _, e := range s.instances {
-		s.countNode(e, 1)
+	for _, instance := range s.instances {
+		s.countNode(instance, 1)
 	}
-	for _, e := range s.Instances() {
-		s.updateUnit(e)
+	for _, instance := range s.Instances() {
+		s.updateUnit(instance)
 	}
-	for _, e := range s.unreachable {
-		s.updateUnit(e)
+	for _, instance := range s.unreachable {
+		s.updateUnit(instance)
 	}
-	for node, servers := range m.Ejected {
+	for node, servers := range stored.Ejected {
 		s.setEjected(node, servers)
 	}
 }
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -122,8 +122,8 @@
 	if f == nil {
 		return false
 	}
-	e := s.instances[f.UID]
-	return e == nil || e.Token != f.Token
+	instance := s.instances[f.UID]
+	return instance == nil || instance.Token != f.Token
 }
 
 func (s *State) setMember(id, address string) {
--- a/internal/registry/state/units.go
+++ b/internal/registry/state/units.go
@@ -21,9 +21,9 @@
 func (s *State) Units() []*Instance {
 	units := []*Instance{}
 	for _, from := range []map[string]*Instance{s.instances, s.unreachable} {
-		for _, e := range from {
-			if e.isUnit() {
-				units = append(units, e)
+		for _, instance := range from {
+			if instance.isUnit() {
+				units = append(units, instance)
 			}
 		}
 	}
@@ -37,35 +37,36 @@
 func (s *State) unit(uid string) *Instance { return cmp.Or(s.instances[uid], s.unreachable[uid]) }
 
 // updateUnit tells the budget, and for a node the rollout, how a unit is now.
-func (s *State) updateUnit(e *Instance) {
-	if !e.isUnit() {
+func (s *State) updateUnit(instance *Instance) {
+	if !instance.isUnit() {
 		return
 	}
-	if e.Role == RoleNode {
+	if instance.Role == RoleNode {
 		// A suspect is unreachable here: for the rollout it is enough that the lease has ended, believed or not.
-		unreachable := e.Suspect || s.unreachable[e.UID] != nil
-		s.rollout.SetNode(e.UID, e.Zone, e.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTime})
+		unreachable := instance.Suspect || s.unreachable[instance.UID] != nil
+		s.rollout.SetNode(instance.UID, instance.Zone, instance.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTime})
 	}
-	fraction, reason := s.unavailability(e)
+	fraction, reason := s.unavailability(instance)
 	s.budget.SetUnit(disruption.Unit{
-		ID: e.UID, Incarnation: e.Token, StartTimeMS: e.StartTimeMS, Tier: e.Tier, Zone: e.Zone, Region: e.Region, Rack: e.Rack,
-		Capacity: e.Capacity, UnavailableFraction: fraction, Reason: reason,
+		ID: instance.UID, Incarnation: instance.Token, StartTimeMS: instance.StartTimeMS,
+		Tier: instance.Tier, Zone: instance.Zone, Region: instance.Region, Rack: instance.Rack,
+		Capacity: instance.Capacity, UnavailableFraction: fraction, Reason: reason,
 	})
 }
 
 // unavailability returns the fraction of a unit's capacity that is unavailable, and why.
-func (s *State) unavailability(e *Instance) (fraction float64, reason string) {
+func (s *State) unavailability(instance *Instance) (fraction float64, reason string) {
 	switch {
-	case s.unreachable[e.UID] != nil:
+	case s.unreachable[instance.UID] != nil:
 		return 1, disruption.ReasonUnreachable
-	case e.Suspect:
+	case instance.Suspect:
 		return 1, reasonSuspect
-	case e.State == Draining:
+	case instance.State == Draining:
 		return 1, reasonDraining
-	case 2*s.ejections.count(e.UID) > s.tierNodes[e.Tier]:
+	case 2*s.ejections.count(instance.UID) > s.tierNodes[instance.Tier]:
 		return 1, reasonEjected
-	case e.WarmUpDeficit > 0:
-		return e.WarmUpDeficit, reasonWarmUp
+	case instance.WarmUpDeficit > 0:
+		return instance.WarmUpDeficit, reasonWarmUp
 	}
 	return 0, ""
 }
@@ -78,8 +79,8 @@
 }
 
 // initialWarmUpDeficit is the fraction of its capacity that an instance lacks when its process starts.
-func (s *State) initialWarmUpDeficit(e *Instance) float64 {
-	if s.limits == nil || s.limits.WarmUpMS == 0 || e.StartTimeMS == 0 {
+func (s *State) initialWarmUpDeficit(instance *Instance) float64 {
+	if s.limits == nil || s.limits.WarmUpMS == 0 || instance.StartTimeMS == 0 {
 		return 0
 	}
 	return 1 - s.limits.InitialFraction
@@ -87,23 +88,23 @@
 
 // nodeChanged keeps up with a node that was put in place of old (nil: none), or removed: how many nodes send to a tier, and
 // which servers a process has ejected.
-func (s *State) nodeChanged(old, e *Instance) {
-	if e.Role != RoleNode {
+func (s *State) nodeChanged(old, instance *Instance) {
+	if instance.Role != RoleNode {
 		return
 	}
 	s.countNode(old, -1)
-	s.countNode(e, 1)
-	if e.State == Deleted || old != nil && old.Token != e.Token {
-		s.setEjected(e.UID, nil)
+	s.countNode(instance, 1)
+	if instance.State == Deleted || old != nil && old.Token != instance.Token {
+		s.setEjected(instance.UID, nil)
 	}
 }
 
 // countNode adds n to the number of nodes that send to a node's tier. What most of them eject may change with it.
-func (s *State) countNode(e *Instance, n int) {
-	if e == nil || e.Role != RoleNode || e.State == Deleted {
+func (s *State) countNode(instance *Instance, n int) {
+	if instance == nil || instance.Role != RoleNode || instance.State == Deleted {
 		return
 	}
-	s.tierNodes[e.Kind] += n
+	s.tierNodes[instance.Kind] += n
 	for uid := range s.ejections.byServer {
 		if server := s.instances[uid]; server != nil {
 			s.updateUnit(server)
@@ -148,19 +149,19 @@
 // setEjected records which servers a node has ejected.
 func (s *State) setEjected(node string, servers []string) {
 	for _, uid := range s.ejections.set(node, servers) {
-		if e := s.instances[uid]; e != nil {
-			s.updateUnit(e)
+		if instance := s.instances[uid]; instance != nil {
+			s.updateUnit(instance)
 		}
 	}
 }
 
 // reportEjected applies a node's report of the servers that it has ejected.
 func (s *State) reportEjected(op Op) Result {
-	e := s.instances[op.UID]
+	instance := s.instances[op.UID]
 	switch {
-	case e == nil || e.Role != RoleNode:
+	case instance == nil || instance.Role != RoleNode:
 		return Result{Code: CodeNotFound}
-	case op.Token != e.Token:
+	case op.Token != instance.Token:
 		return Result{Code: CodeFenced}
 	}
 	s.setEjected(op.UID, op.Ejected)
--- a/internal/registry/state/view.go
+++ b/internal/registry/state/view.go
@@ -55,8 +55,8 @@
 // UnitView returns the view of one unit and its permit.
 func (s *State) UnitView(uid string) CoordinationView {
 	v := CoordinationView{Revision: s.revision, Permits: []*disruption.Permit{}, Records: []*Record{}}
-	if e := s.unit(uid); e != nil {
-		v.Units = append(v.Units, e)
+	if instance := s.unit(uid); instance != nil {
+		v.Units = append(v.Units, instance)
 	}
 	if p := s.budget.Permit(uid); p != nil {
 		v.Permits = append(v.Permits, p)
