--- a/internal/coordination/faulttest/releases.go
+++ b/internal/coordination/faulttest/releases.go
@@ -47,7 +47,7 @@
 	skew := time.Duration(s.random.IntN(7200)-3600) * time.Second
 	args := []string{
 		"--uid", u.id, "--endpoint", fmt.Sprintf("10.0.0.%d:3000", i+1), "--tier", u.tier, "--zone", u.zone, "--rack", fmt.Sprint(i / 2),
-		"--version", "v1", "--keep", filepath.Join(s.dir, u.id+".version"), "--ttl", leaseTTL.String(), "--drain", "100ms", "--skew=" + skew.String(),
+		"--version", "v1", "--version-file", filepath.Join(s.dir, u.id+".version"), "--ttl", leaseTTL.String(), "--drain-delay", "100ms", "--clock-skew=" + skew.String(),
 	}
 	if u.tier == "front" {
 		args = append(args, "--node", "--kind", "web")
@@ -117,7 +117,7 @@
 		s.attempt(ctx, "resume", planName)
 	case n == 5 && !o.rolledBack:
 		o.rolledBack = true
-		s.attempt(ctx, "back", planName)
+		s.attempt(ctx, "rollback", planName)
 	}
 }
 
@@ -156,7 +156,7 @@
 	s.result.Outcome = "done"
 	if rolledBack {
 		version, s.result.Outcome = "v1", "taken back"
-		s.attempt(ctx, "back", planName) // in case the first one failed
+		s.attempt(ctx, "rollback", planName) // in case the first one failed
 	} else {
 		s.recordRelease(releaseResumed)
 		s.attempt(ctx, "resume", planName)
--- a/internal/coordination/faulttest/settings.go
+++ b/internal/coordination/faulttest/settings.go
@@ -244,7 +244,7 @@
 	case n == 6:
 		s.attempt(ctx, "config", "withdraw")
 	case n == 7:
-		s.attempt(ctx, "config", "back")
+		s.attempt(ctx, "config", "rollback")
 	}
 	return false
 }
@@ -279,7 +279,7 @@
 	for ctx.Err() == nil {
 		if out, err := s.operate(ctx, "config", "withdraw"); err != nil {
 			obstacle = out
-			s.attempt(ctx, "config", "back") // in case it is partially applied
+			s.attempt(ctx, "config", "rollback") // in case it is partially applied
 		}
 		err := s.propose(ctx, lastAttempts, "0.3,1")
 		if err == nil {
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -116,7 +116,7 @@
 func (s *site) startControllers() error {
 	for i := range 3 {
 		name := fmt.Sprint("c", i)
-		p, err := s.start(name, "control", []string{"--name", name, "--ttl", "1s"})
+		p, err := s.start(name, "controller", []string{"--name", name, "--ttl", "1s"})
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	common := s.command("fleet", command, "--at", strings.Join(at, ","), "--journal", filepath.Join(s.dir, name+".events"))
+	common := s.command("fleet", command, "--endpoints", strings.Join(at, ","), "--event-log", filepath.Join(s.dir, name+".events"))
 	p.SetCommand(append(common, args...))
 	return p, p.Start()
 }
@@ -176,7 +176,7 @@
 func (s *site) operate(ctx context.Context, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout+time.Second)
 	defer cancel()
-	all := append(append(s.command("fleet"), args...), "--at", strings.Join(s.cluster.Addresses(), ","), "--within", commandTimeout.String())
+	all := append(append(s.command("fleet"), args...), "--endpoints", strings.Join(s.cluster.Addresses(), ","), "--timeout", commandTimeout.String())
 	cmd := exec.CommandContext(ctx, all[0], all[1:]...)
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
