--- /dev/null
+++ b/internal/lab/scenario/golden_test.go
@@ -0,0 +1,78 @@
+package scenario
+
+import (
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// The files under testdata were written by an earlier release from the scenarios in labs. They pin the keys and defaults of
+// scenarios, what a seed draws of them, and the settings that nodes get.
+var update = flag.Bool("update", false, "write the files under testdata anew")
+
+func TestScenarioForms(t *testing.T) {
+	files, err := filepath.Glob("../../../labs/*.toml")
+	if err != nil || len(files) == 0 {
+		t.Fatal(files, err)
+	}
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), ".toml")
+		t.Run(name, func(t *testing.T) {
+			s, err := Read(file, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			complete, err := toml.Marshal(s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := fmt.Sprintf("%s\n%s", complete, drawn(NewSite(s, 7)))
+			path := filepath.Join("testdata", name+".golden")
+			if *update {
+				if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got != string(want) {
+				t.Errorf("%s: the form has changed; got\n%s", path, got)
+			}
+		})
+	}
+}
+
+// drawn describes what a seed has drawn: the first server and node in full, and a hash of all.
+func drawn(site *Site) string {
+	var b strings.Builder
+	hash := fnv.New64a()
+	for i := range site.Servers {
+		s := &site.Servers[i]
+		line := fmt.Sprintf("server %s tier %d kind %s zone %d rack %d speed %v cold %v capacity %v size %v unit %+v\n",
+			s.Name, s.Tier, s.Kind.Name, s.Zone, s.Rack, s.Speed, s.ColdFor, s.Capacity, s.Size(), site.Unit(i).Capacity)
+		fmt.Fprint(hash, line)
+		if i == 0 {
+			b.WriteString(line)
+		}
+	}
+	for i, n := range site.Nodes {
+		line := fmt.Sprintf("node %s tier %d zone %d index %d owner %d settings %s\n", n.Name, n.Tier, n.Zone, n.Index, n.Owner, site.Settings(i))
+		fmt.Fprint(hash, line)
+		if i == 0 {
+			b.WriteString(line)
+		}
+		if i == 50 {
+			break // settings of the many nodes of labs/scale.toml are alike
+		}
+	}
+	fmt.Fprintf(&b, "work %v calls %v mean work %v\nhash %x\n", site.Work, site.Calls, site.MeanWork(0), hash.Sum64())
+	return b.String()
+}
