--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -127,7 +127,7 @@
 	return len(line), nil
 }
 
-// A cache folder that the program wrote before its names were changed gives the list that it held.
+// A cache folder that an earlier version wrote gives the list that it held.
 func TestStoredCache(t *testing.T) {
 	r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Logger: slog.New(slog.NewTextHandler(failOnWrite{t}, nil))})
 	if err != nil {
--- a/internal/registry/replica/compat_test.go
+++ b/internal/registry/replica/compat_test.go
@@ -190,28 +190,6 @@
 	}
 }
 
-// opened is a registry of one on a folder, which leads.
-func opened(t *testing.T, dir string) *Replica {
-	t.Helper()
-	r, err := open(t, dir)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { r.Close() })
-	waitFor(t, "the replica to lead", func() bool { return r.raft.State() == raft.Leader && r.catchUp() == nil })
-	return r
-}
-
-// waitFor polls until ok holds.
-func waitFor(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for deadline := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatalf("waited %v for %s", limit, what)
-		}
-	}
-}
-
 // Every path of the API keeps its bodies, headers, status codes and error texts.
 func TestAPIGolden(t *testing.T) {
 	r := opened(t, t.TempDir())
@@ -240,8 +218,7 @@
 	golden.Check(t, "log.golden", out.Bytes())
 }
 
-// A folder that the program wrote before its names were changed, with a snapshot and a log that goes on from it, gives all
-// that it held.
+// A folder that an earlier version wrote, with a snapshot and a log that goes on from it, gives all that it held.
 func TestStoredFolder(t *testing.T) {
 	r := opened(t, golden.CopyDir(t, "folder"))
 	golden.Check(t, "folder.golden", play(t, r, reads...))
@@ -304,30 +281,6 @@
 	golden.Check(t, "watch.golden", append(bytes.ReplaceAll(got.Bytes(), []byte("\n"+heartbeat), []byte("\n")), heartbeat...))
 }
 
-// Figures keep their names, types, labels and buckets.
-func TestMetricsGolden(t *testing.T) {
-	r := opened(t, t.TempDir())
-	play(t, r, history...)
-	play(t, r, refusals...)
-	resp, err := http.Get("http://" + r.Addr() + "/metrics")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out bytes.Buffer
-	for line := range strings.Lines(string(text)) {
-		if !strings.HasPrefix(line, "#") {
-			line = line[:strings.LastIndexByte(line, ' ')] + "\n" // without the value
-		}
-		out.WriteString(line)
-	}
-	golden.Check(t, "metrics.golden", out.Bytes())
-}
-
 // A peer keeps the names of its fields in a call that changes the members.
 func TestPeerJSON(t *testing.T) {
 	text, err := json.Marshal(Peer{ID: "r1", RaftAddress: "a:1", ClientAddress: "a:2", DialAddress: "a:3"})
--- /dev/null
+++ b/internal/registry/replica/helpers_test.go
@@ -0,0 +1,80 @@
+package replica
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"umberbank/internal/registry/client"
+	"umberbank/internal/registry/state"
+)
+
+// limit is how long anything may take that has to happen.
+const limit = 30 * time.Second
+
+// freeAddr returns an address on loopback that nobody listens on.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 220+rand.IntN(30), rand.IntN(250), 1+rand.IntN(250)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// open starts a registry of one replica on a folder.
+func open(t *testing.T, dir string) (*Replica, error) {
+	t.Helper()
+	a, b := freeAddr(t), freeAddr(t)
+	return New(Config{ID: "r0", DataDir: dir, RaftAddress: a, ClientAddress: b, Peers: []Peer{{ID: "r0", RaftAddress: a, ClientAddress: b}}, Tick: 20 * time.Millisecond,
+		SnapshotThreshold: 40, Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
+}
+
+// write has writes carried out by a replica.
+func write(t *testing.T, r *Replica, ops ...state.Op) []state.Result {
+	t.Helper()
+	w, err := client.New(client.Options{Endpoints: []string{r.Addr()}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	defer cancel()
+	a, err := w.Write(ctx, ops...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+// register registers server number i.
+func register(i int) state.Op {
+	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", Zone: "zone-of-the-test", State: state.Serving}}
+}
+
+// opened returns a registry of one replica on a folder, once it leads.
+func opened(t *testing.T, dir string) *Replica {
+	t.Helper()
+	r, err := open(t, dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.Close() })
+	waitFor(t, "the replica to lead", func() bool { return r.raft.State() == raft.Leader && r.catchUp() == nil })
+	return r
+}
+
+// waitFor polls until ok holds.
+func waitFor(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("waited %v for %s", limit, what)
+		}
+	}
+}
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -107,11 +107,11 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "entries at revision", body(true))
 }
 
-// An agent begins its permit and acts, while the permit lapses, staff halt the release, and somebody else wants to
-// take another unit out, where one of two may be. Never do both act, and the agent never acts on a permit that it began after
-// the halt.
+// An agent begins its permit and acts, while the permit expires, an operator halts the release, and somebody else requests
+// a permit for another unit, where one of two may be unavailable. Never do both act, and the agent never acts on a permit that
+// it began after the halt.
 func TestInterleavePermit(t *testing.T) {
-	body := func(looks bool) func(x *modelcheck.Execution) {
+	body := func(readsOnly bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			half := 0.5
@@ -124,7 +124,7 @@
 				acted[uid] = true
 			}
 			x.Go("agent", func() {
-				if looks { // the planted fault: a look in place of the write
+				if readsOnly { // the planted fault: a read in place of the write
 					may := false
 					f.read(func(s *state.State) { may = s.Budget().Permit("a") != nil && s.Record(state.HaltKeyPrefix+"p") == nil })
 					if may {
@@ -136,8 +136,8 @@
 					act("a")
 				}
 			})
-			x.Go("lapse", func() { apply(f, order, state.Op{Kind: state.OpReturnPermit, UID: "a", Token: permit.Token}) })
-			x.Go("staff", func() {
+			x.Go("expiry", func() { apply(f, order, state.Op{Kind: state.OpReturnPermit, UID: "a", Token: permit.Token}) })
+			x.Go("operator", func() {
 				apply(f, order, state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + "p", Value: json.RawMessage(`{}`)})
 			})
 			x.Go("other", func() {
@@ -157,9 +157,9 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "both are out", body(true))
 }
 
-// Two nodes look at a version and acknowledge it, one restarts, staff take it back, and a controller tells it. No node runs
-// what it was not told to, nothing is told without both acknowledgments of starts that run, and a version taken back is
-// run by nobody.
+// Two nodes acknowledge a version, one restarts, an operator withdraws it, and a controller advances it. No node runs a
+// version that is not its target, no version becomes a target without both acknowledgments of incarnations that run, and a
+// withdrawn one is run by nobody.
 func TestInterleaveRollout(t *testing.T) {
 	node := func(uid string, boot float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: boot}}
@@ -180,21 +180,21 @@
 			for _, uid := range []string{"n0", "n1"} {
 				x.Go(uid, func() {
 					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: uid, Token: starts[uid], Number: v, Hash: hash})
-					told := int64(0)
-					f.read(func(s *state.State) { told = s.Rollout().Nodes[uid].TargetVersion })
-					if told == v || eager { // the planted fault: it runs what it has acknowledged
+					target := int64(0)
+					f.read(func(s *state.State) { target = s.Rollout().Nodes[uid].TargetVersion })
+					if target == v || eager { // the planted fault: it runs what it has acknowledged
 						modelcheck.Step(&runs, "run")
 						if withdrawn {
-							modelcheck.Failf("%s runs what was taken back", uid)
+							modelcheck.Failf("%s runs what was withdrawn", uid)
 						}
 						runs[uid] = true
 					}
 				})
 			}
 			x.Go("restart", func() { apply(f, order, node("n1", 2)) })
-			x.Go("staff", func() {
+			x.Go("operator", func() {
 				if apply(f, order, state.Op{Kind: state.OpWithdraw, Number: v})[0].Code == "" {
-					modelcheck.Step(&runs, "taken back")
+					modelcheck.Step(&runs, "withdrawn")
 					withdrawn = true
 				}
 			})
@@ -204,17 +204,17 @@
 				}
 				f.read(func(s *state.State) {
 					if s.Rollout().Committed.Number != v {
-						modelcheck.Failf("told, and not in force")
+						modelcheck.Failf("advanced, and not committed")
 					}
 				})
 			})
 			x.Finally(func() {
 				b := f.state.Rollout()
 				if b.Committed.Number == v && withdrawn {
-					modelcheck.Failf("it is in force and taken back")
+					modelcheck.Failf("it is committed and withdrawn")
 				}
 				if b.Committed.Number != v && len(runs) > 0 {
-					modelcheck.Failf("%v run what nobody was told", runs)
+					modelcheck.Failf("%v run what is no target", runs)
 				}
 			})
 		}
@@ -223,10 +223,10 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "run", body(true))
 }
 
-// Version 1 is in force. The leader writes that n2's lease has ended, n2 comes back by the same start or by a fresh one and catches up,
-// and staff and controllers bring one more version into force and propose a third, in every order. Whoever is in touch when
-// that one is proposed runs what was in force. Where n2 is one of three in its zone it holds nothing up; where it is alone
-// there, what waits for it goes on in the end, by its word or as its zone is lost.
+// Version 1 is committed. The leader writes that n2's lease has expired, n2 returns as the same incarnation or as a new one and
+// syncs, and operators and controllers commit one more version and propose a third, in every order. Whoever is in sync when
+// that one is proposed runs what was committed. Where n2 is one of three in its zone it delays nothing; where it is alone
+// there, what waits for it goes on in the end, by its acknowledgment or as its zone is lost.
 func TestInterleaveReachability(t *testing.T) {
 	node := func(uid, zone string, boot float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: boot}}
@@ -263,16 +263,16 @@
 			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.OpExpire, UID: "n2", Token: starts["n2"]}) })
 			x.Go("n2", func() {
 				start := apply(f, order, node("n2", zone, boot))[0].Token
-				told := int64(0)
-				f.read(func(s *state.State) { told = s.Rollout().Nodes["n2"].TargetVersion })
-				report := state.Op{Kind: state.OpReport, UID: "n2", Token: start, Number: told, Hash: state.ContentHash(content(told))}
+				target := int64(0)
+				f.read(func(s *state.State) { target = s.Rollout().Nodes["n2"].TargetVersion })
+				report := state.Op{Kind: state.OpReport, UID: "n2", Token: start, Number: target, Hash: state.ContentHash(content(target))}
 				if early { // the planted fault: it says that it runs what it is about to take
 					apply(f, order, report)
 				}
-				run("n2", told)
+				run("n2", target)
 				apply(f, order, report)
 			})
-			x.Go("staff and controller", func() {
+			x.Go("operator and controller", func() {
 				ops := append([]state.Op{propose(2)}, say(state.OpAcknowledge, 2, others...)...)
 				for _, a := range apply(f, order, ops...) {
 					if a.Code != "" {
@@ -294,7 +294,7 @@
 					f.read(func(s *state.State) {
 						for uid, n := range s.Rollout().Nodes {
 							if n.InSync() && runs[uid] != 2 {
-								modelcheck.Failf("%s is in touch and runs version %d", uid, runs[uid])
+								modelcheck.Failf("%s is in sync and runs version %d", uid, runs[uid])
 							}
 						}
 					})
@@ -320,5 +320,5 @@
 			modelcheck.Check(t, modelcheck.Options{}, body(zone, boot, false))
 		}
 	}
-	modelcheck.CheckFails(t, modelcheck.Options{}, "is in touch and runs version 1", body("a", 1, true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "is in sync and runs version 1", body("a", 1, true))
 }
--- a/internal/registry/replica/metrics_test.go
+++ b/internal/registry/replica/metrics_test.go
@@ -1,22 +1,19 @@
 package replica
 
 import (
+	"bytes"
 	"io"
 	"net/http"
 	"strings"
 	"testing"
 
+	"umberbank/internal/registry/golden"
 	"umberbank/internal/registry/state"
 )
 
-// The figures tell what has happened, and a write of a kind that nobody knows makes none of its own.
-func TestMetrics(t *testing.T) {
-	r, err := open(t, t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer r.Close()
-	write(t, r, register(1), register(2), state.Op{Kind: state.OpRemove, UID: "none"}, state.Op{Kind: "made-up"})
+// readMetrics returns what a replica exposes.
+func readMetrics(t *testing.T, r *Replica) string {
+	t.Helper()
 	resp, err := http.Get("http://" + r.Addr() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -26,10 +23,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"registry_entries 2\n", "registry_leads 1\n", `registry_writes_total{fault="",kind="register"} 2`,
-		`registry_writes_total{fault="not-found",kind="remove"} 1`, `registry_writes_total{fault="bad",kind="unknown"} 1`, "registry_write_seconds_count"} {
-		if !strings.Contains(string(text), want) {
+	return string(text)
+}
+
+// Metrics tell what has happened, and a write of an unknown kind makes no label of its own.
+func TestMetrics(t *testing.T) {
+	r, err := open(t, t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	write(t, r, register(1), register(2), state.Op{Kind: state.OpRemove, UID: "none"}, state.Op{Kind: "made-up"})
+	text := readMetrics(t, r)
+	for _, want := range []string{
+		"registry_entries 2\n",
+		"registry_leads 1\n",
+		`registry_writes_total{fault="",kind="register"} 2`,
+		`registry_writes_total{fault="not-found",kind="remove"} 1`,
+		`registry_writes_total{fault="bad",kind="unknown"} 1`,
+		"registry_write_seconds_count",
+	} {
+		if !strings.Contains(text, want) {
 			t.Errorf("no %q in:\n%s", want, text)
 		}
 	}
 }
+
+// Metrics keep their names, types, labels and buckets.
+func TestMetricsGolden(t *testing.T) {
+	r := opened(t, t.TempDir())
+	play(t, r, history...)
+	play(t, r, refusals...)
+	var out bytes.Buffer
+	for line := range strings.Lines(readMetrics(t, r)) {
+		if !strings.HasPrefix(line, "#") {
+			line = line[:strings.LastIndexByte(line, ' ')] + "\n" // without the value
+		}
+		out.WriteString(line)
+	}
+	golden.Check(t, "metrics.golden", out.Bytes())
+}
