--- a/cmd/umberbank/misbehaving_test.go
+++ b/cmd/umberbank/misbehaving_test.go
@@ -202,7 +202,7 @@
 func (n *misbehavingNode) follow(ctx context.Context, h *client.LeaseHolder, react func(token int64, s *state.NodeSettings) (running int64, hash string)) {
 	const pollTimeout = 100 * time.Millisecond
 	for revision := int64(0); ctx.Err() == nil; {
-		v, err := n.client.Agreed(ctx, url.Values{"node": {n.instance.UID}}, revision, pollTimeout)
+		v, err := n.client.PollCoordination(ctx, url.Values{"node": {n.instance.UID}}, revision, pollTimeout)
 		if err != nil || v.NodeSettings == nil {
 			revision = 0
 			continue
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -49,7 +49,7 @@
 
 // registry is what an agent needs of the registry; [client.Client] implements it.
 type registry interface {
-	Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
+	PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
 	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
 	WriteOne(ctx context.Context, op state.Op) (state.Result, error)
 	NextStartTime(ctx context.Context, uid string, clock time.Time) (float64, error)
@@ -124,7 +124,7 @@
 			a.Log.Warn("unit is not serving", "unit", a.Instance.UID, "version", a.Instance.Version, "error", err)
 			sleep(ctx, restartDelay)
 		}
-		view, err := a.registry.Agreed(ctx, url.Values{"unit": {a.Instance.UID}}, revision, pollWait)
+		view, err := a.registry.PollCoordination(ctx, url.Values{"unit": {a.Instance.UID}}, revision, pollWait)
 		if err != nil {
 			revision = 0
 			continue
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -18,6 +18,7 @@
 	"umberbank/internal/coordination/eventlog"
 	"umberbank/internal/coordination/release"
 	"umberbank/internal/coordination/rollout"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 )
@@ -28,8 +29,9 @@
 // ReadView reads everything that the registry tells of budgets, releases and versions, units included, as of a time after
 // the call.
 func ReadView(ctx context.Context, w *client.Client) (*state.CoordinationView, error) {
+	query := url.Values{"consistent": {"1"}, "units": {"1"}, "lead": {LeaderUID}}
 	var v state.CoordinationView
-	return &v, w.Call(ctx, http.MethodGet, "/registry/agreed?consistent=1&units=1&lead="+LeaderUID, nil, &v)
+	return &v, w.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &v)
 }
 
 // Controller is one controller. Its exported fields must be set before Run and not change after.
@@ -56,7 +58,7 @@
 
 // registry is what a controller needs of the registry; [client.Client] implements it.
 type registry interface {
-	Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
+	PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
 	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
 	WriteOne(ctx context.Context, op state.Op) (state.Result, error)
 	Call(ctx context.Context, method, path string, body, response any) error
@@ -79,7 +81,7 @@
 	startedAt := time.Now()
 	var revision int64
 	for ctx.Err() == nil {
-		view, err := r.Agreed(ctx, url.Values{"units": {"1"}, "lead": {LeaderUID}}, revision, pollInterval)
+		view, err := r.PollCoordination(ctx, url.Values{"units": {"1"}, "lead": {LeaderUID}}, revision, pollInterval)
 		if err != nil {
 			revision = 0
 			continue
--- a/internal/coordination/fakeregistry/fakeregistry.go
+++ b/internal/coordination/fakeregistry/fakeregistry.go
@@ -7,10 +7,12 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"net/http"
 	"net/url"
 	"sync"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -76,9 +78,9 @@
 	return results[0], nil
 }
 
-// Agreed returns a view later than the revision after, or the present one once wait is over, as client.Client does. While
+// PollCoordination returns a view later than the revision after, or the present one once wait is over, as client.Client does. While
 // the registry is unreachable, it fails once wait is over.
-func (r *Registry) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
+func (r *Registry) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -132,7 +134,7 @@
 
 // Call serves a call of the API that renews leases, and no other.
 func (r *Registry) Call(_ context.Context, method, path string, body, response any) error {
-	if method != "POST" || path != "/registry/renew" {
+	if method != http.MethodPost || path != api.PathRenew {
 		return errors.New("not supported: " + method + " " + path)
 	}
 	r.mu.Lock()
@@ -140,9 +142,7 @@
 	if r.unreachable {
 		return ErrUnreachable
 	}
-	var request struct {
-		Leases []state.Fence `json:"leases"` // a lease has the form of a fence
-	}
+	var request api.RenewRequest
 	if err := convert(body, &request); err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 			unknown = append(unknown, lease.UID)
 		}
 	}
-	return convert(map[string][]string{"unknown": unknown}, response)
+	return convert(api.RenewResponse{Unknown: unknown}, response)
 }
 
 // convert puts the JSON of one value into another.
--- a/internal/lab/fleet/leases.go
+++ b/internal/lab/fleet/leases.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	v, err := w.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
+	v, err := w.PollCoordination(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -103,7 +103,7 @@
 			sleep(ctx, retryDelay)
 			continue
 		}
-		agreed, err := f.writer.Agreed(ctx, url.Values{"node": {f.Name}, "has": {f.knownVersions()}}, revision, pollTimeout)
+		agreed, err := f.writer.PollCoordination(ctx, url.Values{"node": {f.Name}, "has": {f.knownVersions()}}, revision, pollTimeout)
 		if err != nil {
 			revision = 0
 			continue
--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -12,9 +12,9 @@
 	// PathInstances is the list of servers, in discovery's form. Parameters of a GET: follow=1 for a watch, since=REV for
 	// where it begins; at_least=REV waits for a revision; consistent=1 reads what was committed when the call came.
 	PathInstances = "/registry/instances"
-	// PathAgreed is the state.CoordinationView. Parameters of a GET: after=REV waits until there is a later revision, for
+	// PathCoordination is the state.CoordinationView. Parameters of a GET: after=REV waits until there is a later revision, for
 	// wait_ms=MS at most; unit=UID, node=UID with has=N,M, units=1 and lead=UID select a part; consistent=1 as above.
-	PathAgreed = "/registry/agreed"
+	PathCoordination = "/registry/agreed"
 	// PathStatus is a GET of a replica's Status.
 	PathStatus = "/registry/status"
 	// PathBackup is a GET of the whole state.
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	var view state.CoordinationView
-	if err := m.client.Call(ctx, http.MethodGet, api.PathAgreed+"?consistent=1&units=1", nil, &view); err != nil {
+	if err := m.client.Call(ctx, http.MethodGet, api.PathCoordination+"?consistent=1&units=1", nil, &view); err != nil {
 		return nil, err
 	}
 	l := &permitLoad{measurement: m, units: view.Units, latency: newLatency()}
--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/agreed.go
@@ -14,15 +14,15 @@
 // answerTimeout is how long an answer may take beyond the time that its call waits for a change.
 const answerTimeout = time.Second
 
-// Agreed polls for what is agreed, as of a later revision than after if there is one within wait. query says which part; see
+// PollCoordination polls for what is agreed, as of a later revision than after if there is one within wait. query says which part; see
 // the replica's /registry/agreed. It sets after and wait_ms in query.
-func (c *Client) Agreed(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
+func (c *Client) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
 	var agreed state.CoordinationView
-	return &agreed, c.Call(ctx, http.MethodGet, api.PathAgreed+"?"+query.Encode(), nil, &agreed)
+	return &agreed, c.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &agreed)
 }
 
 // WriteOne has one write carried out, within a second.
@@ -39,7 +39,7 @@
 // NextStartTime returns the time of a unit's start, in Unix milliseconds: by the wall clock, which may have been set back,
 // and later than any start of the unit that the registry knows.
 func (c *Client) NextStartTime(ctx context.Context, uid string, wall time.Time) (float64, error) {
-	known, err := c.Agreed(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
+	known, err := c.PollCoordination(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -81,7 +81,7 @@
 	if err != nil || string(text) != `[{"rev":3,"token":4},{"rev":5,"fault":"conflict","why":"because"}]` {
 		t.Errorf("%s, %v", text, err)
 	}
-	if _, err := w.Agreed(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
+	if _, err := w.PollCoordination(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	boot, err := w.NextStartTime(ctx, "u1", time.UnixMilli(1000))
