--- a/cmd/umberbank/lab_check.go
+++ b/cmd/umberbank/lab_check.go
@@ -22,7 +22,7 @@
 			fmt.Fprintln(env.stdout, err)
 			continue
 		}
-		fmt.Fprintf(env.stdout, "%s: in order: %d nodes at the front, %d faults, %v\n", f, sc.Nodes, len(sc.Faults), sc.Duration.D())
+		fmt.Fprintf(env.stdout, "%s: in order: %d nodes at the front, %d faults, %v\n", f, sc.Nodes, len(sc.Faults), sc.Duration.Std())
 	}
 	return result
 }
--- a/internal/lab/accounting.go
+++ b/internal/lab/accounting.go
@@ -19,46 +19,46 @@
 func (r *run) recordRequest(t traffic.Result) {
 	class := &r.site.Classes[t.Class]
 	c := r.result.Classes[class.Name]
-	second := r.secondAt(t.At)
+	second := r.secondAt(t.ArrivedAt)
 	c.Requests++
 	second.Requests[t.Class]++
 	second.RequestsByZone[t.Zone]++
 	r.result.Requests++
-	r.totals.clientAttempts += t.Tries
-	second.Retries += t.Tries - 1
-	if t.SentBy > maxSendDelay {
+	r.totals.clientAttempts += t.Attempts
+	second.Retries += t.Attempts - 1
+	if t.MaxSendDelay > maxSendDelay {
 		r.lateRequests++
 	}
-	r.maxDelay = max(r.maxDelay, t.SentBy)
-	if t.End == traffic.Gone { // a client that disconnects is owed nothing
+	r.maxDelay = max(r.maxDelay, t.MaxSendDelay)
+	if t.Outcome == traffic.Abandoned { // a client that disconnects is owed nothing
 		c.Abandoned++
 		return
 	}
-	lastQuarter := t.At >= r.site.Duration.D()*3/4
-	r.totals.requestedWeight += class.Worth
+	lastQuarter := t.ArrivedAt >= r.site.Duration.Std()*3/4
+	r.totals.requestedWeight += class.PriorityWeight
 	if lastQuarter {
 		r.totals.lastQuarterRequests++
 	}
-	switch t.End {
+	switch t.Outcome {
 	case traffic.Served:
 		c.Served++
 		second.Served[t.Class]++
 		second.ServedByZone[t.Zone]++
 		r.totals.served++
-		r.totals.servedWeight += class.Worth
+		r.totals.servedWeight += class.PriorityWeight
 		if lastQuarter {
 			r.totals.lastQuarterServed++
 		}
 	case traffic.Late:
 		c.Late++
-	case traffic.Refused:
+	case traffic.Rejected:
 		c.Rejected++
 		second.Rejected[t.Class]++
 	default:
 		c.Failed++
 		second.Failed[t.Class]++
 	}
-	if t.End == traffic.Served || t.End == traffic.Late {
+	if t.Outcome == traffic.Served || t.Outcome == traffic.Late {
 		recordLatency(c, second, t.Latency)
 	}
 }
@@ -77,7 +77,7 @@
 func (r *run) finish(partial bool) {
 	res := r.result
 	res.Partial, res.Events = partial, r.loop.Events()
-	res.Seconds = min(r.loop.Now(), r.site.Duration.D()).Seconds()
+	res.Seconds = min(r.loop.Now(), r.site.Duration.Std()).Seconds()
 	abandoned := 0
 	for _, c := range res.Classes {
 		abandoned += c.Abandoned
--- a/internal/lab/clocks.go
+++ b/internal/lab/clocks.go
@@ -24,10 +24,10 @@
 	settings := nodeSettings{site: r.site, byTier: map[int]balancer.Settings{}}
 	nodes := virtual.New(r.world, settings.of, r.newBalancer, r.nodeReady)
 	r.world.Backend = nodes
-	events := fault.Plan(r.site)
+	events := fault.Schedule(r.site)
 	nodes.StartAll()
 	r.start(events)
-	err := r.loop.RunVirtual(ctx, r.site.Duration.D()+r.drainTime())
+	err := r.loop.RunVirtual(ctx, r.site.Duration.Std()+r.drainTime())
 	return errors.Join(err, settings.err, nodes.Err())
 }
 
@@ -50,25 +50,25 @@
 // of returns the settings of a node.
 func (n *nodeSettings) of(node int) balancer.Settings {
 	site := n.site.Nodes[node]
-	settings, parsed := n.byTier[site.Tier]
+	settings, parsed := n.byTier[site.TargetTier]
 	if !parsed {
 		var err error
-		settings, _, err = simwire.ParseSettings(n.site.Settings(node))
+		settings, _, err = simwire.ParseSettings(n.site.NodeSettings(node))
 		if err != nil {
 			n.err = err
 		}
-		n.byTier[site.Tier] = settings
+		n.byTier[site.TargetTier] = settings
 	}
 	settings.ReplicaIndex = site.Index
-	if n.site.State.Keep {
-		settings.SnapshotMaxAge = n.site.State.Age.D()
+	if n.site.Snapshots.Enabled {
+		settings.SnapshotMaxAge = n.site.Snapshots.MaxAge.Std()
 	}
 	return settings
 }
 
 // playReal plays the run on real processes.
 func (r *run) playReal(ctx context.Context) error {
-	events := fault.Plan(r.site)
+	events := fault.Schedule(r.site)
 	processes, err := fleet.New(r.world, r.oracle, fleet.Options{
 		Node:    r.options.Node,
 		Replica: r.options.Replica,
@@ -80,14 +80,14 @@
 		return err
 	}
 	r.world.Backend, r.processUsage = processes, processes.Usage
-	return processes.Play(ctx, func() { r.start(events) }, r.site.Duration.D()+r.drainTime())
+	return processes.Play(ctx, func() { r.start(events) }, r.site.Duration.Std()+r.drainTime())
 }
 
 // drainTime is how long a run goes on after its load, so that the calls in flight can end.
 func (r *run) drainTime() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range r.site.Classes {
-		longest = max(longest, c.Deadline.D())
+		longest = max(longest, c.Deadline.Std())
 	}
 	return longest + time.Second
 }
--- a/internal/lab/fault/fault.go
+++ b/internal/lab/fault/fault.go
@@ -17,34 +17,34 @@
 // Event is one fault of the timetable with what it hits.
 type Event struct {
 	*scenario.Fault
-	From, To time.Duration // To is From if it does not last
-	Nodes    []int         // hit, or whose links are
-	Servers  []int
-	Replicas []int      // of the registry
-	pairs    [][2][]int // of a cut: nodes and servers that lose each other
-	into     []bool     // whether such a pair leads into the zone
-	seed     uint64
+	Start, End time.Duration // End is From if it does not last
+	Nodes      []int         // hit, or whose links are
+	Servers    []int
+	Replicas   []int      // of the registry
+	pairs      [][2][]int // of a cut: nodes and servers that lose each other
+	intoZone   []bool     // whether such a pair leads into the zone
+	seed       uint64
 }
 
-// Plan draws the timetable, in the order of time.
-func Plan(site *scenario.Site) []*Event {
+// Schedule draws the timetable, in the order of time.
+func Schedule(site *scenario.Site) []*Event {
 	var l []*Event
-	r := scenario.Rand(site.Seed, "faults")
+	r := scenario.NewRand(site.Seed, "faults")
 	for i := range site.Faults {
 		f := &site.Faults[i]
-		for n := range max(1, f.Repeat) {
-			from := f.At.D() + time.Duration(n)*f.Every.D()
-			e := &Event{Fault: f, From: from, To: from + f.For.D(), seed: r.Uint64()}
-			e.aim(site, r)
+		for n := range max(1, f.Repetitions) {
+			from := f.At.Std() + time.Duration(n)*f.Interval.Std()
+			e := &Event{Fault: f, Start: from, End: from + f.Duration.Std(), seed: r.Uint64()}
+			e.selectTargets(site, r)
 			l = append(l, e)
 		}
 	}
-	slices.SortStableFunc(l, func(a, b *Event) int { return int(a.From - b.From) })
+	slices.SortStableFunc(l, func(a, b *Event) int { return int(a.Start - b.Start) })
 	return l
 }
 
-// aim draws what a fault hits.
-func (e *Event) aim(site *scenario.Site, r *rand.Rand) {
+// selectTargets draws what a fault hits.
+func (e *Event) selectTargets(site *scenario.Site, r *rand.Rand) {
 	tier := -1
 	for i, t := range site.Tiers {
 		if t.Name == e.Tier {
@@ -57,8 +57,8 @@
 	}
 	var nodes, servers []int
 	for i, n := range site.Nodes {
-		front := n.Owner < 0 && (tier < 0 || tier == 0)
-		beside := n.Owner >= 0 && tier == n.Tier
+		front := n.OwnerServer < 0 && (tier < 0 || tier == 0)
+		beside := n.OwnerServer >= 0 && tier == n.TargetTier
 		named := len(e.Names) == 0 && (front || beside) || slices.Contains(e.Names, n.Name)
 		if named && inside(n.Zone) {
 			nodes = append(nodes, i)
@@ -69,35 +69,35 @@
 			servers = append(servers, i)
 		}
 	}
-	switch scenario.Target[e.Kind] {
-	case scenario.OnNodes, scenario.OnLists:
-		e.Nodes = e.some(nodes, r)
-	case scenario.OnServers:
-		e.Servers = e.some(servers, r)
-	case scenario.OnRegistry:
+	switch scenario.FaultTarget[e.Kind] {
+	case scenario.TargetNodes, scenario.TargetLists:
+		e.Nodes = e.drawTargets(nodes, r)
+	case scenario.TargetServers:
+		e.Servers = e.drawTargets(servers, r)
+	case scenario.TargetRegistry:
 		var replicas []int
 		for i := range site.Registry.Replicas {
 			if len(e.Names) == 0 || slices.Contains(e.Names, fmt.Sprint("r", i)) {
 				replicas = append(replicas, i)
 			}
 		}
-		e.Replicas = e.some(replicas, r)
-	case scenario.OnLinks:
+		e.Replicas = e.drawTargets(replicas, r)
+	case scenario.TargetLinks:
 		if e.Kind == "cut" {
-			e.cut(site, inside)
+			e.partition(site, inside)
 			return
 		}
-		e.Servers = e.some(servers, r)
+		e.Servers = e.drawTargets(servers, r)
 		for i, n := range site.Nodes {
-			if len(e.Fault.From) == 0 || slices.Contains(e.Fault.From, n.Name) {
+			if len(e.Fault.FromNodes) == 0 || slices.Contains(e.Fault.FromNodes, n.Name) {
 				e.Nodes = append(e.Nodes, i)
 			}
 		}
 	}
 }
 
-// some draws as many as the fault wants, else takes all.
-func (e *Event) some(l []int, r *rand.Rand) []int {
+// drawTargets draws as many as the fault wants, else takes all.
+func (e *Event) drawTargets(l []int, r *rand.Rand) []int {
 	n := len(l)
 	switch {
 	case e.Count > 0:
@@ -115,8 +115,8 @@
 	return picked
 }
 
-// cut parts a zone or region from all others.
-func (e *Event) cut(site *scenario.Site, inside func(zone int) bool) {
+// partition parts a zone or region from all others.
+func (e *Event) partition(site *scenario.Site, inside func(zone int) bool) {
 	var nodes, servers [2][]int // outside, inside
 	for i, n := range site.Nodes {
 		in := b2i(inside(n.Zone))
@@ -127,7 +127,7 @@
 		servers[in] = append(servers[in], i)
 	}
 	e.pairs = [][2][]int{{nodes[0], servers[1]}, {nodes[1], servers[0]}}
-	e.into = []bool{true, false}
+	e.intoZone = []bool{true, false}
 	e.Nodes, e.Servers = nodes[1], servers[1]
 }
 
@@ -138,8 +138,8 @@
 	return 0
 }
 
-// Links names every link from a node to a server that an event may touch.
-func Links(events []*Event, site *scenario.Site, touch func(node, server int)) {
+// ForEachLink names every link from a node to a server that an event may touch.
+func ForEachLink(events []*Event, site *scenario.Site, touch func(node, server int)) {
 	for _, e := range events {
 		pairs := e.pairs
 		switch e.Kind {
@@ -155,7 +155,7 @@
 		for _, p := range pairs {
 			for _, n := range p[0] {
 				for _, s := range p[1] {
-					if site.Nodes[n].Tier == site.Servers[s].Tier {
+					if site.Nodes[n].TargetTier == site.Servers[s].Tier {
 						touch(n, s)
 					}
 				}
@@ -164,61 +164,61 @@
 	}
 }
 
-// Player carries the timetable out.
-type Player struct {
-	World   *model.World
-	Clients *traffic.Clients
-	Process func(node int, act model.ProcessAct) // tells everybody concerned
-	Note    func(e *Event, on bool)              // hears of every beginning and end
+// Injector carries the timetable out.
+type Injector struct {
+	World          *model.World
+	Clients        *traffic.Clients
+	ControlProcess func(node int, act model.ProcessAction) // tells everybody concerned
+	Notify         func(e *Event, on bool)                 // hears of every beginning and end
 }
 
 // Start plans all events on the loop.
-func (p *Player) Start(events []*Event) {
+func (p *Injector) Start(events []*Event) {
 	for _, e := range events {
-		p.World.Loop.At(e.From, func() {
-			p.Note(e, true)
-			p.play(e)
+		p.World.Loop.At(e.Start, func() {
+			p.Notify(e, true)
+			p.inject(e)
 		})
 	}
 }
 
 // during runs f with true now and with false when the event's time is over.
-func (p *Player) during(e *Event, f func(on bool)) {
+func (p *Injector) during(e *Event, f func(on bool)) {
 	f(true)
-	p.World.Loop.At(e.To, func() {
-		p.Note(e, false)
+	p.World.Loop.At(e.End, func() {
+		p.Notify(e, false)
 		f(false)
 	})
 }
 
-func (p *Player) play(e *Event) {
-	switch scenario.Target[e.Kind] {
-	case scenario.OnNodes:
-		p.playNodes(e)
-	case scenario.OnServers:
-		p.playServers(e)
-	case scenario.OnLinks:
-		p.playLinks(e)
-	case scenario.OnLists:
-		p.playLists(e)
-	case scenario.OnLoad:
-		p.playLoad(e)
-	case scenario.OnRegistry:
-		p.during(e, func(on bool) { p.World.Backend.Replicas(e.Replicas, e.Kind, on) })
+func (p *Injector) inject(e *Event) {
+	switch scenario.FaultTarget[e.Kind] {
+	case scenario.TargetNodes:
+		p.injectIntoNodes(e)
+	case scenario.TargetServers:
+		p.injectIntoServers(e)
+	case scenario.TargetLinks:
+		p.injectIntoLinks(e)
+	case scenario.TargetLists:
+		p.injectIntoLists(e)
+	case scenario.TargetLoad:
+		p.injectIntoLoad(e)
+	case scenario.TargetRegistry:
+		p.during(e, func(on bool) { p.World.Backend.FaultReplicas(e.Replicas, e.Kind, on) })
 	}
 }
 
-func (p *Player) playNodes(e *Event) {
-	act := map[string][2]model.ProcessAct{"kill": {model.Kill, model.Start}, "term": {model.Terminate, model.Start},
+func (p *Injector) injectIntoNodes(e *Event) {
+	act := map[string][2]model.ProcessAction{"kill": {model.Kill, model.Start}, "term": {model.Terminate, model.Start},
 		"stop": {model.Pause, model.Resume}}[e.Kind]
 	p.during(e, func(on bool) {
 		for _, n := range e.Nodes {
-			p.Process(n, act[b2i(!on)])
+			p.ControlProcess(n, act[b2i(!on)])
 		}
 	})
 }
 
-func (p *Player) playServers(e *Event) {
+func (p *Injector) injectIntoServers(e *Event) {
 	refused := map[int]bool{} // drains that the budget did not allow
 	p.during(e, func(on bool) {
 		for _, i := range e.Servers {
@@ -226,34 +226,34 @@
 			switch e.Kind {
 			case "crash", "vanish":
 				if on {
-					s.Down(e.Kind == "vanish")
+					s.Stop(e.Kind == "vanish")
 				} else {
 					s.Start()
 				}
 			case "lease-loss":
-				p.World.Backend.Lease(i, !on)
+				p.World.Backend.SetHeartbeats(i, !on)
 			case "hang":
-				s.Hang(on)
+				s.SetHanging(on)
 			case "slow":
-				s.Slow(e.Factor, on)
+				s.SetSlowdown(e.Factor, on)
 			case "error":
-				s.Err(e.Factor, on)
+				s.SetErrorRate(e.Factor, on)
 			case "turn-away":
-				s.TurnAway(on)
+				s.SetRejecting(on)
 			case "drain":
-				p.drain(i, on, refused)
+				p.drainServer(i, on, refused)
 			}
 		}
 	})
 }
 
-// drain drains a server, by permit where there is a budget, or ends that by a restart.
-func (p *Player) drain(server int, on bool, refused map[int]bool) {
+// drainServer drains a server, by permit where there is a budget, or ends that by a restart.
+func (p *Injector) drainServer(server int, on bool, refused map[int]bool) {
 	s := p.World.Servers[server]
 	switch {
-	case on && p.World.Site.Budget.Set():
+	case on && p.World.Site.Budget.Enabled():
 		refused[server] = true // until it is given
-		p.World.Backend.Take(server, func(why error) {
+		p.World.Backend.RequestPermit(server, func(why error) {
 			if why == nil {
 				refused[server] = false
 				s.Drain()
@@ -262,7 +262,7 @@
 	case on:
 		s.Drain()
 	case !refused[server]:
-		s.Down(false)
+		s.Stop(false)
 		p.World.Loop.After(restartAfter, s.Start)
 	}
 }
@@ -270,29 +270,29 @@
 // restartAfter is how long a drained server is down before it starts anew.
 const restartAfter = 500 * time.Millisecond
 
-func (p *Player) playLinks(e *Event) {
-	pairs, into := e.pairs, e.into
+func (p *Injector) injectIntoLinks(e *Event) {
+	pairs, into := e.pairs, e.intoZone
 	if e.Kind != "cut" {
 		pairs, into = [][2][]int{{e.Nodes, e.Servers}}, []bool{true}
 	}
-	var effects []*model.Effect
+	var effects []*model.Impairment
 	for i := range pairs {
 		// "there" is towards the servers, or into the zone of a cut.
 		there, back := e.Direction != "back", e.Direction != "there"
 		if !into[i] {
 			there, back = back, there
 		}
-		effects = append(effects, &model.Effect{Delay: e.Delay.D(), Jitter: e.Jitter.D(), Rate: e.Rate, There: there, Back: back,
-			Silent: e.Kind == "silence" || e.Kind == "cut", Refuse: e.Kind == "refuse", Reset: e.Kind == "reset"})
+		effects = append(effects, &model.Impairment{Delay: e.Delay.Std(), Jitter: e.Jitter.Std(), BytesPerSecond: e.BytesPerSecond, ToServer: there, ToNode: back,
+			Stall: e.Kind == "silence" || e.Kind == "cut", Refuse: e.Kind == "refuse", Reset: e.Kind == "reset"})
 	}
 	p.during(e, func(on bool) {
 		for i, pair := range pairs {
-			p.World.Backend.Links(pair[0], pair[1], effects[i], on)
+			p.World.Backend.ImpairLinks(pair[0], pair[1], effects[i], on)
 		}
 	})
 }
 
-func (p *Player) playLists(e *Event) {
+func (p *Injector) injectIntoLists(e *Event) {
 	d := p.World.Directory
 	r := rand.New(rand.NewPCG(e.seed, 0))
 	gone := map[int]bool{}
@@ -303,34 +303,34 @@
 		for _, n := range e.Nodes {
 			switch e.Kind {
 			case "stale":
-				d.Stale(n, e.Delay.D(), on)
+				d.AddDelay(n, e.Delay.Std(), on)
 			case "empty":
-				d.Hide(n, when(on, func(model.Entry) bool { return true }))
+				d.HideEntries(n, ifOn(on, func(model.Entry) bool { return true }))
 			case "shrink":
-				d.Hide(n, when(on, func(en model.Entry) bool { return gone[en.Server] }))
+				d.HideEntries(n, ifOn(on, func(en model.Entry) bool { return gone[en.Server] }))
 			case "reorder":
-				d.Rewind(n, on)
+				d.ShowOldList(n, on)
 			case "mute":
-				d.Mute(n, on)
+				d.MuteWatches(n, on)
 			}
 		}
 	})
 }
 
-func when(on bool, mask func(model.Entry) bool) func(model.Entry) bool {
+func ifOn(on bool, mask func(model.Entry) bool) func(model.Entry) bool {
 	if on {
 		return mask
 	}
 	return nil
 }
 
-func (p *Player) playLoad(e *Event) {
+func (p *Injector) injectIntoLoad(e *Event) {
 	class := slices.IndexFunc(p.World.Site.Classes, func(c scenario.Class) bool { return c.Name == e.Class })
 	p.during(e, func(on bool) {
 		if e.Kind == "burst" {
-			p.Clients.Burst(e.Factor, on)
+			p.Clients.SetBurst(e.Factor, on)
 		} else {
-			p.Clients.Heavy(class, e.Share, e.Factor, on)
+			p.Clients.SetHeavy(class, e.Share, e.Factor, on)
 		}
 	})
 }
--- a/internal/lab/fleet/agent.go
+++ b/internal/lab/fleet/agent.go
@@ -139,7 +139,7 @@
 			return err
 		}
 		l := f.world.Directory.List(i)
-		a := &discoveryAgent{addr: ln.Addr().String(), changed: make(chan struct{}), revision: l.Rev + 1, fullList: f.encodeList(i, l)}
+		a := &discoveryAgent{addr: ln.Addr().String(), changed: make(chan struct{}), revision: l.Revision + 1, fullList: f.encodeList(i, l)}
 		f.agents = append(f.agents, a)
 		f.serveHTTP(ln, &http.Server{Handler: a})
 	}
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -40,9 +40,9 @@
 	x := &exchange{}
 	text := f.request(c)
 	go func() {
-		late := f.world.Loop.Elapsed() - c.Sent
-		a := f.pools[c.Node].exchange(x, text, c.Left+time.Second)
-		a.Late = late
+		late := f.world.Loop.Elapsed() - c.SentAt
+		a := f.pools[c.Node].exchange(x, text, c.Timeout+time.Second)
+		a.SendDelay = late
 		f.world.Loop.Post(func() {
 			x.mu.Lock()
 			gone := x.disconnected
@@ -65,12 +65,12 @@
 	b = append(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "...)
 	b = append(b, c.ID...)
 	b = append(b, "\r\nX-Time-Left: "...)
-	b = strconv.AppendInt(b, int64(c.Left/time.Microsecond), 10)
+	b = strconv.AppendInt(b, int64(c.Timeout/time.Microsecond), 10)
 	b = append(b, "u\r\n"...)
 	if key != "" {
 		b = append(b, "Idempotency-Key: "+key+"\r\n"...)
 	}
-	if c.Repeat {
+	if c.IsRetry {
 		b = append(b, "X-Repeat: 1\r\n"...)
 	}
 	if method == http.MethodPost {
@@ -86,7 +86,7 @@
 func requestForm(w *model.World, c *model.Call) (method, path, key, body string) {
 	class := &w.Site.Classes[c.Class]
 	path = "/" + class.Name + "/" + c.ID + "?tier=" + w.Site.Tiers[c.Tier].Name
-	switch class.Effect {
+	switch class.Idempotency {
 	case "safe":
 		return http.MethodGet, path, "", ""
 	case "keyed":
@@ -98,7 +98,7 @@
 // retainCall keeps a call as long as an attempt of it may arrive at a server.
 func (f *Fleet) retainCall(c *model.Call) {
 	f.calls[c.ID] = c
-	f.world.Loop.After(c.Left+lateAttemptRetention, func() { delete(f.calls, c.ID) })
+	f.world.Loop.After(c.Timeout+lateAttemptRetention, func() { delete(f.calls, c.ID) })
 }
 
 // lateAttemptRetention is how long after a call's deadline that is.
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -19,19 +19,19 @@
 }
 
 // encodeList encodes a list for a node.
-func (f *Fleet) encodeList(node int, l model.List) []byte {
+func (f *Fleet) encodeList(node int, l model.EndpointList) []byte {
 	type message struct {
 		Rev     int64        `json:"rev"`
 		All     bool         `json:"all"`
 		Targets []listTarget `json:"targets"`
 	}
-	m := message{Rev: l.Rev + 1, All: l.All, Targets: []listTarget{}} // revision 0 means none
+	m := message{Rev: l.Revision + 1, All: l.Complete, Targets: []listTarget{}} // revision 0 means none
 	for _, e := range l.Entries {
 		s := &f.world.Site.Servers[e.Server]
-		t := listTarget{UID: s.Name, Endpoint: f.linkAddr(node, e.Server), Zone: f.world.Site.Zones[s.Zone].Name, Kind: s.Kind.Name,
-			Rack: s.Rack, State: e.State.String(), Capacity: s.Size()}
-		if e.Boot >= 0 {
-			t.StartTimeMS = float64(f.startedAt.Add(e.Boot).UnixMicro()) / 1000
+		t := listTarget{UID: s.Name, Endpoint: f.linkAddr(node, e.Server), Zone: f.world.Site.Zones[s.Zone].Name, Kind: s.MachineType.Name,
+			Rack: s.Rack, State: e.State.String(), Capacity: s.AdvertisedCapacity()}
+		if e.StartTime >= 0 {
+			t.StartTimeMS = float64(f.startedAt.Add(e.StartTime).UnixMicro()) / 1000
 		}
 		m.Targets = append(m.Targets, t)
 	}
@@ -42,17 +42,17 @@
 	return text
 }
 
-// Tell passes an endpoint update to a node's agent.
-func (f *Fleet) Tell(node int, l model.List) {
+// SendList passes an endpoint update to a node's agent.
+func (f *Fleet) SendList(node int, l model.EndpointList) {
 	full := l
-	if !l.All {
+	if !l.Complete {
 		full = f.world.Directory.List(node)
 	}
-	f.agents[node].push(l.Rev+1, f.encodeList(node, l), f.encodeList(node, full), l.All)
+	f.agents[node].push(l.Revision+1, f.encodeList(node, l), f.encodeList(node, full), l.Complete)
 }
 
-// Mute starts or ends the silence of a node's watches.
-func (f *Fleet) Mute(node int, on bool) {
+// MuteWatches starts or ends the silence of a node's watches.
+func (f *Fleet) MuteWatches(node int, on bool) {
 	a := f.agents[node]
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,8 +22,8 @@
 
 // Observer is notified of events that only a fleet of real processes has. All calls are on the loop.
 type Observer interface {
-	Told(node, server int, st model.State)
-	Process(node int, act model.ProcessAct)
+	NodeNotified(node, server int, st model.State)
+	Process(node int, act model.ProcessAction)
 	Stray(node, server int, id, reason string)
 	Crashed(node int, reason string)
 }
@@ -85,7 +85,7 @@
 	}
 	f.launcher = process.NewLauncher()
 	touched := map[nodeServer]bool{}
-	fault.Links(opt.Events, w.Site, func(node, server int) { touched[nodeServer{node, server}] = true })
+	fault.ForEachLink(opt.Events, w.Site, func(node, server int) { touched[nodeServer{node, server}] = true })
 	if err = f.startServers(touched); err != nil {
 		return f, err
 	}
--- a/internal/lab/fleet/leases.go
+++ b/internal/lab/fleet/leases.go
@@ -18,9 +18,9 @@
 // instance returns a server in the form in which it registers.
 func (r *registry) instance(server int, st model.State) *state.Instance {
 	s := &r.fleet.world.Site.Servers[server]
-	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.fleet.world.Site.Tiers[s.Tier].Name, Zone: r.fleet.world.Site.Zones[s.Zone].Name, Region: r.fleet.world.Site.Zones[s.Zone].Region, Kind: s.Kind.Name,
-		Rack: s.Rack, State: st.String(), Capacity: s.Size(), TTLMS: time.Duration(r.fleet.world.Site.Registry.TTL).Milliseconds()}
-	if boot := r.fleet.world.Servers[server].Boot(); boot >= 0 {
+	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.fleet.world.Site.Tiers[s.Tier].Name, Zone: r.fleet.world.Site.Zones[s.Zone].Name, Region: r.fleet.world.Site.Zones[s.Zone].Region, Kind: s.MachineType.Name,
+		Rack: s.Rack, State: st.String(), Capacity: s.AdvertisedCapacity(), TTLMS: time.Duration(r.fleet.world.Site.Registry.LeaseTTL).Milliseconds()}
+	if boot := r.fleet.world.Servers[server].StartTime(); boot >= 0 {
 		e.StartTimeMS = float64(r.fleet.startedAt.Add(boot).UnixMicro()) / 1000
 	}
 	return e
@@ -35,7 +35,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.leases[server] = &lease{cancel}
 	e := r.instance(server, st)
-	ttl := r.fleet.world.Site.Registry.TTL.D()
+	ttl := r.fleet.world.Site.Registry.LeaseTTL.Std()
 	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return // only without endpoints
@@ -61,8 +61,8 @@
 	}
 }
 
-// Publish registers the state of a server that serves or drains. Removed servers are detected by their lease.
-func (f *Fleet) Publish(server int, st model.State) bool {
+// PublishState registers the state of a server that serves or drains. Removed servers are detected by their lease.
+func (f *Fleet) PublishState(server int, st model.State) bool {
 	if f.registry == nil {
 		return false
 	}
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Lease lets a server's heartbeats reach the registry, or drops them.
-func (f *Fleet) Lease(server int, reach bool) {
+// SetHeartbeats lets a server's heartbeats reach the registry, or drops them.
+func (f *Fleet) SetHeartbeats(server int, reach bool) {
 	r := f.registry
 	if r == nil {
 		return
@@ -81,7 +81,7 @@
 	r.heartbeatsLost[server] = !reach
 	if !reach {
 		r.dropLease(server)
-	} else if f.world.Servers[server].Up() {
+	} else if f.world.Servers[server].IsUp() {
 		r.acquireLease(server, model.Serving)
 	}
 }
@@ -89,8 +89,8 @@
 // permitTimeout bounds the request for a permit.
 const permitTimeout = 2 * time.Second
 
-// Take requests a disruption permit for a server from the registry, and begins it.
-func (f *Fleet) Take(server int, done func(error)) {
+// RequestPermit requests a disruption permit for a server from the registry, and begins it.
+func (f *Fleet) RequestPermit(server int, done func(error)) {
 	r := f.registry
 	if r == nil {
 		done(errors.New("a budget wants a registry on real processes"))
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -15,7 +15,7 @@
 type link struct {
 	addr            string
 	relay           *relay.Relay // nil: no fault touches the link
-	impairments     map[*model.Effect]*relay.Impairment
+	impairments     map[*model.Impairment]*relay.Impairment
 	downImpairments []*relay.Impairment // of a server that is down
 	jobs            chan func() error   // run in order beside the loop, which must not wait for a relay
 }
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// Links adds an effect to links, or removes it.
-func (f *Fleet) Links(nodes, servers []int, e *model.Effect, on bool) {
+// ImpairLinks adds an effect to links, or removes it.
+func (f *Fleet) ImpairLinks(nodes, servers []int, e *model.Impairment, on bool) {
 	for _, n := range nodes {
 		for _, s := range servers {
 			l := f.links[nodeServer{n, s}]
@@ -66,11 +66,11 @@
 			r := &relay.Impairment{
 				Delay:          e.Delay,
 				Jitter:         e.Jitter,
-				Stall:          e.Silent,
+				Stall:          e.Stall,
 				Refuse:         e.Refuse,
-				BytesPerSecond: e.Rate,
-				ToTarget:       e.There,
-				FromTarget:     e.Back,
+				BytesPerSecond: e.BytesPerSecond,
+				ToTarget:       e.ToServer,
+				FromTarget:     e.ToNode,
 			}
 			l.impairments[e] = r
 			l.jobs <- func() error {
--- a/internal/lab/fleet/pool.go
+++ b/internal/lab/fleet/pool.go
@@ -103,18 +103,18 @@
 	}
 	c, err := p.dial(timeout)
 	if err != nil {
-		return model.Answer{Reply: model.Unreached}
+		return model.Answer{Reply: model.Unreachable}
 	}
 	a, unread := p.roundTrip(x, c, text, timeout)
 	if unread {
-		a.Reply = model.Lost
+		a.Reply = model.ConnectionLost
 	}
 	return a
 }
 
 // roundTrip uses one connection. unread says that it ended before the first byte of an answer.
 func (p *connectionPool) roundTrip(x *exchange, c *poolConn, text []byte, timeout time.Duration) (a model.Answer, unread bool) {
-	a.Reply = model.Lost
+	a.Reply = model.ConnectionLost
 	if !x.use(c) {
 		p.discard(c)
 		return a, false
@@ -149,7 +149,7 @@
 		return model.Answer{Reply: model.Served, Body: string(body)}, false
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		advice, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent or unreadable: no advice
-		return model.Answer{Reply: model.Refused, RetryAfter: time.Duration(advice * float64(time.Second))}, false
+		return model.Answer{Reply: model.Rejected, RetryAfter: time.Duration(advice * float64(time.Second))}, false
 	}
 	return model.Answer{Reply: model.Failed}, false
 }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -70,7 +70,7 @@
 
 // awaitReady polls a node until it is ready, ctx ends, or its time to start up is over.
 func (f *Fleet) awaitReady(ctx context.Context, node int) error {
-	ctx, cancel := context.WithTimeout(ctx, f.world.Site.Limits.StartUpWithin.D())
+	ctx, cancel := context.WithTimeout(ctx, f.world.Site.Limits.StartTimeout.Std())
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -86,7 +86,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("node %s is not ready after %v", f.world.Site.Nodes[node].Name, f.world.Site.Limits.StartUpWithin.D())
+			return fmt.Errorf("node %s is not ready after %v", f.world.Site.Nodes[node].Name, f.world.Site.Limits.StartTimeout.Std())
 		case <-time.After(readyPollInterval):
 		}
 	}
@@ -95,8 +95,8 @@
 // readyPollInterval is the interval at which a starting node is polled.
 const readyPollInterval = 10 * time.Millisecond
 
-// Process applies an action to a node's process.
-func (f *Fleet) Process(node int, act model.ProcessAct) {
+// ControlProcess applies an action to a node's process.
+func (f *Fleet) ControlProcess(node int, act model.ProcessAction) {
 	p := f.processes[node]
 	switch act {
 	case model.Start:
@@ -128,7 +128,7 @@
 func (f *Fleet) shutdownTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.world.Site.Classes {
-		longest = max(longest, c.Deadline.D())
+		longest = max(longest, c.Deadline.Std())
 	}
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
@@ -192,14 +192,14 @@
 	known := a.fullList
 	a.mu.Unlock()
 	var state any
-	if s := f.world.Site.State; s.Keep {
-		state = map[string]any{"dir": filepath.Join(f.dir, n.Name+".state"), "every_ms": s.Every.D().Milliseconds(), "max_age_ms": s.Age.D().Milliseconds()}
+	if s := f.world.Site.Snapshots; s.Enabled {
+		state = map[string]any{"dir": filepath.Join(f.dir, n.Name+".state"), "every_ms": s.Interval.Std().Milliseconds(), "max_age_ms": s.MaxAge.Std().Milliseconds()}
 	}
 	text, err := json.Marshal(map[string]any{
 		"state": state, "name": n.Name, "listen": f.nodeAddr(node), "discovery": a.addr, "seed": fmt.Sprintf("%016x", seed),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": l.MemoryMB, "sockets": l.Sockets},
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": l.MaxMemoryMB, "sockets": l.MaxSockets},
 		"known":    json.RawMessage(known),
-		"settings": json.RawMessage(f.world.Site.Settings(node)),
+		"settings": json.RawMessage(f.world.Site.NodeSettings(node)),
 	})
 	if err != nil {
 		panic(err) // every value in it can be encoded
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -38,7 +38,7 @@
 // startRegistry starts the replicas, registers all servers and lets the agents follow. It returns once every agent has the full list.
 func (f *Fleet) startRegistry() error {
 	config := ""
-	if f.world.Site.Registry.NoGuard {
+	if f.world.Site.Registry.DisableExpiryGuard {
 		config = unguarded
 	}
 	replicas, err := cluster.New(f.options.Replica, f.world.Site.Registry.Replicas, config)
@@ -93,10 +93,10 @@
 
 // setLimits writes the site's disruption budget, if it has one.
 func (r *registry) setLimits(ctx context.Context) error {
-	if !r.fleet.world.Site.Budget.Set() {
+	if !r.fleet.world.Site.Budget.Enabled() {
 		return nil
 	}
-	limits := r.fleet.world.Site.BudgetLimits()
+	limits := r.fleet.world.Site.DisruptionLimits()
 	writer, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
 		return err
@@ -130,8 +130,8 @@
 	r.cluster.Close()
 }
 
-// Replicas begins or ends a fault at replicas: registry-kill, registry-stop or a partition.
-func (f *Fleet) Replicas(replicas []int, kind string, on bool) {
+// FaultReplicas begins or ends a fault at replicas: registry-kill, registry-stop or a partition.
+func (f *Fleet) FaultReplicas(replicas []int, kind string, on bool) {
 	r := f.registry
 	if r == nil {
 		return
@@ -181,7 +181,7 @@
 	}
 	want := 0
 	for i := range r.fleet.world.Site.Servers {
-		if r.fleet.world.Site.Servers[i].Tier == r.fleet.world.Site.Nodes[node].Tier {
+		if r.fleet.world.Site.Servers[i].Tier == r.fleet.world.Site.Nodes[node].TargetTier {
 			want++
 		}
 	}
@@ -216,15 +216,15 @@
 	l := map[int]model.Entry{}
 	for _, e := range v.Instances {
 		i, known := r.serverIndex[e.UID]
-		if !known || r.fleet.world.Site.Servers[i].Tier != r.fleet.world.Site.Nodes[node].Tier {
+		if !known || r.fleet.world.Site.Servers[i].Tier != r.fleet.world.Site.Nodes[node].TargetTier {
 			continue
 		}
-		en := model.Entry{Server: i, Boot: -time.Hour}
+		en := model.Entry{Server: i, StartTime: -time.Hour}
 		if e.State == state.Draining {
 			en.State = model.Draining
 		}
 		if e.StartTimeMS > 0 {
-			en.Boot = time.UnixMicro(int64(e.StartTimeMS * 1000)).Sub(r.fleet.startedAt)
+			en.StartTime = time.UnixMicro(int64(e.StartTimeMS * 1000)).Sub(r.fleet.startedAt)
 		}
 		l[i] = en
 	}
@@ -254,9 +254,9 @@
 	}
 	if observed {
 		for _, e := range changed {
-			r.fleet.observer.Told(node, e.Server, e.State)
+			r.fleet.observer.NodeNotified(node, e.Server, e.State)
 		}
 	}
 	rev-- // messages count from 1
-	r.fleet.agents[node].push(rev+1, r.fleet.encodeList(node, model.List{Rev: rev, Entries: changed}), r.fleet.encodeList(node, model.List{Rev: rev, All: true, Entries: full}), !observed)
+	r.fleet.agents[node].push(rev+1, r.fleet.encodeList(node, model.EndpointList{Revision: rev, Entries: changed}), r.fleet.encodeList(node, model.EndpointList{Revision: rev, Complete: true, Entries: full}), !observed)
 }
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -36,20 +36,20 @@
 			ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
 				return context.WithValue(ctx, connectionKey{}, &connectionState{linkEnd: ctx.Value(connectionKey{}).(linkEnd)})
 			},
-			IdleTimeout: f.world.Site.Limits.Idle.D(),
+			IdleTimeout: f.world.Site.Limits.IdleTimeout.Std(),
 		}
 		open := &atomic.Int64{}
 		for n := range f.world.Site.Nodes {
-			if f.world.Site.Nodes[n].Tier != f.world.Site.Servers[s].Tier {
+			if f.world.Site.Nodes[n].TargetTier != f.world.Site.Servers[s].Tier {
 				continue
 			}
 			ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 			if err != nil {
 				return err
 			}
-			l := &link{addr: ln.Addr().String(), impairments: map[*model.Effect]*relay.Impairment{}}
+			l := &link{addr: ln.Addr().String(), impairments: map[*model.Impairment]*relay.Impairment{}}
 			f.links[nodeServer{n, s}] = l
-			f.serveHTTP(&linkListener{ln, linkEnd{n, s}, open, int64(f.world.Site.Servers[s].Kind.Connections)}, srv)
+			f.serveHTTP(&linkListener{ln, linkEnd{n, s}, open, int64(f.world.Site.Servers[s].MachineType.MaxConnections)}, srv)
 			if touched[nodeServer{n, s}] {
 				if err := f.addRelay(l, host); err != nil {
 					return err
@@ -81,7 +81,7 @@
 	fresh := !conn.used
 	conn.used = true
 	responses := make(chan response, 1)
-	at := &model.Attempt{Node: conn.node, First: first, Fresh: fresh}
+	at := &model.Attempt{Node: conn.node, FirstByteAt: first, NewConnection: fresh}
 	at.Done = func(o model.Outcome, body string) { responses <- response{outcome: o, body: body} }
 	id := r.Header.Get("X-Correlation-Id")
 	f.world.Loop.Post(func() {
@@ -110,11 +110,11 @@
 	switch {
 	case v.unsolicited:
 		http.Error(w, "no client sent this", http.StatusBadRequest)
-	case v.outcome == model.Done:
+	case v.outcome == model.Completed:
 		io.WriteString(w, v.body)
-	case v.outcome == model.Errored:
+	case v.outcome == model.ServerError:
 		w.WriteHeader(http.StatusInternalServerError)
-	case v.outcome == model.TurnedAway:
+	case v.outcome == model.ServerRejected:
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default: // reset, or dropped while the sender still reads
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -78,7 +78,7 @@
 	r := &run{options: opt, site: site, loop: sim.New()}
 	r.oracle = oracle.New(r.loop, site)
 	r.world = model.NewWorld(r.loop, site, r.oracle)
-	r.world.Process = r.applyProcessAction
+	r.world.ControlProcess = r.applyProcessAction
 	r.oracle.SetWorld(r.world)
 	r.front = traffic.NewFront(r.world)
 	r.clients = traffic.New(r.world, r.front, r.recordRequest)
@@ -89,27 +89,27 @@
 // start starts the load, the faults and the sampling.
 func (r *run) start(events []*fault.Event) {
 	now := r.loop.Now()
-	player := &fault.Player{World: r.world, Clients: r.clients, Process: r.applyProcessAction, Note: r.recordFault}
+	player := &fault.Injector{World: r.world, Clients: r.clients, ControlProcess: r.applyProcessAction, Notify: r.recordFault}
 	player.Start(events)
 	r.clients.Start()
 	r.sampleEverySecond(now)
 }
 
 // applyProcessAction applies an action to a node's process and informs oracle and clients.
-func (r *run) applyProcessAction(node int, act model.ProcessAct) {
+func (r *run) applyProcessAction(node int, act model.ProcessAction) {
 	r.options.Log("%v %v %s", r.loop.Now().Round(time.Millisecond), act, r.site.Nodes[node].Name)
 	if act != model.Start { // a start counts when the node is ready
 		r.oracle.Process(node, act)
 	}
 	if act == model.Kill || act == model.Terminate {
-		r.front.Died(node)
+		r.front.NodeDied(node)
 	}
-	r.world.Backend.Process(node, act)
+	r.world.Backend.ControlProcess(node, act)
 }
 
 // nodeReady is called when a node's process is ready to serve.
 func (r *run) nodeReady(node int) {
 	r.oracle.Process(node, model.Start)
-	r.front.Ready(node)
+	r.front.NodeReady(node)
 	r.world.NodeReady(node)
 }
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -13,27 +13,27 @@
 	"umberbank/internal/lab/sim"
 )
 
-// nobody is an Observer and a Backend for servers that stand alone.
-type nobody struct{ fell int }
+// stubBackend is an Observer and a Backend for servers that stand alone.
+type stubBackend struct{ fell int }
 
-func (*nobody) Sent(*Call)                          {}
-func (*nobody) Answered(*Call, Answer)              {}
-func (*nobody) Left(*Call)                          {}
-func (*nobody) Arrived(*Attempt, int)               {}
-func (*nobody) Ended(*Attempt, Outcome)             {}
-func (*nobody) Told(int, int, State)                {}
-func (n *nobody) Fell(int)                          { n.fell++ }
-func (*nobody) Send(*Call, func(Answer)) func()     { panic("no tier below") }
-func (*nobody) Tell(int, List)                      {}
-func (*nobody) Process(int, ProcessAct)             {}
-func (*nobody) Mute(int, bool)                      {}
-func (*nobody) Take(int, func(error))               {}
-func (*nobody) Links(_, _ []int, _ *Effect, _ bool) {}
-func (*nobody) ServerDown(int, bool)                {}
-func (*nobody) Publish(int, State) bool             { return false }
-func (*nobody) Lease(int, bool)                     {}
-func (*nobody) Replicas([]int, string, bool)        {}
-func (*nobody) ServerUp(int)                        {}
+func (*stubBackend) CallSent(*Call)                                {}
+func (*stubBackend) CallAnswered(*Call, Answer)                    {}
+func (*stubBackend) CallAbandoned(*Call)                           {}
+func (*stubBackend) AttemptArrived(*Attempt, int)                  {}
+func (*stubBackend) AttemptEnded(*Attempt, Outcome)                {}
+func (*stubBackend) NodeNotified(int, int, State)                  {}
+func (n *stubBackend) ServerCrashed(int)                           { n.fell++ }
+func (*stubBackend) Send(*Call, func(Answer)) func()               { panic("no tier below") }
+func (*stubBackend) SendList(int, EndpointList)                    {}
+func (*stubBackend) ControlProcess(int, ProcessAction)             {}
+func (*stubBackend) MuteWatches(int, bool)                         {}
+func (*stubBackend) RequestPermit(int, func(error))                {}
+func (*stubBackend) ImpairLinks(_, _ []int, _ *Impairment, _ bool) {}
+func (*stubBackend) ServerDown(int, bool)                          {}
+func (*stubBackend) PublishState(int, State) bool                  { return false }
+func (*stubBackend) SetHeartbeats(int, bool)                       {}
+func (*stubBackend) FaultReplicas([]int, string, bool)             {}
+func (*stubBackend) ServerUp(int)                                  {}
 
 const one = `nodes = 1
 [[tier]]
@@ -50,12 +50,12 @@
 rate = 1
 `
 
-func alone(t interface{ Fatal(...any) }, speed float64) (*World, *Server, *nobody) {
+func alone(t interface{ Fatal(...any) }, speed float64) (*World, *Server, *stubBackend) {
 	s, err := scenario.Parse("one", []byte(fmt.Sprintf(one, speed, speed)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &nobody{}
+	n := &stubBackend{}
 	w := NewWorld(sim.New(), scenario.NewSite(s, 1), n)
 	w.Backend = n
 	return w, w.Servers[0], n
@@ -84,7 +84,7 @@
 			total += work
 			send(w, s, 0, work, func(o Outcome) {
 				ends[i]++
-				if o == Done {
+				if o == Completed {
 					done += work
 					last = w.Loop.Now()
 				}
@@ -136,7 +136,7 @@
 	}
 	w.Loop.At(time.Millisecond, func() { s.Cancel(waits) })
 	w.Loop.RunVirtual(context.Background(), 10*time.Second)
-	if count[Done] != 9 || count[TurnedAway] != 1 || count[Dropped] != 1 {
+	if count[Completed] != 9 || count[ServerRejected] != 1 || count[Abandoned] != 1 {
 		t.Errorf("%v", count)
 	}
 }
@@ -148,7 +148,7 @@
 		send(w, s, 0, 800*time.Millisecond+time.Duration(i), func(Outcome) {})
 	}
 	var at2, at30 float64
-	w.Loop.At(2*time.Second, func() { at2 = s.pace() * float64(len(s.run)) })
+	w.Loop.At(2*time.Second, func() { at2 = s.pace() * float64(len(s.running)) })
 	w.Loop.At(29*time.Second, func() { at30 = s.pace() })
 	w.Loop.RunVirtual(context.Background(), 30*time.Second)
 	if at2 != 0.5 || at30 != 1 {
@@ -163,13 +163,13 @@
 		falls int
 	}{{10 * time.Millisecond, 0}, {2 * time.Millisecond, 1}} {
 		w, s, n := alone(t, 1)
-		s.Down(false)
+		s.Stop(false)
 		s.Start()
 		for at := time.Duration(0); at < 3*time.Second; at += c.every {
 			send(w, s, at, 10*time.Millisecond, func(Outcome) {})
 		}
 		w.Loop.RunVirtual(context.Background(), 4*time.Second)
-		if n.fell != c.falls || s.Up() != (c.falls == 0) {
+		if n.fell != c.falls || s.IsUp() != (c.falls == 0) {
 			t.Errorf("10 ms of work every %v: fell %d times", c.every, n.fell)
 		}
 	}
--- a/internal/lab/oracle/attempts.go
+++ b/internal/lab/oracle/attempts.go
@@ -18,11 +18,11 @@
 
 // mayHaveRun says whether it was not proven, at time t, that the attempt never ran.
 func (s *observedAttempt) mayHaveRun(t time.Duration) bool {
-	return s.endedAt == 0 || s.endedAt > t || s.outcome != model.TurnedAway
+	return s.endedAt == 0 || s.endedAt > t || s.outcome != model.ServerRejected
 }
 
-// Arrived records an attempt whose last byte has arrived at a server, and checks it.
-func (o *Oracle) Arrived(a *model.Attempt, server int) {
+// AttemptArrived records an attempt whose last byte has arrived at a server, and checks it.
+func (o *Oracle) AttemptArrived(a *model.Attempt, server int) {
 	o.Attempts++
 	now := o.loop.Now()
 	o.recordSlowStartLoad(a, server)
@@ -49,7 +49,7 @@
 
 // checkDisconnected checks that an attempt did not begin after its client had disconnected.
 func (o *Oracle) checkDisconnected(r *callRecord, a *model.Attempt) {
-	late := a.First - r.endedAt - o.loop.Stalled(r.endedAt, o.loop.Now())
+	late := a.FirstByteAt - r.endedAt - o.loop.StallTime(r.endedAt, o.loop.Now())
 	if !r.abandoned || late <= disconnectGrace {
 		return
 	}
@@ -76,10 +76,10 @@
 		if !s.mayHaveRun(last.arrivedAt) {
 			continue
 		}
-		if s.endedAt == 0 && !o.site.Limits.SecondCopies {
+		if s.endedAt == 0 && !o.site.Limits.Hedging {
 			o.recordViolation(RuleAttemptLimit, r, "sent again while attempt %d was out", i)
 		}
-		switch class.Effect {
+		switch class.Idempotency {
 		case "unsafe":
 			o.recordViolation(RuleRepeated, r, "sent again though attempt %d may have run", i)
 			return
@@ -95,13 +95,13 @@
 func (o *Oracle) checkIdempotencyKey(r *callRecord, class *scenario.Class, earlier int) bool {
 	first, last := r.attempts[earlier], r.attempts[len(r.attempts)-1]
 	if !o.sameScope(class, first.server, last.server) {
-		o.recordViolation(RuleIdempotencyKey, r, "sent outside its %s though attempt %d may have run", class.Scope, earlier)
+		o.recordViolation(RuleIdempotencyKey, r, "sent outside its %s though attempt %d may have run", class.KeyScope, earlier)
 		return false
 	}
 	gap := last.arrivedAt - first.arrivedAt
-	limit := class.Window.D() + o.site.Limits.Slack.D() + o.loop.Stalled(first.arrivedAt, last.arrivedAt)
+	limit := class.KeyWindow.Std() + o.site.Limits.Slack.Std() + o.loop.StallTime(first.arrivedAt, last.arrivedAt)
 	if gap > limit {
-		o.recordViolation(RuleIdempotencyKey, r, "sent %v after attempt %d, past its window of %v", gap, earlier, class.Window.D())
+		o.recordViolation(RuleIdempotencyKey, r, "sent %v after attempt %d, past its window of %v", gap, earlier, class.KeyWindow.Std())
 		return false
 	}
 	return true
@@ -110,7 +110,7 @@
 // sameScope says whether two servers share the idempotency keys of a class.
 func (o *Oracle) sameScope(class *scenario.Class, a, b int) bool {
 	x, y := &o.site.Servers[a], &o.site.Servers[b]
-	switch class.Scope {
+	switch class.KeyScope {
 	case "all":
 		return true
 	case "zone":
@@ -119,8 +119,8 @@
 	return x.Rack == y.Rack
 }
 
-// Ended records the outcome of an attempt.
-func (o *Oracle) Ended(a *model.Attempt, out model.Outcome) {
+// AttemptEnded records the outcome of an attempt.
+func (o *Oracle) AttemptEnded(a *model.Attempt, out model.Outcome) {
 	r := o.calls[a.Call.ID]
 	if r == nil {
 		return
--- a/internal/lab/oracle/calls.go
+++ b/internal/lab/oracle/calls.go
@@ -29,14 +29,14 @@
 	answered  bool
 }
 
-// Sent records a call that its client is about to send.
-func (o *Oracle) Sent(c *model.Call) {
+// CallSent records a call that its client is about to send.
+func (o *Oracle) CallSent(c *model.Call) {
 	o.Calls++
 	o.calls[c.ID] = &callRecord{call: c}
 }
 
-// Answered records the final answer to a call and checks it.
-func (o *Oracle) Answered(c *model.Call, a model.Answer) {
+// CallAnswered records the final answer to a call and checks it.
+func (o *Oracle) CallAnswered(c *model.Call, a model.Answer) {
 	r := o.calls[c.ID]
 	now := o.loop.Now()
 	r.endedAt, r.reply, r.answered = now, a.Reply.String(), true
@@ -45,11 +45,11 @@
 		o.checkResponseBody(r, a.Body)
 		fallthrough
 	case model.Failed:
-		o.checkInTime(r, a.Late)
-	case model.Refused:
+		o.checkInTime(r, a.SendDelay)
+	case model.Rejected:
 		o.checkRejection(r)
-		o.checkInTime(r, a.Late)
-	case model.Lost:
+		o.checkInTime(r, a.SendDelay)
+	case model.ConnectionLost:
 		if !o.excused(c, now) {
 			o.recordViolation(RuleLost, r, "its connection ended without a whole answer while the node ran")
 		}
@@ -57,20 +57,20 @@
 	o.expireCalls(c.ID, now)
 }
 
-// Left records that the client of a call has disconnected, before or at its deadline.
-func (o *Oracle) Left(c *model.Call) {
+// CallAbandoned records that the client of a call has disconnected, before or at its deadline.
+func (o *Oracle) CallAbandoned(c *model.Call) {
 	r := o.calls[c.ID]
 	now := o.loop.Now()
 	r.endedAt, r.reply, r.abandoned = now, "its sender left", true
 	if now > o.deadline(c, now) && !o.excused(c, now) {
-		o.recordViolation(RuleLost, r, "no answer %v after it was sent, with %v to answer it", now-c.Sent, c.Left)
+		o.recordViolation(RuleLost, r, "no answer %v after it was sent, with %v to answer it", now-c.SentAt, c.Timeout)
 	}
 	o.expireCalls(c.ID, now)
 }
 
 // deadline returns the last time for a call's answer.
 func (o *Oracle) deadline(c *model.Call, now time.Duration) time.Duration {
-	return c.Sent + c.Left + o.site.Limits.Slack.D() + o.loop.Stalled(c.Sent, now)
+	return c.SentAt + c.Timeout + o.site.Limits.Slack.Std() + o.loop.StallTime(c.SentAt, now)
 }
 
 // checkInTime checks that a call was answered by its deadline, put off by late.
@@ -84,7 +84,7 @@
 // checkResponseBody checks that a server made the answer for this call.
 func (o *Oracle) checkResponseBody(r *callRecord, body string) {
 	for _, s := range r.attempts {
-		if s.endedAt > 0 && s.outcome == model.Done && body == model.Body(r.call, o.site.Servers[s.server].Name) {
+		if s.endedAt > 0 && s.outcome == model.Completed && body == model.Body(r.call, o.site.Servers[s.server].Name) {
 			return
 		}
 	}
@@ -102,7 +102,7 @@
 // checkRejection checks that a rejected call can be retried without harm.
 func (o *Oracle) checkRejection(r *callRecord) {
 	class := &o.site.Classes[r.call.Class]
-	if class.Effect == "safe" || class.Effect == "keyed" && class.Scope == "all" {
+	if class.Idempotency == "safe" || class.Idempotency == "keyed" && class.KeyScope == "all" {
 		return
 	}
 	for i, s := range r.attempts {
--- a/internal/lab/oracle/nodes.go
+++ b/internal/lab/oracle/nodes.go
@@ -9,11 +9,11 @@
 // outage is a span in which a node's process was killed or paused.
 type outage struct {
 	from, to time.Duration // to 0: it lasts
-	action   model.ProcessAct
+	action   model.ProcessAction
 }
 
 // Process records an action on a node's process. Calls that an outage touches are excused from the rules of answers.
-func (o *Oracle) Process(node int, act model.ProcessAct) {
+func (o *Oracle) Process(node int, act model.ProcessAction) {
 	outages := o.outages[node]
 	down := len(outages) > 0 && outages[len(outages)-1].to == 0
 	switch act {
@@ -41,7 +41,7 @@
 // excused says whether a call's node was killed or paused at any time while the call was in flight.
 func (o *Oracle) excused(c *model.Call, now time.Duration) bool {
 	for _, out := range o.outages[c.Node] {
-		if out.from <= now && (out.to == 0 || out.to >= c.Sent) {
+		if out.from <= now && (out.to == 0 || out.to >= c.SentAt) {
 			return true
 		}
 	}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -63,7 +63,7 @@
 // trace returns the history of a call, a line a step.
 func (o *Oracle) trace(r *callRecord) []string {
 	c := r.call
-	t := []string{fmt.Sprintf("%v sent to %s as %s, to be answered within %v", c.Sent, o.site.Nodes[c.Node].Name, o.site.Classes[c.Class].Name, c.Left)}
+	t := []string{fmt.Sprintf("%v sent to %s as %s, to be answered within %v", c.SentAt, o.site.Nodes[c.Node].Name, o.site.Classes[c.Class].Name, c.Timeout)}
 	for i, s := range r.attempts {
 		line := fmt.Sprintf("%v attempt %d arrived at %s (rack %d) from %s", s.arrivedAt, i, o.site.Servers[s.server].Name,
 			o.site.Servers[s.server].Rack, o.site.Nodes[s.attempt.Node].Name)
--- a/internal/lab/oracle/servers.go
+++ b/internal/lab/oracle/servers.go
@@ -29,8 +29,8 @@
 	informed bool
 }
 
-// Told records what discovery tells a node of a server.
-func (o *Oracle) Told(node, server int, st model.State) {
+// NodeNotified records what discovery tells a node of a server.
+func (o *Oracle) NodeNotified(node, server int, st model.State) {
 	n := o.notified[nodeServer{node, server}]
 	n.state, n.at = st, o.loop.Now()
 	if st == model.Serving {
@@ -49,8 +49,8 @@
 	for _, out := range o.outages[a.Node] { // a paused process receives nothing
 		from = max(from, out.to)
 	}
-	late := a.First - from
-	grace := o.site.Limits.DrainWithin.D() + o.site.Limits.Slack.D() + o.loop.Stalled(from, o.loop.Now())
+	late := a.FirstByteAt - from
+	grace := o.site.Limits.DrainTimeout.Std() + o.site.Limits.Slack.Std() + o.loop.StallTime(from, o.loop.Now())
 	if late > grace {
 		o.recordViolation(RuleDraining, r, "sent to %s %v after %s was told that it is %s",
 			o.site.Servers[server].Name, late, o.site.Nodes[a.Node].Name, n.state)
@@ -59,10 +59,10 @@
 
 // recordSlowStartLoad adds an attempt to the load of a server that is warming up.
 func (o *Oracle) recordSlowStartLoad(a *model.Attempt, server int) {
-	if o.world == nil || !o.world.Servers[server].Cold() {
+	if o.world == nil || !o.world.Servers[server].IsWarmingUp() {
 		return
 	}
-	startTime := o.world.Servers[server].Boot()
+	startTime := o.world.Servers[server].StartTime()
 	load := o.slowStarts[server]
 	if load == nil || load.startTime != startTime {
 		load = &slowStartLoad{startTime: startTime}
@@ -73,7 +73,7 @@
 	latest := arrival{now, a.Call.Work, informed}
 	load.add(latest, 1)
 	load.arrivals = append(load.arrivals, latest)
-	for ; now-load.arrivals[0].at > o.site.Limits.FallFor.D(); load.arrivals = load.arrivals[1:] {
+	for ; now-load.arrivals[0].at > o.site.Limits.CrashLoadWindow.Std(); load.arrivals = load.arrivals[1:] {
 		load.add(load.arrivals[0], -1)
 	}
 }
@@ -86,9 +86,9 @@
 	}
 }
 
-// Fell records that a warming server was overloaded. It violates RuleSlowStart when nodes that had been told of its start sent
+// ServerCrashed records that a warming server was overloaded. It violates RuleSlowStart when nodes that had been told of its start sent
 // over two thirds of the load.
-func (o *Oracle) Fell(server int) {
+func (o *Oracle) ServerCrashed(server int) {
 	load := o.slowStarts[server]
 	if load == nil || 3*load.informed <= 2*load.total {
 		return
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -13,9 +13,9 @@
 	r.loop.At(end, func() {
 		r.sample(r.secondAt(begin))
 		if r.options.Progress != nil {
-			r.options.Progress(r.loop.Now(), r.site.Duration.D())
+			r.options.Progress(r.loop.Now(), r.site.Duration.Std())
 		}
-		if end < r.site.Duration.D() {
+		if end < r.site.Duration.Std() {
 			r.sampleEverySecond(end)
 		}
 	})
@@ -43,9 +43,9 @@
 		second.Descriptors = append(second.Descriptors, descriptors)
 		res.MaxNodeMemoryMB = max(res.MaxNodeMemoryMB, usage.MemoryMB)
 		res.MaxNodeDescriptors = max(res.MaxNodeDescriptors, descriptors)
-		if running && (usage.MemoryMB > float64(limits.MemoryMB) || usage.Descriptors > limits.Sockets) {
+		if running && (usage.MemoryMB > float64(limits.MaxMemoryMB) || usage.Descriptors > limits.MaxSockets) {
 			r.oracle.Exceeded(n, fmt.Sprintf("%.0f MB of %d and %d descriptors of %d",
-				usage.MemoryMB, limits.MemoryMB, usage.Descriptors, limits.Sockets))
+				usage.MemoryMB, limits.MaxMemoryMB, usage.Descriptors, limits.MaxSockets))
 		}
 	}
 }
@@ -71,7 +71,7 @@
 
 // faultSpan returns a fault with the names of what it strikes.
 func (r *run) faultSpan(e *fault.Event) FaultSpan {
-	span := FaultSpan{Kind: e.Kind, FromSeconds: e.From.Seconds(), ToSeconds: e.To.Seconds()}
+	span := FaultSpan{Kind: e.Kind, FromSeconds: e.Start.Seconds(), ToSeconds: e.End.Seconds()}
 	for _, n := range e.Nodes {
 		span.Nodes = append(span.Nodes, r.site.Nodes[n].Name)
 	}
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -57,14 +57,14 @@
 	for i := range site.Servers {
 		s := &site.Servers[i]
 		line := fmt.Sprintf("server %s tier %d kind %s zone %d rack %d speed %v cold %v capacity %v size %v unit %+v\n",
-			s.Name, s.Tier, s.Kind.Name, s.Zone, s.Rack, s.Speed, s.ColdFor, s.Capacity, s.Size(), site.Unit(i).Capacity)
+			s.Name, s.Tier, s.MachineType.Name, s.Zone, s.Rack, s.Speed, s.WarmUpTime, s.Capacity, s.AdvertisedCapacity(), site.DisruptionUnit(i).Capacity)
 		fmt.Fprint(hash, line)
 		if i == 0 {
 			b.WriteString(line)
 		}
 	}
 	for i, n := range site.Nodes {
-		line := fmt.Sprintf("node %s tier %d zone %d index %d owner %d settings %s\n", n.Name, n.Tier, n.Zone, n.Index, n.Owner, site.Settings(i))
+		line := fmt.Sprintf("node %s tier %d zone %d index %d owner %d settings %s\n", n.Name, n.TargetTier, n.Zone, n.Index, n.OwnerServer, site.NodeSettings(i))
 		fmt.Fprint(hash, line)
 		if i == 0 {
 			b.WriteString(line)
@@ -73,6 +73,6 @@
 			break // settings of the many nodes of labs/scale.toml are alike
 		}
 	}
-	fmt.Fprintf(&b, "work %v calls %v mean work %v\nhash %x\n", site.Work, site.Calls, site.MeanWork(0), hash.Sum64())
+	fmt.Fprintf(&b, "work %v calls %v mean work %v\nhash %x\n", site.MeanClassWork, site.MeanCalls, site.MeanWork(0), hash.Sum64())
 	return b.String()
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -38,19 +38,19 @@
 	lines := keyLines(text)
 	if len(overrides) > 0 {
 		var err error
-		if s, err = override(file, text, overrides); err != nil {
+		if s, err = applyOverrides(file, text, overrides); err != nil {
 			return nil, err
 		}
 	}
-	s.complete()
-	if f := s.fault(); f != nil {
+	s.setDefaults()
+	if f := s.validate(); f != nil {
 		return nil, &Error{File: file, Line: lineOf(lines, f.key), Key: f.key, Reason: f.reason}
 	}
 	return s, nil
 }
 
-// override merges what the command line sets into the file.
-func override(file string, text []byte, overrides []string) (*Scenario, error) {
+// applyOverrides merges what the command line sets into the file.
+func applyOverrides(file string, text []byte, overrides []string) (*Scenario, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(text), koanftoml.Parser()); err != nil {
 		return nil, &Error{File: file, Reason: err.Error()}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -26,27 +26,27 @@
 
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// D is the duration in the standard library's type.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+// Std is the duration in the standard library's type.
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Scenario is one file.
 type Scenario struct {
-	Name      string    `toml:"name"`
-	Duration  Duration  `toml:"duration"` // of the load; what is under way then is waited for
-	Nodes     int       `toml:"nodes"`    // at the front, spread evenly over the zones
-	Zones     []Zone    `toml:"zone"`
-	Tiers     []Tier    `toml:"tier"`
-	Classes   []Class   `toml:"class"`
-	Load      Load      `toml:"load"`
-	Clients   Clients   `toml:"clients"`
-	Discovery Discovery `toml:"discovery"`
-	Registry  Registry  `toml:"registry"`
-	Budget    Budget    `toml:"budget"`
-	State     State     `toml:"state"`
-	Net       Net       `toml:"net"`
-	Limits    Limits    `toml:"limits"`
-	Faults    []Fault   `toml:"fault"`
-	Expect    Expect    `toml:"expect"`
+	Name         string           `toml:"name"`
+	Duration     Duration         `toml:"duration"` // of the load; what is under way then is waited for
+	Nodes        int              `toml:"nodes"`    // at the front, spread evenly over the zones
+	Zones        []Zone           `toml:"zone"`
+	Tiers        []Tier           `toml:"tier"`
+	Classes      []Class          `toml:"class"`
+	Load         Load             `toml:"load"`
+	Clients      Clients          `toml:"clients"`
+	Discovery    Discovery        `toml:"discovery"`
+	Registry     Registry         `toml:"registry"`
+	Budget       Budget           `toml:"budget"`
+	Snapshots    SnapshotSettings `toml:"state"`
+	Network      Network          `toml:"net"`
+	Limits       Limits           `toml:"limits"`
+	Faults       []Fault          `toml:"fault"`
+	Expectations Expectations     `toml:"expect"`
 }
 
 // Zone is a place that fails as one.
@@ -55,162 +55,162 @@
 	Region string `toml:"region"`
 }
 
-// Tier is a set of servers that serve one kind of call.
+// TargetTier is a set of servers that serve one kind of call.
 type Tier struct {
-	Name     string    `toml:"name"`
-	Servers  int       `toml:"servers"`
-	Work     float64   `toml:"work"`      // share of a class's work that one call here does
-	Calls    []float64 `toml:"calls"`     // calls of the next tier for each request, least and most of the mean
-	RackSize int       `toml:"rack_size"` // servers that share the memory of keyed requests
-	Kinds    []Kind    `toml:"kind"`
-}
-
-// Kind is a make of server.
-type Kind struct {
-	Name        string     `toml:"name"`
-	Share       float64    `toml:"share"` // of the tier's servers, against the other kinds'
-	Cores       int        `toml:"cores"`
-	Speed       []float64  `toml:"speed"`          // of a core against the yardstick, least and most
-	Slots       int        `toml:"slots_per_core"` // requests in work at once
-	Queue       int        `toml:"queue_per_core"` // and waiting; beyond that it turns away
-	ErrorRate   float64    `toml:"error_rate"`
-	StopsWork   bool       `toml:"stops_work"` // a cancel also stops running work
-	ColdFrom    float64    `toml:"cold_from"`  // share of its capacity at the start
-	ColdFor     []Duration `toml:"cold_for"`   // until it has all, least and most
-	Connections int        `toml:"connections"`
-	Handshake   Duration   `toml:"handshake"` // work that a new connection costs
-	Choke       Choke      `toml:"choke"`
-}
-
-// Choke is how an overloaded server turns slow and recovers. At 0 it does not.
-type Choke struct {
-	At     float64  `toml:"at"` // requests for each core
-	After  Duration `toml:"after"`
-	Slower float64  `toml:"slower"`
-	Below  float64  `toml:"below"` // requests for each core that count as idle
-	Rest   Duration `toml:"rest"`
-	Most   Duration `toml:"most"`
-}
-
-// Class is a class of requests.
+	Name         string        `toml:"name"`
+	Servers      int           `toml:"servers"`
+	WorkFactor   float64       `toml:"work"`      // requireFraction of a class's work that one call here does
+	CallsRange   []float64     `toml:"calls"`     // calls of the next tier for each request, least and most of the mean
+	RackSize     int           `toml:"rack_size"` // servers that share the memory of keyed requests
+	MachineTypes []MachineType `toml:"kind"`
+}
+
+// MachineType is a make of server.
+type MachineType struct {
+	Name            string     `toml:"name"`
+	Weight          float64    `toml:"share"` // of the tier's servers, against the other kinds'
+	Cores           int        `toml:"cores"`
+	SpeedRange      []float64  `toml:"speed"`          // of a core against the yardstick, least and most
+	SlotsPerCore    int        `toml:"slots_per_core"` // requests in work at once
+	QueuePerCore    int        `toml:"queue_per_core"` // and waiting; beyond that it turns away
+	ErrorRate       float64    `toml:"error_rate"`
+	CancelStopsWork bool       `toml:"stops_work"` // a cancel also stops running work
+	InitialCapacity float64    `toml:"cold_from"`  // requireFraction of its capacity at the start
+	WarmUpRange     []Duration `toml:"cold_for"`   // until it has all, least and most
+	MaxConnections  int        `toml:"connections"`
+	HandshakeWork   Duration   `toml:"handshake"` // work that a new connection costs
+	Overload        Overload   `toml:"choke"`
+}
+
+// Overload is how an overloaded server turns slow and recovers. At 0 it does not.
+type Overload struct {
+	Threshold         float64  `toml:"at"` // requests for each core
+	OnsetDelay        Duration `toml:"after"`
+	Slowdown          float64  `toml:"slower"`
+	RecoveryThreshold float64  `toml:"below"` // requests for each core that count as idle
+	RecoveryDelay     Duration `toml:"rest"`
+	MaxDuration       Duration `toml:"most"`
+}
+
+// MinServedShareByClass is a class of requests.
 type Class struct {
-	Name     string     `toml:"name"`
-	Share    float64    `toml:"share"`
-	Work     []Duration `toml:"work"` // mean on a yardstick core, least and most
-	Aim      Duration   `toml:"aim"`
-	Deadline Duration   `toml:"deadline"`
-	Worth    float64    `toml:"worth"`
-	Effect   string     `toml:"effect"` // safe, keyed, unsafe
-	Scope    string     `toml:"scope"`  // cell, zone, all
-	Window   Duration   `toml:"window"`
+	Name             string     `toml:"name"`
+	Weight           float64    `toml:"share"`
+	WorkRange        []Duration `toml:"work"` // mean on a yardstick core, least and most
+	LatencyObjective Duration   `toml:"aim"`
+	Deadline         Duration   `toml:"deadline"`
+	PriorityWeight   float64    `toml:"worth"`
+	Idempotency      string     `toml:"effect"` // safe, keyed, unsafe
+	KeyScope         string     `toml:"scope"`  // cell, zone, all
+	KeyWindow        Duration   `toml:"window"`
 }
 
 // Load is what clients ask for.
 type Load struct {
-	Rate  float64 `toml:"rate"`  // requests a second
-	Swing float64 `toml:"swing"` // share by which the rate rises and falls over the run
+	Rate      float64 `toml:"rate"`  // requests a second
+	RateSwing float64 `toml:"swing"` // requireFraction by which the rate rises and falls over the run
 }
 
 // Clients is how they behave.
 type Clients struct {
-	Retries    int      `toml:"retries"`
-	Backoff    Duration `toml:"backoff"`
-	TryShare   float64  `toml:"try_share"` // of the deadline after which a try is given up
-	Impatient  float64  `toml:"impatient"` // share that leaves early
-	Honour     float64  `toml:"honour"`    // share that follows Retry-After
-	MarksRetry bool     `toml:"marks_retry"`
+	MaxRetries              int      `toml:"retries"`
+	Backoff                 Duration `toml:"backoff"`
+	AttemptTimeoutFraction  float64  `toml:"try_share"` // of the deadline after which a try is given up
+	ImpatientFraction       float64  `toml:"impatient"` // requireFraction that leaves early
+	HonorRetryAfterFraction float64  `toml:"honour"`    // requireFraction that follows Retry-After
+	MarkRetries             bool     `toml:"marks_retry"`
 }
 
 // Discovery is how news of servers comes.
 type Discovery struct {
-	Delay  []Duration `toml:"delay"`  // from a change to what the agents hold, least and most
-	Period Duration   `toml:"period"` // agents pass on what they have heard so often
-	Notice Duration   `toml:"notice"` // until the death of a server is known
-	Front  Duration   `toml:"front_notice"`
-	Missed Duration   `toml:"missed"` // after a watch fell silent, what it misses counts as told
+	DelayRange         []Duration `toml:"delay"`  // from a change to what the agents hold, least and most
+	GossipPeriod       Duration   `toml:"period"` // agents pass on what they have heard so often
+	DetectionDelay     Duration   `toml:"notice"` // until the death of a server is known
+	NodeDetectionDelay Duration   `toml:"front_notice"`
+	WatchTimeout       Duration   `toml:"missed"` // after a watch fell silent, what it misses counts as told
 }
 
 // Registry is discovery by the project's own registry, on real processes. With no replicas it is as Discovery says.
 type Registry struct {
-	Replicas int      `toml:"replicas"`
-	TTL      Duration `toml:"ttl"`      // of a server's lease
-	NoGuard  bool     `toml:"no_guard"` // believe every lease that ends, to see what the guard is for
+	Replicas           int      `toml:"replicas"`
+	LeaseTTL           Duration `toml:"ttl"`      // of a server's lease
+	DisableExpiryGuard bool     `toml:"no_guard"` // believe every lease that ends, to see what the guard is for
 }
 
 // Budget is how much of each tier may be out at once, as a share of its capacity. Where it is set, servers drain by permit:
 // what does not fit does not drain. All zero: everybody drains as he likes.
 type Budget struct {
-	Whole float64 `toml:"whole"`
-	Zone  float64 `toml:"zone"` // within each zone; 0: no limit there
-	Rack  float64 `toml:"rack"`
+	Tier float64 `toml:"whole"`
+	Zone float64 `toml:"zone"` // within each zone; 0: no limit there
+	Rack float64 `toml:"rack"`
 }
 
-// Set tells whether there is a budget.
-func (b Budget) Set() bool { return b.Whole > 0 }
+// Enabled tells whether there is a budget.
+func (b Budget) Enabled() bool { return b.Tier > 0 }
 
-// State is what nodes keep of what they have learned, for the process after them.
-type State struct {
-	Keep  bool     `toml:"keep"`  // they have a disk that survives them
-	Every Duration `toml:"every"` // between snapshots
-	Age   Duration `toml:"max_age"`
+// SnapshotSettings is what nodes keep of what they have learned, for the process after them.
+type SnapshotSettings struct {
+	Enabled  bool     `toml:"keep"`  // they have a disk that survives them
+	Interval Duration `toml:"every"` // between snapshots
+	MaxAge   Duration `toml:"max_age"`
 }
 
-// Net is the time messages take; on the real clock the machine adds its own.
-type Net struct {
-	Same  Duration `toml:"same_zone"`
-	Cross Duration `toml:"cross_zone"`
+// Network is the time messages take; on the real clock the machine adds its own.
+type Network struct {
+	SameZone  Duration `toml:"same_zone"`
+	CrossZone Duration `toml:"cross_zone"`
 }
 
 // Limits is what nodes may do and have.
 type Limits struct {
-	MaxAttempts   int      `toml:"max_attempts"`
-	SecondCopies  bool     `toml:"second_copies"`
-	Cancel        bool     `toml:"cancel"`
-	RetryAfter    Duration `toml:"max_retry_after"`
-	Connect       Duration `toml:"connect_timeout"`
-	Idle          Duration `toml:"idle"`
-	DrainWithin   Duration `toml:"drain_within"`
-	Slack         Duration `toml:"slack"` // on every limit in time
-	FallMultiple  float64  `toml:"fall_multiple"`
-	FallFor       Duration `toml:"fall_for"`
-	MemoryMB      int      `toml:"memory_mb"`
-	Sockets       int      `toml:"sockets"`
-	PassTimeLeft  bool     `toml:"passes_time_left"`
-	StartUpWithin Duration `toml:"start_within"`
+	MaxAttempts       int      `toml:"max_attempts"`
+	Hedging           bool     `toml:"second_copies"`
+	Cancellation      bool     `toml:"cancel"`
+	MaxRetryAfter     Duration `toml:"max_retry_after"`
+	ConnectTimeout    Duration `toml:"connect_timeout"`
+	IdleTimeout       Duration `toml:"idle"`
+	DrainTimeout      Duration `toml:"drain_within"`
+	Slack             Duration `toml:"slack"` // on every limit in time
+	CrashLoadMultiple float64  `toml:"fall_multiple"`
+	CrashLoadWindow   Duration `toml:"fall_for"`
+	MaxMemoryMB       int      `toml:"memory_mb"`
+	MaxSockets        int      `toml:"sockets"`
+	PropagateDeadline bool     `toml:"passes_time_left"`
+	StartTimeout      Duration `toml:"start_within"`
 }
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	Kind      string   `toml:"kind"`
-	At        Duration `toml:"at"`
-	For       Duration `toml:"for"`
-	Every     Duration `toml:"every"`  // when repeated
-	Repeat    int      `toml:"repeat"` // times; 0: once
-	Names     []string `toml:"names"`  // nodes or servers by name
-	Tier      string   `toml:"tier"`
-	Zone      string   `toml:"zone"`
-	Region    string   `toml:"region"`
-	Count     int      `toml:"count"` // so many of those selected, drawn by the seed
-	Share     float64  `toml:"share"` // or such a share
-	Factor    float64  `toml:"factor"`
-	Delay     Duration `toml:"delay"`
-	Jitter    Duration `toml:"jitter"`
-	Rate      int      `toml:"bytes_per_s"`
-	Direction string   `toml:"direction"` // there, back; else both
-	From      []string `toml:"from"`      // nodes whose links are hit; none: all
-	Class     string   `toml:"class"`
-}
-
-// Expect is what must hold for a run to be in order. Absent limits are not looked at.
-type Expect struct {
-	Served      float64            `toml:"served_share"` // at least
-	Worth       float64            `toml:"worth_share"`  // at least
-	Class       map[string]float64 `toml:"class_served"` // at least, by class
-	P99         Duration           `toml:"p99"`          // of what is served, at most
-	Attempts    float64            `toml:"attempts_per_request"`
-	RulesBroken int                `toml:"rules_broken"`  // at most
-	TailServed  float64            `toml:"tail_served"`   // share served in the last quarter, at least
-	After       float64            `toml:"after_restart"` // see lab.Result; at least
+	Kind           string   `toml:"kind"`
+	At             Duration `toml:"at"`
+	Duration       Duration `toml:"for"`
+	Interval       Duration `toml:"every"`  // when repeated
+	Repetitions    int      `toml:"repeat"` // times; 0: once
+	Names          []string `toml:"names"`  // nodes or servers by name
+	Tier           string   `toml:"tier"`
+	Zone           string   `toml:"zone"`
+	Region         string   `toml:"region"`
+	Count          int      `toml:"count"` // so many of those selected, drawn by the seed
+	Share          float64  `toml:"share"` // or such a share
+	Factor         float64  `toml:"factor"`
+	Delay          Duration `toml:"delay"`
+	Jitter         Duration `toml:"jitter"`
+	BytesPerSecond int      `toml:"bytes_per_s"`
+	Direction      string   `toml:"direction"` // there, back; else both
+	FromNodes      []string `toml:"from"`      // nodes whose links are hit; none: all
+	Class          string   `toml:"class"`
+}
+
+// Expectations is what must hold for a run to be in order. Absent limits are not looked at.
+type Expectations struct {
+	MinServedShare            float64            `toml:"served_share"` // at least
+	MinWeightedServedShare    float64            `toml:"worth_share"`  // at least
+	MinServedShareByClass     map[string]float64 `toml:"class_served"` // at least, by class
+	MaxP99                    Duration           `toml:"p99"`          // of what is served, at most
+	MaxAttemptsPerRequest     float64            `toml:"attempts_per_request"`
+	MaxRulesBroken            int                `toml:"rules_broken"`  // at most
+	MinLastQuarterServedShare float64            `toml:"tail_served"`   // requireFraction served in the last quarter, at least
+	MinRestartRecovery        float64            `toml:"after_restart"` // see lab.Result; at least
 }
 
 // Shorten sets another duration and leaves out the faults that it does not reach.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-const least = `nodes = 1
+const minimalScenario = `nodes = 1
 [[tier]]
 name = "web"
 servers = 3
@@ -27,26 +27,26 @@
 
 // A file with a fault is told on one line: file, line, key and reason.
 func TestFaultsAreNamed(t *testing.T) {
-	if _, err := Parse("x.toml", []byte(least), nil); err != nil {
+	if _, err := Parse("x.toml", []byte(minimalScenario), nil); err != nil {
 		t.Fatalf("the least scenario: %v", err)
 	}
-	fault := func(text string) string { return least + "[[fault]]\n" + text }
+	fault := func(text string) string { return minimalScenario + "[[fault]]\n" + text }
 	for _, c := range []struct{ text, want string }{
-		{strings.Replace(least, "cores = 4", "cores = -4", 1), "x.toml:8: tier[0].kind[1].cores: -4 is not between"},
-		{strings.Replace(least, "aim = \"1s\"", "aim = \"1\"", 1), "x.toml:12: class.aim: "},
-		{strings.Replace(least, "aim = \"1s\"", "aim = \"3s\"", 1), "x.toml:13: class[0].deadline: 2s is before the aim, 3s"},
-		{strings.Replace(least, "rate = 10", "rait = 10", 1), "x.toml:15: load.rait: unknown key"},
-		{strings.Replace(least, "rate = 10", "rate = \"ten\"", 1), "x.toml:15: load.rate: "},
-		{strings.Replace(least, `["10ms", "20ms"]`, `["30ms", "20ms"]`, 1), "x.toml:11: class[0].work: 30ms to 20ms is no range"},
-		{strings.Replace(least, `["10ms", "20ms"]`, `["30ms"]`, 1), "x.toml:11: class[0].work: wants two values"},
-		{strings.Replace(least, "[load]\nrate = 10", "", 1), "x.toml: load.rate: 0 is not between"},
-		{least + "[load\n", "x.toml:16: "},
+		{strings.Replace(minimalScenario, "cores = 4", "cores = -4", 1), "x.toml:8: tier[0].kind[1].cores: -4 is not between"},
+		{strings.Replace(minimalScenario, "aim = \"1s\"", "aim = \"1\"", 1), "x.toml:12: class.aim: "},
+		{strings.Replace(minimalScenario, "aim = \"1s\"", "aim = \"3s\"", 1), "x.toml:13: class[0].deadline: 2s is before the aim, 3s"},
+		{strings.Replace(minimalScenario, "rate = 10", "rait = 10", 1), "x.toml:15: load.rait: unknown key"},
+		{strings.Replace(minimalScenario, "rate = 10", "rate = \"ten\"", 1), "x.toml:15: load.rate: "},
+		{strings.Replace(minimalScenario, `["10ms", "20ms"]`, `["30ms", "20ms"]`, 1), "x.toml:11: class[0].work: 30ms to 20ms is no range"},
+		{strings.Replace(minimalScenario, `["10ms", "20ms"]`, `["30ms"]`, 1), "x.toml:11: class[0].work: wants two values"},
+		{strings.Replace(minimalScenario, "[load]\nrate = 10", "", 1), "x.toml: load.rate: 0 is not between"},
+		{minimalScenario + "[load\n", "x.toml:16: "},
 		{fault("kind = \"flood\""), "x.toml:17: fault[0].kind: \"flood\" is none of [burst"},
 		{fault("kind = \"slow\"\nat = \"1s\""), "x.toml:16: fault[0].factor: 0 is not above 1"},
 		{fault("kind = \"crash\"\nnames = [\"web-3\"]"), "x.toml:18: fault[0].names: no \"web-3\" among the servers"},
 		{fault("kind = \"kill\"\nat = \"30s\""), "x.toml:18: fault[0].at: 30s is not within the run of 20s"},
 		{fault("kind = \"cut\""), "x.toml:16: fault[0].zone: missing"},
-		{least + "[expect.class_served]\nwrite = 0.5\n", "x.toml:17: expect.class_served.write: no such class"},
+		{minimalScenario + "[expect.class_served]\nwrite = 0.5\n", "x.toml:17: expect.class_served.write: no such class"},
 	} {
 		_, err := Parse("x.toml", []byte(c.text), nil)
 		var e *Error
@@ -58,12 +58,12 @@
 
 // What the command line sets wins over the file, and its faults name it.
 func TestOverrides(t *testing.T) {
-	s, err := Parse("x.toml", []byte(least), []string{"load.rate=25", "limits.slack=\"1s\"", "clients.backoff=300ms"})
-	if err != nil || s.Load.Rate != 25 || s.Limits.Slack.D().Seconds() != 1 || s.Clients.Backoff.D().Milliseconds() != 300 {
+	s, err := Parse("x.toml", []byte(minimalScenario), []string{"load.rate=25", "limits.slack=\"1s\"", "clients.backoff=300ms"})
+	if err != nil || s.Load.Rate != 25 || s.Limits.Slack.Std().Seconds() != 1 || s.Clients.Backoff.Std().Milliseconds() != 300 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for _, o := range []string{"load.rait=1", "load.rate=many", "load.rate", "nodes=0"} {
-		if _, err := Parse("x.toml", []byte(least), []string{o}); err == nil {
+		if _, err := Parse("x.toml", []byte(minimalScenario), []string{o}); err == nil {
 			t.Errorf("--set %s was taken", o)
 		}
 	}
@@ -72,9 +72,9 @@
 // Any text is read or turned down, with one line.
 func TestAnyText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		at := rapid.IntRange(0, len(least)).Draw(t, "at")
+		at := rapid.IntRange(0, len(minimalScenario)).Draw(t, "at")
 		junk := rapid.SampledFrom([]string{"[", "]", "=", "\"", "-1", "\n", "[[", "1e999", "nan", "x = 1\n", "\x00"}).Draw(t, "junk")
-		_, err := Parse("x.toml", []byte(least[:at]+junk+least[at:]), nil)
+		_, err := Parse("x.toml", []byte(minimalScenario[:at]+junk+minimalScenario[at:]), nil)
 		if err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatalf("more than a line: %q", err)
 		}
@@ -84,11 +84,11 @@
 // A seed always makes the same site, and every server is of some kind in its share.
 func TestSite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, err := Parse("x.toml", []byte(strings.Replace(least, "servers = 3", "servers = 40", 1)), nil)
+		s, err := Parse("x.toml", []byte(strings.Replace(minimalScenario, "servers = 3", "servers = 40", 1)), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Tiers[0].Kinds[0].Share = rapid.Float64Range(0.05, 20).Draw(t, "share")
+		s.Tiers[0].MachineTypes[0].Weight = rapid.Float64Range(0.05, 20).Draw(t, "share")
 		seed := rapid.Uint64().Draw(t, "seed")
 		a, b := NewSite(s, seed), NewSite(s, seed)
 		first := 0
@@ -96,11 +96,11 @@
 			if a.Servers[i] != b.Servers[i] {
 				t.Fatalf("server %d differs", i)
 			}
-			if a.Servers[i].Kind == &s.Tiers[0].Kinds[0] {
+			if a.Servers[i].MachineType == &s.Tiers[0].MachineTypes[0] {
 				first++
 			}
 		}
-		want := 40 * s.Tiers[0].Kinds[0].Share / (s.Tiers[0].Kinds[0].Share + 1)
+		want := 40 * s.Tiers[0].MachineTypes[0].Weight / (s.Tiers[0].MachineTypes[0].Weight + 1)
 		if d := float64(first) - want; d > 1 || d < -1 {
 			t.Fatalf("%d servers of the first kind, want about %.1f", first, want)
 		}
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Settings is what a node of the site is told, in the words of its configuration.
-func (s *Site) Settings(node int) []byte {
+// NodeSettings is what a node of the site is told, in the words of its configuration.
+func (s *Site) NodeSettings(node int) []byte {
 	n := s.Nodes[node]
 	copies := 0
 	for _, o := range s.Nodes {
-		if o.Tier == n.Tier {
+		if o.TargetTier == n.TargetTier {
 			copies++
 		}
 	}
@@ -18,12 +18,12 @@
 	effects := map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 	var lanes []map[string]any
 	for _, c := range s.Classes {
-		lanes = append(lanes, map[string]any{"name": c.Name, "effect": effects[c.Effect], "key-scope": c.Scope,
-			"window-ms": ms(c.Window), "target-ms": ms(c.Aim), "deadline-ms": ms(c.Deadline), "late-share": 0, "worth": c.Worth})
+		lanes = append(lanes, map[string]any{"name": c.Name, "effect": effects[c.Idempotency], "key-scope": c.KeyScope,
+			"window-ms": ms(c.KeyWindow), "target-ms": ms(c.LatencyObjective), "deadline-ms": ms(c.Deadline), "late-share": 0, "worth": c.PriorityWeight})
 	}
 	coldFrom, warm := 1.0, Duration(0)
-	for _, k := range s.Tiers[n.Tier].Kinds {
-		coldFrom, warm = min(coldFrom, k.ColdFrom), max(warm, k.ColdFor[1])
+	for _, k := range s.Tiers[n.TargetTier].MachineTypes {
+		coldFrom, warm = min(coldFrom, k.InitialCapacity), max(warm, k.WarmUpRange[1])
 	}
 	var zones []string
 	for _, z := range s.Zones {
@@ -31,14 +31,14 @@
 	}
 	l := &s.Limits
 	text, err := json.Marshal(map[string]any{
-		"balancers": copies, "me": n.Index, "tier": n.Tier, "tick-ms": 5, "weights": "rough", "registry-mode": "pushed",
+		"balancers": copies, "me": n.Index, "tier": n.TargetTier, "tick-ms": 5, "weights": "rough", "registry-mode": "pushed",
 		"zone": s.Zones[n.Zone].Name, "localities": zones,
 		"blend": map[string]any{"whole": 0.55, "worst-class": 0.3, "worst-window": 0.15},
 		"lanes": lanes,
-		"limits": map[string]any{"cancelling": l.Cancel, "conn-idle-ms": ms(l.Idle), "connect-timeout-ms": ms(l.Connect),
-			"max-attempts": l.MaxAttempts, "max-retry-after-ms": ms(l.RetryAfter), "retry-after": l.RetryAfter > 0, "second-copies": l.SecondCopies},
-		"rules": map[string]any{"cold-from": coldFrom, "warm-after-ms": ms(warm), "fall-multiple": l.FallMultiple, "fall-ms": ms(l.FallFor),
-			"stop-sending-within-ms": ms(l.DrainWithin)},
+		"limits": map[string]any{"cancelling": l.Cancellation, "conn-idle-ms": ms(l.IdleTimeout), "connect-timeout-ms": ms(l.ConnectTimeout),
+			"max-attempts": l.MaxAttempts, "max-retry-after-ms": ms(l.MaxRetryAfter), "retry-after": l.MaxRetryAfter > 0, "second-copies": l.Hedging},
+		"rules": map[string]any{"cold-from": coldFrom, "warm-after-ms": ms(warm), "fall-multiple": l.CrashLoadMultiple, "fall-ms": ms(l.CrashLoadWindow),
+			"stop-sending-within-ms": ms(l.DrainTimeout)},
 	})
 	if err != nil {
 		panic(err) // nothing in it can fail to be written
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -13,67 +13,67 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-// Rand is a source of randomness for one purpose, the same for the same seed wherever else is drawn.
-func Rand(seed uint64, purpose string) *rand.Rand {
+// NewRand is a source of randomness for one purpose, the same for the same seed wherever else is drawn.
+func NewRand(seed uint64, purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
 
-// In draws a value between the least and the most.
-func In[T float64 | Duration](r *rand.Rand, span []T) T {
+// Draw draws a value between the least and the most.
+func Draw[T float64 | Duration](r *rand.Rand, span []T) T {
 	return span[0] + T(r.Float64()*float64(span[1]-span[0]))
 }
 
 // Server is a server of the site as one seed makes it.
 type Server struct {
-	Name     string
-	Tier     int
-	Kind     *Kind
-	Zone     int
-	Rack     int
-	Speed    float64
-	ColdFor  time.Duration
-	Capacity float64 // cores times speed
+	Name        string
+	Tier        int
+	MachineType *MachineType
+	Zone        int
+	Rack        int
+	Speed       float64
+	WarmUpTime  time.Duration
+	Capacity    float64 // cores times speed
 }
 
 // Node is a node: at the front, or beside the server that calls through it.
 type Node struct {
-	Name  string
-	Tier  int // that it sends to
-	Zone  int
-	Index int // among the nodes of its tier
-	Owner int // the server it stands beside; -1: at the front
+	Name        string
+	TargetTier  int // that it sends to
+	Zone        int
+	Index       int // among the nodes of its tier
+	OwnerServer int // the server it stands beside; -1: at the front
 }
 
 // Site is a scenario as one seed makes it.
 type Site struct {
 	*Scenario
-	Seed    uint64
-	Servers []Server
-	Nodes   []Node
-	Work    []time.Duration // mean work of each class
-	Calls   []float64       // mean calls that each tier makes of the next, for each request
+	Seed          uint64
+	Servers       []Server
+	Nodes         []Node
+	MeanClassWork []time.Duration // mean work of each class
+	MeanCalls     []float64       // mean calls that each tier makes of the next, for each request
 }
 
 // NewSite draws all that the file gives as ranges.
 func NewSite(s *Scenario, seed uint64) *Site {
-	r := Rand(seed, "site")
+	r := NewRand(seed, "site")
 	site := &Site{Scenario: s, Seed: seed}
 	for _, c := range s.Classes {
-		site.Work = append(site.Work, In(r, c.Work).D())
+		site.MeanClassWork = append(site.MeanClassWork, Draw(r, c.WorkRange).Std())
 	}
 	for i := range s.Nodes {
-		site.Nodes = append(site.Nodes, Node{Name: nodeName(0, i), Zone: i % len(s.Zones), Index: i, Owner: -1})
+		site.Nodes = append(site.Nodes, Node{Name: nodeName(0, i), Zone: i % len(s.Zones), Index: i, OwnerServer: -1})
 	}
 	rack := 0
 	for t := range s.Tiers {
 		tier := &s.Tiers[t]
-		site.Calls = append(site.Calls, In(r, tier.Calls))
-		for i, k := range tier.spread() {
-			sv := Server{Name: serverName(tier.Name, i), Tier: t, Kind: k, Zone: i % len(s.Zones),
-				Rack: rack + i/(tier.RackSize*len(s.Zones))*len(s.Zones) + i%len(s.Zones), Speed: In(r, k.Speed), ColdFor: In(r, k.ColdFor).D()}
+		site.MeanCalls = append(site.MeanCalls, Draw(r, tier.CallsRange))
+		for i, k := range tier.assignMachineTypes() {
+			sv := Server{Name: serverName(tier.Name, i), Tier: t, MachineType: k, Zone: i % len(s.Zones),
+				Rack: rack + i/(tier.RackSize*len(s.Zones))*len(s.Zones) + i%len(s.Zones), Speed: Draw(r, k.SpeedRange), WarmUpTime: Draw(r, k.WarmUpRange).Std()}
 			sv.Capacity = sv.Speed * float64(k.Cores)
-			if t+1 < len(s.Tiers) && tier.Calls[1] > 0 {
-				site.Nodes = append(site.Nodes, Node{Name: nodeName(t+1, i), Tier: t + 1, Zone: sv.Zone, Index: i, Owner: len(site.Servers)})
+			if t+1 < len(s.Tiers) && tier.CallsRange[1] > 0 {
+				site.Nodes = append(site.Nodes, Node{Name: nodeName(t+1, i), TargetTier: t + 1, Zone: sv.Zone, Index: i, OwnerServer: len(site.Servers)})
 			}
 			site.Servers = append(site.Servers, sv)
 		}
@@ -82,8 +82,8 @@
 	return site
 }
 
-// BudgetLimits are the budget's, for every tier.
-func (s *Site) BudgetLimits() disruption.Limits {
+// DisruptionLimits are the budget's, for every tier.
+func (s *Site) DisruptionLimits() disruption.Limits {
 	share := func(v float64) *float64 {
 		if v == 0 {
 			return nil
@@ -92,51 +92,51 @@
 	}
 	var l disruption.Limits
 	for _, t := range s.Tiers {
-		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Total: share(s.Budget.Whole), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
+		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Total: share(s.Budget.Tier), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
 	}
 	l.InitialFraction = 1
 	for _, sv := range s.Servers {
-		l.InitialFraction = min(l.InitialFraction, sv.Kind.ColdFrom)
-		l.WarmUpMS = max(l.WarmUpMS, sv.ColdFor.Milliseconds())
+		l.InitialFraction = min(l.InitialFraction, sv.MachineType.InitialCapacity)
+		l.WarmUpMS = max(l.WarmUpMS, sv.WarmUpTime.Milliseconds())
 	}
 	return l
 }
 
-// Unit is a server as it counts in the budget while it serves fully.
-func (s *Site) Unit(server int) disruption.Unit {
+// DisruptionUnit is a server as it counts in the budget while it serves fully.
+func (s *Site) DisruptionUnit(server int) disruption.Unit {
 	sv := &s.Servers[server]
 	z := &s.Zones[sv.Zone]
-	return disruption.Unit{ID: sv.Name, Incarnation: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.Size()}
+	return disruption.Unit{ID: sv.Name, Incarnation: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.AdvertisedCapacity()}
 }
 
 // MeanWork is the mean work of a request at a tier, on a yardstick core.
 func (s *Site) MeanWork(tier int) time.Duration {
 	var sum, shares float64
 	for i, c := range s.Classes {
-		sum += c.Share * float64(s.Work[i])
-		shares += c.Share
+		sum += c.Weight * float64(s.MeanClassWork[i])
+		shares += c.Weight
 	}
-	return time.Duration(sum / shares * s.Tiers[tier].Work)
+	return time.Duration(sum / shares * s.Tiers[tier].WorkFactor)
 }
 
-// spread gives each server of a tier its kind, by the kinds' shares and evenly along it.
-func (t *Tier) spread() []*Kind {
+// assignMachineTypes gives each server of a tier its kind, by the kinds' shares and evenly along it.
+func (t *Tier) assignMachineTypes() []*MachineType {
 	sum := 0.0
-	for _, k := range t.Kinds {
-		sum += k.Share
+	for _, k := range t.MachineTypes {
+		sum += k.Weight
 	}
-	owed := make([]float64, len(t.Kinds))
-	l := make([]*Kind, t.Servers)
+	owed := make([]float64, len(t.MachineTypes))
+	l := make([]*MachineType, t.Servers)
 	for i := range l {
 		next := 0
-		for j, k := range t.Kinds {
-			owed[j] += k.Share / sum
+		for j, k := range t.MachineTypes {
+			owed[j] += k.Weight / sum
 			if owed[j] > owed[next]+1e-9 {
 				next = j
 			}
 		}
 		owed[next]--
-		l[i] = &t.Kinds[next]
+		l[i] = &t.MachineTypes[next]
 	}
 	return l
 }
@@ -177,8 +177,8 @@
 	return false
 }
 
-// replicas are the names of the registry's.
-func (s *Scenario) replicas() []string {
+// replicaNames are the names of the registry's.
+func (s *Scenario) replicaNames() []string {
 	var l []string
 	for i := range s.Registry.Replicas {
 		l = append(l, fmt.Sprint("r", i))
@@ -188,5 +188,5 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Size is the server's capacity as discovery tells it: about the true one.
-func (s *Server) Size() float64 { return math.Round(s.Capacity*10) / 10 }
+// AdvertisedCapacity is the server's capacity as discovery tells it: about the true one.
+func (s *Server) AdvertisedCapacity() float64 { return math.Round(s.Capacity*10) / 10 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -14,8 +14,8 @@
 type Loop struct {
 	now    time.Duration
 	seq    uint64
-	plan   plan
-	posts  chan func()
+	timers timerHeap
+	posted chan func()
 	done   chan struct{}
 	start  time.Time
 	events uint64
@@ -35,7 +35,7 @@
 
 // New returns a Loop at time 0.
 func New() *Loop {
-	return &Loop{posts: make(chan func(), 4096), done: make(chan struct{}), start: time.Now()}
+	return &Loop{posted: make(chan func(), 4096), done: make(chan struct{}), start: time.Now()}
 }
 
 // Now is the time since the start, as of the function that runs.
@@ -51,7 +51,7 @@
 func (l *Loop) At(t time.Duration, f func()) *Timer {
 	l.seq++
 	tm := &Timer{at: max(t, l.now), seq: l.seq, f: f}
-	heap.Push(&l.plan, tm)
+	heap.Push(&l.timers, tm)
 	return tm
 }
 
@@ -61,35 +61,35 @@
 // Stop takes a timer back; a nil one, or one that has run, is none of its concern.
 func (l *Loop) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
-		heap.Remove(&l.plan, t.index)
+		heap.Remove(&l.timers, t.index)
 	}
 }
 
 // Post hands the loop a function from another goroutine. It may wait; after the loop's end it drops f.
 func (l *Loop) Post(f func()) {
 	select {
-	case l.posts <- f:
+	case l.posted <- f:
 	case <-l.done:
 	}
 }
 
 // RunVirtual runs all that is planned up to and at time until, without waiting, or until ctx ends.
 func (l *Loop) RunVirtual(ctx context.Context, until time.Duration) error {
-	for n := 0; len(l.plan) > 0 && l.plan[0].at <= until; n++ {
+	for n := 0; len(l.timers) > 0 && l.timers[0].at <= until; n++ {
 		if n%4096 == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
-		l.now = l.plan[0].at
-		l.step()
+		l.now = l.timers[0].at
+		l.runNext()
 	}
 	l.now = until
 	return nil
 }
 
-// heartbeat is how often the loop looks whether it runs in time, and stalled how late it must be to count.
+// heartbeatInterval is how often the loop looks whether it runs in time, and stalled how late it must be to count.
 const (
-	heartbeat = 5 * time.Millisecond
-	stalled   = 5 * time.Millisecond
+	heartbeatInterval = 5 * time.Millisecond
+	stallThreshold    = 5 * time.Millisecond
 )
 
 // RunReal runs what is planned when its time has come, and what is posted, until time until or until ctx
@@ -97,7 +97,7 @@
 func (l *Loop) RunReal(ctx context.Context, until time.Duration) error {
 	defer close(l.done)
 	l.start = time.Now()
-	l.beat()
+	l.scheduleHeartbeat()
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
@@ -105,16 +105,16 @@
 		if l.now >= until {
 			return nil
 		}
-		for n := 0; n < 256 && len(l.plan) > 0 && l.plan[0].at <= l.now; n++ {
-			l.step()
+		for n := 0; n < 256 && len(l.timers) > 0 && l.timers[0].at <= l.now; n++ {
+			l.runNext()
 		}
 		next := until
-		if len(l.plan) > 0 {
-			next = min(next, l.plan[0].at)
+		if len(l.timers) > 0 {
+			next = min(next, l.timers[0].at)
 		}
 		wait.Reset(max(0, next-l.Elapsed()))
 		select {
-		case f := <-l.posts:
+		case f := <-l.posted:
 			l.now = l.Elapsed()
 			f()
 		case <-wait.C:
@@ -124,27 +124,27 @@
 	}
 }
 
-// step runs the first function planned.
-func (l *Loop) step() {
-	t := heap.Pop(&l.plan).(*Timer)
+// runNext runs the first function planned.
+func (l *Loop) runNext() {
+	t := heap.Pop(&l.timers).(*Timer)
 	l.events++
 	t.f()
 }
 
-// beat notes when the loop itself was late.
-func (l *Loop) beat() {
-	planned := l.now + heartbeat
+// scheduleHeartbeat notes when the loop itself was late.
+func (l *Loop) scheduleHeartbeat() {
+	planned := l.now + heartbeatInterval
 	l.At(planned, func() {
-		if now := l.Elapsed(); now-planned > stalled {
+		if now := l.Elapsed(); now-planned > stallThreshold {
 			l.stalls = append(l.stalls, Stall{planned, now})
 		}
 		l.now = l.Elapsed()
-		l.beat()
+		l.scheduleHeartbeat()
 	})
 }
 
-// Stalled is how much of the time from one moment to another the loop stood still.
-func (l *Loop) Stalled(from, to time.Duration) time.Duration {
+// StallTime is how much of the time from one moment to another the loop stood still.
+func (l *Loop) StallTime(from, to time.Duration) time.Duration {
 	sum := time.Duration(0)
 	for i := len(l.stalls) - 1; i >= 0 && l.stalls[i].To > from; i-- {
 		sum += max(0, min(to, l.stalls[i].To)-max(from, l.stalls[i].From))
@@ -152,23 +152,23 @@
 	return sum
 }
 
-// plan is a heap by time and order of planning.
-type plan []*Timer
+// timerHeap is a heap by time and order of planning.
+type timerHeap []*Timer
 
-func (p plan) Len() int { return len(p) }
-func (p plan) Less(i, j int) bool {
+func (p timerHeap) Len() int { return len(p) }
+func (p timerHeap) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
-func (p plan) Swap(i, j int) {
+func (p timerHeap) Swap(i, j int) {
 	p[i], p[j] = p[j], p[i]
 	p[i].index, p[j].index = i, j
 }
-func (p *plan) Push(x any) {
+func (p *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(*p)
 	*p = append(*p, t)
 }
-func (p *plan) Pop() any {
+func (p *timerHeap) Pop() any {
 	old := *p
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/lab/virtual/attempt.go
+++ b/internal/lab/virtual/attempt.go
@@ -57,8 +57,8 @@
 	case l.refused || f.stopped[server] && !f.unreachable[server]:
 		n.afterDelay(a, roundTrip, fail)
 	case f.unreachable[server] || l.lostForward || l.lostBackward:
-		n.afterDelay(a, f.world.Site.Limits.Connect.D(), fail)
-	case f.openConnections[server] >= f.world.Servers[server].Kind.Connections:
+		n.afterDelay(a, f.world.Site.Limits.ConnectTimeout.Std(), fail)
+	case f.openConnections[server] >= f.world.Servers[server].MachineType.MaxConnections:
 		n.afterDelay(a, roundTrip, fail)
 	default:
 		f.openConnections[server]++
@@ -87,7 +87,7 @@
 	}
 	l := f.link(n.index, a.server)
 	a.reusable = true
-	a.delivery = &model.Attempt{Call: a.call.Call, Node: n.index, First: loop.Now(), Fresh: fresh, Done: n.responder(a)}
+	a.delivery = &model.Attempt{Call: a.call.Call, Node: n.index, FirstByteAt: loop.Now(), NewConnection: fresh, Done: n.responder(a)}
 	if l.lostForward || f.unreachable[a.server] {
 		a.reusable = false
 		return
@@ -102,7 +102,7 @@
 		if f.unreachable[a.server] {
 			return
 		}
-		delivery.First = loop.Now()
+		delivery.FirstByteAt = loop.Now()
 		f.world.Servers[a.server].Arrive(delivery)
 		if a.ended { // cancelled on its way
 			f.world.Servers[a.server].Cancel(delivery)
@@ -121,7 +121,7 @@
 		f.world.Loop.After(l.backward, func() {
 			n.run(func() {
 				if n.incarnation == incarnation {
-					n.finishAttempt(a, resultOf[o], o == model.Reset, body)
+					n.finishAttempt(a, resultOf[o], o == model.ConnectionReset, body)
 				}
 			})
 		})
@@ -130,8 +130,8 @@
 
 // resultOf maps what a server did with an attempt to what its node sees.
 var resultOf = map[model.Outcome]balancer.Result{
-	model.Done: balancer.Success, model.Errored: balancer.Failure, model.TurnedAway: balancer.Overloaded,
-	model.Reset: balancer.ConnectionLost, model.Dropped: balancer.Cancelled,
+	model.Completed: balancer.Success, model.ServerError: balancer.Failure, model.ServerRejected: balancer.Overloaded,
+	model.ConnectionReset: balancer.ConnectionLost, model.Abandoned: balancer.Cancelled,
 }
 
 // finishAttempt ends an attempt and passes its outcome to the Balancer. With broken its connection is not used again.
@@ -184,7 +184,7 @@
 	if len(idle) == 0 {
 		return false
 	}
-	oldest := n.fleet.world.Loop.Now() - n.fleet.world.Site.Limits.Idle.D()*3/4
+	oldest := n.fleet.world.Loop.Now() - n.fleet.world.Site.Limits.IdleTimeout.Std()*3/4
 	if idle[len(idle)-1] < oldest {
 		n.closeIdleConnections(server)
 		return false
--- a/internal/lab/virtual/backend.go
+++ b/internal/lab/virtual/backend.go
@@ -8,8 +8,8 @@
 	"umberbank/internal/lab/model"
 )
 
-// Process applies an action to a node's process.
-func (f *Fleet) Process(i int, act model.ProcessAct) {
+// ControlProcess applies an action to a node's process.
+func (f *Fleet) ControlProcess(i int, act model.ProcessAction) {
 	n := f.nodes[i]
 	switch act {
 	case model.Start:
@@ -42,7 +42,7 @@
 		if !n.running {
 			f.world.Loop.After(f.localLatency(), func() {
 				if !disconnected {
-					done(model.Answer{Reply: model.Unreached})
+					done(model.Answer{Reply: model.Unreachable})
 				}
 			})
 			return
@@ -63,29 +63,29 @@
 }
 
 // localLatency is the one-way time between a client and its node.
-func (f *Fleet) localLatency() time.Duration { return f.world.Site.Net.Same.D() }
+func (f *Fleet) localLatency() time.Duration { return f.world.Site.Network.SameZone.Std() }
 
-// Tell delivers an endpoint update to a node.
-func (f *Fleet) Tell(i int, l model.List) {
+// SendList delivers an endpoint update to a node.
+func (f *Fleet) SendList(i int, l model.EndpointList) {
 	n := f.nodes[i]
 	if n.running && !n.watchSilent {
 		n.run(func() { n.applyUpdate(l, false) })
 	}
 }
 
-// Take requests a disruption permit for a server, with the state of all servers as it is now.
-func (f *Fleet) Take(server int, done func(error)) {
+// RequestPermit requests a disruption permit for a server, with the state of all servers as it is now.
+func (f *Fleet) RequestPermit(server int, done func(error)) {
 	budget := disruption.NewBudget()
-	budget.SetLimits(f.world.Site.BudgetLimits())
+	budget.SetLimits(f.world.Site.DisruptionLimits())
 	for i, s := range f.world.Servers {
-		u := f.world.Site.Unit(i)
+		u := f.world.Site.DisruptionUnit(i)
 		switch {
-		case !s.Up():
+		case !s.IsUp():
 			u.UnavailableFraction, u.Reason = 1, disruption.ReasonUnreachable
-		case s.Drains():
+		case s.IsDraining():
 			u.UnavailableFraction, u.Reason = 1, "draining"
-		case s.Cold():
-			u.UnavailableFraction, u.Reason = 1-s.Warmth(), "cold"
+		case s.IsWarmingUp():
+			u.UnavailableFraction, u.Reason = 1-s.WarmUpFraction(), "cold"
 		}
 		budget.SetUnit(u)
 	}
@@ -93,8 +93,8 @@
 	done(err)
 }
 
-// Mute starts or ends the silence of a node's watch.
-func (f *Fleet) Mute(i int, on bool) {
+// MuteWatches starts or ends the silence of a node's watch.
+func (f *Fleet) MuteWatches(i int, on bool) {
 	n := f.nodes[i]
 	n.discoverySilent = on
 	if on && !n.watchSilent {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Links adds an effect to links, or removes it.
-func (f *Fleet) Links(nodes, servers []int, e *model.Effect, on bool) {
+// ImpairLinks adds an effect to links, or removes it.
+func (f *Fleet) ImpairLinks(nodes, servers []int, e *model.Impairment, on bool) {
 	for _, n := range nodes {
 		for _, s := range servers {
 			k := nodeServer{n, s}
@@ -141,11 +141,11 @@
 	delete(f.unreachable, s)
 }
 
-// Publish does nothing: there is no registry on the virtual clock.
-func (f *Fleet) Publish(int, model.State) bool { return false }
+// PublishState does nothing: there is no registry on the virtual clock.
+func (f *Fleet) PublishState(int, model.State) bool { return false }
 
-// Lease does nothing: there is no registry on the virtual clock.
-func (f *Fleet) Lease(int, bool) {}
+// SetHeartbeats does nothing: there is no registry on the virtual clock.
+func (f *Fleet) SetHeartbeats(int, bool) {}
 
-// Replicas does nothing: there is no registry on the virtual clock.
-func (f *Fleet) Replicas([]int, string, bool) {}
+// FaultReplicas does nothing: there is no registry on the virtual clock.
+func (f *Fleet) FaultReplicas([]int, string, bool) {}
--- a/internal/lab/virtual/call.go
+++ b/internal/lab/virtual/call.go
@@ -51,7 +51,7 @@
 			n.finishAttempt(c.attempts[a.Attempt], balancer.Cancelled, true, "")
 		}
 	case balancer.Reject:
-		n.respond(a.ID, model.Answer{Reply: model.Refused, RetryAfter: a.RetryAfter})
+		n.respond(a.ID, model.Answer{Reply: model.Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		n.respond(a.ID, model.Answer{Reply: model.Failed})
 	case balancer.SetTimer:
@@ -76,20 +76,20 @@
 func (n *node) accept(request *model.Call, done func(model.Answer)) *call {
 	w := n.fleet.world
 	n.nextID++
-	margin := min(responseMargin, request.Left/4)
+	margin := min(responseMargin, request.Timeout/4)
 	c := &call{
 		Call:     request,
 		id:       strconv.FormatUint(n.nextID, 10),
 		sequence: n.nextID,
 		done:     done,
-		deadline: w.Loop.Now() + request.Left - margin,
+		deadline: w.Loop.Now() + request.Timeout - margin,
 	}
 	n.calls[c.id] = c
 	n.handle(balancer.Request{
 		ID:          c.id,
 		Class:       w.Site.Classes[request.Class].Name,
 		Deadline:    epoch + c.deadline,
-		ClientRetry: request.Repeat,
+		ClientRetry: request.IsRetry,
 	})
 	return c
 }
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -21,7 +21,7 @@
 		return
 	}
 	n.watchSilent = false
-	n.fleet.Tell(n.index, n.fleet.world.Directory.List(n.index))
+	n.fleet.SendList(n.index, n.fleet.world.Directory.List(n.index))
 }
 
 // endpointStates maps the states of the model to those of the Balancer.
@@ -30,8 +30,8 @@
 }
 
 // endpointUpdate converts a list of the model for the Balancer.
-func (f *Fleet) endpointUpdate(l model.List, cached bool) balancer.EndpointUpdate {
-	e := balancer.EndpointUpdate{Full: l.All, Cached: cached, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
+func (f *Fleet) endpointUpdate(l model.EndpointList, cached bool) balancer.EndpointUpdate {
+	e := balancer.EndpointUpdate{Full: l.Complete, Cached: cached, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
 	for _, t := range l.Entries {
 		server := &f.world.Site.Servers[t.Server]
 		endpoint := balancer.Endpoint{
@@ -39,10 +39,10 @@
 			Zone:   f.world.Site.Zones[server.Zone].Name,
 			Cell:   server.Rack,
 			State:  endpointStates[t.State],
-			Weight: server.Size(),
+			Weight: server.AdvertisedCapacity(),
 		}
-		if t.Boot >= 0 {
-			endpoint.StartTime = epoch + t.Boot
+		if t.StartTime >= 0 {
+			endpoint.StartTime = epoch + t.StartTime
 		}
 		e.Endpoints = append(e.Endpoints, endpoint)
 	}
@@ -51,8 +51,8 @@
 
 // applyUpdate applies an update to the excluded servers, then passes it to the Balancer. cached: the list is from before the
 // process started.
-func (n *node) applyUpdate(l model.List, cached bool) {
-	if l.All {
+func (n *node) applyUpdate(l model.EndpointList, cached bool) {
+	if l.Complete {
 		n.excludeUnlisted(l)
 	}
 	for _, t := range l.Entries {
@@ -66,14 +66,14 @@
 }
 
 // excludeUnlisted excludes the servers of the node's tier that a full list does not name, and no others.
-func (n *node) excludeUnlisted(l model.List) {
+func (n *node) excludeUnlisted(l model.EndpointList) {
 	n.excluded = map[int]bool{}
 	listed := make([]bool, len(n.fleet.world.Servers))
 	for _, t := range l.Entries {
 		listed[t.Server] = true
 	}
 	for s, isListed := range listed {
-		if !isListed && n.fleet.world.Servers[s].Tier == n.fleet.world.Site.Nodes[n.index].Tier {
+		if !isListed && n.fleet.world.Servers[s].Tier == n.fleet.world.Site.Nodes[n.index].TargetTier {
 			n.exclude(s)
 		}
 	}
--- a/internal/lab/virtual/fleet.go
+++ b/internal/lab/virtual/fleet.go
@@ -36,7 +36,7 @@
 	ready           func(node int)
 	nodes           []*node
 	serverIndex     map[string]int // by name
-	links           map[nodeServer][]*model.Effect
+	links           map[nodeServer][]*model.Impairment
 	unreachable     map[int]bool // servers whose machine does not answer
 	stopped         map[int]bool // servers whose process does not run
 	openConnections []int        // by server
@@ -51,7 +51,7 @@
 		newBalancer:     newBalancer,
 		ready:           ready,
 		serverIndex:     map[string]int{},
-		links:           map[nodeServer][]*model.Effect{},
+		links:           map[nodeServer][]*model.Impairment{},
 		unreachable:     map[int]bool{},
 		stopped:         map[int]bool{},
 		openConnections: make([]int, len(w.Site.Servers)),
@@ -73,7 +73,7 @@
 	work.SetLimit(runtime.GOMAXPROCS(0))
 	actions := make([][]balancer.Action, len(f.nodes))
 	for i, n := range f.nodes {
-		tier := f.world.Site.Nodes[i].Tier
+		tier := f.world.Site.Nodes[i].TargetTier
 		if _, exists := lists[tier]; !exists {
 			lists[tier] = f.endpointUpdate(f.world.Directory.List(i), true)
 		}
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -15,23 +15,23 @@
 
 // link returns the state of a link with all effects on it.
 func (f *Fleet) link(n, s int) link {
-	base := f.world.Site.Net.Same.D()
+	base := f.world.Site.Network.SameZone.Std()
 	if f.world.Site.Nodes[n].Zone != f.world.Site.Servers[s].Zone {
-		base = f.world.Site.Net.Cross.D()
+		base = f.world.Site.Network.CrossZone.Std()
 	}
 	l := link{forward: base, backward: base}
 	for _, e := range f.links[nodeServer{n, s}] {
 		extra := e.Delay + e.Jitter/2
-		if e.Rate > 0 {
-			extra += messageBytes * time.Second / time.Duration(e.Rate)
+		if e.BytesPerSecond > 0 {
+			extra += messageBytes * time.Second / time.Duration(e.BytesPerSecond)
 		}
-		if e.There {
+		if e.ToServer {
 			l.forward += extra
-			l.lostForward = l.lostForward || e.Silent
+			l.lostForward = l.lostForward || e.Stall
 		}
-		if e.Back {
+		if e.ToNode {
 			l.backward += extra
-			l.lostBackward = l.lostBackward || e.Silent
+			l.lostBackward = l.lostBackward || e.Stall
 		}
 		l.refused = l.refused || e.Refuse
 	}
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtual/process.go
@@ -80,7 +80,7 @@
 	n.running, n.paused, n.deferred = true, false, nil
 	n.watchSilent = n.discoverySilent
 	n.incarnation++
-	if w.Site.State.Keep {
+	if w.Site.Snapshots.Enabled {
 		if n.persistedAt > 0 {
 			m.Handle(n.clock(), balancer.Restore{Snapshot: n.persisted, Age: n.clock() - n.persistedAt})
 		}
@@ -94,7 +94,7 @@
 
 // persistPeriodically stores a snapshot of the Balancer at the interval of the scenario, until the process ends.
 func (n *node) persistPeriodically(incarnation int) {
-	n.fleet.world.Loop.After(n.fleet.world.Site.State.Every.D(), func() {
+	n.fleet.world.Loop.After(n.fleet.world.Site.Snapshots.Interval.Std(), func() {
 		if n.incarnation != incarnation {
 			return
 		}
@@ -117,7 +117,7 @@
 		if !c.finished {
 			c.finished = true
 			done := c.done
-			n.fleet.world.Loop.After(n.fleet.localLatency(), func() { done(model.Answer{Reply: model.Lost}) })
+			n.fleet.world.Loop.After(n.fleet.localLatency(), func() { done(model.Answer{Reply: model.ConnectionLost}) })
 		}
 	}
 	n.calls = map[string]*call{}
