--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -10,61 +9,6 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// site is a State with nodes in sync, so many in each zone, named after it.
-func site(t *testing.T, zones string, each int) *State {
-	t.Helper()
-	s := New()
-	for _, z := range zones {
-		for i := range each {
-			id := fmt.Sprintf("%c%d", z, i)
-			s.SetNode(id, string(z), 1, false, Timestamp{Revision: 1})
-			if err := s.Report(id, 1, 0, ""); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	return s
-}
-
-// commitVersion proposes a version and starts its stages until it is committed or one cannot start. Only reachable nodes
-// answer.
-func commitVersion(s *State, stages ...float64) error {
-	v, err := s.Propose(fmt.Sprint("c", s.HighestNumber+1), s.Committed.Number, stages)
-	for err == nil && s.Pending != nil {
-		if err = answer(s); err == nil {
-			err = s.Advance(v.Number, s.Stage)
-		}
-	}
-	return errors.Join(err, answer(s))
-}
-
-// answer has every reachable node run its target version, and acknowledge the pending one.
-func answer(s *State) error {
-	for _, id := range s.nodeIDs() {
-		n := s.Nodes[id]
-		if n.Unreachable {
-			continue
-		}
-		if err := s.Report(id, n.Incarnation, n.TargetVersion, s.Hashes[n.TargetVersion]); err != nil {
-			return err
-		}
-		if s.Pending == nil {
-			continue
-		}
-		if err := s.Acknowledge(id, n.Incarnation, s.Pending.Number, s.Pending.Hash, ""); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// setUnreachable makes nodes unreachable.
-func setUnreachable(s *State, ids ...string) {
-	for _, id := range ids {
-		s.SetNode(id, s.Nodes[id].Zone, s.Nodes[id].Incarnation, true, Timestamp{Revision: 9, UnixMS: 1000})
-	}
-}
-
 // One of 100 nodes becomes unreachable, and 300 versions are committed, while only two hashes are kept for it: by them it is
 // still known, when it is reachable again, that it runs what it should not.
 func TestUnreachableNodeKeepsTwoHashes(t *testing.T) {
@@ -251,22 +195,6 @@
 	}
 }
 
-// noError ends the test if err is not nil.
-func noError(t *testing.T, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
-
-// checkError checks that err contains a text, or is nil if the text is empty.
-func checkError(t *testing.T, err error, want string) {
-	t.Helper()
-	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-		t.Errorf("%v, want %q", err, want)
-	}
-}
-
 // A State that a build without the fields on synchronization has stored goes on: a node that had reported is in sync, one
 // that had not is syncing.
 func TestMigrateLegacy(t *testing.T) {
@@ -291,98 +219,113 @@
 	}
 }
 
-// The life of a version, step by step, and the errors where it cannot go on.
+// The life of a version, step by step, and the errors where it cannot go on. The steps go on from each other.
 func TestVersionLifecycle(t *testing.T) {
 	s := New()
-	zones := []string{"a", "a", "a", "b", "b"}
-	for i, z := range zones {
-		s.SetNode(fmt.Sprint("n", i), z, 1, false, Timestamp{})
-	}
-	fails := func(err error, want string) {
+	for i, zone := range []string{"a", "a", "a", "b", "b"} {
+		s.SetNode(fmt.Sprint("n", i), zone, 1, false, Timestamp{})
+	}
+	t.Run("proposal", func(t *testing.T) { testProposal(t, s) })
+	t.Run("quorum", func(t *testing.T) { testQuorum(t, s) })
+	t.Run("stages", func(t *testing.T) { testStages(t, s) })
+	t.Run("violation", func(t *testing.T) { testViolation(t, s) })
+	t.Run("rejection", func(t *testing.T) {
+		noError(t, s.Acknowledge("n2", 1, 1, "x", "no such class"))
+		if s.Nodes["n2"].RejectReason == "" {
+			t.Error("the reason of a rejection is not kept")
+		}
+	})
+}
+
+// testProposal proposes version 1 with two stages, after what cannot be proposed.
+func testProposal(t *testing.T, s *State) {
+	propose := func(hash string, replaces int64, stages []float64, want string) {
 		t.Helper()
+		_, err := s.Propose(hash, replaces, stages)
 		checkError(t, err, want)
 	}
-	_, err := s.Propose("x", 0, []float64{1})
-	fails(err, "node n0 (zone a) is not known to run version 0")
-	for i := range zones {
-		fails(s.Report(fmt.Sprint("n", i), 1, 0, ""), "")
+	propose("x", 0, []float64{1}, "node n0 (zone a) is not known to run version 0")
+	for _, id := range s.nodeIDs() {
+		noError(t, s.Report(id, 1, 0, ""))
 	}
-	_, err = s.Propose("x", 3, []float64{1})
-	fails(err, "version 0 is in force")
-	_, err = s.Propose("x", 0, []float64{0.5, 0.4})
-	fails(err, "stages[1]")
-	v, err := s.Propose("x", 0, []float64{0.4, 1})
-	fails(err, "")
-	_, err = s.Propose("y", 0, []float64{1})
-	fails(err, "under way")
-	ack := func(i int) { fails(s.Acknowledge(fmt.Sprint("n", i), 1, v.Number, "x", ""), "") }
-	ack(0)
-	ack(0) // twice counts once
-	ack(3)
-	fails(s.Advance(v.Number, 0), "zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed")
-	ack(1)
-	fails(s.Advance(v.Number, 0), "zone b: 1 of 2")
-	fails(s.Acknowledge("n4", 2, v.Number, "x", ""), "start 2")
-	fails(s.Acknowledge("n4", 1, v.Number, "z", ""), "not under way")
-	ack(4)
-	s.SetNode("n4", "b", 1, true, Timestamp{}) // cut off, and no smaller quorum for it
-	fails(s.Advance(v.Number, 0), "zone b: 1 of 2")
-	s.SetNode("n4", "b", 2, false, Timestamp{}) // a restart: its word is worth nothing
-	fails(s.Advance(v.Number, 0), "zone b: 1 of 2")
-	fails(s.Acknowledge("n4", 2, v.Number, "x", ""), "node n4 has not caught up with version 0")
-	fails(s.Report("n4", 2, 0, ""), "")
-	fails(s.Advance(v.Number, 0), "zone b: 1 of 2")
-	fails(s.Acknowledge("n4", 2, v.Number, "x", ""), "")
-	fails(s.Advance(v.Number, 0), "")
-	fails(s.Advance(v.Number, 0), "") // a repeat
+	propose("x", 3, []float64{1}, "version 0 is in force")
+	propose("x", 0, []float64{0.5, 0.4}, "stages[1]")
+	propose("x", 0, []float64{0.4, 1}, "")
+	propose("y", 0, []float64{1}, "under way")
+}
+
+// testQuorum has nodes acknowledge version 1 until its first stage can start.
+func testQuorum(t *testing.T, s *State) {
+	acknowledge := func(id string) {
+		t.Helper()
+		noError(t, s.Acknowledge(id, 1, 1, "x", ""))
+	}
+	acknowledge("n0")
+	acknowledge("n0") // twice counts once
+	acknowledge("n3")
+	checkError(t, s.Advance(1, 0), "zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed")
+	acknowledge("n1")
+	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
+	checkError(t, s.Acknowledge("n4", 2, 1, "x", ""), "start 2")
+	checkError(t, s.Acknowledge("n4", 1, 1, "z", ""), "not under way")
+	acknowledge("n4")
+	s.SetNode("n4", "b", 1, true, Timestamp{}) // a partition does not shrink the quorum
+	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
+	s.SetNode("n4", "b", 2, false, Timestamp{}) // a restart: the acknowledgement before does not count
+	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
+	checkError(t, s.Acknowledge("n4", 2, 1, "x", ""), "node n4 has not caught up with version 0")
+	noError(t, s.Report("n4", 2, 0, ""))
+	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
+	noError(t, s.Acknowledge("n4", 2, 1, "x", ""))
+}
+
+// testStages starts the first stage of version 1, and cannot start the second one.
+func testStages(t *testing.T, s *State) {
+	noError(t, s.Advance(1, 0))
+	noError(t, s.Advance(1, 0)) // a repeat
 	if s.Nodes["n0"].TargetVersion != 1 || s.Stage != 1 {
 		t.Errorf("%+v", s)
 	}
-	fails(s.Advance(v.Number, 1), "node n0 (zone a) was told version 1 and is not known to run it")
-	fails(s.Withdraw(1), "only going back")
-	fails(s.Report("n1", 1, 1, "x"), "") // it runs what it only acknowledged
+	checkError(t, s.Advance(1, 1), "node n0 (zone a) was told version 1 and is not known to run it")
+	checkError(t, s.Withdraw(1), "only going back")
+}
+
+// testViolation has a node run version 1, which it has only acknowledged.
+func testViolation(t *testing.T, s *State) {
+	noError(t, s.Report("n1", 1, 1, "x"))
 	if !strings.Contains(s.HaltReason, "n1 runs version 1, which it was not told to") {
 		t.Errorf("halted: %q", s.HaltReason)
 	}
-	fails(s.Advance(v.Number, 1), "halted: node n1")
-	_, err = s.Rollback()
-	fails(err, "version 0 is what each node was started with")
-	// A way back that is halted cannot be withdrawn, as some run what it takes back, but can be begun anew.
-	c := New()
-	c.SetNode("n0", "a", 1, false, Timestamp{})
-	c.SetNode("n1", "a", 1, false, Timestamp{})
-	pass := func() {
+	checkError(t, s.Advance(1, 1), "halted: node n1")
+	_, err := s.Rollback()
+	checkError(t, err, "version 0 is what each node was started with")
+}
+
+// A halted rollback cannot be withdrawn, as some nodes run the version that it replaces, but it can be proposed again.
+func TestHaltedRollback(t *testing.T) {
+	s := New()
+	s.SetNode("n0", "a", 1, false, Timestamp{})
+	s.SetNode("n1", "a", 1, false, Timestamp{})
+	propose := func(hash string, replaces int64, stages ...float64) {
 		t.Helper()
-		for _, id := range c.nodeIDs() {
-			fails(c.Report(id, 1, c.Nodes[id].TargetVersion, c.Hashes[c.Nodes[id].TargetVersion]), "")
-			if c.Pending != nil {
-				fails(c.Acknowledge(id, 1, c.Pending.Number, c.Pending.Hash, ""), "")
-			}
-		}
-	}
-	pass()
-	_, err = c.Propose("x", 0, []float64{1})
-	fails(err, "")
-	pass()
-	fails(c.Advance(1, 0), "")
-	pass()
-	_, err = c.Propose("y", 1, []float64{0.5, 1})
-	fails(err, "")
-	pass()
-	fails(c.Advance(2, 0), "")
-	_, err = c.Rollback()
-	fails(err, "")
-	fails(c.Halt("by staff"), "")
-	fails(c.Withdraw(3), "itself a way back")
-	again, err := c.Rollback()
-	fails(err, "")
-	pass()
-	fails(c.Advance(again.Number, 0), "")
-	if c.Committed.Number != 4 || c.Committed.Hash != "x" {
-		t.Errorf("in force: %+v", c.Committed)
-	}
-	fails(s.Acknowledge("n2", 1, 1, "x", "no such class"), "")
-	if s.Nodes["n2"].RejectReason == "" {
-		t.Error("a refusal is not kept")
+		noError(t, answer(s))
+		_, err := s.Propose(hash, replaces, stages)
+		noError(t, err)
+		noError(t, answer(s))
+	}
+	propose("x", 0, 1)
+	noError(t, s.Advance(1, 0))
+	propose("y", 1, 0.5, 1)
+	noError(t, s.Advance(2, 0))
+	_, err := s.Rollback()
+	noError(t, err)
+	noError(t, s.Halt("by staff"))
+	checkError(t, s.Withdraw(3), "itself a way back")
+	again, err := s.Rollback()
+	noError(t, err)
+	noError(t, answer(s))
+	noError(t, s.Advance(again.Number, 0))
+	if s.Committed.Number != 4 || s.Committed.Hash != "x" {
+		t.Errorf("in force: %+v", s.Committed)
 	}
 }
