--- a/cmd/umberbank/registry_bench.go
+++ b/cmd/umberbank/registry_bench.go
@@ -63,7 +63,7 @@
 	fmt.Fprintf(t, "durable writes\t%.0f/s\n", r.WritesPerSecond)
 	fmt.Fprintf(t, "memory a watch\t%.1f KiB\n", r.BytesPerWatch/1024)
 	fmt.Fprintf(t, "writes again after the leader's death\t%.0f ms\n", r.FailoverMS)
-	fmt.Fprintf(t, "all watchers back\t%.2f s, %.1f%% without a whole list\n", r.ReconnectStormSeconds, 100*r.ResumedShare)
+	fmt.Fprintf(t, "all watchers back\t%.2f s, %.1f%% without a whole list\n", r.ReconnectStormSeconds, 100*r.ResumedFraction)
 	return t.Flush()
 }
 
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -39,7 +39,7 @@
 	BytesPerWatch         float64 `json:"bytes_per_watch"` // of the replicas' memory
 	FailoverMS            float64 `json:"failover_ms"`     // from the leader's death to the next write that is answered
 	ReconnectStormSeconds float64 `json:"reconnect_storm_s"`
-	ResumedShare          float64 `json:"resumed_share"`     // of the storm's watches, without a full list
+	ResumedFraction       float64 `json:"resumed_share"`     // of the storm's watches, without a full list
 	WriteMeanMS           float64 `json:"write_mean_ms"`     // of the changes, one at a time
 	CPUPerChangeMS        float64 `json:"cpu_per_change_ms"` // of all replicas together, in steps of 10 ms over all changes
 }
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.PropagationP50MS <= 0 || r.PropagationP99MS < r.PropagationP50MS || r.WritesPerSecond <= 0 || r.FailoverMS <= 0 || r.ReconnectStormSeconds <= 0 || r.ResumedShare != 1 {
+	if r.PropagationP50MS <= 0 || r.PropagationP99MS < r.PropagationP50MS || r.WritesPerSecond <= 0 || r.FailoverMS <= 0 || r.ReconnectStormSeconds <= 0 || r.ResumedFraction != 1 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -28,7 +28,7 @@
 
 const (
 	maxPermitWorkers     = 512
-	permitTierShare      = 0.5    // of the tier, and of each zone, may be out at once
+	permitTierFraction   = 0.5    // of the tier, and of each zone, may be out at once
 	permitExpiryMS       = 60_000 // no permit expires meanwhile
 	permitHolder         = "bench"
 	permitMinimalWatches = 1
@@ -77,7 +77,7 @@
 
 // setLimits sets limits under which permits are granted.
 func (m *measurement) setLimits(ctx context.Context) error {
-	share := permitTierShare
+	share := permitTierFraction
 	limits := &disruption.Limits{
 		Tiers:          []disruption.Limit{{Tier: benchTier, Total: &share, Zone: &share}},
 		PermitExpiryMS: permitExpiryMS,
--- a/internal/registry/bench/propagation.go
+++ b/internal/registry/bench/propagation.go
@@ -180,7 +180,7 @@
 		}
 	}
 	m.result.ReconnectStormSeconds = time.Since(began).Seconds()
-	m.result.ResumedShare = w.resumedShare()
+	m.result.ResumedFraction = w.resumedFraction()
 	return nil
 }
 
@@ -196,8 +196,8 @@
 	return opening.Wait()
 }
 
-// resumedShare is the share of the watches that were reopened and needed no full list.
-func (w *watches) resumedShare() float64 {
+// resumedFraction is the share of the watches that were reopened and needed no full list.
+func (w *watches) resumedFraction() float64 {
 	fullLists := 0
 	for _, x := range w.all {
 		if x.fullLists.Load() > 0 {
--- a/internal/registry/faulttest/check.go
+++ b/internal/registry/faulttest/check.go
@@ -18,7 +18,7 @@
 // maxListedViolations is how many violations a result lists one by one.
 const maxListedViolations = 5
 
-// input and output are those of an operation on one entry, for porcupine.
+// input and output are those of an operation on one instance, for porcupine.
 type (
 	input struct {
 		uid           string
@@ -34,29 +34,29 @@
 	}
 )
 
-// unknownRevision is the revision of an entry after a write without an answer.
+// unknownRevision is the revision of an instance after a write without an answer.
 const unknownRevision = -1
 
-// entryState is an entry as porcupine follows it.
-type entryState struct {
+// instanceState is an instance as porcupine follows it.
+type instanceState struct {
 	value       float64
 	modRevision int64
 }
 
-// hasRevision says whether the entry may be of a revision.
-func (s entryState) hasRevision(revision int64) bool {
+// hasRevision says whether the instance may be of a revision.
+func (s instanceState) hasRevision(revision int64) bool {
 	return s.modRevision == revision || s.modRevision == unknownRevision
 }
 
-// model is what one entry may do.
+// model is what one instance may do.
 var model = porcupine.Model{
 	Partition:         partitionByUID,
-	Init:              func() any { return entryState{0, unknownRevision} },
-	Step:              func(s, in, out any) (bool, any) { return stepEntry(s.(entryState), in.(input), out.(output)) },
+	Init:              func() any { return instanceState{0, unknownRevision} },
+	Step:              func(s, in, out any) (bool, any) { return stepInstance(s.(instanceState), in.(input), out.(output)) },
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// partitionByUID splits operations by entry, as entries do not depend on each other.
+// partitionByUID splits operations by instance, as instances do not depend on each other.
 func partitionByUID(ops []porcupine.Operation) [][]porcupine.Operation {
 	byUID := map[string][]porcupine.Operation{}
 	for _, op := range ops {
@@ -70,20 +70,20 @@
 	return parts
 }
 
-// stepEntry says whether an operation on an entry may have had this output, and what the entry is afterwards.
-func stepEntry(s entryState, in input, out output) (bool, entryState) {
+// stepInstance says whether an operation on an instance may have had this output, and what the instance is afterwards.
+func stepInstance(s instanceState, in input, result output) (bool, instanceState) {
 	applies := in.ifModRevision == 0 || s.hasRevision(in.ifModRevision)
 	switch {
 	case !in.write:
-		return s.value == out.value && s.hasRevision(out.modRevision), entryState{out.value, out.modRevision}
-	case !out.known && applies:
-		return true, entryState{in.value, unknownRevision}
-	case !out.known:
+		return s.value == result.value && s.hasRevision(result.modRevision), instanceState{result.value, result.modRevision}
+	case !result.known && applies:
+		return true, instanceState{in.value, unknownRevision}
+	case !result.known:
 		return true, s
-	case out.code == state.CodeConflict:
+	case result.code == state.CodeConflict:
 		return in.ifModRevision != 0 && (s.modRevision != in.ifModRevision || s.modRevision == unknownRevision), s
 	}
-	return applies, entryState{in.value, out.modRevision}
+	return applies, instanceState{in.value, result.modRevision}
 }
 
 // check completes a result by what was seen. final is the registry's list in the end; nil: it is not known.
@@ -109,7 +109,7 @@
 	}
 }
 
-// viewViolations finds acknowledged writes that a watcher passed without seeing, and entries that are later than its list.
+// viewViolations finds acknowledged writes that a watcher passed without seeing, and instances that are later than its list.
 func (h *history) viewViolations(v client.View) (found []string) {
 	revisions := map[string]int64{}
 	for _, e := range v.Instances {
--- a/internal/registry/faulttest/history.go
+++ b/internal/registry/faulttest/history.go
@@ -81,7 +81,7 @@
 	return h.lastValue
 }
 
-// write writes one entry's value.
+// write writes one instance's value.
 func (h *history) write(ctx context.Context, c *client.Client, user int, in input) {
 	called := time.Since(h.began)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
@@ -91,11 +91,11 @@
 		h.add(user, in, output{}, called, neverReturned)
 		return
 	}
-	out := output{known: true, code: results[0].Code, modRevision: results[0].Revision}
-	h.add(user, in, out, called, time.Since(h.began))
+	result := output{known: true, code: results[0].Code, modRevision: results[0].Revision}
+	h.add(user, in, result, called, time.Since(h.began))
 }
 
-// read reads one entry consistently, and notes its revision in seen. A read without an answer says nothing.
+// read reads one instance consistently, and notes its revision in seen. A read without an answer says nothing.
 func (h *history) read(ctx context.Context, c *client.Client, user int, key string, seen map[string]int64) {
 	called := time.Since(h.began)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
@@ -117,20 +117,20 @@
 }
 
 // add notes a user's operation.
-func (h *history) add(user int, in input, out output, called, returned time.Duration) {
+func (h *history) add(user int, in input, result output, called, returned time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, porcupine.Operation{ClientId: user, Input: in, Output: out, Call: int64(called), Return: int64(returned)})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: user, Input: in, Output: result, Call: int64(called), Return: int64(returned)})
 	if !in.write {
 		h.reads++
 		return
 	}
 	h.writes++
 	switch {
-	case !out.known:
+	case !result.known:
 		h.unanswered++
-	case out.code == "":
-		h.acknowledged = append(h.acknowledged, acknowledgedWrite{in.uid, out.modRevision})
+	case result.code == "":
+		h.acknowledged = append(h.acknowledged, acknowledgedWrite{in.uid, result.modRevision})
 	}
 }
 
--- a/internal/registry/faulttest/run.go
+++ b/internal/registry/faulttest/run.go
@@ -44,7 +44,7 @@
 }
 
 const (
-	keyCount         = 3 // entries that are written and read
+	keyCount         = 3 // instances that are written and read
 	userCount        = 4
 	watcherCount     = 3
 	defaultDuration  = 3 * time.Second
@@ -135,7 +135,7 @@
 	return res, ctx.Err()
 }
 
-// registerKeys registers the entries that are written and read.
+// registerKeys registers the instances that are written and read.
 func registerKeys(ctx context.Context, w *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
