--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -3,32 +3,10 @@
 package scenario
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
 
-// Duration is a time.Duration written as text with its unit, as "250ms" or "1m30s".
-type Duration time.Duration
-
-// UnmarshalText reads text such as "250ms".
-func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	if err != nil {
-		return fmt.Errorf("%q is no time with a unit, such as \"250ms\"", text)
-	}
-	*d = Duration(v)
-	return nil
-}
-
-// MarshalText writes what UnmarshalText reads.
-func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
-
-func (d Duration) String() string { return time.Duration(d).String() }
-
-// Std is the duration in the standard library's type.
-func (d Duration) Std() time.Duration { return time.Duration(d) }
-
 // Scenario is one file.
 type Scenario struct {
 	Name         string           `toml:"name"`
@@ -179,28 +157,6 @@
 	StartTimeout      Duration `toml:"start_within"`
 }
 
-// Fault is something that goes wrong for a while.
-type Fault struct {
-	Kind           string   `toml:"kind"`
-	At             Duration `toml:"at"`
-	Duration       Duration `toml:"for"`
-	Interval       Duration `toml:"every"`  // when repeated
-	Repetitions    int      `toml:"repeat"` // times; 0: once
-	Names          []string `toml:"names"`  // nodes or servers by name
-	Tier           string   `toml:"tier"`
-	Zone           string   `toml:"zone"`
-	Region         string   `toml:"region"`
-	Count          int      `toml:"count"` // so many of those selected, drawn by the seed
-	Share          float64  `toml:"share"` // or such a share
-	Factor         float64  `toml:"factor"`
-	Delay          Duration `toml:"delay"`
-	Jitter         Duration `toml:"jitter"`
-	BytesPerSecond int      `toml:"bytes_per_s"`
-	Direction      string   `toml:"direction"` // there, back; else both
-	FromNodes      []string `toml:"from"`      // nodes whose links are hit; none: all
-	Class          string   `toml:"class"`
-}
-
 // Expectations is what must hold for a run to be in order. Absent limits are not looked at.
 type Expectations struct {
 	MinServedShare            float64            `toml:"served_share"` // at least
