--- a/internal/registry/client/agreed.go
+++ b/internal/registry/client/coordination.go
@@ -14,15 +14,15 @@
 // answerTimeout is how long an answer may take beyond the time that its call waits for a change.
 const answerTimeout = time.Second
 
-// PollCoordination polls for what is agreed, as of a later revision than after if there is one within wait. query says which part; see
-// the replica's /registry/agreed. It sets after and wait_ms in query.
+// PollCoordination polls for the coordination view, as of a later revision than after if there is one within wait. query says
+// which part; see api.PathCoordination. It sets after and wait_ms in query.
 func (c *Client) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	var agreed state.CoordinationView
-	return &agreed, c.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &agreed)
+	var view state.CoordinationView
+	return &view, c.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &view)
 }
 
 // WriteOne has one write carried out, within a second.
--- a/internal/registry/faulttest/faults.go
+++ b/internal/registry/faulttest/faults.go
@@ -29,7 +29,9 @@
 )
 
 // faultKinds are all kinds, in the order in which they are drawn.
-var faultKinds = []faultKind{killReplica, suspendReplica, isolate, blockIncoming, blockOutgoing, cutOneLink, killAll, delayLinks, delaySyncs}
+var faultKinds = []faultKind{
+	killReplica, suspendReplica, isolate, blockIncoming, blockOutgoing, cutOneLink, killAll, delayLinks, delaySyncs,
+}
 
 // Bounds of what is drawn.
 const (
--- a/internal/registry/faulttest/run.go
+++ b/internal/registry/faulttest/run.go
@@ -141,7 +141,8 @@
 	defer cancel()
 	var ops []state.Op
 	for key := range keyCount {
-		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid(key), Endpoint: "10.0.0.1:3000", State: state.Serving}})
+		instance := &state.Instance{UID: uid(key), Endpoint: "10.0.0.1:3000", State: state.Serving}
+		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: instance})
 	}
 	_, err := w.Write(ctx, ops...)
 	return err
--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -18,7 +18,7 @@
 func (r *Replica) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathInstances, r.handleInstances)
-	mux.HandleFunc("GET "+api.PathCoordination, r.handleAgreed)
+	mux.HandleFunc("GET "+api.PathCoordination, r.handleCoordination)
 	mux.HandleFunc("GET "+api.PathStatus, r.handleStatus)
 	mux.HandleFunc("GET "+api.PathBackup, r.handleBackup)
 	mux.HandleFunc("POST "+api.PathWrite, r.onLeader(r.handleWrite))
--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -22,8 +22,8 @@
 	// maxPollWait and defaultPollWaitMS are how long a call with after waits for a change.
 	maxPollWait       = 10 * time.Second
 	defaultPollWaitMS = "1000"
-	// maxAgreedStaleness is how old what is agreed may be that a replica returns.
-	maxAgreedStaleness = 2 * time.Second
+	// maxCoordinationStaleness is how stale a coordination view may be that a replica returns.
+	maxCoordinationStaleness = 2 * time.Second
 	// neverContacted is the staleness of a replica that has not heard from any leader.
 	neverContacted = 24 * time.Hour
 )
@@ -135,10 +135,10 @@
 	return since, minRevision, nil
 }
 
-// handleAgreed returns what is agreed. after=REV waits until there is a later revision, or wait_ms are over; unit=UID
+// handleCoordination returns the coordination view. after=REV waits until there is a later revision, or wait_ms are over; unit=UID
 // returns that unit and its permit alone, node=UID what settings that node is to run, without the contents of versions that
 // it has (has=N,M); units=1 returns all units, lead=UID that controller; consistent=1 is as for instances.
-func (r *Replica) handleAgreed(w http.ResponseWriter, q *http.Request) {
+func (r *Replica) handleCoordination(w http.ResponseWriter, q *http.Request) {
 	query := q.URL.Query()
 	if query.Get("consistent") != "" && !r.ensureConsistent(w, q) {
 		return
@@ -152,32 +152,32 @@
 		}
 		r.waitForRevision(q, after+1, min(time.Duration(ms)*time.Millisecond, maxPollWait))
 	}
-	if r.staleness() > maxAgreedStaleness {
+	if r.staleness() > maxCoordinationStaleness {
 		reply(w, nil, errLeaderLost)
 		return
 	}
-	text, revision, err := r.encodeAgreed(query)
+	text, revision, err := r.encodeCoordination(query)
 	w.Header().Set(api.HeaderRevision, strconv.FormatInt(revision, 10))
 	reply(w, json.RawMessage(text), err)
 }
 
-// encodeAgreed encodes the part of what is agreed that a call is for. That is done under the state's lock, as much of it
+// encodeCoordination encodes the part of the coordination view that a call is for. That is done under the state's lock, as much of it
 // changes in place.
-func (r *Replica) encodeAgreed(query url.Values) (text []byte, revision int64, err error) {
+func (r *Replica) encodeCoordination(query url.Values) (text []byte, revision int64, err error) {
 	unit, node := query.Get("unit"), query.Get("node")
 	known := knownVersions(query.Get("has"))
 	r.fsm.read(func(s *state.State) {
-		var agreed state.CoordinationView
+		var view state.CoordinationView
 		switch {
 		case unit != "":
-			agreed = s.UnitView(unit)
+			view = s.UnitView(unit)
 		case node != "":
-			agreed = s.NodeView(node, known)
+			view = s.NodeView(node, known)
 		default:
-			agreed = s.CoordinationView(query.Get("units") != "", query.Get("lead"))
+			view = s.CoordinationView(query.Get("units") != "", query.Get("lead"))
 		}
-		revision = agreed.Revision
-		text, err = json.Marshal(agreed)
+		revision = view.Revision
+		text, err = json.Marshal(view)
 	})
 	return text, revision, err
 }
--- a/internal/registry/replica/guard.go
+++ b/internal/registry/replica/guard.go
@@ -4,14 +4,15 @@
 
 // ExpiryGuard is the configuration of when expired leases are not believed.
 //
-// An expired lease is believed, and its instance is removed, unless within Window at least MinExpired leases have expired, and with
-// them those of more than MaxZoneFraction of the zone's instances: a mass expiry. Then that zone's instances stay as suspects. If
-// every other zone (and there is one) renews as ever, the zone is taken for lost after ConfirmAfter, and its suspects are removed.
-// If there is a mass expiry in two zones or more, or there is no other zone, the fault is likelier between the registry and
-// the servers: suspects stay until they renew, or an operator declares them decommissioned.
+// An expired lease is believed, and its instance is removed, unless within Window at least MinExpired leases have expired,
+// and with them those of more than MaxZoneFraction of the zone's instances: a mass expiry. Then that zone's instances stay as
+// suspects. If every other zone (and there is one) renews as ever, the zone is taken for lost after ConfirmAfter, and its
+// suspects are removed. If there is a mass expiry in two zones or more, or there is no other zone, the fault is likelier
+// between the registry and the servers: suspects stay until they renew, or an operator declares them decommissioned.
 //
-// Where it must fail: a partition between the registry and one zone alone looks like that zone's loss, and its servers are removed
-// after ConfirmAfter though clients may reach them; and when two zones are truly lost at once, their servers stay listed.
+// Where it must fail: a partition between the registry and one zone alone looks like that zone's loss, and its servers are
+// removed after ConfirmAfter though clients may reach them; and when two zones are truly lost at once, their servers stay
+// listed.
 type ExpiryGuard struct {
 	MaxZoneFraction float64 // of a zone's leases, above 0 and up to 1
 	MinExpired      int     // in all zones, 1 or more
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -59,8 +59,12 @@
 		})
 	}
 	stateGauge("registry_entries", "Servers in the list.", func(s *state.State) float64 { return float64(s.Len()) })
-	stateGauge("registry_suspects", "Servers whose ended leases are not believed.", func(s *state.State) float64 { return float64(countSuspects(s)) })
-	stateGauge("registry_epoch", "Moved on by each restored backup.", func(s *state.State) float64 { return float64(state.Epoch(s.Revision())) })
+	stateGauge("registry_suspects", "Servers whose ended leases are not believed.", func(s *state.State) float64 {
+		return float64(countSuspects(s))
+	})
+	stateGauge("registry_epoch", "Moved on by each restored backup.", func(s *state.State) float64 {
+		return float64(state.Epoch(s.Revision()))
+	})
 	gauge("registry_watchers", "Open watches.", func() float64 { return float64(r.watches.len()) })
 	gauge("registry_leads", "1 on the leader.", func() float64 {
 		if r.raft.State() == raft.Leader {
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -5,6 +5,7 @@
 	"net"
 	"net/http"
 	"os"
+	"strings"
 	"sync/atomic"
 	"time"
 
@@ -131,6 +132,6 @@
 
 // Write logs one line.
 func (w slogWriter) Write(line []byte) (int, error) {
-	w.logger.Warn("message of the raft library", "line", string(line))
+	w.logger.Warn("message of the raft library", "line", strings.TrimSuffix(string(line), "\n"))
 	return len(line), nil
 }
--- a/internal/registry/replica/write.go
+++ b/internal/registry/replica/write.go
@@ -37,7 +37,7 @@
 	began := time.Now()
 	future := r.raft.Apply(text, callTimeout)
 	if err := future.Error(); err != nil {
-		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) || errors.Is(err, raft.ErrLeadershipTransferInProgress) {
+		if isNotLeader(err) {
 			return nil, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
 		return nil, err
@@ -50,6 +50,13 @@
 	return result.results, result.err
 }
 
+// isNotLeader says whether raft turned a write down because this replica does not lead, or no longer.
+func isNotLeader(err error) bool {
+	return errors.Is(err, raft.ErrNotLeader) ||
+		errors.Is(err, raft.ErrLeadershipLost) ||
+		errors.Is(err, raft.ErrLeadershipTransferInProgress)
+}
+
 // renew renews leases and returns the uids of those that this replica does not know by their tokens.
 func (r *Replica) renew(ctx context.Context, leases []api.Lease) ([]string, error) {
 	reply := make(chan renewReply, 1)
