--- a/cmd/umberbank/interface_test.go
+++ b/cmd/umberbank/interface_test.go
@@ -214,7 +214,7 @@
 		"lab-cost.json":           encodings[cost.Result](t, indented),
 		"lab-scale.json":          encodings[scale.Result](t, indented),
 		"registry-status.json":    encodings[api.Status](t, indented),
-		"registry-get.json":       encodings[instanceList](t, indented),
+		"registry-get.json":       encodings[api.WatchEvent](t, indented),
 		"registry-bench.json":     encodings[bench.Result](t, indented),
 		"registry-permits.json":   encodings[bench.PermitResult](t, indented),
 		"registry-trial.json":     encodings[registrytrial.Result](t, indented),
--- a/cmd/umberbank/registry_backup.go
+++ b/cmd/umberbank/registry_backup.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"os"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -18,7 +19,7 @@
 // Run writes a backup to a file.
 func (c *registryBackupCmd) Run(env *environment) error {
 	var text json.RawMessage
-	if err := c.call(env.ctx, http.MethodGet, "/registry/backup", nil, &text); err != nil {
+	if err := c.call(env.ctx, http.MethodGet, api.PathBackup, nil, &text); err != nil {
 		return err
 	}
 	return os.WriteFile(c.File, text, 0o600)
@@ -39,5 +40,5 @@
 	if _, err := state.Load(text); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.call(env.ctx, http.MethodPost, "/registry/restore", json.RawMessage(text), &struct{}{})
+	return c.call(env.ctx, http.MethodPost, api.PathRestore, json.RawMessage(text), &struct{}{})
 }
--- a/cmd/umberbank/registry_get.go
+++ b/cmd/umberbank/registry_get.go
@@ -10,17 +10,11 @@
 	"slices"
 	"text/tabwriter"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/state"
 )
 
-// instanceList is the registry's answer with instances.
-type instanceList struct {
-	Revision  int64             `json:"rev"`
-	Complete  bool              `json:"all"` // all instances of the registry are in it
-	Instances []*state.Instance `json:"targets"`
-}
-
 // registryGetCmd is "umberbank registry get".
 type registryGetCmd struct {
 	registryFlags
@@ -32,20 +26,20 @@
 
 // Run prints the instances. It fails if one that was named is missing.
 func (c *registryGetCmd) Run(env *environment) error {
-	path := "/registry/instances?"
+	path := api.PathInstances + "?"
 	if c.Consistent {
 		path += "consistent=1&"
 	}
 	if c.MinRevision > 0 {
 		path += fmt.Sprintf("at_least=%d", c.MinRevision)
 	}
-	var list instanceList
+	var list api.WatchEvent
 	if err := c.call(env.ctx, http.MethodGet, path, nil, &list); err != nil {
 		return err
 	}
 	if len(c.UIDs) > 0 {
 		list.Instances = slices.DeleteFunc(list.Instances, func(e *state.Instance) bool { return !slices.Contains(c.UIDs, e.UID) })
-		list.Complete = false
+		list.FullList = false
 	}
 	if c.JSON {
 		return json.NewEncoder(env.stdout).Encode(list)
--- a/cmd/umberbank/registry_members.go
+++ b/cmd/umberbank/registry_members.go
@@ -39,7 +39,7 @@
 	case change.Add != nil && change.Remove != "":
 		return errors.New("one replica at a time: --add or --remove")
 	case change.Add != nil || change.Remove != "":
-		return c.call(env.ctx, http.MethodPost, "/registry/members", change, &struct{}{})
+		return c.call(env.ctx, http.MethodPost, api.PathMembers, change, &struct{}{})
 	}
 	return c.print(env)
 }
@@ -62,7 +62,7 @@
 // print prints the members.
 func (c *registryMembersCmd) print(env *environment) error {
 	var status api.Status
-	if err := c.call(env.ctx, http.MethodGet, "/registry/status", nil, &status); err != nil {
+	if err := c.call(env.ctx, http.MethodGet, api.PathStatus, nil, &status); err != nil {
 		return err
 	}
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
--- a/cmd/umberbank/registry_status.go
+++ b/cmd/umberbank/registry_status.go
@@ -26,7 +26,7 @@
 	for _, at := range c.Endpoints {
 		var st api.Status
 		one := registryFlags{Endpoints: []string{at}, Timeout: c.Timeout}
-		if err := one.call(env.ctx, http.MethodGet, "/registry/status", nil, &st); err != nil {
+		if err := one.call(env.ctx, http.MethodGet, api.PathStatus, nil, &st); err != nil {
 			failed = fmt.Errorf("%s: %w", at, err)
 			fmt.Fprintf(t, "?\t%s\tdoes not answer\t\n", at)
 			continue
--- a/internal/coordination/faulttest/faults.go
+++ b/internal/coordination/faulttest/faults.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"umberbank/internal/process/relay"
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/client"
 )
 
@@ -147,11 +148,11 @@
 			return
 		}
 		var backup json.RawMessage
-		if w.Call(ctx, "GET", "/registry/backup", nil, &backup) != nil {
+		if w.Call(ctx, "GET", api.PathBackup, nil, &backup) != nil {
 			return
 		}
 		time.Sleep(delay)
-		_ = w.Call(ctx, "POST", "/registry/restore", backup, &struct{}{})
+		_ = w.Call(ctx, "POST", api.PathRestore, backup, &struct{}{})
 	})
 }
 
--- a/internal/lab/scale/connections.go
+++ b/internal/lab/scale/connections.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -68,7 +69,7 @@
 	p.figures.set(KeyListChange, took.Seconds())
 	p.figures.set(KeyListChangeBytes, float64(after.bytes-before.bytes)/float64(p.nodes)-float64(p.restBytesPerSecond)*took.Seconds())
 	var fullList json.RawMessage
-	if err := p.client.Call(ctx, "GET", "/registry/instances", nil, &fullList); err != nil {
+	if err := p.client.Call(ctx, "GET", api.PathInstances, nil, &fullList); err != nil {
 		return err
 	}
 	p.figures.set(KeyFullListBytes, float64(len(fullList)))
--- a/internal/lab/scale/wait.go
+++ b/internal/lab/scale/wait.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"umberbank/internal/registry/api"
 	"umberbank/internal/registry/state"
 )
 
@@ -68,7 +69,7 @@
 // coordinationView reads the coordination state from the registry, without the units.
 func (p *play) coordinationView(ctx context.Context) (*state.CoordinationView, error) {
 	var view state.CoordinationView
-	return &view, p.client.Call(ctx, "GET", "/registry/agreed?consistent=1", nil, &view)
+	return &view, p.client.Call(ctx, "GET", api.PathCoordination+"?consistent=1", nil, &view)
 }
 
 // reachableNodes returns the names of the hollow nodes that are alive and on the side of the registry's majority.
