--- a/internal/lab/model/call.go
+++ b/internal/lab/model/call.go
@@ -1,61 +1,61 @@
 package model
 
-import (
-	"time"
-)
+import "time"
 
-// Call is one request to a node, by a client or by a server that calls the next tier. Each has an id of its own.
+// Call is a request to a node, by a client or by a server that calls the next tier. A client's retry is another call.
 type Call struct {
-	ID      string
+	ID      string // unique in the run
 	Class   int
-	Tier    int // that serves it
-	Node    int // that it is sent to
-	Key     string
-	Work    time.Duration // on a yardstick core
-	Timeout time.Duration // for which the sender waits, from Sent
+	Tier    int           // that serves it
+	Node    int           // that it is sent to
+	Key     string        // idempotency key; "": none
+	Work    time.Duration // time that a reference core needs for it
 	SentAt  time.Duration
-	IsRetry bool
+	Timeout time.Duration // how long the sender waits, from SentAt
+	IsRetry bool          // the sender marks it as a retry
 }
 
-// Reply is what became of a call, as its sender sees it.
+// Reply is the result of a call as its sender sees it.
 type Reply int
 
-// Replies. Unreached: no connection came up. Lost: the connection ended without a whole answer.
+// Replies.
 const (
-	Served Reply = iota
-	Rejected
-	Failed
-	Unreachable
-	ConnectionLost
+	Served         Reply = iota
+	Rejected             // the node promises that the call was not processed
+	Failed               // an error
+	Unreachable          // no connection was established
+	ConnectionLost       // the connection ended without a complete answer
 )
 
+// String returns the reply in one word, as traces show it.
 func (r Reply) String() string {
 	return [...]string{"served", "refused", "failed", "unreached", "lost"}[r]
 }
 
-// Answer is the end of a call. Body is what a server made, for a Served one.
+// Answer is what the sender of a call gets.
 type Answer struct {
 	Reply      Reply
-	RetryAfter time.Duration
-	Body       string
-	SendDelay  time.Duration // how much later than Sent the call was written
+	RetryAfter time.Duration // 0: none was given
+	Body       string        // of a served call
+	SendDelay  time.Duration // from SentAt until the call was written
 }
 
-// Outcome is how an attempt ended at the server.
+// Outcome is how an attempt ended at its server.
 type Outcome int
 
-// Outcomes. ServerRejected proves that it never ran.
+// Outcomes.
 const (
-	Completed Outcome = iota
-	ServerError
-	ServerRejected
-	ConnectionReset
-	Abandoned // the sender had gone
+	Completed       Outcome = iota
+	ServerError             // it ran and failed
+	ServerRejected          // it did not run
+	ConnectionReset         // the server crashed
+	Abandoned               // its sender stopped waiting
 )
 
+// String returns the outcome in one or two words, as traces show it.
 func (o Outcome) String() string {
 	return [...]string{"done", "error", "turned away", "reset", "dropped"}[o]
 }
 
-// Body is what a server answers to a call that it has done.
+// Body returns the body of a server's response to a call. It shows whether a response belongs to a call.
 func Body(c *Call, server string) string { return c.ID + "@" + server }
--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -10,189 +10,200 @@
 type Entry struct {
 	Server    int
 	State     State
-	StartTime time.Duration // on the loop's clock; negative: long ago
+	StartTime time.Duration // negative: before the run
 }
 
-// EndpointList is a message of discovery: the whole list, or what has changed.
+// EndpointList is a message of discovery to a node.
 type EndpointList struct {
 	Revision int64
-	Complete bool
+	Complete bool // it is the whole list; else the entries have changed
 	Entries  []Entry
 }
 
-// Directory is discovery: changes get a revision at once and come to each node's agent late, in order. What an
-// agent holds counts as told to its node.
+// Directory is discovery. A change gets a revision at once and reaches the agent of each node late, in the order of revisions.
+// What an agent holds counts as told to its node. In a run with a registry it holds no changes: the registry tells nodes.
 type Directory struct {
 	world  *World
 	log    []Entry // the entry of revision i+1
 	agents []agent
-	first  []State
 }
 
-// agent is what one node's discovery holds.
+// agent is the discovery of one node.
 type agent struct {
-	revision          int64
-	extraDelay        time.Duration           // added to what comes
-	hidden            func(Entry) bool        // what a fault hides; nil: nothing
-	shownRevision     int64                   // a fault shows an older revision, this one; 0: no
-	pendingDeliveries map[time.Duration]int64 // revisions to come, by when
-	muteCount         int                     // how often its watches have fallen silent
-	mutedAt           time.Duration           // when they last did
-	revisionOffset    int64                   // added to revisions after a whole list that a fault made
+	revision          int64                   // the last that has arrived
+	pendingDeliveries map[time.Duration]int64 // revisions under way, by the time of their arrival
+
+	// Faults.
+	extraDelay     time.Duration
+	hidden         func(Entry) bool // entries that are left out; nil: none
+	oldRevision    int64            // 1 + the old revision that is shown; 0: the last one is
+	revisionOffset int64            // added to revisions, as each list that a fault made needs a new one
+	muteCount      int              // how often its watches were muted
+	mutedAt        time.Duration    // when they last were
 }
 
+// delaySpread is the fraction of a change's delay by which the delays of agents differ.
+const delaySpread = 0.25
+
 func newDirectory(w *World) *Directory {
 	return &Directory{world: w, agents: make([]agent, len(w.Site.Nodes))}
 }
 
-// Publish enters a server's new state and sends it out.
-func (d *Directory) Publish(server int, st State) {
-	if d.world.Backend.PublishState(server, st) {
-		return // the registry tells
+// Publish enters a server's new state and sends it to the agents of all nodes that send to the server's tier.
+func (d *Directory) Publish(server int, state State) {
+	if d.world.Backend.PublishState(server, state) {
+		return // the registry tells nodes
 	}
-	e := Entry{server, st, d.world.Servers[server].startTime}
-	d.log = append(d.log, e)
-	rev := int64(len(d.log))
-	r := scenario.NewRand(d.world.Site.Seed, "news "+time.Duration(rev).String())
+	d.log = append(d.log, Entry{Server: server, State: state, StartTime: d.world.Servers[server].startTime})
+	revision := int64(len(d.log))
+	r := scenario.NewRand(d.world.Site.Seed, "news "+time.Duration(revision).String())
 	base := scenario.Draw(r, d.world.Site.Discovery.DelayRange).Std()
-	spread := float64(base) / 4
-	for n := range d.agents {
-		if d.world.Site.Nodes[n].TargetTier != d.world.Site.Servers[server].Tier {
+	spread := float64(base) * delaySpread
+	for node := range d.agents {
+		if !d.concerns(node, server) {
 			continue
 		}
-		d.scheduleDelivery(n, rev, base+time.Duration(r.Float64()*spread)+d.agents[n].extraDelay)
+		d.scheduleDelivery(node, revision, base+time.Duration(r.Float64()*spread)+d.agents[node].extraDelay)
 	}
 }
 
-// scheduleFinish lets an agent pass a revision on at the first of its turns after a wait, with all that comes by then.
-func (d *Directory) scheduleDelivery(n int, rev int64, wait time.Duration) {
-	a, period := &d.agents[n], d.world.Site.Discovery.GossipPeriod.Std()
-	at := (d.world.Loop.Now() + wait + period - 1) / period * period
+// concerns reports whether a node sends to a server's tier.
+func (d *Directory) concerns(node, server int) bool {
+	return d.world.Site.Nodes[node].TargetTier == d.world.Site.Servers[server].Tier
+}
+
+// scheduleDelivery delivers a revision to an agent at the first gossip round after a delay, with all that arrives by then.
+func (d *Directory) scheduleDelivery(node int, revision int64, delay time.Duration) {
+	a, period := &d.agents[node], d.world.Site.Discovery.GossipPeriod.Std()
+	at := (d.world.Loop.Now() + delay + period - 1) / period * period
 	if a.pendingDeliveries == nil {
 		a.pendingDeliveries = map[time.Duration]int64{}
 	}
-	if was, planned := a.pendingDeliveries[at]; planned {
-		a.pendingDeliveries[at] = max(was, rev)
+	if earlier, pending := a.pendingDeliveries[at]; pending {
+		a.pendingDeliveries[at] = max(earlier, revision)
 		return
 	}
-	a.pendingDeliveries[at] = rev
+	a.pendingDeliveries[at] = revision
 	d.world.Loop.At(at, func() {
-		rev := a.pendingDeliveries[at]
+		last := a.pendingDeliveries[at]
 		delete(a.pendingDeliveries, at)
-		d.deliver(n, rev)
+		d.deliver(node, last)
 	})
 }
 
-// deliver brings an agent up to a revision.
-func (d *Directory) deliver(n int, rev int64) {
-	a := &d.agents[n]
-	if rev <= a.revision {
+// deliver brings an agent up to a revision and sends its node what has changed.
+func (d *Directory) deliver(node int, revision int64) {
+	a := &d.agents[node]
+	if revision <= a.revision {
 		return
 	}
-	from := a.revision
-	a.revision = rev
-	var l []Entry
-	for _, e := range d.log[from:rev] {
-		if d.world.Site.Servers[e.Server].Tier != d.world.Site.Nodes[n].TargetTier || a.hidden != nil && a.hidden(e) {
+	changes := d.log[a.revision:revision]
+	a.revision = revision
+	var entries []Entry
+	for _, e := range changes {
+		if !d.concerns(node, e.Server) || a.hidden != nil && a.hidden(e) {
 			continue
 		}
-		l = append(l, e)
-		d.notify(n, e)
+		entries = append(entries, e)
+		d.notify(node, e)
 	}
-	if len(l) > 0 && a.shownRevision == 0 {
-		d.world.Backend.SendList(n, EndpointList{Revision: rev + a.revisionOffset, Entries: l})
+	if len(entries) > 0 && a.oldRevision == 0 {
+		d.world.Backend.SendList(node, EndpointList{Revision: revision + a.revisionOffset, Entries: entries})
 	}
 }
 
-// notify tells what an agent holds from now on. What a watch misses that has fallen silent counts as told when the time
-// for asking anew is over, and not before: no node can know of it sooner than its silence shows.
-func (d *Directory) notify(n int, e Entry) {
-	a := &d.agents[n]
-	tell := func() { d.world.Observer.NodeNotified(n, e.Server, e.State) }
-	if due := a.mutedAt + d.world.Site.Discovery.WatchTimeout.Std(); a.muteCount > 0 && d.world.Loop.Now() < due {
-		d.world.Loop.At(due, tell)
+// notify tells the observer what a node is told. What a muted watch misses counts as told when the node must have noticed that
+// the watch is silent, and not before.
+func (d *Directory) notify(node int, e Entry) {
+	a := &d.agents[node]
+	notified := func() { d.world.Observer.NodeNotified(node, e.Server, e.State) }
+	noticed := a.mutedAt + d.world.Site.Discovery.WatchTimeout.Std()
+	if a.muteCount > 0 && d.world.Loop.Now() < noticed {
+		d.world.Loop.At(noticed, notified)
 		return
 	}
-	tell()
-}
-
-// MuteWatches lets a node's watches fall silent, and for as long as it is on those that the node opens anew.
-func (d *Directory) MuteWatches(n int, on bool) {
-	if on {
-		d.agents[n].muteCount++
-		d.agents[n].mutedAt = d.world.Loop.Now()
-	}
-	d.world.Backend.MuteWatches(n, on)
+	notified()
 }
 
-// EndpointList is the whole list as a node's agent holds it.
-func (d *Directory) List(n int) EndpointList {
-	a := &d.agents[n]
-	rev := a.revision
-	if a.shownRevision > 0 {
-		rev = a.shownRevision - 1
+// List returns the whole list as a node's agent holds it.
+func (d *Directory) List(node int) EndpointList {
+	a := &d.agents[node]
+	revision := a.revision
+	if a.oldRevision > 0 {
+		revision = a.oldRevision - 1
 	}
-	l := EndpointList{Revision: rev + a.revisionOffset, Complete: true}
-	tier := d.world.Site.Nodes[n].TargetTier
-	entries := map[int]Entry{}
-	for _, e := range d.log[:rev] {
-		entries[e.Server] = e
+	changed := map[int]Entry{}
+	for _, e := range d.log[:revision] {
+		changed[e.Server] = e
 	}
-	for i := range d.world.Site.Servers {
-		if d.world.Site.Servers[i].Tier != tier {
+	list := EndpointList{Revision: revision + a.revisionOffset, Complete: true}
+	for server := range d.world.Site.Servers {
+		if !d.concerns(node, server) {
 			continue
 		}
-		e, changed := entries[i]
-		if !changed {
-			e = Entry{Server: i, StartTime: -time.Hour}
+		e, hasChanged := changed[server]
+		if !hasChanged {
+			e = Entry{Server: server, StartTime: longAgo}
 		}
 		if e.State != Deleted && (a.hidden == nil || !a.hidden(e)) {
-			l.Entries = append(l.Entries, e)
+			list.Entries = append(list.Entries, e)
 		}
 	}
-	return l
+	return list
 }
 
-// AddDelay adds to the delay of what an agent hears, or takes that off again.
-func (d *Directory) AddDelay(n int, by time.Duration, on bool) {
+// completeEntries returns the entries that an agent would list without faults.
+func (d *Directory) completeEntries(node int) []Entry {
+	a := &d.agents[node]
+	hidden, oldRevision := a.hidden, a.oldRevision
+	a.hidden, a.oldRevision = nil, 0
+	defer func() { a.hidden, a.oldRevision = hidden, oldRevision }()
+	return d.List(node).Entries
+}
+
+// MuteWatches mutes a node's open watches for good, and while it is on also those that the node opens.
+func (d *Directory) MuteWatches(node int, on bool) {
+	if on {
+		d.agents[node].muteCount++
+		d.agents[node].mutedAt = d.world.Loop.Now()
+	}
+	d.world.Backend.MuteWatches(node, on)
+}
+
+// AddDelay adds to the delay of what an agent gets, or ends that.
+func (d *Directory) AddDelay(node int, delay time.Duration, on bool) {
 	if !on {
-		by = -by
+		delay = -delay
 	}
-	d.agents[n].extraDelay += by
+	d.agents[node].extraDelay += delay
 }
 
-// HideEntries makes an agent give a whole list without what mask names, and with nil the true one again.
-func (d *Directory) HideEntries(n int, mask func(Entry) bool) {
-	a := &d.agents[n]
+// HideEntries makes an agent send a whole list without the entries that hidden names; nil: the true list again.
+func (d *Directory) HideEntries(node int, hidden func(Entry) bool) {
+	a := &d.agents[node]
 	before := a.hidden
-	a.hidden = mask
+	a.hidden = hidden
 	a.revisionOffset++
-	for _, e := range d.unmaskedEntries(n) {
-		if mask != nil && mask(e) {
-			d.world.Observer.NodeNotified(n, e.Server, Deleted)
-		} else if mask == nil && before != nil && before(e) {
-			d.world.Observer.NodeNotified(n, e.Server, e.State)
+	for _, e := range d.completeEntries(node) {
+		if hidden != nil && hidden(e) {
+			d.world.Observer.NodeNotified(node, e.Server, Deleted)
+		} else if hidden == nil && before != nil && before(e) {
+			d.world.Observer.NodeNotified(node, e.Server, e.State)
 		}
 	}
-	d.world.Backend.SendList(n, d.List(n))
+	d.world.Backend.SendList(node, d.List(node))
 }
 
-// unmaskedEntries is the list that the agent would give without faults.
-func (d *Directory) unmaskedEntries(n int) []Entry {
-	a := &d.agents[n]
-	mask, back := a.hidden, a.shownRevision
-	a.hidden, a.shownRevision = nil, 0
-	defer func() { a.hidden, a.shownRevision = mask, back }()
-	return d.List(n).Entries
-}
+// oldRevisionDistance is how many revisions back ShowOldList goes.
+const oldRevisionDistance = 2
 
-// ShowOldList makes an agent give a whole list of an older revision, and then the true one again. What was told stays
-// told: an older list takes nothing back.
-func (d *Directory) ShowOldList(n int, on bool) {
-	a := &d.agents[n]
-	a.shownRevision = 0
+// ShowOldList makes an agent send a whole list of an older revision, or the true one again. What the node was told stays so:
+// an older list revokes nothing.
+func (d *Directory) ShowOldList(node int, on bool) {
+	a := &d.agents[node]
+	a.oldRevision = 0
 	if on {
-		a.shownRevision = max(0, a.revision-2) + 1
+		a.oldRevision = max(0, a.revision-oldRevisionDistance) + 1
 	}
-	d.world.Backend.SendList(n, d.List(n))
+	d.world.Backend.SendList(node, d.List(node))
 }
--- a/internal/lab/model/downstream.go
+++ b/internal/lab/model/downstream.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"fmt"
 	"slices"
 	"strconv"
 	"time"
@@ -10,18 +9,10 @@
 	"umberbank/internal/lab/sim"
 )
 
-// continueAttempt goes on with an attempt whose own work is done: the next call, or the end.
+// continueAttempt makes the next downstream call of an attempt whose own work is done, or ends it.
 func (s *Server) continueAttempt(a *Attempt) {
 	if a.remainingCalls == 0 {
-		failed := s.MachineType.ErrorRate
-		for _, e := range s.errorRates {
-			failed = 1 - (1-failed)*(1-e)
-		}
-		if failed > 0 && s.rng.Float64() < failed {
-			s.end(a, ServerError)
-		} else {
-			s.end(a, Completed)
-		}
+		s.end(a, s.drawOutcome())
 		return
 	}
 	a.remainingCalls--
@@ -30,80 +21,122 @@
 		s.end(a, ServerError)
 		return
 	}
+	s.callDownstream(a, c)
+}
+
+// drawOutcome draws whether an attempt ends in an error.
+func (s *Server) drawOutcome() Outcome {
+	rate := s.MachineType.ErrorRate
+	for _, r := range s.errorRates {
+		rate = 1 - (1-rate)*(1-r)
+	}
+	if rate > 0 && s.rng.Float64() < rate {
+		return ServerError
+	}
+	return Completed
+}
+
+// downstreamCall is a call that an attempt waits for. It ends once: by its answer, by its timeout, or because the attempt ended.
+type downstreamCall struct {
+	server  *Server
+	attempt *Attempt
+	call    *Call
+	ended   bool
+	timer   *sim.Timer
+	abandon func() // of the backend
+}
+
+// callDownstream sends a call and continues the attempt when it has ended.
+func (s *Server) callDownstream(a *Attempt, c *Call) {
+	d := &downstreamCall{server: s, attempt: a, call: c}
 	s.world.Observer.CallSent(c)
-	s.world.openServerCalls++
-	ended := false
-	var leave func()
-	var timer *sim.Timer
-	close := func() bool { // true once
-		first := !ended
-		if first {
-			ended = true
-			s.world.openServerCalls--
-			s.world.Loop.Stop(timer)
-		}
-		return first
+	d.abandon = s.world.Backend.Send(c, d.answered)
+	a.abandonCall = func() { d.abandoned() }
+	if !d.ended {
+		// It waits a little longer than the call says, for an answer at the last moment.
+		d.timer = s.world.Loop.After(c.Timeout+2*s.world.Site.Limits.Slack.Std(), d.timedOut)
 	}
-	goOn := func(ok bool) {
-		a.abandonCall = nil
-		if ok {
-			s.continueAttempt(a)
-		} else {
-			s.end(a, ServerError)
-		}
+}
+
+// endOnce marks the call as ended; false: it had ended before.
+func (d *downstreamCall) endOnce() bool {
+	if d.ended {
+		return false
 	}
-	leave = s.world.Backend.Send(c, func(ans Answer) {
-		if close() {
-			s.world.Observer.CallAnswered(c, ans)
-			goOn(ans.Reply == Served)
-		}
-	})
-	a.abandonCall = func() {
-		if close() {
-			s.world.Observer.CallAbandoned(c)
-			leave()
-		}
+	d.ended = true
+	d.server.world.Loop.Stop(d.timer)
+	return true
+}
+
+// answered ends the call with its answer.
+func (d *downstreamCall) answered(answer Answer) {
+	if d.endOnce() {
+		d.server.world.Observer.CallAnswered(d.call, answer)
+		d.continueAttempt(answer.Reply == Served)
+	}
+}
+
+// abandoned ends the call without an answer; false: it had ended before.
+func (d *downstreamCall) abandoned() bool {
+	if !d.endOnce() {
+		return false
+	}
+	d.server.world.Observer.CallAbandoned(d.call)
+	d.abandon()
+	return true
+}
+
+// timedOut ends the call because its time is over.
+func (d *downstreamCall) timedOut() {
+	if d.abandoned() {
+		d.continueAttempt(false)
 	}
-	if !ended {
-		// It waits a little longer than it says, to hear the answer that comes at the last moment.
-		timer = s.world.Loop.After(c.Timeout+2*s.world.Site.Limits.Slack.Std(), func() {
-			if close() {
-				s.world.Observer.CallAbandoned(c)
-				leave()
-				goOn(false)
-			}
-		})
+}
+
+// continueAttempt continues the attempt, or ends it with an error if the call has failed.
+func (d *downstreamCall) continueAttempt(served bool) {
+	d.attempt.abandonCall = nil
+	if served {
+		d.server.continueAttempt(d.attempt)
+	} else {
+		d.server.end(d.attempt, ServerError)
 	}
 }
 
-// newDownstreamCall makes the call of an attempt to the next tier; nil: it has no time left.
+// newDownstreamCall returns a call of an attempt to the next tier; nil: there is no time left, or no node to send it to.
 func (w *World) newDownstreamCall(a *Attempt) *Call {
-	s := a.server
-	tier := s.Tier + 1
-	node := w.ownedNode(s.Index)
+	tier := a.server.Tier + 1
+	node := w.ownedNode(a.server.Index)
 	class := &w.Site.Classes[a.Call.Class]
-	left := class.Deadline.Std()
+	timeout := class.Deadline.Std()
 	now := w.Loop.Now()
 	if w.Site.Limits.PropagateDeadline {
-		left = a.Call.SentAt + a.Call.Timeout - now
+		timeout = a.Call.SentAt + a.Call.Timeout - now
 	}
-	if left <= 0 || node < 0 {
+	if timeout <= 0 || node < 0 {
 		return nil
 	}
 	w.lastCallID++
-	work := float64(a.Call.Work) / w.Site.Tiers[s.Tier].WorkFactor * w.Site.Tiers[tier].WorkFactor
-	c := &Call{ID: "t" + strconv.Itoa(tier) + "-" + strconv.FormatUint(w.lastCallID, 10), Class: a.Call.Class, Tier: tier, Node: node,
-		Work: time.Duration(work), Timeout: left, SentAt: now}
-	if class.Idempotency == "keyed" {
-		c.Key = fmt.Sprintf("k%s", c.ID)
+	work := float64(a.Call.Work) / w.Site.Tiers[a.server.Tier].WorkFactor * w.Site.Tiers[tier].WorkFactor
+	c := &Call{
+		ID:      "t" + strconv.Itoa(tier) + "-" + strconv.FormatUint(w.lastCallID, 10),
+		Class:   a.Call.Class,
+		Tier:    tier,
+		Node:    node,
+		Work:    time.Duration(work),
+		Timeout: timeout,
+		SentAt:  now,
+	}
+	if class.Idempotency == scenario.IdempotentByKey {
+		c.Key = "k" + c.ID
 	}
 	return c
 }
 
-// ownedNode is the node that a server calls through; -1: none.
+// ownedNode returns the node through which a server calls the next tier; -1: none.
 func (w *World) ownedNode(server int) int {
-	i, ok := slices.BinarySearchFunc(w.Site.Nodes, server, func(n scenario.Node, server int) int { return n.OwnerServer - server })
-	if !ok {
+	i, found := slices.BinarySearchFunc(w.Site.Nodes, server, func(n scenario.Node, server int) int { return n.OwnerServer - server })
+	if !found {
 		return -1
 	}
 	return i
--- a/internal/lab/model/server_faults.go
+++ b/internal/lab/model/server_faults.go
@@ -2,78 +2,78 @@
 
 import (
 	"slices"
+	"strings"
 
 	"umberbank/internal/lab/sim"
 )
 
-// ---- What faults do ----
-
-// SetSlowdown makes the server slower by a factor, or takes that off again.
+// SetSlowdown makes the server slower by a factor, or ends that.
 func (s *Server) SetSlowdown(factor float64, on bool) {
 	s.advance()
-	s.slowdowns = toggle(s.slowdowns, factor, on)
+	s.slowdowns = setPresent(s.slowdowns, factor, on)
 	s.scheduleFinish()
 }
 
-// SetErrorRate makes a share of its answers errors, or takes that off again.
-func (s *Server) SetErrorRate(share float64, on bool) { s.errorRates = toggle(s.errorRates, share, on) }
+// SetErrorRate makes a fraction of the responses errors, or ends that.
+func (s *Server) SetErrorRate(fraction float64, on bool) {
+	s.errorRates = setPresent(s.errorRates, fraction, on)
+}
 
-func toggle(l []float64, v float64, on bool) []float64 {
-	if on {
-		return append(l, v)
+// setPresent adds a value to a list, or removes it once.
+func setPresent(list []float64, value float64, present bool) []float64 {
+	if present {
+		return append(list, value)
 	}
-	if i := slices.Index(l, v); i >= 0 {
-		return slices.Delete(l, i, i+1)
+	if i := slices.Index(list, value); i >= 0 {
+		return slices.Delete(list, i, i+1)
 	}
-	return l
+	return list
 }
 
-// SetHanging makes it take requests and answer none. Those that hung stay so.
-func (s *Server) SetHanging(on bool) { s.hangCount += sign(on) }
+// SetHanging makes the server accept attempts without ever answering them, or ends that. Those that hang stay so.
+func (s *Server) SetHanging(on bool) { s.hangCount += countChange(on) }
 
-// SetRejecting makes it refuse all work while it is listed as serving.
-func (s *Server) SetRejecting(on bool) { s.rejectCount += sign(on) }
+// SetRejecting makes the server reject all work while discovery lists it as serving, or ends that.
+func (s *Server) SetRejecting(on bool) { s.rejectCount += countChange(on) }
 
-func sign(on bool) int {
+// countChange returns by how much a count of faults that apply changes.
+func countChange(on bool) int {
 	if on {
 		return 1
 	}
 	return -1
 }
 
-// Stop ends the server. silent: its machine is gone, so nobody is told; else its connections are reset.
+// Stop stops the server. If silent its machine is gone and nobody is told; else its connections are reset. Discovery lists it as
+// deleted once its end is detected.
 func (s *Server) Stop(silent bool) {
 	s.starting = false
-	if s.up {
-		s.fail(silent)
-		notice := s.world.Site.Discovery.DetectionDelay.Std()
-		boot := s.startTime
-		s.world.Loop.After(notice, func() {
-			if !s.up && s.startTime == boot {
-				s.world.Directory.Publish(s.Index, Deleted)
-			}
-		})
+	if !s.up {
+		return
 	}
+	s.crash(silent)
+	startTime := s.startTime
+	s.world.Loop.After(s.world.Site.Discovery.DetectionDelay.Std(), func() {
+		if !s.up && s.startTime == startTime {
+			s.world.Directory.Publish(s.Index, Deleted)
+		}
+	})
 }
 
-// fail drops all that the server holds.
-func (s *Server) fail(silent bool) {
+// crash ends the server and everything in flight, in an order that does not depend on the map's.
+func (s *Server) crash(silent bool) {
 	s.up = false
-	for _, t := range []*sim.Timer{s.finishTimer, s.overloadTimer, s.recoveryTimer} {
-		s.world.Loop.Stop(t)
+	for _, timer := range []*sim.Timer{s.finishTimer, s.overloadTimer, s.recoveryTimer} {
+		s.world.Loop.Stop(timer)
 	}
-	s.finishTimer, s.overloadTimer, s.recoveryTimer, s.overloaded, s.offeredWork = nil, nil, nil, false, nil
-	held := make([]*Attempt, 0, len(s.open))
+	s.finishTimer, s.overloadTimer, s.recoveryTimer = nil, nil, nil
+	s.overloaded, s.offeredWork = false, nil
+	inFlight := make([]*Attempt, 0, len(s.open))
 	for a := range s.open {
-		held = append(held, a)
+		inFlight = append(inFlight, a)
 	}
-	slices.SortFunc(held, func(a, b *Attempt) int {
-		if a.Call.ID < b.Call.ID {
-			return -1
-		}
-		return 1
-	})
-	for _, a := range held {
+	slices.SortFunc(inFlight, func(a, b *Attempt) int { return strings.Compare(a.Call.ID, b.Call.ID) })
+	for _, a := range inFlight {
 		if silent {
 			a.Done = nil
 		}
@@ -82,17 +82,17 @@
 	s.running, s.queue, s.usedSlots = nil, nil, 0
 	s.world.Backend.ServerDown(s.Index, silent)
 	if node := s.world.ownedNode(s.Index); node >= 0 {
-		s.world.ControlProcess(node, Kill) // it is stopped and started together with its server
+		s.world.ControlProcess(node, Kill) // it stops and starts together with its server
 	}
 }
 
-// Start brings a server that is down up, cold.
+// Start starts a server that is down. It warms up from its start.
 func (s *Server) Start() {
 	if s.up || s.starting {
 		return
 	}
 	if node := s.world.ownedNode(s.Index); node >= 0 {
-		s.starting = true
+		s.starting = true // becomeReady follows when the node is ready
 		s.world.ControlProcess(node, Start)
 		return
 	}
@@ -101,13 +101,14 @@
 
 // becomeReady makes a server that has started serve.
 func (s *Server) becomeReady() {
+	now := s.world.Loop.Now()
 	s.starting = false
-	s.up, s.state, s.startTime, s.advancedAt = true, Serving, s.world.Loop.Now(), s.world.Loop.Now()
+	s.up, s.state, s.startTime, s.advancedAt = true, Serving, now, now
 	s.world.Backend.ServerUp(s.Index)
 	s.world.Directory.Publish(s.Index, Serving)
 }
 
-// Drain makes it turn new work away and says so to discovery.
+// Drain makes the server reject new work and discovery list it as draining.
 func (s *Server) Drain() {
 	if s.up {
 		s.state = Draining
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -13,8 +13,8 @@
 	"umberbank/internal/lab/sim"
 )
 
-// stubBackend is an Observer and a Backend for servers that stand alone.
-type stubBackend struct{ fell int }
+// stubBackend is an Observer and a Backend for a server that calls nobody.
+type stubBackend struct{ crashes int }
 
 func (*stubBackend) CallSent(*Call)                                {}
 func (*stubBackend) CallAnswered(*Call, Answer)                    {}
@@ -22,7 +22,7 @@
 func (*stubBackend) AttemptArrived(*Attempt, int)                  {}
 func (*stubBackend) AttemptEnded(*Attempt, Outcome)                {}
 func (*stubBackend) NodeNotified(int, int, State)                  {}
-func (n *stubBackend) ServerCrashed(int)                           { n.fell++ }
+func (b *stubBackend) ServerCrashed(int)                           { b.crashes++ }
 func (*stubBackend) Send(*Call, func(Answer)) func()               { panic("no tier below") }
 func (*stubBackend) SendList(int, EndpointList)                    {}
 func (*stubBackend) ControlProcess(int, ProcessAction)             {}
@@ -35,7 +35,8 @@
 func (*stubBackend) FaultReplicas([]int, string, bool)             {}
 func (*stubBackend) ServerUp(int)                                  {}
 
-const one = `nodes = 1
+// oneServer is a scenario with one server of a given speed.
+const oneServer = `nodes = 1
 [[tier]]
 name = "web"
 servers = 1
@@ -50,18 +51,33 @@
 rate = 1
 `
 
-func alone(t interface{ Fatal(...any) }, speed float64) (*World, *Server, *stubBackend) {
-	s, err := scenario.Parse("one", []byte(fmt.Sprintf(one, speed, speed)), nil)
+// failer is a test of package testing or rapid.
+type failer interface {
+	Helper()
+	Fatal(args ...any)
+}
+
+func newOneServer(t failer, speed float64) (*World, *Server, *stubBackend) {
+	t.Helper()
+	s, err := scenario.Parse("one", []byte(fmt.Sprintf(oneServer, speed, speed)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &stubBackend{}
-	w := NewWorld(sim.New(), scenario.NewSite(s, 1), n)
-	w.Backend = n
-	return w, w.Servers[0], n
+	backend := &stubBackend{}
+	w := NewWorld(sim.New(), scenario.NewSite(s, 1), backend)
+	w.Backend = backend
+	return w, w.Servers[0], backend
 }
 
-// send lets work arrive at a time and notes when and how it ends.
+// runUntil runs the world on the virtual clock.
+func runUntil(t failer, w *World, until time.Duration) {
+	t.Helper()
+	if err := w.Loop.RunVirtual(context.Background(), until); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// send lets an attempt arrive at a time and calls ended with its outcome.
 func send(w *World, s *Server, at, work time.Duration, ended func(Outcome)) *Attempt {
 	a := &Attempt{Call: &Call{ID: fmt.Sprint(at, work), Work: work}}
 	a.Done = func(o Outcome, _ string) { ended(o) }
@@ -69,16 +85,15 @@
 	return a
 }
 
-// Whatever arrives, each attempt ends once; no core does more work than it has time for, and none idles while there
-// is work.
-func TestWorkIsConserved(t *testing.T) {
+// Whatever arrives, each attempt ends once, no core does more work than it has time for, and none idles while there is work.
+func TestWorkConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		speed := rapid.Float64Range(0.2, 3).Draw(t, "speed")
-		w, s, _ := alone(t, speed)
+		w, s, _ := newOneServer(t, speed)
 		ends := map[int]int{}
 		var done, total time.Duration
 		var last time.Duration
-		n := rapid.IntRange(1, 6).Draw(t, "attempts") // no more than the slots: none is turned away
+		n := rapid.IntRange(1, 6).Draw(t, "attempts") // no more than the slots: none is rejected
 		for i := range n {
 			work := time.Duration(rapid.IntRange(1, 50).Draw(t, "work")) * time.Millisecond
 			total += work
@@ -90,9 +105,7 @@
 				}
 			})
 		}
-		if err := w.Loop.RunVirtual(context.Background(), time.Minute); err != nil {
-			t.Fatal(err)
-		}
+		runUntil(t, w, time.Minute)
 		for i := range n {
 			if ends[i] != 1 {
 				t.Fatalf("attempt %d ended %d times", i, ends[i])
@@ -101,21 +114,21 @@
 		if done != total || s.InFlight() != 0 {
 			t.Fatalf("did %v of %v, %d in flight", done, total, s.InFlight())
 		}
-		least := time.Duration(float64(total) / speed / 2)
-		if last < least-time.Microsecond {
+		shortest := time.Duration(float64(total) / speed / 2)
+		if last < shortest-time.Microsecond {
 			t.Fatalf("two cores did %v of work in %v at speed %v", total, last, speed)
 		}
 	})
 }
 
 // The cores are shared evenly: four equal attempts on two cores take twice as long as one, and end together.
-func TestSharing(t *testing.T) {
-	w, s, _ := alone(t, 1)
+func TestProcessorSharing(t *testing.T) {
+	w, s, _ := newOneServer(t, 1)
 	var ends []time.Duration
 	for range 4 {
 		send(w, s, 0, 100*time.Millisecond, func(Outcome) { ends = append(ends, w.Loop.Now()) })
 	}
-	w.Loop.RunVirtual(context.Background(), time.Second)
+	runUntil(t, w, time.Second)
 	for _, e := range ends {
 		if math.Abs(float64(e-200*time.Millisecond)) > float64(time.Microsecond) {
 			t.Errorf("ends at %v", ends)
@@ -123,9 +136,9 @@
 	}
 }
 
-// Six slots and a queue of four: the eleventh is turned away, and a cancel takes what waits out.
+// Six slots and a queue of four: the eleventh attempt is rejected, and one that is cancelled leaves the queue.
 func TestQueueAndCancel(t *testing.T) {
-	w, s, _ := alone(t, 1)
+	w, s, _ := newOneServer(t, 1)
 	count := map[Outcome]int{}
 	var waits *Attempt
 	for i := range 11 {
@@ -135,42 +148,42 @@
 		}
 	}
 	w.Loop.At(time.Millisecond, func() { s.Cancel(waits) })
-	w.Loop.RunVirtual(context.Background(), 10*time.Second)
+	runUntil(t, w, 10*time.Second)
 	if count[Completed] != 9 || count[ServerRejected] != 1 || count[Abandoned] != 1 {
 		t.Errorf("%v", count)
 	}
 }
 
-// Held above its mark for its time a server chokes, and it recovers when it has rested.
-func TestChoke(t *testing.T) {
-	w, s, _ := alone(t, 1)
+// A server becomes overloaded when its load stays above the threshold, and recovers when the load has been low.
+func TestOverload(t *testing.T) {
+	w, s, _ := newOneServer(t, 1)
 	for i := range 10 {
 		send(w, s, 0, 800*time.Millisecond+time.Duration(i), func(Outcome) {})
 	}
 	var at2, at30 float64
-	w.Loop.At(2*time.Second, func() { at2 = s.pace() * float64(len(s.running)) })
-	w.Loop.At(29*time.Second, func() { at30 = s.pace() })
-	w.Loop.RunVirtual(context.Background(), 30*time.Second)
+	w.Loop.At(2*time.Second, func() { at2 = s.workRate() * float64(len(s.running)) })
+	w.Loop.At(29*time.Second, func() { at30 = s.workRate() })
+	runUntil(t, w, 30*time.Second)
 	if at2 != 0.5 || at30 != 1 {
-		t.Errorf("two cores do %v when choked, want 0.5; one does %v after the rest, want 1", at2, at30)
+		t.Errorf("two cores do %v when overloaded, want 0.5; one does %v after it has recovered, want 1", at2, at30)
 	}
 }
 
-// A cold server bears three times what it can do, and not more.
-func TestFalls(t *testing.T) {
+// A server that warms up sustains three times what it can do, and crashes at more.
+func TestCrashWhileWarmingUp(t *testing.T) {
 	for _, c := range []struct {
-		every time.Duration
-		falls int
+		interval time.Duration
+		crashes  int
 	}{{10 * time.Millisecond, 0}, {2 * time.Millisecond, 1}} {
-		w, s, n := alone(t, 1)
+		w, s, backend := newOneServer(t, 1)
 		s.Stop(false)
 		s.Start()
-		for at := time.Duration(0); at < 3*time.Second; at += c.every {
+		for at := time.Duration(0); at < 3*time.Second; at += c.interval {
 			send(w, s, at, 10*time.Millisecond, func(Outcome) {})
 		}
-		w.Loop.RunVirtual(context.Background(), 4*time.Second)
-		if n.fell != c.falls || s.IsUp() != (c.falls == 0) {
-			t.Errorf("10 ms of work every %v: fell %d times", c.every, n.fell)
+		runUntil(t, w, 4*time.Second)
+		if backend.crashes != c.crashes || s.IsUp() != (c.crashes == 0) {
+			t.Errorf("10 ms of work every %v: %d crashes", c.interval, backend.crashes)
 		}
 	}
 }
--- a/internal/lab/model/server_work.go
+++ b/internal/lab/model/server_work.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// WarmUpFraction is the share of its capacity that the server has for its age.
-func (s *Server) WarmUpFraction() float64 {
-	age := s.world.Loop.Now() - s.startTime
-	if age >= s.WarmUpTime {
-		return 1
-	}
-	return s.MachineType.InitialCapacity + (1-s.MachineType.InitialCapacity)*float64(age)/float64(s.WarmUpTime)
-}
+const (
+	// warmUpStep is how often the rate of a server that warms up is computed anew.
+	warmUpStep = 50 * time.Millisecond
+	// duplicateWorkFraction is the fraction of its work that a duplicate costs which the rack recognizes by its key.
+	duplicateWorkFraction = 0.05
+	// finishTolerance makes up for the rounding of times, in nanoseconds of work.
+	finishTolerance = 0.5
+)
 
-// pace is the work that one running attempt gets in a unit of time.
-func (s *Server) pace() float64 {
-	p := s.Speed * s.WarmUpFraction()
-	for _, f := range s.slowdowns {
-		p /= f
+// workRate returns how much work one running attempt gets in a unit of time.
+func (s *Server) workRate() float64 {
+	rate := s.Speed * s.WarmUpFraction()
+	for _, factor := range s.slowdowns {
+		rate /= factor
 	}
 	if s.overloaded {
-		p /= s.MachineType.Overload.Slowdown
+		rate /= s.MachineType.Overload.Slowdown
 	}
 	if n := len(s.running); n > s.MachineType.Cores {
-		p *= float64(s.MachineType.Cores) / float64(n)
+		rate *= float64(s.MachineType.Cores) / float64(n)
 	}
-	return p
+	return rate
 }
 
-// advance reckons what the running attempts have had until now. It comes before every change of the pace.
+// advance computes workDone until now. It must be called before anything changes the rate.
 func (s *Server) advance() {
 	now := s.world.Loop.Now()
 	if len(s.running) > 0 {
-		s.workDone += float64(now-s.advancedAt) * s.pace()
+		s.workDone += float64(now-s.advancedAt) * s.workRate()
 	}
 	s.advancedAt = now
 }
 
-// scheduleFinish sets the timer for the next attempt to end. It comes after every change.
+// scheduleFinish sets the timer for the next attempt to finish. It must be called after anything has changed the rate.
 func (s *Server) scheduleFinish() {
 	s.world.Loop.Stop(s.finishTimer)
 	s.finishTimer = nil
@@ -48,21 +48,18 @@
 	if len(s.running) == 0 {
 		return
 	}
-	wait := (s.running[0].finishesAt - s.workDone) / s.pace()
-	if s.WarmUpFraction() < 1 { // the pace changes by itself
+	wait := (s.running[0].finishesAt - s.workDone) / s.workRate()
+	if s.IsWarmingUp() { // the rate changes by itself
 		wait = min(wait, float64(warmUpStep))
 	}
 	s.finishTimer = s.world.Loop.After(time.Duration(math.Ceil(max(0, wait))), s.finish)
 }
 
-// warmUpStep is how often the pace of a warming server is reckoned anew.
-const warmUpStep = 50 * time.Millisecond
-
-// finish ends the work of what has had enough.
+// finish goes on with the attempts whose own work is done.
 func (s *Server) finish() {
 	s.finishTimer = nil
 	s.advance()
-	for len(s.running) > 0 && s.running[0].finishesAt <= s.workDone+0.5 {
+	for len(s.running) > 0 && s.running[0].finishesAt <= s.workDone+finishTolerance {
 		a := heap.Pop(&s.running).(*Attempt)
 		a.phase = phaseCalling
 		s.continueAttempt(a)
@@ -70,35 +67,7 @@
 	s.scheduleFinish()
 }
 
-// Arrive takes an attempt whose last byte has come.
-func (s *Server) Arrive(a *Attempt) {
-	a.server, a.index = s, -1
-	s.world.Observer.AttemptArrived(a, s.Index)
-	s.open[a] = struct{}{}
-	s.recordOfferedWork(a)
-	if !s.up { // it has just fallen over, or died while the request was on its way
-		s.end(a, ConnectionReset)
-		return
-	}
-	switch {
-	case s.rejectCount > 0 || s.state != Serving:
-		s.end(a, ServerRejected)
-	case s.hangCount > 0:
-		a.phase = phaseHanging
-	case s.usedSlots < s.MachineType.SlotsPerCore*s.MachineType.Cores:
-		s.advance()
-		s.begin(a)
-		s.scheduleFinish()
-	case len(s.queue) < s.MachineType.QueuePerCore*s.MachineType.Cores:
-		a.phase = phaseQueued
-		s.queue = append(s.queue, a)
-		s.watchLoad()
-	default:
-		s.end(a, ServerRejected)
-	}
-}
-
-// begin puts an attempt on the cores.
+// begin gives an attempt a slot and draws its downstream calls.
 func (s *Server) begin(a *Attempt) {
 	s.usedSlots++
 	work := float64(a.Call.Work)
@@ -118,21 +87,7 @@
 	heap.Push(&s.running, a)
 }
 
-// duplicateWorkFraction is the share of its work that a repeat costs which the rack drops.
-const duplicateWorkFraction = 0.05
-
-// Cancel notes that the node has given an attempt up. What waits is dropped; what runs stops only on some kinds.
-func (s *Server) Cancel(a *Attempt) {
-	switch {
-	case a.phase == phaseEnded || a.server == nil:
-	case a.phase == phaseRunning && !s.MachineType.CancelStopsWork:
-	case a.phase == phaseCalling && !s.MachineType.CancelStopsWork:
-	default:
-		s.end(a, Abandoned)
-	}
-}
-
-// end takes an attempt out, wherever it stands, and answers it.
+// end ends an attempt in any phase, responds to it, and gives its slot to the next in the queue.
 func (s *Server) end(a *Attempt, o Outcome) {
 	was := a.phase
 	a.phase = phaseEnded
@@ -161,14 +116,14 @@
 		a.Done(o, body)
 	}
 	if s.up && (was == phaseRunning || was == phaseCalling) {
-		s.admit()
+		s.dispatchQueue()
 	}
 }
 
-// admit lets waiting attempts on as slots come free.
-func (s *Server) admit() {
+// dispatchQueue gives free slots to attempts in the queue.
+func (s *Server) dispatchQueue() {
 	s.advance()
-	for len(s.queue) > 0 && s.usedSlots < s.MachineType.SlotsPerCore*s.MachineType.Cores {
+	for len(s.queue) > 0 && s.usedSlots < s.maxSlots() {
 		a := s.queue[0]
 		s.queue = s.queue[1:]
 		s.begin(a)
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -69,10 +69,10 @@
 		setDefault(&c.PriorityWeight, 1)
 		setDefault(&c.KeyWindow, Duration(10*time.Second))
 		if c.Idempotency == "" {
-			c.Idempotency = "safe"
+			c.Idempotency = Idempotent
 		}
 		if c.KeyScope == "" {
-			c.KeyScope = "cell"
+			c.KeyScope = KeyScopeRack
 		}
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -83,6 +83,20 @@
 	KeyWindow        Duration   `toml:"window"`
 }
 
+// Values of Class.Idempotency.
+const (
+	Idempotent      = "safe"
+	IdempotentByKey = "keyed" // with the idempotency key that each request has
+	NonIdempotent   = "unsafe"
+)
+
+// Values of Class.KeyScope: the servers that recognize the same key.
+const (
+	KeyScopeRack = "cell"
+	KeyScopeZone = "zone"
+	KeyScopeAll  = "all"
+)
+
 // Load is what clients ask for.
 type Load struct {
 	Rate      float64 `toml:"rate"`  // requests a second
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -15,7 +15,7 @@
 		}
 	}
 	ms := func(d Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	effects := map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+	effects := map[string]string{Idempotent: "read_like", IdempotentByKey: "idempotency_key", NonIdempotent: "non_idempotent"}
 	var lanes []map[string]any
 	for _, c := range s.Classes {
 		lanes = append(lanes, map[string]any{"name": c.Name, "effect": effects[c.Idempotency], "key-scope": c.KeyScope,
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -122,7 +122,11 @@
 	}
 }
 
-var scopes, effects = []string{"cell", "zone", "all"}, []string{"safe", "keyed", "unsafe"}
+// Values of a class's idempotency and key scope.
+var (
+	idempotencies = []string{Idempotent, IdempotentByKey, NonIdempotent}
+	keyScopes     = []string{KeyScopeRack, KeyScopeZone, KeyScopeAll}
+)
 
 func (k *Class) validate(c *validator, at string) {
 	c.require(k.Name != "", at+".name", "missing")
@@ -131,8 +135,8 @@
 	c.require(k.LatencyObjective > 0, at+".aim", "missing or not above 0")
 	c.require(k.Deadline >= k.LatencyObjective, at+".deadline", "%v is before the aim, %v", k.Deadline.Std(), k.LatencyObjective.Std())
 	c.require(k.PriorityWeight > 0, at+".worth", "%v is not above 0", k.PriorityWeight)
-	c.require(slices.Contains(effects, k.Idempotency), at+".effect", "%q is none of %v", k.Idempotency, effects)
-	c.require(slices.Contains(scopes, k.KeyScope), at+".scope", "%q is none of %v", k.KeyScope, scopes)
+	c.require(slices.Contains(idempotencies, k.Idempotency), at+".effect", "%q is none of %v", k.Idempotency, idempotencies)
+	c.require(slices.Contains(keyScopes, k.KeyScope), at+".scope", "%q is none of %v", k.KeyScope, keyScopes)
 	c.require(k.KeyWindow > 0, at+".window", "%v is not above 0", k.KeyWindow.Std())
 }
 
--- a/internal/lab/traffic/clients.go
+++ b/internal/lab/traffic/clients.go
@@ -2,98 +2,121 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"umberbank/internal/lab/model"
 	"umberbank/internal/lab/scenario"
 )
 
-// Clients ask, wait and retry. They belong to the loop.
+const (
+	// maxArrivalStep bounds the gap to the next arrival that is drawn at one rate, so that a burst takes effect soon.
+	maxArrivalStep = 50 * time.Millisecond
+	// minRate keeps gaps finite, in requests a second.
+	minRate = 1e-3
+)
+
+// Clients send the requests of a run. Their methods run on the loop.
 type Clients struct {
 	world  *model.World
 	front  *Front
 	report func(Result)
+	until  time.Duration // no request arrives from then on
 
 	arrivals         *rand.Rand
-	burstFactors     []float64
-	heavyClasses     []heavyClass
-	started, pending int
 	nextID           uint64
-	until            time.Duration
+	started, pending int
+
+	// Faults; several of a kind may apply at once.
+	burstFactors []float64
+	heavyClasses []heavyClass
 }
 
+// heavyClass makes a fraction of a class's requests cost more work by a factor.
 type heavyClass struct {
-	class            int
+	class            int // negative: all classes
 	fraction, factor float64
 }
 
-// New returns clients that report each request's end.
+// New returns the clients of a world. They call report with the result of each request.
 func New(w *model.World, f *Front, report func(Result)) *Clients {
-	return &Clients{world: w, front: f, report: report, until: w.Site.Duration.Std(),
-		arrivals: scenario.NewRand(w.Site.Seed, "arrivals")}
+	return &Clients{
+		world:    w,
+		front:    f,
+		report:   report,
+		until:    w.Site.Duration.Std(),
+		arrivals: scenario.NewRand(w.Site.Seed, "arrivals"),
+	}
 }
 
-// Started is how many requests were begun, and Open how many have not ended.
+// Start schedules the first arrival. Each arrival schedules the next.
+func (c *Clients) Start() { c.scheduleNext(c.world.Loop.Now()) }
+
+// Started returns the number of requests that have arrived.
 func (c *Clients) Started() int { return c.started }
 
-// Pending is how many requests have not ended.
+// Pending returns the number of requests that have not ended.
 func (c *Clients) Pending() int { return c.pending }
 
-// SetBurst multiplies the rate, or takes that off again.
+// SetBurst multiplies the rate of arrivals by a factor, or ends that.
 func (c *Clients) SetBurst(factor float64, on bool) {
-	if on {
-		c.burstFactors = append(c.burstFactors, factor)
-		return
-	}
-	for i, f := range c.burstFactors {
-		if f == factor {
-			c.burstFactors = append(c.burstFactors[:i:i], c.burstFactors[i+1:]...)
-			return
-		}
-	}
+	c.burstFactors = setPresent(c.burstFactors, factor, on)
 }
 
-// SetHeavy makes a share of one class's requests cost many times as much, or takes that off again.
-func (c *Clients) SetHeavy(class int, share, factor float64, on bool) {
-	h := heavyClass{class, share, factor}
-	if on {
-		c.heavyClasses = append(c.heavyClasses, h)
-		return
+// SetHeavy multiplies the work of a fraction of a class's requests by a factor, or ends that.
+func (c *Clients) SetHeavy(class int, fraction, factor float64, on bool) {
+	c.heavyClasses = setPresent(c.heavyClasses, heavyClass{class, fraction, factor}, on)
+}
+
+// setPresent adds a value to a list, or removes it once.
+func setPresent[T comparable](list []T, value T, present bool) []T {
+	if present {
+		return append(list, value)
 	}
-	for i, o := range c.heavyClasses {
-		if o == h {
-			c.heavyClasses = append(c.heavyClasses[:i:i], c.heavyClasses[i+1:]...)
-			return
-		}
+	if i := slices.Index(list, value); i >= 0 {
+		return slices.Delete(list, i, i+1)
 	}
+	return list
 }
 
-// Start plans the first arrival; each plans the next.
-func (c *Clients) Start() { c.scheduleNext(c.world.Loop.Now()) }
-
-// maxArrivalStep bounds the gap that is drawn at one rate, so that a burst is felt soon.
-const maxArrivalStep = 50 * time.Millisecond
-
-// scheduleNext draws the next arrival after a moment. The draw depends on no answer.
+// scheduleNext draws the next arrival after a time. The draws depend on no answer.
 func (c *Clients) scheduleNext(after time.Duration) {
 	if after >= c.until {
 		return
 	}
 	gap := time.Duration(c.arrivals.ExpFloat64() / c.rate(after) * float64(time.Second))
-	if gap > maxArrivalStep { // the exponential has no memory
+	if gap > maxArrivalStep { // draw anew from there: the exponential distribution is memoryless
 		at := after + maxArrivalStep
 		c.world.Loop.At(at, func() { c.scheduleNext(at) })
-	} else if at := after + gap; at < c.until {
+		return
+	}
+	if at := after + gap; at < c.until {
 		c.world.Loop.At(at, func() { c.begin(at) })
 	}
 }
 
-// rate is the requests a second at a moment.
+// rate returns the arrivals a second at a time.
 func (c *Clients) rate(at time.Duration) float64 {
-	l := &c.world.Site.Load
-	r := l.Rate * (1 + l.RateSwing*(2*float64(at)/float64(c.until)-1))
-	for _, f := range c.burstFactors {
-		r *= f
+	load := &c.world.Site.Load
+	rate := load.Rate * (1 + load.RateSwing*(2*float64(at)/float64(c.until)-1))
+	for _, factor := range c.burstFactors {
+		rate *= factor
+	}
+	return max(rate, minRate)
+}
+
+// drawClass draws a class by the weights.
+func (c *Clients) drawClass(rng *rand.Rand) int {
+	classes := c.world.Site.Classes
+	sum := 0.0
+	for i := range classes {
+		sum += classes[i].Weight
+	}
+	x := rng.Float64() * sum
+	for i := range classes {
+		if x -= classes[i].Weight; x < 0 {
+			return i
+		}
 	}
-	return max(r, 1e-3)
+	return len(classes) - 1
 }
--- a/internal/lab/traffic/front.go
+++ b/internal/lab/traffic/front.go
@@ -6,18 +6,24 @@
 	"umberbank/internal/lab/model"
 )
 
-// Front spreads clients over the nodes of their zone, and learns late that one has died.
+// Front distributes clients over the nodes of their zone, and over all nodes if the zone has none. It notices late that a node
+// has died.
 type Front struct {
 	world      *model.World
-	byZone     [][]int // admitted nodes
-	generation []int   // of a node, so that late news of an earlier process is known
 	admitted   []bool
-	all        []int
+	generation []int   // of a node's process, so that late news of an earlier process is ignored
+	byZone     [][]int // admitted nodes
+	all        []int   // admitted nodes
 }
 
-// NewFront returns a front that has admitted nobody.
+// NewFront returns a Front that has admitted no node.
 func NewFront(w *model.World) *Front {
-	return &Front{world: w, generation: make([]int, len(w.Site.Nodes)), admitted: make([]bool, len(w.Site.Nodes)), byZone: make([][]int, len(w.Site.Zones))}
+	return &Front{
+		world:      w,
+		generation: make([]int, len(w.Site.Nodes)),
+		admitted:   make([]bool, len(w.Site.Nodes)),
+		byZone:     make([][]int, len(w.Site.Zones)),
+	}
 }
 
 // NodeReady admits a node whose process has become ready.
@@ -27,22 +33,23 @@
 	f.rebuild()
 }
 
-// NodeDied lets the front notice, late, that a node has died.
+// NodeDied removes a node after the detection delay, unless it has become ready again.
 func (f *Front) NodeDied(node int) {
 	f.generation[node]++
-	v := f.generation[node]
+	generation := f.generation[node]
 	f.world.Loop.After(f.world.Site.Discovery.NodeDetectionDelay.Std(), func() {
-		if f.generation[node] == v {
+		if f.generation[node] == generation {
 			f.admitted[node] = false
 			f.rebuild()
 		}
 	})
 }
 
+// rebuild computes the lists of admitted nodes that stand at the front.
 func (f *Front) rebuild() {
 	f.all = nil
-	for z := range f.byZone {
-		f.byZone[z] = nil
+	for zone := range f.byZone {
+		f.byZone[zone] = nil
 	}
 	for i, n := range f.world.Site.Nodes {
 		if f.admitted[i] && n.OwnerServer < 0 {
@@ -52,14 +59,17 @@
 	}
 }
 
-// drawNode draws a node for a client of a zone; -1: there is none.
+// noNode is what drawNode returns if no node is admitted.
+const noNode = -1
+
+// drawNode draws a node for a client in a zone.
 func (f *Front) drawNode(zone int, r *rand.Rand) int {
-	l := f.byZone[zone]
-	if len(l) == 0 {
-		l = f.all
+	nodes := f.byZone[zone]
+	if len(nodes) == 0 {
+		nodes = f.all
 	}
-	if len(l) == 0 {
-		return -1
+	if len(nodes) == 0 {
+		return noNode
 	}
-	return l[r.IntN(len(l))]
+	return nodes[r.IntN(len(nodes))]
 }
--- a/internal/lab/traffic/request.go
+++ b/internal/lab/traffic/request.go
@@ -7,110 +7,136 @@
 	"time"
 
 	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
 	"umberbank/internal/lab/sim"
 )
 
-// request is one of a client, over all its tries.
+// An impatient client leaves at a time drawn between these fractions of the latency objective.
+const (
+	minPatience   = 0.1
+	patienceRange = 0.8
+)
+
+// request is a request of a client, over all its attempts.
 type request struct {
 	Result
 	id               uint64
-	rng              *rand.Rand // of its own, so that what it is depends on no other request
+	rng              *rand.Rand // its own, so that what is drawn for it depends on no other request
 	work             time.Duration
-	key              string
+	key              string // idempotency key; "": none
 	honorsRetryAfter bool
-	abandonsAt       time.Duration // when an impatient client goes; 0: never
+	abandonsAt       time.Duration // when an impatient client leaves; 0: never
 	deadline         time.Duration
-	call             *model.Call
-	abandonCall      func()
-	timer            *sim.Timer
+
+	// The attempt under way.
+	call        *model.Call // nil: none
+	abandonCall func()
+	timer       *sim.Timer
 }
 
-func (c *Clients) begin(at time.Duration) {
-	c.scheduleNext(at)
-	s := c.world.Site
+// begin draws a request that arrives now, and starts its first attempt.
+func (c *Clients) begin(now time.Duration) {
+	c.scheduleNext(now)
 	c.started++
 	c.pending++
-	r := &request{id: c.nextID, rng: rand.New(rand.NewPCG(s.Seed, c.nextID))}
+	c.startAttempt(c.drawRequest(now), now)
+}
+
+// drawRequest draws what a request is. The order of the draws must stay as it is, so that a seed keeps its requests.
+func (c *Clients) drawRequest(now time.Duration) *request {
+	site := c.world.Site
+	r := &request{id: c.nextID, rng: rand.New(rand.NewPCG(site.Seed, c.nextID))}
 	c.nextID++
-	class := c.drawClass(r.rng)
-	k := &s.Classes[class]
-	r.deadline = at + k.Deadline.Std()
-	r.Class, r.ArrivedAt, r.Zone = class, at, r.rng.IntN(len(s.Zones))
-	r.work = time.Duration(r.rng.ExpFloat64() * float64(s.MeanClassWork[class]))
-	for _, h := range c.heavyClasses {
-		if (h.class < 0 || h.class == class) && r.rng.Float64() < h.fraction {
-			r.work = time.Duration(float64(r.work) * h.factor)
+	r.ArrivedAt = now
+	r.Class = c.drawClass(r.rng)
+	class := &site.Classes[r.Class]
+	r.deadline = now + class.Deadline.Std()
+	r.Zone = r.rng.IntN(len(site.Zones))
+	r.work = time.Duration(r.rng.ExpFloat64() * float64(site.MeanClassWork[r.Class]))
+	for _, heavy := range c.heavyClasses {
+		if (heavy.class < 0 || heavy.class == r.Class) && r.rng.Float64() < heavy.fraction {
+			r.work = time.Duration(float64(r.work) * heavy.factor)
 		}
 	}
-	r.honorsRetryAfter = r.rng.Float64() < s.Clients.HonorRetryAfterFraction
-	if r.rng.Float64() < s.Clients.ImpatientFraction {
-		r.abandonsAt = at + time.Duration((0.1+0.8*r.rng.Float64())*float64(k.LatencyObjective))
+	r.honorsRetryAfter = r.rng.Float64() < site.Clients.HonorRetryAfterFraction
+	if r.rng.Float64() < site.Clients.ImpatientFraction {
+		r.abandonsAt = now + time.Duration((minPatience+patienceRange*r.rng.Float64())*float64(class.LatencyObjective))
 	}
-	if k.Idempotency == "keyed" {
+	if class.Idempotency == scenario.IdempotentByKey {
 		r.key = fmt.Sprintf("%016x%016x", r.rng.Uint64(), r.id)
 	}
-	c.startAttempt(r, at)
+	return r
 }
 
-// drawNode draws a class by the shares.
-func (c *Clients) drawClass(rng *rand.Rand) int {
-	sum := 0.0
-	for _, k := range c.world.Site.Classes {
-		sum += k.Weight
-	}
-	x := rng.Float64() * sum
-	for i, k := range c.world.Site.Classes {
-		if x -= k.Weight; x < 0 {
-			return i
-		}
-	}
-	return len(c.world.Site.Classes) - 1
-}
-
-// startAttempt sends a request to a node once more, as was planned for a moment.
-func (c *Clients) startAttempt(r *request, planned time.Duration) {
-	w := c.world
-	now := w.Loop.Now()
-	late := now - planned
+// startAttempt sends a request to a node, as was intended for a time that may be over.
+func (c *Clients) startAttempt(r *request, intended time.Duration) {
+	now := c.world.Loop.Now()
+	delay := now - intended
 	r.Attempts++
 	node := c.front.drawNode(r.Zone, r.rng)
-	if node < 0 {
-		c.retryOrFinish(r, Failed, true, 0)
+	if node == noNode {
+		c.retryOrFinish(r, Failed, notProcessed, 0)
 		return
 	}
-	k := &w.Site.Classes[r.Class]
-	left := min(time.Duration(w.Site.Clients.AttemptTimeoutFraction*float64(k.Deadline)), r.deadline-now)
-	call := &model.Call{ID: "c" + strconv.FormatUint(r.id, 36) + "-" + strconv.Itoa(r.Attempts), Class: r.Class, Node: node, Key: r.key,
-		Work: time.Duration(float64(r.work) * w.Site.Tiers[0].WorkFactor), Timeout: left, SentAt: now, IsRetry: r.Attempts > 1 && w.Site.Clients.MarkRetries}
+	call := c.newCall(r, node, now)
 	r.call = call
-	w.Observer.CallSent(call)
+	c.world.Observer.CallSent(call)
 	answered := false
-	leave := w.Backend.Send(call, func(a model.Answer) {
+	abandon := c.world.Backend.Send(call, func(a model.Answer) {
 		answered = true
-		if r.call == call { // else the client has gone
-			r.MaxSendDelay = max(r.MaxSendDelay, late+a.SendDelay)
+		if r.call == call { // else the client has abandoned it
+			r.MaxSendDelay = max(r.MaxSendDelay, delay+a.SendDelay)
 			c.answered(r, a)
 		}
 	})
 	if answered {
 		return
 	}
-	r.abandonCall = leave
-	if r.abandonsAt > now && r.abandonsAt < now+left {
-		r.timer = w.Loop.At(r.abandonsAt, func() { c.abandonAttempt(r); c.finish(r, Abandoned) })
+	r.abandonCall = abandon
+	c.setAttemptTimer(r, now, call.Timeout)
+}
+
+// newCall returns the call of an attempt.
+func (c *Clients) newCall(r *request, node int, now time.Duration) *model.Call {
+	site := c.world.Site
+	attemptTimeout := time.Duration(site.Clients.AttemptTimeoutFraction * float64(site.Classes[r.Class].Deadline))
+	return &model.Call{
+		ID:      "c" + strconv.FormatUint(r.id, 36) + "-" + strconv.Itoa(r.Attempts),
+		Class:   r.Class,
+		Node:    node,
+		Key:     r.key,
+		Work:    time.Duration(float64(r.work) * site.Tiers[0].WorkFactor),
+		Timeout: min(attemptTimeout, r.deadline-now),
+		SentAt:  now,
+		IsRetry: r.Attempts > 1 && site.Clients.MarkRetries,
+	}
+}
+
+// setAttemptTimer ends an attempt when an impatient client leaves, or a little after its timeout, to get an answer that comes at
+// the last moment.
+func (c *Clients) setAttemptTimer(r *request, now, timeout time.Duration) {
+	loop := c.world.Loop
+	if r.abandonsAt > now && r.abandonsAt < now+timeout {
+		r.timer = loop.At(r.abandonsAt, func() {
+			c.abandonAttempt(r)
+			c.finish(r, Abandoned)
+		})
 		return
 	}
-	// It waits a little longer than it says, to hear the answer that comes at the last moment.
-	r.timer = w.Loop.After(left+2*w.Site.Limits.Slack.Std(), func() { c.abandonAttempt(r); c.retryOrFinish(r, Failed, false, 0) })
+	r.timer = loop.After(timeout+2*c.world.Site.Limits.Slack.Std(), func() {
+		c.abandonAttempt(r)
+		c.retryOrFinish(r, Failed, mayBeProcessed, 0)
+	})
 }
 
-// abandonAttempt ends the wait for a try's answer.
+// abandonAttempt ends the wait for an attempt's answer.
 func (c *Clients) abandonAttempt(r *request) {
 	c.world.Observer.CallAbandoned(r.call)
 	r.call = nil
 	r.abandonCall()
 }
 
+// answered ends an attempt with its answer.
 func (c *Clients) answered(r *request, a model.Answer) {
 	w := c.world
 	w.Observer.CallAnswered(r.call, a)
@@ -118,39 +144,62 @@
 	r.call = nil
 	switch a.Reply {
 	case model.Served:
+		outcome := Late
 		if w.Loop.Now()-r.ArrivedAt <= w.Site.Classes[r.Class].LatencyObjective.Std() {
-			c.finish(r, Served)
-		} else {
-			c.finish(r, Late)
+			outcome = Served
 		}
+		c.finish(r, outcome)
 	case model.Rejected:
-		c.retryOrFinish(r, Rejected, true, a.RetryAfter)
+		c.retryOrFinish(r, Rejected, notProcessed, a.RetryAfter)
 	case model.Unreachable:
-		c.retryOrFinish(r, Failed, true, 0)
+		c.retryOrFinish(r, Failed, notProcessed, 0)
 	default:
-		c.retryOrFinish(r, Failed, false, 0)
+		c.retryOrFinish(r, Failed, mayBeProcessed, 0)
 	}
 }
 
-// retryOrFinish lets the client retry, if it may and has the time; harmless: the node has promised so, or never had it.
-func (c *Clients) retryOrFinish(r *request, end Outcome, harmless bool, advice time.Duration) {
-	w := c.world
-	k := &w.Site.Classes[r.Class]
-	may := harmless || k.Idempotency == "safe" || k.Idempotency == "keyed" && k.KeyScope == "all" && w.Loop.Now()-r.ArrivedAt < k.KeyWindow.Std()
-	wait := w.Site.Clients.Backoff.Std()
-	if advice > 0 && r.honorsRetryAfter {
-		wait = min(advice, w.Site.Limits.MaxRetryAfter.Std())
+// processing says whether a server may have processed an attempt.
+type processing int
+
+const (
+	notProcessed processing = iota
+	mayBeProcessed
+)
+
+// retryOrFinish schedules another attempt if that is safe and there is time, or ends the request. retryAfter is what the node
+// asked for; 0: nothing.
+func (c *Clients) retryOrFinish(r *request, outcome Outcome, p processing, retryAfter time.Duration) {
+	limits, clients := &c.world.Site.Limits, &c.world.Site.Clients
+	now := c.world.Loop.Now()
+	wait := clients.Backoff.Std()
+	if retryAfter > 0 && r.honorsRetryAfter {
+		wait = min(retryAfter, limits.MaxRetryAfter.Std())
 	}
-	if !may || r.Attempts > w.Site.Clients.MaxRetries || w.Loop.Now()+wait >= r.deadline {
-		c.finish(r, end)
+	safe := p == notProcessed || c.idempotent(r, now)
+	if !safe || r.Attempts > clients.MaxRetries || now+wait >= r.deadline {
+		c.finish(r, outcome)
 		return
 	}
-	at := w.Loop.Now() + wait
-	w.Loop.At(at, func() { c.startAttempt(r, at) })
+	at := now + wait
+	c.world.Loop.At(at, func() { c.startAttempt(r, at) })
+}
+
+// idempotent reports whether a request may be processed again wherever it is sent.
+func (c *Clients) idempotent(r *request, now time.Duration) bool {
+	class := &c.world.Site.Classes[r.Class]
+	switch class.Idempotency {
+	case scenario.Idempotent:
+		return true
+	case scenario.IdempotentByKey:
+		return class.KeyScope == scenario.KeyScopeAll && now-r.ArrivedAt < class.KeyWindow.Std()
+	default:
+		return false
+	}
 }
 
-func (c *Clients) finish(r *request, end Outcome) {
+// finish ends a request and reports its result.
+func (c *Clients) finish(r *request, outcome Outcome) {
 	c.pending--
-	r.Outcome, r.Latency = end, c.world.Loop.Now()-r.ArrivedAt
+	r.Outcome, r.Latency = outcome, c.world.Loop.Now()-r.ArrivedAt
 	c.report(r.Result)
 }
