--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -63,7 +63,7 @@
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(2)})
 	b.limiter.limit, b.limiter.inFlight = 1, minInFlight
 	b.Handle(2*ms, Request{ID: "a", Class: "get", Deadline: time.Second})
-	for _, a := range b.Handle(600*ms, TimerFired{Token: requestTimerPrefix + "a"}) {
+	for _, a := range b.Handle(600*ms, TimerFired{Token: "r:a"}) {
 		if reject, ok := a.(Reject); ok {
 			if limit := b.settings.Classes[0].LatencyObjective / 10; reject.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", reject.RetryAfter, limit)
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -183,7 +183,7 @@
 
 func (h *randomHost) handleUnknownRequest() {
 	h.handle(Outcome{ID: "nobody", Attempt: 3, Result: Success})
-	h.handle(TimerFired{Token: requestTimerPrefix + "nobody"})
+	h.handle(TimerFired{Token: "r:nobody"})
 	h.handle(TimerFired{Token: "x"})
 	h.handle(ClientDisconnected{ID: "nobody"})
 }
@@ -275,7 +275,7 @@
 	case 3:
 		return Outcome{ID: id, Attempt: int(x%4) - 1, Result: Result(x % 9), RequestDone: x%2 == 0}
 	case 4:
-		return TimerFired{Token: requestTimerPrefix + id}
+		return TimerFired{Token: "r:" + id}
 	case 5:
 		return ClientDisconnected{ID: id}
 	default:
