--- a/internal/lab/fault/injector.go
+++ b/internal/lab/fault/injector.go
@@ -10,15 +10,20 @@
 	"umberbank/internal/lab/traffic"
 )
 
-// Injector carries the timetable out.
+// restartDelay is how long a drained server is down before it starts again.
+const restartDelay = 500 * time.Millisecond
+
+// Injector injects faults into a run. Its fields must be set.
 type Injector struct {
-	World          *model.World
-	Clients        *traffic.Clients
-	ControlProcess func(node int, act model.ProcessAction) // tells everybody concerned
-	Notify         func(e *Event, on bool)                 // hears of every beginning and end
+	World   *model.World
+	Clients *traffic.Clients
+	// ControlProcess acts on a node's process and tells everything that depends on it.
+	ControlProcess func(node int, action model.ProcessAction)
+	// Notify is called when an event begins and when it ends.
+	Notify func(e *Event, begins bool)
 }
 
-// Start plans all events on the loop.
+// Start schedules all events on the loop.
 func (p *Injector) Start(events []*Event) {
 	for _, e := range events {
 		p.World.Loop.At(e.Start, func() {
@@ -28,12 +33,12 @@
 	}
 }
 
-// during runs f with true now and with false when the event's time is over.
-func (p *Injector) during(e *Event, f func(on bool)) {
-	f(true)
+// during calls apply with true now, and with false at the end of the event.
+func (p *Injector) during(e *Event, apply func(on bool)) {
+	apply(true)
 	p.World.Loop.At(e.End, func() {
 		p.Notify(e, false)
-		f(false)
+		apply(false)
 	})
 }
 
@@ -54,118 +59,146 @@
 	}
 }
 
+// processFault is what a fault does to a process when it begins and when it ends.
+type processFault struct {
+	begin, end model.ProcessAction
+}
+
+var processFaults = map[string]processFault{
+	scenario.FaultKill:      {model.Kill, model.Start},
+	scenario.FaultTerminate: {model.Terminate, model.Start},
+	scenario.FaultPause:     {model.Pause, model.Resume},
+}
+
 func (p *Injector) injectIntoNodes(e *Event) {
-	act := map[string][2]model.ProcessAction{"kill": {model.Kill, model.Start}, "term": {model.Terminate, model.Start},
-		"stop": {model.Pause, model.Resume}}[e.Kind]
+	fault := processFaults[e.Kind]
 	p.during(e, func(on bool) {
-		for _, n := range e.Nodes {
-			p.ControlProcess(n, act[b2i(!on)])
+		action := fault.end
+		if on {
+			action = fault.begin
+		}
+		for _, node := range e.Nodes {
+			p.ControlProcess(node, action)
 		}
 	})
 }
 
 func (p *Injector) injectIntoServers(e *Event) {
-	refused := map[int]bool{} // drains that the budget did not allow
+	notDrained := map[int]bool{} // servers whose permit was not granted
 	p.during(e, func(on bool) {
-		for _, i := range e.Servers {
-			s := p.World.Servers[i]
-			switch e.Kind {
-			case "crash", "vanish":
-				if on {
-					s.Stop(e.Kind == "vanish")
-				} else {
-					s.Start()
-				}
-			case "lease-loss":
-				p.World.Backend.SetHeartbeats(i, !on)
-			case "hang":
-				s.SetHanging(on)
-			case "slow":
-				s.SetSlowdown(e.Factor, on)
-			case "error":
-				s.SetErrorRate(e.Factor, on)
-			case "turn-away":
-				s.SetRejecting(on)
-			case "drain":
-				p.drainServer(i, on, refused)
+		for _, server := range e.Servers {
+			if e.Kind == scenario.FaultDrain {
+				p.drainServer(server, on, notDrained)
+			} else {
+				p.setServerFault(e, server, on)
 			}
 		}
 	})
 }
 
-// drainServer drains a server, by permit where there is a budget, or ends that by a restart.
-func (p *Injector) drainServer(server int, on bool, refused map[int]bool) {
+// setServerFault applies a fault to a server, or ends it.
+func (p *Injector) setServerFault(e *Event, server int, on bool) {
+	s := p.World.Servers[server]
+	switch e.Kind {
+	case scenario.FaultCrash, scenario.FaultVanish:
+		if on {
+			s.Stop(e.Kind == scenario.FaultVanish)
+		} else {
+			s.Start()
+		}
+	case scenario.FaultLeaseLoss:
+		p.World.Backend.SetHeartbeats(server, !on)
+	case scenario.FaultHang:
+		s.SetHanging(on)
+	case scenario.FaultSlow:
+		s.SetSlowdown(e.Factor, on)
+	case scenario.FaultError:
+		s.SetErrorRate(e.Factor, on)
+	case scenario.FaultReject:
+		s.SetRejecting(on)
+	}
+}
+
+// drainServer drains a server, under a permit if the site has a disruption budget. A drain ends by a restart.
+func (p *Injector) drainServer(server int, on bool, notDrained map[int]bool) {
 	s := p.World.Servers[server]
 	switch {
 	case on && p.World.Site.Budget.Enabled():
-		refused[server] = true // until it is given
-		p.World.Backend.RequestPermit(server, func(why error) {
-			if why == nil {
-				refused[server] = false
+		notDrained[server] = true // until the permit is granted
+		p.World.Backend.RequestPermit(server, func(rejected error) {
+			if rejected == nil {
+				notDrained[server] = false
 				s.Drain()
 			}
 		})
 	case on:
 		s.Drain()
-	case !refused[server]:
+	case !notDrained[server]:
 		s.Stop(false)
-		p.World.Loop.After(restartAfter, s.Start)
+		p.World.Loop.After(restartDelay, s.Start)
 	}
 }
 
-// restartAfter is how long a drained server is down before it starts anew.
-const restartAfter = 500 * time.Millisecond
-
 func (p *Injector) injectIntoLinks(e *Event) {
-	pairs, into := e.pairs, e.intoZone
-	if e.Kind != "cut" {
-		pairs, into = [][2][]int{{e.Nodes, e.Servers}}, []bool{true}
-	}
-	var effects []*model.Impairment
-	for i := range pairs {
-		// "there" is towards the servers, or into the zone of a cut.
-		there, back := e.Direction != "back", e.Direction != "there"
-		if !into[i] {
-			there, back = back, there
-		}
-		effects = append(effects, &model.Impairment{Delay: e.Delay.Std(), Jitter: e.Jitter.Std(), BytesPerSecond: e.BytesPerSecond, ToServer: there, ToNode: back,
-			Stall: e.Kind == "silence" || e.Kind == "cut", Refuse: e.Kind == "refuse", Reset: e.Kind == "reset"})
+	affected := e.affectedLinks(p.World.Site)
+	var impairments []*model.Impairment
+	for _, l := range affected {
+		impairments = append(impairments, e.impairment(l))
 	}
 	p.during(e, func(on bool) {
-		for i, pair := range pairs {
-			p.World.Backend.ImpairLinks(pair[0], pair[1], effects[i], on)
+		for i, l := range affected {
+			p.World.Backend.ImpairLinks(l.nodes, l.servers, impairments[i], on)
 		}
 	})
 }
 
+// impairment returns what the fault does to links. Its direction is towards the servers, and of a partition into the zone.
+func (e *Event) impairment(l links) *model.Impairment {
+	toServer, toNode := e.Direction != scenario.DirectionFromServers, e.Direction != scenario.DirectionToServers
+	if l.outbound {
+		toServer, toNode = toNode, toServer
+	}
+	return &model.Impairment{
+		Delay:          e.Delay.Std(),
+		Jitter:         e.Jitter.Std(),
+		BytesPerSecond: e.BytesPerSecond,
+		ToServer:       toServer,
+		ToNode:         toNode,
+		Stall:          e.Kind == scenario.FaultStall || e.Kind == scenario.FaultPartition,
+		Refuse:         e.Kind == scenario.FaultRefuse,
+		Reset:          e.Kind == scenario.FaultReset,
+	}
+}
+
 func (p *Injector) injectIntoLists(e *Event) {
-	d := p.World.Directory
+	directory := p.World.Directory
 	r := rand.New(rand.NewPCG(e.seed, 0))
-	gone := map[int]bool{}
-	for i := range p.World.Site.Servers {
-		gone[i] = r.Float64() < e.Factor
+	missing := map[int]bool{} // from the shrunk list
+	for server := range p.World.Site.Servers {
+		missing[server] = r.Float64() < e.Factor
 	}
 	p.during(e, func(on bool) {
-		for _, n := range e.Nodes {
+		for _, node := range e.Nodes {
 			switch e.Kind {
-			case "stale":
-				d.AddDelay(n, e.Delay.Std(), on)
-			case "empty":
-				d.HideEntries(n, ifOn(on, func(model.Entry) bool { return true }))
-			case "shrink":
-				d.HideEntries(n, ifOn(on, func(en model.Entry) bool { return gone[en.Server] }))
-			case "reorder":
-				d.ShowOldList(n, on)
-			case "mute":
-				d.MuteWatches(n, on)
+			case scenario.FaultStaleList:
+				directory.AddDelay(node, e.Delay.Std(), on)
+			case scenario.FaultEmptyList:
+				directory.HideEntries(node, hiddenWhile(on, func(model.Entry) bool { return true }))
+			case scenario.FaultShrunkList:
+				directory.HideEntries(node, hiddenWhile(on, func(entry model.Entry) bool { return missing[entry.Server] }))
+			case scenario.FaultOldList:
+				directory.ShowOldList(node, on)
+			case scenario.FaultMuteWatches:
+				directory.MuteWatches(node, on)
 			}
 		}
 	})
 }
 
-func ifOn(on bool, mask func(model.Entry) bool) func(model.Entry) bool {
+// hiddenWhile returns hidden while a fault is on, and nil after it.
+func hiddenWhile(on bool, hidden func(model.Entry) bool) func(model.Entry) bool {
 	if on {
-		return mask
+		return hidden
 	}
 	return nil
 }
@@ -173,7 +206,7 @@
 func (p *Injector) injectIntoLoad(e *Event) {
 	class := slices.IndexFunc(p.World.Site.Classes, func(c scenario.Class) bool { return c.Name == e.Class })
 	p.during(e, func(on bool) {
-		if e.Kind == "burst" {
+		if e.Kind == scenario.FaultBurst {
 			p.Clients.SetBurst(e.Factor, on)
 		} else {
 			p.Clients.SetHeavy(class, e.Share, e.Factor, on)
--- a/internal/lab/fault/schedule.go
+++ b/internal/lab/fault/schedule.go
@@ -1,37 +1,50 @@
 package fault
 
 import (
+	"cmp"
+	"math/rand/v2"
 	"slices"
 	"time"
 
 	"umberbank/internal/lab/scenario"
 )
 
-// Event is one fault of the timetable with what it hits.
+// Event is one occurrence of a fault, with the targets drawn for it.
 type Event struct {
 	*scenario.Fault
-	Start, End time.Duration // End is From if it does not last
-	Nodes      []int         // hit, or whose links are
+	Start, End time.Duration // they are equal if the fault has no duration
+	Nodes      []int         // that are hit, or whose links are
 	Servers    []int
-	Replicas   []int      // of the registry
-	pairs      [][2][]int // of a cut: nodes and servers that lose each other
-	intoZone   []bool     // whether such a pair leads into the zone
-	seed       uint64
+	Replicas   []int // of the registry
+
+	partitioned []links // of a partition
+	seed        uint64  // of what is drawn while the fault lasts
+}
+
+// links are all links from some nodes to some servers.
+type links struct {
+	nodes, servers []int
+	outbound       bool // they lead out of the partitioned zone
 }
 
-// Schedule draws the timetable, in the order of time.
+// Schedule returns the occurrences of a site's faults in the order of time, with what the site's seed draws for them.
 func Schedule(site *scenario.Site) []*Event {
-	var l []*Event
+	var events []*Event
 	r := scenario.NewRand(site.Seed, "faults")
 	for i := range site.Faults {
-		f := &site.Faults[i]
-		for n := range max(1, f.Repetitions) {
-			from := f.At.Std() + time.Duration(n)*f.Interval.Std()
-			e := &Event{Fault: f, Start: from, End: from + f.Duration.Std(), seed: r.Uint64()}
-			e.selectTargets(site, r)
-			l = append(l, e)
+		fault := &site.Faults[i]
+		for n := range max(1, fault.Repetitions) {
+			events = append(events, newEvent(site, fault, n, r))
 		}
 	}
-	slices.SortStableFunc(l, func(a, b *Event) int { return int(a.Start - b.Start) })
-	return l
+	slices.SortStableFunc(events, func(a, b *Event) int { return cmp.Compare(a.Start, b.Start) })
+	return events
+}
+
+// newEvent returns the nth occurrence of a fault.
+func newEvent(site *scenario.Site, fault *scenario.Fault, n int, r *rand.Rand) *Event {
+	start := fault.At.Std() + time.Duration(n)*fault.Interval.Std()
+	e := &Event{Fault: fault, Start: start, End: start + fault.Duration.Std(), seed: r.Uint64()}
+	e.selectTargets(site, r)
+	return e
 }
--- a/internal/lab/fault/target.go
+++ b/internal/lab/fault/target.go
@@ -9,123 +9,173 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// selectTargets draws what a fault hits.
+// selectTargets draws what the fault hits.
 func (e *Event) selectTargets(site *scenario.Site, r *rand.Rand) {
-	tier := -1
+	switch scenario.FaultTarget[e.Kind] {
+	case scenario.TargetNodes, scenario.TargetLists:
+		e.Nodes = e.drawTargets(e.matchingNodes(site), r)
+	case scenario.TargetServers:
+		e.Servers = e.drawTargets(e.matchingServers(site), r)
+	case scenario.TargetRegistry:
+		e.Replicas = e.drawTargets(e.matchingReplicas(site), r)
+	case scenario.TargetLinks:
+		if e.Kind == scenario.FaultPartition {
+			e.partition(site)
+			return
+		}
+		e.Servers = e.drawTargets(e.matchingServers(site), r)
+		e.Nodes = e.sendingNodes(site)
+	}
+}
+
+// allTiers is the tier of a fault that names none.
+const allTiers = -1
+
+// tier returns the tier that the fault names.
+func (e *Event) tier(site *scenario.Site) int {
+	tier := allTiers
 	for i, t := range site.Tiers {
 		if t.Name == e.Tier {
 			tier = i
 		}
 	}
-	inside := func(zone int) bool {
-		z := &site.Zones[zone]
-		return (e.Zone == "" || z.Name == e.Zone) && (e.Region == "" || z.Region == e.Region)
-	}
-	var nodes, servers []int
+	return tier
+}
+
+// inside reports whether a zone is one that the fault names.
+func (e *Event) inside(site *scenario.Site, zone int) bool {
+	z := &site.Zones[zone]
+	return (e.Zone == "" || z.Name == e.Zone) && (e.Region == "" || z.Region == e.Region)
+}
+
+// matchingNodes returns the nodes that the fault may hit: by name, else those that send to the fault's tier, and without a tier
+// those at the front.
+func (e *Event) matchingNodes(site *scenario.Site) []int {
+	tier := e.tier(site)
+	var nodes []int
 	for i, n := range site.Nodes {
-		front := n.OwnerServer < 0 && (tier < 0 || tier == 0)
-		beside := n.OwnerServer >= 0 && tier == n.TargetTier
-		named := len(e.Names) == 0 && (front || beside) || slices.Contains(e.Names, n.Name)
-		if named && inside(n.Zone) {
+		isFront := n.OwnerServer < 0
+		inTier := isFront && (tier == allTiers || tier == 0) || !isFront && tier == n.TargetTier
+		matches := len(e.Names) == 0 && inTier || slices.Contains(e.Names, n.Name)
+		if matches && e.inside(site, n.Zone) {
 			nodes = append(nodes, i)
 		}
 	}
+	return nodes
+}
+
+// matchingServers returns the servers that the fault may hit.
+func (e *Event) matchingServers(site *scenario.Site) []int {
+	tier := e.tier(site)
+	var servers []int
 	for i, s := range site.Servers {
-		if (len(e.Names) == 0 || slices.Contains(e.Names, s.Name)) && (tier < 0 || s.Tier == tier) && inside(s.Zone) {
+		matches := len(e.Names) == 0 || slices.Contains(e.Names, s.Name)
+		if matches && (tier == allTiers || s.Tier == tier) && e.inside(site, s.Zone) {
 			servers = append(servers, i)
 		}
 	}
-	switch scenario.FaultTarget[e.Kind] {
-	case scenario.TargetNodes, scenario.TargetLists:
-		e.Nodes = e.drawTargets(nodes, r)
-	case scenario.TargetServers:
-		e.Servers = e.drawTargets(servers, r)
-	case scenario.TargetRegistry:
-		var replicas []int
-		for i := range site.Registry.Replicas {
-			if len(e.Names) == 0 || slices.Contains(e.Names, fmt.Sprint("r", i)) {
-				replicas = append(replicas, i)
-			}
-		}
-		e.Replicas = e.drawTargets(replicas, r)
-	case scenario.TargetLinks:
-		if e.Kind == "cut" {
-			e.partition(site, inside)
-			return
+	return servers
+}
+
+// matchingReplicas returns the replicas of the registry that the fault may hit.
+func (e *Event) matchingReplicas(site *scenario.Site) []int {
+	var replicas []int
+	for i := range site.Registry.Replicas {
+		if len(e.Names) == 0 || slices.Contains(e.Names, fmt.Sprint("r", i)) {
+			replicas = append(replicas, i)
 		}
-		e.Servers = e.drawTargets(servers, r)
-		for i, n := range site.Nodes {
-			if len(e.Fault.FromNodes) == 0 || slices.Contains(e.Fault.FromNodes, n.Name) {
-				e.Nodes = append(e.Nodes, i)
-			}
+	}
+	return replicas
+}
+
+// sendingNodes returns the nodes whose links the fault hits.
+func (e *Event) sendingNodes(site *scenario.Site) []int {
+	var nodes []int
+	for i, n := range site.Nodes {
+		if len(e.FromNodes) == 0 || slices.Contains(e.FromNodes, n.Name) {
+			nodes = append(nodes, i)
 		}
 	}
+	return nodes
 }
 
-// drawTargets draws as many as the fault wants, else takes all.
-func (e *Event) drawTargets(l []int, r *rand.Rand) []int {
-	n := len(l)
+// drawTargets draws the fault's count or share of the candidates, or returns all if it has neither.
+func (e *Event) drawTargets(candidates []int, r *rand.Rand) []int {
+	n := len(candidates)
 	switch {
 	case e.Count > 0:
 		n = min(n, e.Count)
 	case e.Share > 0:
 		n = int(math.Round(e.Share * float64(n)))
 	default:
-		return l
+		return candidates
 	}
-	picked := make([]int, 0, n)
-	for _, i := range r.Perm(len(l))[:n] {
-		picked = append(picked, l[i])
+	drawn := make([]int, 0, n)
+	for _, i := range r.Perm(len(candidates))[:n] {
+		drawn = append(drawn, candidates[i])
 	}
-	slices.Sort(picked)
-	return picked
+	slices.Sort(drawn)
+	return drawn
 }
 
-// partition parts a zone or region from all others.
-func (e *Event) partition(site *scenario.Site, inside func(zone int) bool) {
-	var nodes, servers [2][]int // outside, inside
+// partition selects the links between a zone or region and all others.
+func (e *Event) partition(site *scenario.Site) {
+	var outerNodes, innerNodes, outerServers, innerServers []int
 	for i, n := range site.Nodes {
-		in := b2i(inside(n.Zone))
-		nodes[in] = append(nodes[in], i)
+		if e.inside(site, n.Zone) {
+			innerNodes = append(innerNodes, i)
+		} else {
+			outerNodes = append(outerNodes, i)
+		}
 	}
 	for i, s := range site.Servers {
-		in := b2i(inside(s.Zone))
-		servers[in] = append(servers[in], i)
+		if e.inside(site, s.Zone) {
+			innerServers = append(innerServers, i)
+		} else {
+			outerServers = append(outerServers, i)
+		}
+	}
+	e.partitioned = []links{
+		{nodes: outerNodes, servers: innerServers},
+		{nodes: innerNodes, servers: outerServers, outbound: true},
 	}
-	e.pairs = [][2][]int{{nodes[0], servers[1]}, {nodes[1], servers[0]}}
-	e.intoZone = []bool{true, false}
-	e.Nodes, e.Servers = nodes[1], servers[1]
+	e.Nodes, e.Servers = innerNodes, innerServers
 }
 
-func b2i(b bool) int {
-	if b {
-		return 1
+// affectedLinks returns the links that the fault impairs, or whose connections it ends.
+func (e *Event) affectedLinks(site *scenario.Site) []links {
+	switch e.Kind {
+	case scenario.FaultDelay, scenario.FaultStall, scenario.FaultRefuse, scenario.FaultReset, scenario.FaultThrottle:
+		return []links{{nodes: e.Nodes, servers: e.Servers}}
+	case scenario.FaultCrash, scenario.FaultVanish:
+		allNodes := make([]int, len(site.Nodes))
+		for i := range allNodes {
+			allNodes[i] = i
+		}
+		return []links{{nodes: allNodes, servers: e.Servers}}
+	default:
+		return e.partitioned
 	}
-	return 0
 }
 
-// ForEachLink names every link from a node to a server that an event may touch.
-func ForEachLink(events []*Event, site *scenario.Site, touch func(node, server int)) {
+// ForEachLink calls do for every link from a node to a server of its tier that an event may affect. It may do so more than once
+// for a link.
+func ForEachLink(events []*Event, site *scenario.Site, do func(node, server int)) {
 	for _, e := range events {
-		pairs := e.pairs
-		switch e.Kind {
-		case "delay", "silence", "refuse", "reset", "trickle":
-			pairs = [][2][]int{{e.Nodes, e.Servers}}
-		case "crash", "vanish":
-			all := make([]int, len(site.Nodes))
-			for i := range all {
-				all[i] = i
-			}
-			pairs = [][2][]int{{all, e.Servers}}
-		}
-		for _, p := range pairs {
-			for _, n := range p[0] {
-				for _, s := range p[1] {
-					if site.Nodes[n].TargetTier == site.Servers[s].Tier {
-						touch(n, s)
-					}
+		for _, l := range e.affectedLinks(site) {
+			l.forEach(func(node, server int) {
+				if site.Nodes[node].TargetTier == site.Servers[server].Tier {
+					do(node, server)
 				}
-			}
+			})
+		}
+	}
+}
+
+func (l links) forEach(do func(node, server int)) {
+	for _, node := range l.nodes {
+		for _, server := range l.servers {
+			do(node, server)
 		}
 	}
 }
--- a/internal/lab/scenario/duration.go
+++ b/internal/lab/scenario/duration.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Duration is a time.Duration written as text with its unit, as "250ms" or "1m30s".
+// Duration is a time.Duration that files give as text with a unit, such as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads text such as "250ms".
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -18,10 +18,11 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
+// String returns the duration with its units.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Std is the duration in the standard library's type.
+// Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/internal/lab/scenario/keylines.go
+++ b/internal/lab/scenario/keylines.go
@@ -7,58 +7,71 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines finds the line of every key, as "tier[0].kind[1].cores". A text that does not parse has none.
-func keyLines(text []byte) map[string]int {
+// keyLines returns the line of every key of a TOML text, with keys such as "tier[0].kind[1].cores". It is empty if the text does
+// not parse.
+func keyLines(content []byte) map[string]int {
 	lines := map[string]int{}
-	tables := map[string]int{} // how many of an array there were
-	p := unstable.Parser{}
-	p.Reset(text)
-	prefix := ""
-	for p.NextExpression() {
-		e := p.Expression()
-		var path []string
-		row := 0
-		for it := e.Key(); it.Next(); {
-			n := it.Node()
-			path = append(path, string(n.Data))
-			if row == 0 {
-				row = p.Shape(n.Raw).Start.Line
-			}
-		}
-		switch e.Kind {
+	tableCounts := map[string]int{} // elements so far of each array of tables
+	parser := unstable.Parser{}
+	parser.Reset(content)
+	table := "" // key of the table that the next keys are in
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		path, line := keyPath(&parser, expression)
+		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			prefix = ""
-			for i, part := range path {
-				prefix = join(prefix, part)
-				if n, many := tables[prefix]; e.Kind == unstable.ArrayTable && i == len(path)-1 {
-					tables[prefix] = n + 1
-					prefix = fmt.Sprintf("%s[%d]", prefix, n)
-				} else if many {
-					prefix = fmt.Sprintf("%s[%d]", prefix, n-1)
-				}
-			}
-			lines[prefix] = row
+			table = tableKey(path, expression.Kind == unstable.ArrayTable, tableCounts)
+			lines[table] = line
 		case unstable.KeyValue:
-			lines[join(prefix, strings.Join(path, "."))] = row
+			lines[joinKey(table, strings.Join(path, keySeparator))] = line
 		}
 	}
 	return lines
 }
 
-func join(prefix, key string) string {
-	if prefix == "" {
+// keyPath returns the parts of an expression's key and its line.
+func keyPath(parser *unstable.Parser, expression *unstable.Node) (path []string, line int) {
+	for it := expression.Key(); it.Next(); {
+		part := it.Node()
+		path = append(path, string(part.Data))
+		if line == 0 {
+			line = parser.Shape(part.Raw).Start.Line
+		}
+	}
+	return path, line
+}
+
+// tableKey returns the key of a table, with the indexes of the arrays of tables that it is in, and counts a new element.
+func tableKey(path []string, isElement bool, counts map[string]int) string {
+	key := ""
+	for i, part := range path {
+		key = joinKey(key, part)
+		count, isArray := counts[key]
+		switch {
+		case isElement && i == len(path)-1:
+			counts[key] = count + 1
+			key = fmt.Sprintf("%s[%d]", key, count)
+		case isArray:
+			key = fmt.Sprintf("%s[%d]", key, count-1)
+		}
+	}
+	return key
+}
+
+func joinKey(table, key string) string {
+	if table == "" {
 		return key
 	}
-	return prefix + "." + key
+	return table + keySeparator + key
 }
 
-// lineOf is the line of a key, or of the nearest table around it.
+// lineOf returns the line of a key, or of the nearest table around it; 0: unknown.
 func lineOf(lines map[string]int, key string) int {
 	for key != "" {
-		if n, ok := lines[key]; ok {
-			return n
+		if line, known := lines[key]; known {
+			return line
 		}
-		i := strings.LastIndexByte(key, '.')
+		i := strings.LastIndex(key, keySeparator)
 		if i < 0 {
 			return 0
 		}
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -6,35 +6,34 @@
 	"umberbank/internal/stricttoml"
 )
 
-// Error is a fault of a file, on one line.
+// Error says on one line what is wrong with a file.
 type Error = stricttoml.Error
 
-// Read reads a file. Overrides are key=value in TOML's words, such as load.rate=200; they win over the file.
+// Read reads a scenario from a file. See Parse.
 func Read(path string, overrides []string) (*Scenario, error) {
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, text, overrides)
+	return Parse(path, content, overrides)
 }
 
-// Parse reads a scenario, puts in what it leaves out, and checks it. The error is an *Error that names the first
-// fault.
-func Parse(file string, text []byte, overrides []string) (*Scenario, error) {
+// Parse parses a scenario, sets defaults and validates it. Overrides are KEY=VALUE with a TOML value, such as load.rate=200, and
+// take precedence over the content. file is the name to give in errors. Every error is an *Error for the first violation.
+func Parse(file string, content []byte, overrides []string) (*Scenario, error) {
 	s := defaults()
-	if err := stricttoml.Decode(file, text, s); err != nil {
+	if err := stricttoml.Decode(file, content, s); err != nil {
 		return nil, err
 	}
-	lines := keyLines(text)
 	if len(overrides) > 0 {
 		var err error
-		if s, err = applyOverrides(file, text, overrides); err != nil {
+		if s, err = applyOverrides(file, content, overrides); err != nil {
 			return nil, err
 		}
 	}
 	s.setDefaults()
-	if f := s.validate(); f != nil {
-		return nil, &Error{File: file, Line: lineOf(lines, f.key), Key: f.key, Reason: f.reason}
+	if v := s.validate(); v != nil {
+		return nil, &Error{File: file, Line: lineOf(keyLines(content), v.key), Key: v.key, Reason: v.reason}
 	}
 	return s, nil
 }
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -10,38 +10,43 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-// Server is a server of the site as one seed makes it.
+// Site is a scenario with everything drawn that it gives as ranges.
+type Site struct {
+	*Scenario
+	Seed          uint64
+	Servers       []Server        // by tier
+	Nodes         []Node          // those at the front first, then those of servers in the order of their servers
+	MeanClassWork []time.Duration // of a request of each class
+	MeanCalls     []float64       // of each tier to the next for each call
+}
+
+// Server is a server of a site.
 type Server struct {
 	Name        string
 	Tier        int
 	MachineType *MachineType
 	Zone        int
 	Rack        int
-	Speed       float64
-	WarmUpTime  time.Duration
-	Capacity    float64 // cores times speed
+	Speed       float64       // of a core, relative to the reference core
+	WarmUpTime  time.Duration // from the start until it has its full capacity
+	Capacity    float64       // in reference cores
 }
 
-// Node is a node: at the front, or beside the server that calls through it.
+// AdvertisedCapacity returns the capacity as discovery lists it, which is rounded to tenths.
+func (s *Server) AdvertisedCapacity() float64 { return math.Round(s.Capacity*10) / 10 }
+
+// Node is a node of a site, at the front or beside the server that calls through it.
 type Node struct {
 	Name        string
 	TargetTier  int // that it sends to
 	Zone        int
-	Index       int // among the nodes of its tier
-	OwnerServer int // the server it stands beside; -1: at the front
+	Index       int // among the nodes with its target tier
+	OwnerServer int // the server that it stands beside; noOwner: it is at the front
 }
 
-// Site is a scenario as one seed makes it.
-type Site struct {
-	*Scenario
-	Seed          uint64
-	Servers       []Server
-	Nodes         []Node
-	MeanClassWork []time.Duration // mean work of each class
-	MeanCalls     []float64       // mean calls that each tier makes of the next, for each request
-}
+const noOwner = -1
 
-// NewSite draws all that the file gives as ranges.
+// NewSite draws a site. The order of the draws must stay as it is, so that a seed keeps its site.
 func NewSite(s *Scenario, seed uint64) *Site {
 	r := NewRand(seed, "site")
 	site := &Site{Scenario: s, Seed: seed}
@@ -49,103 +54,137 @@
 		site.MeanClassWork = append(site.MeanClassWork, Draw(r, c.WorkRange).Std())
 	}
 	for i := range s.Nodes {
-		site.Nodes = append(site.Nodes, Node{Name: nodeName(0, i), Zone: i % len(s.Zones), Index: i, OwnerServer: -1})
+		site.Nodes = append(site.Nodes, Node{Name: nodeName(0, i), Zone: i % len(s.Zones), Index: i, OwnerServer: noOwner})
 	}
-	rack := 0
+	firstRack := 0
 	for t := range s.Tiers {
 		tier := &s.Tiers[t]
 		site.MeanCalls = append(site.MeanCalls, Draw(r, tier.CallsRange))
-		for i, k := range tier.assignMachineTypes() {
-			sv := Server{Name: serverName(tier.Name, i), Tier: t, MachineType: k, Zone: i % len(s.Zones),
-				Rack: rack + i/(tier.RackSize*len(s.Zones))*len(s.Zones) + i%len(s.Zones), Speed: Draw(r, k.SpeedRange), WarmUpTime: Draw(r, k.WarmUpRange).Std()}
-			sv.Capacity = sv.Speed * float64(k.Cores)
-			if t+1 < len(s.Tiers) && tier.CallsRange[1] > 0 {
-				site.Nodes = append(site.Nodes, Node{Name: nodeName(t+1, i), TargetTier: t + 1, Zone: sv.Zone, Index: i, OwnerServer: len(site.Servers)})
+		for i, machine := range tier.assignMachineTypes() {
+			server := Server{
+				Name:        serverName(tier.Name, i),
+				Tier:        t,
+				MachineType: machine,
+				Zone:        i % len(s.Zones),
+				Rack:        firstRack + tier.rack(i, len(s.Zones)),
+				Speed:       Draw(r, machine.SpeedRange),
+				WarmUpTime:  Draw(r, machine.WarmUpRange).Std(),
 			}
-			site.Servers = append(site.Servers, sv)
+			server.Capacity = server.Speed * float64(machine.Cores)
+			site.addServer(server, i)
 		}
-		rack += tier.Servers + len(s.Zones)
+		firstRack += tier.Servers + len(s.Zones)
 	}
 	return site
 }
 
-// DisruptionLimits are the budget's, for every tier.
-func (s *Site) DisruptionLimits() disruption.Limits {
-	share := func(v float64) *float64 {
-		if v == 0 {
-			return nil
-		}
-		return &v
-	}
-	var l disruption.Limits
-	for _, t := range s.Tiers {
-		l.Tiers = append(l.Tiers, disruption.Limit{Tier: t.Name, Total: share(s.Budget.Tier), Zone: share(s.Budget.Zone), Rack: share(s.Budget.Rack)})
-	}
-	l.InitialFraction = 1
-	for _, sv := range s.Servers {
-		l.InitialFraction = min(l.InitialFraction, sv.MachineType.InitialCapacity)
-		l.WarmUpMS = max(l.WarmUpMS, sv.WarmUpTime.Milliseconds())
+// addServer adds the server with an index in its tier, and the node through which it calls the next tier, if it does.
+func (s *Site) addServer(server Server, index int) {
+	target := server.Tier + 1
+	if target < len(s.Tiers) && s.Tiers[server.Tier].CallsRange[1] > 0 {
+		s.Nodes = append(s.Nodes, Node{Name: nodeName(target, index), TargetTier: target, Zone: server.Zone, Index: index, OwnerServer: len(s.Servers)})
 	}
-	return l
+	s.Servers = append(s.Servers, server)
 }
 
-// DisruptionUnit is a server as it counts in the budget while it serves fully.
-func (s *Site) DisruptionUnit(server int) disruption.Unit {
-	sv := &s.Servers[server]
-	z := &s.Zones[sv.Zone]
-	return disruption.Unit{ID: sv.Name, Incarnation: 1, Tier: s.Tiers[sv.Tier].Name, Zone: z.Name, Region: z.Region, Rack: sv.Rack, Capacity: sv.AdvertisedCapacity()}
-}
-
-// MeanWork is the mean work of a request at a tier, on a yardstick core.
-func (s *Site) MeanWork(tier int) time.Duration {
-	var sum, shares float64
-	for i, c := range s.Classes {
-		sum += c.Weight * float64(s.MeanClassWork[i])
-		shares += c.Weight
-	}
-	return time.Duration(sum / shares * s.Tiers[tier].WorkFactor)
+// rack returns the rack of the server with an index, counted from the tier's first rack. A rack is within a zone.
+func (t *Tier) rack(index, zones int) int {
+	return index/(t.RackSize*zones)*zones + index%zones
 }
 
-// assignMachineTypes gives each server of a tier its kind, by the kinds' shares and evenly along it.
+// assignMachineTypes returns the machine type of each server, by the weights and evenly over the servers.
 func (t *Tier) assignMachineTypes() []*MachineType {
+	const tolerance = 1e-9 // so that rounding does not decide between equals
 	sum := 0.0
-	for _, k := range t.MachineTypes {
-		sum += k.Weight
+	for i := range t.MachineTypes {
+		sum += t.MachineTypes[i].Weight
 	}
-	owed := make([]float64, len(t.MachineTypes))
-	l := make([]*MachineType, t.Servers)
-	for i := range l {
+	deficits := make([]float64, len(t.MachineTypes)) // servers that each type lacks so far
+	assigned := make([]*MachineType, t.Servers)
+	for i := range assigned {
 		next := 0
-		for j, k := range t.MachineTypes {
-			owed[j] += k.Weight / sum
-			if owed[j] > owed[next]+1e-9 {
+		for j := range t.MachineTypes {
+			deficits[j] += t.MachineTypes[j].Weight / sum
+			if deficits[j] > deficits[next]+tolerance {
 				next = j
 			}
 		}
-		owed[next]--
-		l[i] = &t.MachineTypes[next]
+		deficits[next]--
+		assigned[i] = &t.MachineTypes[next]
 	}
-	return l
+	return assigned
 }
 
-func nodeName(tier, i int) string {
-	if tier == 0 {
-		return fmt.Sprintf("n%d", i)
+// MeanWork returns the mean work of a call at a tier, over all classes.
+func (s *Site) MeanWork(tier int) time.Duration {
+	var sum, weights float64
+	for i := range s.Classes {
+		weight := s.Classes[i].Weight
+		sum += weight * float64(s.MeanClassWork[i])
+		weights += weight
+	}
+	return time.Duration(sum / weights * s.Tiers[tier].WorkFactor)
+}
+
+// DisruptionLimits returns the budget as the registry's limits, the same for every tier.
+func (s *Site) DisruptionLimits() disruption.Limits {
+	optional := func(fraction float64) *float64 {
+		if fraction == 0 {
+			return nil
+		}
+		return &fraction
+	}
+	limits := disruption.Limits{InitialFraction: 1}
+	for _, t := range s.Tiers {
+		limits.Tiers = append(limits.Tiers, disruption.Limit{
+			Tier:  t.Name,
+			Total: optional(s.Budget.Tier),
+			Zone:  optional(s.Budget.Zone),
+			Rack:  optional(s.Budget.Rack),
+		})
+	}
+	for _, server := range s.Servers {
+		limits.InitialFraction = min(limits.InitialFraction, server.MachineType.InitialCapacity)
+		limits.WarmUpMS = max(limits.WarmUpMS, server.WarmUpTime.Milliseconds())
+	}
+	return limits
+}
+
+// DisruptionUnit returns a server as a unit of the disruption budget, while it is available.
+func (s *Site) DisruptionUnit(server int) disruption.Unit {
+	spec := &s.Servers[server]
+	zone := &s.Zones[spec.Zone]
+	return disruption.Unit{
+		ID:          spec.Name,
+		Incarnation: 1,
+		Tier:        s.Tiers[spec.Tier].Name,
+		Zone:        zone.Name,
+		Region:      zone.Region,
+		Rack:        spec.Rack,
+		Capacity:    spec.AdvertisedCapacity(),
+	}
+}
+
+// nodeName returns the name of the node with an index among those with a target tier.
+func nodeName(targetTier, index int) string {
+	if targetTier == 0 {
+		return fmt.Sprintf("n%d", index)
 	}
-	return fmt.Sprintf("n%d-%d", tier, i)
+	return fmt.Sprintf("n%d-%d", targetTier, index)
 }
 
-func serverName(tier string, i int) string { return fmt.Sprintf("%s-%d", tier, i) }
+func serverName(tier string, index int) string { return fmt.Sprintf("%s-%d", tier, index) }
 
+// hasNode reports whether the scenario may have a node of a name.
 func (s *Scenario) hasNode(name string) bool {
 	for i := range s.Nodes {
 		if nodeName(0, i) == name {
 			return true
 		}
 	}
-	for t := 1; t < len(s.Tiers); t++ {
-		for i := range s.Tiers[t-1].Servers {
-			if nodeName(t, i) == name {
+	for target := 1; target < len(s.Tiers); target++ {
+		for i := range s.Tiers[target-1].Servers {
+			if nodeName(target, i) == name {
 				return true
 			}
 		}
@@ -153,6 +192,7 @@
 	return false
 }
 
+// hasServer reports whether the scenario has a server of a name.
 func (s *Scenario) hasServer(name string) bool {
 	for _, t := range s.Tiers {
 		for i := range t.Servers {
@@ -164,16 +204,4 @@
 	return false
 }
 
-// replicaNames are the names of the registry's.
-func (s *Scenario) replicaNames() []string {
-	var l []string
-	for i := range s.Registry.Replicas {
-		l = append(l, fmt.Sprint("r", i))
-	}
-	return l
-}
-
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
-// AdvertisedCapacity is the server's capacity as discovery tells it: about the true one.
-func (s *Server) AdvertisedCapacity() float64 { return math.Round(s.Capacity*10) / 10 }
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -6,155 +6,187 @@
 	"time"
 )
 
+// Bounds of what a run may be asked for.
+const (
+	maxDuration  = Duration(24 * time.Hour)
+	maxServers   = 100_000
+	maxCores     = 1024
+	maxRate      = 1e6 // requests a second
+	maxRetries   = 100
+	maxReplicas  = 7
+	minLeaseTTL  = Duration(500 * time.Millisecond)
+	minInterval  = Duration(time.Millisecond)
+	minSockets   = 64
+	minCoreSpeed = 0.001
+)
+
+// Values that keys of a class may have.
+var (
+	idempotencies = []string{Idempotent, IdempotentByKey, NonIdempotent}
+	keyScopes     = []string{KeyScopeRack, KeyScopeZone, KeyScopeAll}
+)
+
 // violation is a key and what is wrong with it.
 type violation struct{ key, reason string }
 
-// validator keeps the first finding.
+// validator keeps the first violation that it is told of.
 type validator struct{ first *violation }
 
-func (c *validator) require(ok bool, key, reason string, args ...any) {
-	if !ok && c.first == nil {
-		c.first = &violation{key, fmt.Sprintf(reason, args...)}
+// require notes a violation unless ok.
+func (v *validator) require(ok bool, key, reason string, args ...any) {
+	if !ok && v.first == nil {
+		v.first = &violation{key, fmt.Sprintf(reason, args...)}
 	}
 }
 
-// requireRange checks a least and a most.
-func requireRange[T int | float64 | Duration](c *validator, key string, v []T, least T) {
-	c.require(len(v) == 2, key, "wants two values, the least and the most, and has %d", len(v))
-	if len(v) == 2 {
-		c.require(v[0] >= least && v[0] <= v[1], key, "%v to %v is no range of %v or more", v[0], v[1], least)
-	}
+// requireFraction requires a value from 0 to 1.
+func (v *validator) requireFraction(key string, value float64) {
+	v.require(value >= 0 && value <= 1, key, "%v is no share from 0 to 1", value)
 }
 
-func (c *validator) requireFraction(key string, v float64) {
-	c.require(v >= 0 && v <= 1, key, "%v is no share from 0 to 1", v)
+// requireRange requires a minimum and a maximum, not below a bound.
+func requireRange[T int | float64 | Duration](v *validator, key string, span []T, bound T) {
+	v.require(len(span) == 2, key, "wants two values, the least and the most, and has %d", len(span))
+	if len(span) == 2 {
+		v.require(span[0] >= bound && span[0] <= span[1], key, "%v to %v is no range of %v or more", span[0], span[1], bound)
+	}
 }
 
-// maxDuration, maxServers and maxRate bound what a run may be asked for.
-const (
-	maxDuration = Duration(24 * time.Hour)
-	maxServers  = 100_000
-	maxRate     = 1e6
-)
+// siteNames are the names that other keys refer to.
+type siteNames struct {
+	zones, regions, tiers, classes []string
+}
 
-// validate is the first thing out of order, or nil.
+// validate returns the first violation, nil if there is none.
 func (s *Scenario) validate() *violation {
-	c := &validator{}
-	c.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "%v is not between 0 and 24h", s.Duration.Std())
-	c.require(s.Nodes >= 1 && s.Nodes <= maxServers, "nodes", "%d is not between 1 and %d", s.Nodes, maxServers)
-	var zones, regions []string
+	v := &validator{}
+	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "%v is not between 0 and 24h", s.Duration.Std())
+	v.require(s.Nodes >= 1 && s.Nodes <= maxServers, "nodes", "%d is not between 1 and %d", s.Nodes, maxServers)
+	names := s.validateSite(v)
+	s.validateLoad(v)
+	s.validateDiscovery(v)
+	s.Limits.validate(v)
+	for i := range s.Faults {
+		s.Faults[i].validate(v, fmt.Sprintf("fault[%d]", i), s, names)
+	}
+	s.Expectations.validate(v, names)
+	return v.first
+}
+
+// validateSite validates zones, tiers and classes, and returns their names.
+func (s *Scenario) validateSite(v *validator) siteNames {
+	var names siteNames
 	for i, z := range s.Zones {
-		regions = append(regions, z.Region)
-		c.require(z.Name != "" && !slices.Contains(zones, z.Name), fmt.Sprintf("zone[%d].name", i), "%q is empty or taken", z.Name)
-		zones = append(zones, z.Name)
+		names.regions = append(names.regions, z.Region)
+		v.require(z.Name != "" && !slices.Contains(names.zones, z.Name), fmt.Sprintf("zone[%d].name", i), "%q is empty or taken", z.Name)
+		names.zones = append(names.zones, z.Name)
 	}
-	c.require(len(s.Tiers) > 0, "tier", "missing: at least one [[tier]] is wanted")
-	var tiers []string
+	v.require(len(s.Tiers) > 0, "tier", "missing: at least one [[tier]] is wanted")
 	for i := range s.Tiers {
-		s.Tiers[i].validate(c, fmt.Sprintf("tier[%d]", i), i+1 < len(s.Tiers))
-		c.require(!slices.Contains(tiers, s.Tiers[i].Name), fmt.Sprintf("tier[%d].name", i), "%q is taken", s.Tiers[i].Name)
-		tiers = append(tiers, s.Tiers[i].Name)
+		key, isLast := fmt.Sprintf("tier[%d]", i), i+1 == len(s.Tiers)
+		s.Tiers[i].validate(v, key, isLast)
+		v.require(!slices.Contains(names.tiers, s.Tiers[i].Name), key+".name", "%q is taken", s.Tiers[i].Name)
+		names.tiers = append(names.tiers, s.Tiers[i].Name)
 	}
-	c.require(len(s.Classes) > 0, "class", "missing: at least one [[class]] is wanted")
-	var classes []string
+	v.require(len(s.Classes) > 0, "class", "missing: at least one [[class]] is wanted")
 	for i := range s.Classes {
-		s.Classes[i].validate(c, fmt.Sprintf("class[%d]", i))
-		classes = append(classes, s.Classes[i].Name)
-	}
-	c.require(s.Load.Rate > 0 && s.Load.Rate <= maxRate, "load.rate", "%v is not between 0 and %v requests/s", s.Load.Rate, maxRate)
-	c.requireFraction("load.swing", s.Load.RateSwing)
-	c.require(s.Clients.MaxRetries >= 0 && s.Clients.MaxRetries <= 100, "clients.retries", "%d is not between 0 and 100", s.Clients.MaxRetries)
-	c.require(s.Clients.Backoff >= 0, "clients.backoff", "is negative")
-	c.require(s.Clients.AttemptTimeoutFraction > 0 && s.Clients.AttemptTimeoutFraction <= 1, "clients.try_share", "%v is no share above 0", s.Clients.AttemptTimeoutFraction)
-	c.requireFraction("clients.impatient", s.Clients.ImpatientFraction)
-	c.requireFraction("clients.honour", s.Clients.HonorRetryAfterFraction)
-	requireRange(c, "discovery.delay", s.Discovery.DelayRange, 0)
-	c.require(s.Discovery.GossipPeriod > 0, "discovery.period", "is not above 0")
-	c.require(s.Discovery.DetectionDelay >= 0, "discovery.notice", "is negative")
-	c.requireFraction("budget.whole", s.Budget.Tier)
-	c.requireFraction("budget.zone", s.Budget.Zone)
-	c.requireFraction("budget.rack", s.Budget.Rack)
-	c.require(s.Budget.Enabled() || s.Budget == Budget{}, "budget.whole", "missing: how much of a tier may be out at once")
-	c.require(s.Discovery.WatchTimeout > 0, "discovery.missed", "is not above 0")
-	c.require(s.Discovery.NodeDetectionDelay >= 0, "discovery.front_notice", "is negative")
-	c.require(s.Registry.Replicas >= 0 && s.Registry.Replicas <= 7, "registry.replicas", "%d is not between 0 and 7", s.Registry.Replicas)
-	c.require(s.Registry.LeaseTTL >= Duration(500*time.Millisecond), "registry.ttl", "%v is below 500ms", s.Registry.LeaseTTL)
-	c.require(s.Network.SameZone >= 0, "net.same_zone", "is negative")
-	c.require(s.Snapshots.Interval >= Duration(time.Millisecond), "state.every", "%v is below a millisecond", s.Snapshots.Interval)
-	c.require(s.Snapshots.MaxAge >= Duration(time.Millisecond), "state.max_age", "%v is below a millisecond", s.Snapshots.MaxAge)
-	c.require(s.Network.CrossZone >= 0, "net.cross_zone", "is negative")
-	s.Limits.validate(c)
-	for i := range s.Faults {
-		s.Faults[i].validate(c, fmt.Sprintf("fault[%d]", i), s, zones, regions, tiers, classes)
-	}
-	c.requireFraction("expect.served_share", s.Expectations.MinServedShare)
-	c.requireFraction("expect.worth_share", s.Expectations.MinWeightedServedShare)
-	c.requireFraction("expect.tail_served", s.Expectations.MinLastQuarterServedShare)
-	for _, name := range sortedKeys(s.Expectations.MinServedShareByClass) {
-		c.require(slices.Contains(classes, name), "expect.class_served."+name, "no such class")
-		c.requireFraction("expect.class_served."+name, s.Expectations.MinServedShareByClass[name])
+		s.Classes[i].validate(v, fmt.Sprintf("class[%d]", i))
+		names.classes = append(names.classes, s.Classes[i].Name)
 	}
-	return c.first
+	return names
+}
+
+func (s *Scenario) validateLoad(v *validator) {
+	v.require(s.Load.Rate > 0 && s.Load.Rate <= maxRate, "load.rate", "%v is not between 0 and %v requests/s", s.Load.Rate, maxRate)
+	v.requireFraction("load.swing", s.Load.RateSwing)
+	c := &s.Clients
+	v.require(c.MaxRetries >= 0 && c.MaxRetries <= maxRetries, "clients.retries", "%d is not between 0 and %d", c.MaxRetries, maxRetries)
+	v.require(c.Backoff >= 0, "clients.backoff", "is negative")
+	v.require(c.AttemptTimeoutFraction > 0 && c.AttemptTimeoutFraction <= 1, "clients.try_share", "%v is no share above 0", c.AttemptTimeoutFraction)
+	v.requireFraction("clients.impatient", c.ImpatientFraction)
+	v.requireFraction("clients.honour", c.HonorRetryAfterFraction)
+}
+
+// validateDiscovery validates discovery, the registry, budgets, snapshots and the network.
+func (s *Scenario) validateDiscovery(v *validator) {
+	requireRange(v, "discovery.delay", s.Discovery.DelayRange, 0)
+	v.require(s.Discovery.GossipPeriod > 0, "discovery.period", "is not above 0")
+	v.require(s.Discovery.DetectionDelay >= 0, "discovery.notice", "is negative")
+	v.requireFraction("budget.whole", s.Budget.Tier)
+	v.requireFraction("budget.zone", s.Budget.Zone)
+	v.requireFraction("budget.rack", s.Budget.Rack)
+	v.require(s.Budget.Enabled() || s.Budget == Budget{}, "budget.whole", "missing: how much of a tier may be out at once")
+	v.require(s.Discovery.WatchTimeout > 0, "discovery.missed", "is not above 0")
+	v.require(s.Discovery.NodeDetectionDelay >= 0, "discovery.front_notice", "is negative")
+	v.require(s.Registry.Replicas >= 0 && s.Registry.Replicas <= maxReplicas, "registry.replicas", "%d is not between 0 and %d", s.Registry.Replicas, maxReplicas)
+	v.require(s.Registry.LeaseTTL >= minLeaseTTL, "registry.ttl", "%v is below %v", s.Registry.LeaseTTL, minLeaseTTL)
+	v.require(s.Network.SameZone >= 0, "net.same_zone", "is negative")
+	v.require(s.Snapshots.Interval >= minInterval, "state.every", "%v is below a millisecond", s.Snapshots.Interval)
+	v.require(s.Snapshots.MaxAge >= minInterval, "state.max_age", "%v is below a millisecond", s.Snapshots.MaxAge)
+	v.require(s.Network.CrossZone >= 0, "net.cross_zone", "is negative")
 }
 
-func (t *Tier) validate(c *validator, at string, below bool) {
-	c.require(t.Name != "", at+".name", "missing")
-	c.require(t.Servers >= 0 && t.Servers <= maxServers, at+".servers", "%d is not between 0 and %d", t.Servers, maxServers)
-	c.require(t.WorkFactor > 0, at+".work", "%v is not above 0", t.WorkFactor)
-	c.require(t.RackSize > 0, at+".rack_size", "%d is not above 0", t.RackSize)
-	requireRange(c, at+".calls", t.CallsRange, 0)
-	c.require(below || len(t.CallsRange) == 2 && t.CallsRange[1] == 0, at+".calls", "the last tier has nobody to call")
+func (t *Tier) validate(v *validator, key string, isLast bool) {
+	v.require(t.Name != "", key+".name", "missing")
+	v.require(t.Servers >= 0 && t.Servers <= maxServers, key+".servers", "%d is not between 0 and %d", t.Servers, maxServers)
+	v.require(t.WorkFactor > 0, key+".work", "%v is not above 0", t.WorkFactor)
+	v.require(t.RackSize > 0, key+".rack_size", "%d is not above 0", t.RackSize)
+	requireRange(v, key+".calls", t.CallsRange, 0)
+	v.require(!isLast || len(t.CallsRange) == 2 && t.CallsRange[1] == 0, key+".calls", "the last tier has nobody to call")
 	for i := range t.MachineTypes {
-		k, at := &t.MachineTypes[i], fmt.Sprintf("%s.kind[%d]", at, i)
-		c.require(k.Weight > 0, at+".share", "%v is not above 0", k.Weight)
-		c.require(k.Cores > 0 && k.Cores <= 1024, at+".cores", "%d is not between 1 and 1024", k.Cores)
-		requireRange(c, at+".speed", k.SpeedRange, 0.001)
-		c.require(k.SlotsPerCore > 0, at+".slots_per_core", "%d is not above 0", k.SlotsPerCore)
-		c.require(k.QueuePerCore >= 0, at+".queue_per_core", "%d is negative", k.QueuePerCore)
-		c.requireFraction(at+".error_rate", k.ErrorRate)
-		c.require(k.InitialCapacity > 0 && k.InitialCapacity <= 1, at+".cold_from", "%v is no share above 0", k.InitialCapacity)
-		requireRange(c, at+".cold_for", k.WarmUpRange, 0)
-		c.require(k.MaxConnections > 0, at+".connections", "%d is not above 0", k.MaxConnections)
-		c.require(k.HandshakeWork >= 0, at+".handshake", "is negative")
-		c.require(k.Overload.Threshold >= 0, at+".choke.at", "%v is negative", k.Overload.Threshold)
-		c.require(k.Overload.Threshold == 0 || k.Overload.Slowdown >= 1, at+".choke.slower", "%v is below 1", k.Overload.Slowdown)
-		c.require(k.Overload.OnsetDelay >= 0 && k.Overload.RecoveryDelay >= 0 && k.Overload.MaxDuration >= 0, at+".choke", "a time is negative")
+		t.MachineTypes[i].validate(v, fmt.Sprintf("%s.kind[%d]", key, i))
 	}
 }
 
-// Values of a class's idempotency and key scope.
-var (
-	idempotencies = []string{Idempotent, IdempotentByKey, NonIdempotent}
-	keyScopes     = []string{KeyScopeRack, KeyScopeZone, KeyScopeAll}
-)
+func (m *MachineType) validate(v *validator, key string) {
+	v.require(m.Weight > 0, key+".share", "%v is not above 0", m.Weight)
+	v.require(m.Cores > 0 && m.Cores <= maxCores, key+".cores", "%d is not between 1 and %d", m.Cores, maxCores)
+	requireRange(v, key+".speed", m.SpeedRange, minCoreSpeed)
+	v.require(m.SlotsPerCore > 0, key+".slots_per_core", "%d is not above 0", m.SlotsPerCore)
+	v.require(m.QueuePerCore >= 0, key+".queue_per_core", "%d is negative", m.QueuePerCore)
+	v.requireFraction(key+".error_rate", m.ErrorRate)
+	v.require(m.InitialCapacity > 0 && m.InitialCapacity <= 1, key+".cold_from", "%v is no share above 0", m.InitialCapacity)
+	requireRange(v, key+".cold_for", m.WarmUpRange, 0)
+	v.require(m.MaxConnections > 0, key+".connections", "%d is not above 0", m.MaxConnections)
+	v.require(m.HandshakeWork >= 0, key+".handshake", "is negative")
+	o := &m.Overload
+	v.require(o.Threshold >= 0, key+".choke.at", "%v is negative", o.Threshold)
+	v.require(o.Threshold == 0 || o.Slowdown >= 1, key+".choke.slower", "%v is below 1", o.Slowdown)
+	v.require(o.OnsetDelay >= 0 && o.RecoveryDelay >= 0 && o.MaxDuration >= 0, key+".choke", "a time is negative")
+}
 
-func (k *Class) validate(c *validator, at string) {
-	c.require(k.Name != "", at+".name", "missing")
-	c.require(k.Weight > 0, at+".share", "%v is not above 0", k.Weight)
-	requireRange(c, at+".work", k.WorkRange, Duration(1))
-	c.require(k.LatencyObjective > 0, at+".aim", "missing or not above 0")
-	c.require(k.Deadline >= k.LatencyObjective, at+".deadline", "%v is before the aim, %v", k.Deadline.Std(), k.LatencyObjective.Std())
-	c.require(k.PriorityWeight > 0, at+".worth", "%v is not above 0", k.PriorityWeight)
-	c.require(slices.Contains(idempotencies, k.Idempotency), at+".effect", "%q is none of %v", k.Idempotency, idempotencies)
-	c.require(slices.Contains(keyScopes, k.KeyScope), at+".scope", "%q is none of %v", k.KeyScope, keyScopes)
-	c.require(k.KeyWindow > 0, at+".window", "%v is not above 0", k.KeyWindow.Std())
+func (c *Class) validate(v *validator, key string) {
+	v.require(c.Name != "", key+".name", "missing")
+	v.require(c.Weight > 0, key+".share", "%v is not above 0", c.Weight)
+	requireRange(v, key+".work", c.WorkRange, Duration(1))
+	v.require(c.LatencyObjective > 0, key+".aim", "missing or not above 0")
+	v.require(c.Deadline >= c.LatencyObjective, key+".deadline", "%v is before the aim, %v", c.Deadline.Std(), c.LatencyObjective.Std())
+	v.require(c.PriorityWeight > 0, key+".worth", "%v is not above 0", c.PriorityWeight)
+	v.require(slices.Contains(idempotencies, c.Idempotency), key+".effect", "%q is none of %v", c.Idempotency, idempotencies)
+	v.require(slices.Contains(keyScopes, c.KeyScope), key+".scope", "%q is none of %v", c.KeyScope, keyScopes)
+	v.require(c.KeyWindow > 0, key+".window", "%v is not above 0", c.KeyWindow.Std())
 }
 
-func (l *Limits) validate(c *validator) {
-	c.require(l.MaxAttempts > 0, "limits.max_attempts", "%d is not above 0", l.MaxAttempts)
-	for _, d := range []struct {
-		key string
-		v   Duration
-	}{{"max_retry_after", l.MaxRetryAfter}, {"drain_within", l.DrainTimeout}, {"slack", l.Slack}} {
-		c.require(d.v >= 0, "limits."+d.key, "is negative")
-	}
-	for _, d := range []struct {
-		key string
-		v   Duration
-	}{{"connect_timeout", l.ConnectTimeout}, {"idle", l.IdleTimeout}, {"fall_for", l.CrashLoadWindow}, {"start_within", l.StartTimeout}} {
-		c.require(d.v > 0, "limits."+d.key, "is not above 0")
+func (l *Limits) validate(v *validator) {
+	v.require(l.MaxAttempts > 0, "limits.max_attempts", "%d is not above 0", l.MaxAttempts)
+	v.require(l.MaxRetryAfter >= 0, "limits.max_retry_after", "is negative")
+	v.require(l.DrainTimeout >= 0, "limits.drain_within", "is negative")
+	v.require(l.Slack >= 0, "limits.slack", "is negative")
+	v.require(l.ConnectTimeout > 0, "limits.connect_timeout", "is not above 0")
+	v.require(l.IdleTimeout > 0, "limits.idle", "is not above 0")
+	v.require(l.CrashLoadWindow > 0, "limits.fall_for", "is not above 0")
+	v.require(l.StartTimeout > 0, "limits.start_within", "is not above 0")
+	v.require(l.CrashLoadMultiple > 1, "limits.fall_multiple", "%v is not above 1", l.CrashLoadMultiple)
+	v.require(l.MaxMemoryMB > 0, "limits.memory_mb", "%d is not above 0", l.MaxMemoryMB)
+	v.require(l.MaxSockets >= minSockets, "limits.sockets", "%d is below %d", l.MaxSockets, minSockets)
+}
+
+func (e *Expectations) validate(v *validator, names siteNames) {
+	v.requireFraction("expect.served_share", e.MinServedShare)
+	v.requireFraction("expect.worth_share", e.MinWeightedServedShare)
+	v.requireFraction("expect.tail_served", e.MinLastQuarterServedShare)
+	for _, class := range sortedKeys(e.MinServedShareByClass) {
+		v.require(slices.Contains(names.classes, class), "expect.class_served."+class, "no such class")
+		v.requireFraction("expect.class_served."+class, e.MinServedShareByClass[class])
 	}
-	c.require(l.CrashLoadMultiple > 1, "limits.fall_multiple", "%v is not above 1", l.CrashLoadMultiple)
-	c.require(l.MaxMemoryMB > 0, "limits.memory_mb", "%d is not above 0", l.MaxMemoryMB)
-	c.require(l.MaxSockets >= 64, "limits.sockets", "%d is below 64", l.MaxSockets)
 }
