--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -31,7 +31,7 @@
 		slog.Error("attempt of an unknown request", "request", a.ID)
 		return
 	}
-	now := l.clock.now()
+	now := l.now()
 	timeout := r.deadline - now
 	if a.Timeout != 0 { // 0: until the deadline
 		timeout = min(timeout, a.Timeout)
@@ -106,7 +106,7 @@
 		return
 	}
 	l.startTime(r)
-	at.timer.Reset(r.deadline - l.clock.now())
+	at.timer.Reset(r.deadline - l.now())
 	l.startFallbackTimer(r)
 	l.handle(balancer.RequestBodySent{ID: r.id, Attempt: at.index, Deadline: r.deadline})
 }
@@ -155,7 +155,7 @@
 		Attempt:      at.index,
 		Endpoint:     at.endpoint,
 		Result:       result.Result,
-		Latency:      l.clock.now() - at.sentAt,
+		Latency:      l.now() - at.sentAt,
 		RequestDone:  r.finished.Load(),
 		BodyConsumed: r.streamedBody != nil && r.streamedBody.Consumed(),
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -35,7 +35,7 @@
 	if e == nil || e.Addr != t.Address || e.StartTime != endpoint.StartTime {
 		// Connections to an earlier process or address are of no use.
 		l.removeEndpoint(t.UID)
-		e = upstream.NewEndpoint(t.UID, t.Address, endpoint.StartTime)
+		e = upstream.NewEndpoint(t.Address, endpoint.StartTime)
 		l.endpoints[t.UID] = e
 	}
 	e.SetReady(endpoint.State == balancer.Ready)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -39,8 +39,7 @@
 // loop is the event loop. Its methods run on the one goroutine of run, except for post, after and snapshot, which any other
 // goroutine may call. I/O happens on other goroutines, which post what came of it.
 type loop struct {
-	clock       clock
-	now         func() time.Duration // clock.now, made once
+	now         func() time.Duration // of the clock
 	decisions   decisions
 	pool        *upstream.Pool
 	watcher     *watcher
@@ -60,7 +59,7 @@
 
 func newLoop(cfg config.Config, decisions decisions, pool *upstream.Pool, client *discovery.Client, counters *metrics.Metrics) *loop {
 	l := &loop{
-		clock:       clock{time.Now()},
+		now:         clock{time.Now()}.now,
 		decisions:   decisions,
 		pool:        pool,
 		metrics:     counters,
@@ -70,7 +69,6 @@
 		requests:    map[string]*request{},
 		endpoints:   map[string]*upstream.Endpoint{},
 	}
-	l.now = l.clock.now
 	l.watcher = newWatcher(l, client, !cfg.Settings.PollDiscovery)
 	l.setClasses(cfg.Settings)
 	return l
@@ -110,7 +108,7 @@
 		case <-stale.C:
 			go l.pool.CloseStale()
 		case <-ejected.C:
-			l.metrics.EndpointsEjected.Store(int64(l.decisions.EjectedCount(l.clock.now())))
+			l.metrics.EndpointsEjected.Store(int64(l.decisions.EjectedCount(l.now())))
 		case <-ctx.Done():
 			return
 		}
@@ -136,7 +134,7 @@
 	for len(l.queue) > 0 {
 		e := l.queue[0]
 		l.queue = l.queue[1:]
-		for _, a := range l.decisions.Handle(l.clock.now(), e) {
+		for _, a := range l.decisions.Handle(l.now(), e) {
 			l.perform(a)
 		}
 	}
@@ -154,7 +152,7 @@
 	case balancer.Fail:
 		l.finish(a.ID, answer{status: http.StatusBadGateway})
 	case balancer.SetTimer:
-		l.after(a.At-l.clock.now(), func() { l.handle(balancer.TimerFired{Token: a.Token}) })
+		l.after(a.At-l.now(), func() { l.handle(balancer.TimerFired{Token: a.Token}) })
 	case balancer.Subscribe:
 		l.watcher.subscribe()
 	}
@@ -163,7 +161,7 @@
 // snapshot asks the loop for what the decisions have learned; false: the loop has ended.
 func (l *loop) snapshot() (s balancer.Snapshot, ok bool) {
 	taken := make(chan balancer.Snapshot, 1)
-	l.post(func() { taken <- l.decisions.Snapshot(l.clock.now()) })
+	l.post(func() { taken <- l.decisions.Snapshot(l.now()) })
 	select {
 	case s = <-taken:
 		return s, true
--- a/internal/node/processlock/processlock.go
+++ b/internal/node/processlock/processlock.go
@@ -29,8 +29,8 @@
 	return &Lock{file}, nil
 }
 
-// TryAcquire takes the lock if no other process holds it, and reports whether it did.
-func (l *Lock) TryAcquire() (bool, error) {
+// tryAcquire takes the lock if no other process holds it, and reports whether it did.
+func (l *Lock) tryAcquire() (bool, error) {
 	err := syscall.Flock(int(l.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return false, nil
@@ -43,7 +43,7 @@
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
-		if acquired, err := l.TryAcquire(); acquired || err != nil {
+		if acquired, err := l.tryAcquire(); acquired || err != nil {
 			return err
 		}
 		select {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -166,7 +166,7 @@
 	t.Parallel()
 	cfg := testConfig("127.0.0.1:1")
 	n := startControlled(t, cfg)
-	r := &request{class: "read", deadline: n.loop.clock.now() + nodetest.Limit, fallbackAt: n.loop.clock.now() + nodetest.Limit,
+	r := &request{class: "read", deadline: n.loop.now() + nodetest.Limit, fallbackAt: n.loop.now() + nodetest.Limit,
 		outgoing: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
 	late := &request{class: "read", outgoing: newRequest(t, n, "GET", "/read/1", ""), answer: make(chan answer, 1)}
 	n.loop.post(func() { n.loop.accept(r) })
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -85,7 +85,7 @@
 
 // startFallbackTimer sees to it that, should the decisions ever say nothing, the client still gets an answer in time.
 func (l *loop) startFallbackTimer(r *request) {
-	r.fallbackTimer = l.after(r.fallbackAt-l.clock.now(), func() {
+	r.fallbackTimer = l.after(r.fallbackAt-l.now(), func() {
 		if !r.finished.Load() {
 			slog.Error("no decision by the deadline of a request", "request", r.id)
 			l.abandon(r)
@@ -96,7 +96,7 @@
 // startTime makes a request's time begin now.
 func (l *loop) startTime(r *request) {
 	reserved := min(overhead, r.timeLeft/4)
-	r.deadline = l.clock.now() + r.timeLeft - reserved
+	r.deadline = l.now() + r.timeLeft - reserved
 	r.fallbackAt = r.deadline + reserved/2
 }
 
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -81,7 +81,7 @@
 func noTime() time.Duration { return 0 }
 
 func newReadyEndpoint(addr string) *Endpoint {
-	s := NewEndpoint(addr, addr, 0)
+	s := NewEndpoint(addr, 0)
 	s.SetReady(true)
 	return s
 }
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -8,15 +8,14 @@
 // Endpoint is a listed server as connections know it: one process at one address. A process that starts anew or moves is another
 // Endpoint.
 type Endpoint struct {
-	ID        string
 	Addr      string        // host:port
 	StartTime time.Duration // Unix time
 	ready     atomic.Bool
 }
 
 // NewEndpoint returns an endpoint that is not ready.
-func NewEndpoint(id, addr string, startTime time.Duration) *Endpoint {
-	return &Endpoint{ID: id, Addr: addr, StartTime: startTime}
+func NewEndpoint(addr string, startTime time.Duration) *Endpoint {
+	return &Endpoint{Addr: addr, StartTime: startTime}
 }
 
 // SetReady says whether the endpoint list has the endpoint as ready. Nothing is sent to one that is not.
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -82,7 +82,7 @@
 	w.client = client
 	if w.watching {
 		w.subscribe()
-		w.setConfirmed(w.loop.clock.now() + pollInterval - discovery.SilenceTimeout)
+		w.setConfirmed(w.loop.now() + pollInterval - discovery.SilenceTimeout)
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // pollIfDue polls if nothing has confirmed for too long that the list that the node has is current.
 func (w *watcher) pollIfDue() {
-	now := w.loop.clock.now()
+	now := w.loop.now()
 	limit := maxPolls
 	if !w.pushed {
 		limit = 1 // another in the same queue would come no sooner, and delay everybody's
@@ -146,7 +146,7 @@
 // poll asks discovery for the complete list.
 func (w *watcher) poll() {
 	w.polls++
-	w.polledAt = w.loop.clock.now()
+	w.polledAt = w.loop.now()
 	client, at := w.client, w.polledAt
 	go func() {
 		u, err := client.Fetch(w.loop.running)
@@ -172,7 +172,7 @@
 	}
 	w.pollBackoff = min(max(pollInterval, 2*w.pollBackoff), maxPollBackoff)
 	jitter := time.Duration(rand.Int64N(int64(w.pollBackoff))) - w.pollBackoff/2
-	w.polledAt = w.loop.clock.now() + jitter
+	w.polledAt = w.loop.now() + jitter
 }
 
 // subscribe opens a watch in place of the one before.
@@ -183,7 +183,7 @@
 	w.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop, w.watching = cancel, true
-	revision, client, began := w.revision, w.client, w.loop.clock.now()
+	revision, client, began := w.revision, w.client, w.loop.now()
 	client.SetSerialized(!w.pushed)
 	if w.pollTimer == nil {
 		w.setConfirmed(began + pollInterval - discovery.SilenceTimeout)
@@ -202,7 +202,7 @@
 // watchHandler is what takes the events of the watch that ends with ctx, unless a newer watch says the same.
 func (w *watcher) watchHandler(ctx context.Context) discovery.Handler {
 	post := func(f func(at time.Duration)) {
-		at := w.loop.clock.now()
+		at := w.loop.now()
 		w.loop.post(func() {
 			if ctx.Err() == nil {
 				f(at)
@@ -220,14 +220,14 @@
 func (w *watcher) watchEnded(ctx context.Context, err error, began time.Duration) {
 	logWatchEnded(err)
 	if errors.Is(err, discovery.ErrMalformed) {
-		w.setConfirmed(min(w.confirmedAt, w.loop.clock.now()-discovery.SilenceTimeout)) // what did not count is polled at once
+		w.setConfirmed(min(w.confirmedAt, w.loop.now()-discovery.SilenceTimeout)) // what did not count is polled at once
 	}
 	// When to ask is the decisions' to say where lists are polled; a watch that is silent is broken and opened anew in any case.
 	if !w.pushed && !errors.Is(err, discovery.ErrSilent) {
 		w.loop.handle(balancer.SubscriptionFailed{})
 		return
 	}
-	w.loop.after(w.nextRewatchDelay(w.loop.clock.now()-began), func() {
+	w.loop.after(w.nextRewatchDelay(w.loop.now()-began), func() {
 		if ctx.Err() == nil { // else another was opened meanwhile
 			w.subscribe()
 		}
