--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -67,7 +67,7 @@
 	return r.maxAttempts <= 0 || at.index < r.maxAttempts
 }
 
-// newCall is what an attempt sends. deadline is the clock time at which its time is over, unless the request's time has not begun.
+// newCall returns the call of an attempt. deadline is the clock time at which its time is over, unless the request's time has not begun.
 func (l *loop) newCall(ctx context.Context, at *attempt, deadline time.Duration) upstream.Call {
 	r := at.request
 	call := upstream.Call{
@@ -81,7 +81,7 @@
 		}
 		return call
 	}
-	// Its time begins with its last byte. How slow that may be is the client's body's to say.
+	// Its time begins with its last byte; clientconn.Body limits how slowly that comes.
 	call.StreamedBody = r.streamedBody
 	call.Conditions.Deadline = 0
 	call.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(r.timeLeft))
@@ -105,7 +105,7 @@
 	if r.finished.Load() {
 		return
 	}
-	l.startTime(r)
+	l.startDeadline(r)
 	at.timer.Reset(r.deadline - l.now())
 	l.startFallbackTimer(r)
 	l.handle(balancer.RequestBodySent{ID: r.id, Attempt: at.index, Deadline: r.deadline})
@@ -140,7 +140,7 @@
 	if at.responding {
 		l.metrics.InFlight.Add(-1)
 	}
-	if r.disconnected.Load() && l.close(r) { // the loop is about to hear of it; nothing may follow meanwhile
+	if r.disconnected.Load() && l.close(r) { // the loop is about to be notified; no retry may be sent meanwhile
 		l.metrics.InFlight.Add(-1)
 	}
 	if mayHaveRun(result.Result) && (r.firstSentAt == 0 || at.sentAt < r.firstSentAt) {
--- a/internal/node/classes.go
+++ b/internal/node/classes.go
@@ -9,7 +9,7 @@
 	"umberbank/internal/node/header"
 )
 
-// errUnknownClass rejects what would fail at any server, where it would count against the server's health.
+// errUnknownClass rejects a request that every server would fail, which would count against the servers' health.
 var errUnknownClass = errors.New("not in the settings")
 
 // classes are the classes that requests may name now, by name. They are never changed: a reload swaps them whole.
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -13,8 +13,8 @@
 
 const (
 	// requestTimeout is how long a request's head may take to come in, from connecting or, for a later one, from its first bytes on.
-	// A peer that sends something else, or nothing, gets an error or a close within 3 s of connecting, and takes a client's place
-	// until then. It bounds what net/http reads by itself of a body that is not wanted, too; the rate of one that is wanted is
+	// A peer that sends something else, or nothing, gets an error or a close within 3 s of connecting, and counts against the
+	// limit of clients until then. It bounds what net/http reads by itself of a body that is not wanted, too; the rate of one that is wanted is
 	// clientconn.Body's.
 	requestTimeout = 2500 * time.Millisecond
 	// idleTimeout is how long a client's connection may be idle.
@@ -111,7 +111,7 @@
 	f.awaitAnswer(w, hr, r, disconnected)
 }
 
-// serveReadiness says whether the node takes requests. Whoever asked needs no more, and its connection would take a client's place.
+// serveReadiness says whether the node takes requests. It closes the connection, which would count against the limit of clients.
 func (f *frontend) serveReadiness(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if f.drain.Draining() {
@@ -121,7 +121,7 @@
 
 // awaitAnswer writes the final answer to a request once the loop has it, or ends the request if its client disconnects before.
 func (f *frontend) awaitAnswer(w http.ResponseWriter, hr *http.Request, r *request, disconnected <-chan struct{}) {
-	var bodyFailed <-chan struct{} // never closed for a request that is all here
+	var bodyFailed <-chan struct{} // never closed for a request whose body is buffered
 	if r.streamedBody != nil {
 		bodyFailed = r.streamedBody.Failed()
 	}
@@ -138,7 +138,7 @@
 		r.disconnected.Store(true)
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
 		if r.streamedBody != nil && !r.streamedBody.Complete() {
-			// It is the body that failed: net/http ends the context first.
+			// The body failed; net/http cancels the context before its reader returns.
 			<-r.streamedBody.Failed()
 			reject(w, r.streamedBody.Err())
 			return
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -29,7 +29,7 @@
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// decisions decide; balancer.Balancer is the one in service. They belong to the loop's goroutine.
+// decisions is what the loop needs of the decisions; balancer.Balancer implements it. Only the loop's goroutine may call it.
 type decisions interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 	EjectedCount(now time.Duration) int
@@ -37,7 +37,7 @@
 }
 
 // loop is the event loop. Its methods run on the one goroutine of run, except for post, after and snapshot, which any other
-// goroutine may call. I/O happens on other goroutines, which post what came of it.
+// goroutine may call. I/O happens on other goroutines, which post its results.
 type loop struct {
 	now         func() time.Duration // of the clock
 	decisions   decisions
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -39,7 +39,7 @@
 	if release, err = f.readBody(w, hr, r); err != nil {
 		return nil, nil, err
 	}
-	f.loop.startTime(r) // it runs from the last byte on
+	f.loop.startDeadline(r) // it runs from the last byte on
 	return r, release, nil
 }
 
@@ -105,7 +105,7 @@
 	if len(r.body) <= bodybudget.MaxBufferedBytes {
 		return nil
 	}
-	// Its answer may come, and must go out, before it is all here.
+	// The answer may have to be written before the whole body has come.
 	if err := control.EnableFullDuplex(); err != nil {
 		return err
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -12,8 +12,8 @@
 	"umberbank/internal/node/upstream"
 )
 
-// overhead is what the node leaves of a client's time for its own work and the way back, so that the answer is there before the
-// client has given up. Of a short time it leaves no more than 1/4.
+// overhead is the part of a client's time that the node reserves for its own work and the way back, so that the answer arrives before
+// the client has given up. Of a short time it reserves no more than 1/4.
 const overhead = 20 * time.Millisecond
 
 // request is a client's request. The loop owns it, except for the fields that the frontend sets before accept and for the atomics.
@@ -83,7 +83,7 @@
 	})
 }
 
-// startFallbackTimer sees to it that, should the decisions ever say nothing, the client still gets an answer in time.
+// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the decisions never answer it.
 func (l *loop) startFallbackTimer(r *request) {
 	r.fallbackTimer = l.after(r.fallbackAt-l.now(), func() {
 		if !r.finished.Load() {
@@ -93,8 +93,8 @@
 	})
 }
 
-// startTime makes a request's time begin now.
-func (l *loop) startTime(r *request) {
+// startDeadline makes a request's time begin now.
+func (l *loop) startDeadline(r *request) {
 	reserved := min(overhead, r.timeLeft/4)
 	r.deadline = l.now() + r.timeLeft - reserved
 	r.fallbackAt = r.deadline + reserved/2
@@ -158,5 +158,5 @@
 	return r.firstSentAt + window - min(overhead, window/4)
 }
 
-// wanted reports whether an attempt of the request may still be sent, as far as its client goes.
+// wanted reports whether the request is unanswered and its client connected. Any goroutine may call it.
 func (r *request) wanted() bool { return !r.finished.Load() && r.connected() }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -203,19 +203,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e, conns := range p.idle {
-		var kept []*conn
+		var remaining []*conn
 		for _, c := range conns {
 			if stale(e, c) {
 				c.Conn.Close()
 				p.open--
 			} else {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 			}
 		}
-		if kept == nil {
+		if remaining == nil {
 			delete(p.idle, e)
 		} else {
-			p.idle[e] = kept
+			p.idle[e] = remaining
 		}
 	}
 }
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -67,7 +67,7 @@
 	return &watcher{loop: l, client: client, pushed: pushed, firstAnswer: make(chan struct{}), stop: func() {}}
 }
 
-// reconfigure follows the list at an address from now on. w.pushed is new already.
+// reconfigure follows the list at an address from now on. w.pushed must be set before.
 func (w *watcher) reconfigure(addr string) {
 	if addr != w.client.Addr {
 		w.setClient(discovery.NewClient(addr))
@@ -131,7 +131,7 @@
 	now := w.loop.now()
 	limit := maxPolls
 	if !w.pushed {
-		limit = 1 // another in the same queue would come no sooner, and delay everybody's
+		limit = 1 // another would wait behind it in the same queue, and delay all nodes
 	}
 	due := max(w.confirmedAt+discovery.SilenceTimeout, w.polledAt+max(pollInterval, w.pollBackoff))
 	if now >= due {
@@ -157,7 +157,7 @@
 			case client != w.client: // it has moved since
 			case err == nil:
 				w.receive(u, at)
-			case errors.Is(err, discovery.ErrMalformed): // other faults are the watch's to report
+			case errors.Is(err, discovery.ErrMalformed): // the watch reports other errors
 				logPollFailed(err)
 			}
 		})
@@ -199,7 +199,7 @@
 	}()
 }
 
-// watchHandler is what takes the events of the watch that ends with ctx, unless a newer watch says the same.
+// watchHandler returns the handler of the watch that ends with ctx. What comes after that is dropped: a newer watch brings the same.
 func (w *watcher) watchHandler(ctx context.Context) discovery.Handler {
 	post := func(f func(at time.Duration)) {
 		at := w.loop.now()
@@ -216,13 +216,13 @@
 	}
 }
 
-// watchEnded notes that the watch that was opened at a clock time with ctx has ended, and sees to it that there is another.
+// watchEnded records that the watch with ctx, opened at the clock time began, has ended with err, and arranges for the next one.
 func (w *watcher) watchEnded(ctx context.Context, err error, began time.Duration) {
 	logWatchEnded(err)
 	if errors.Is(err, discovery.ErrMalformed) {
 		w.setConfirmed(min(w.confirmedAt, w.loop.now()-discovery.SilenceTimeout)) // what did not count is polled at once
 	}
-	// When to ask is the decisions' to say where lists are polled; a watch that is silent is broken and opened anew in any case.
+	// Where lists are polled the decisions say when to watch again; a silent watch is broken and opened anew in any case.
 	if !w.pushed && !errors.Is(err, discovery.ErrSilent) {
 		w.loop.handle(balancer.SubscriptionFailed{})
 		return
--- a/internal/node/write.go
+++ b/internal/node/write.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// answerTimeout is how long a client may take to read its answer. One that has stopped reading would keep its place, and the
-	// answer's memory, for good.
+	// answerTimeout is how long a client may take to read its answer. One that has stopped reading would keep its
+	// connection, and the answer's memory, forever.
 	answerTimeout = 5 * time.Second
 	// maxClientPause is how long a client may pause amid a long answer.
 	maxClientPause = 10 * time.Second
@@ -88,7 +88,7 @@
 	}
 }
 
-// write writes an answer that is all here.
+// write writes an answer whose body is complete.
 func write(w http.ResponseWriter, a answer) {
 	// net/http lifts it once the answer is out. An error means that the client has disconnected.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
@@ -110,7 +110,7 @@
 	}
 }
 
-// reject answers what is no request that the node accepts. The connection is closed: it is not worth a client's place.
+// reject answers a request that is not accepted, and closes its connection, so that it does not count against the limit of clients.
 func reject(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), rejectionStatus(err))
