--- a/internal/lab/accounting.go
+++ b/internal/lab/accounting.go
@@ -6,6 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"umberbank/internal/lab/scenario"
 	"umberbank/internal/lab/traffic"
 )
 
@@ -114,7 +115,7 @@
 	for _, f := range res.Faults {
 		killed := int(f.FromSeconds)
 		before := servedBetween(res.Series, killed-recoverySeconds, killed)
-		if f.Kind != "kill" || before <= 0 || f.ToSeconds >= res.Seconds-1 {
+		if f.Kind != scenario.FaultKill || before <= 0 || f.ToSeconds >= res.Seconds-1 {
 			continue
 		}
 		restarted := int(math.Ceil(f.ToSeconds))
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
 )
 
 // exchange is a call in flight. Its own goroutine writes and reads; disconnect ends it from the loop.
@@ -87,9 +88,9 @@
 	class := &w.Site.Classes[c.Class]
 	path = "/" + class.Name + "/" + c.ID + "?tier=" + w.Site.Tiers[c.Tier].Name
 	switch class.Idempotency {
-	case "safe":
+	case scenario.Idempotent:
 		return http.MethodGet, path, "", ""
-	case "keyed":
+	case scenario.IdempotentByKey:
 		return http.MethodPost, path, c.Key, "order of " + c.ID
 	}
 	return http.MethodPost, path, "", "order of " + c.ID
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
 	"umberbank/internal/process/relay"
 	"umberbank/internal/registry/client"
 	"umberbank/internal/registry/cluster"
@@ -144,15 +145,15 @@
 // applyFault begins or ends a fault at a replica. It runs on the goroutine of the jobs.
 func (r *registry) applyFault(i int, kind string, on bool) {
 	switch {
-	case kind == "registry-kill" && on:
+	case kind == scenario.FaultRegistryKill && on:
 		r.cluster.Kill(i)
-	case kind == "registry-kill":
+	case kind == scenario.FaultRegistryKill:
 		if err := r.cluster.Start(i); err != nil {
 			r.fleet.world.Loop.Post(func() { r.fleet.abort(err) })
 		}
-	case kind == "registry-stop" && on:
+	case kind == scenario.FaultRegistryPause && on:
 		r.cluster.Signal(i, syscall.SIGSTOP)
-	case kind == "registry-stop":
+	case kind == scenario.FaultRegistryPause:
 		r.cluster.Signal(i, syscall.SIGCONT)
 	case on:
 		r.partitions[i] = &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
--- a/internal/lab/oracle/attempts.go
+++ b/internal/lab/oracle/attempts.go
@@ -80,10 +80,10 @@
 			o.recordViolation(RuleAttemptLimit, r, "sent again while attempt %d was out", i)
 		}
 		switch class.Idempotency {
-		case "unsafe":
+		case scenario.NonIdempotent:
 			o.recordViolation(RuleRepeated, r, "sent again though attempt %d may have run", i)
 			return
-		case "keyed":
+		case scenario.IdempotentByKey:
 			if !o.checkIdempotencyKey(r, class, i) {
 				return
 			}
@@ -111,9 +111,9 @@
 func (o *Oracle) sameScope(class *scenario.Class, a, b int) bool {
 	x, y := &o.site.Servers[a], &o.site.Servers[b]
 	switch class.KeyScope {
-	case "all":
+	case scenario.KeyScopeAll:
 		return true
-	case "zone":
+	case scenario.KeyScopeZone:
 		return x.Zone == y.Zone
 	}
 	return x.Rack == y.Rack
--- a/internal/lab/oracle/calls.go
+++ b/internal/lab/oracle/calls.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"umberbank/internal/lab/model"
+	"umberbank/internal/lab/scenario"
 )
 
 const (
@@ -102,7 +103,7 @@
 // checkRejection checks that a rejected call can be retried without harm.
 func (o *Oracle) checkRejection(r *callRecord) {
 	class := &o.site.Classes[r.call.Class]
-	if class.Idempotency == "safe" || class.Idempotency == "keyed" && class.KeyScope == "all" {
+	if class.Idempotency == scenario.Idempotent || class.Idempotency == scenario.IdempotentByKey && class.KeyScope == scenario.KeyScopeAll {
 		return
 	}
 	for i, s := range r.attempts {
