--- a/internal/registry/replica/helpers_test.go
+++ b/internal/registry/replica/helpers_test.go
@@ -57,7 +57,8 @@
 	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", Zone: "zone-of-the-test", State: state.Serving}}
 }
 
-// opened returns a registry of one replica on a folder, once it leads.
+// opened returns a registry of one replica on a folder, once it leads and has written its own address, which is a new leader's
+// first write.
 func opened(t *testing.T, dir string) *Replica {
 	t.Helper()
 	r, err := open(t, dir)
@@ -65,7 +66,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.Close() })
-	waitFor(t, "the replica to lead", func() bool { return r.raft.State() == raft.Leader && r.catchUp() == nil })
+	waitFor(t, "the replica to lead and to enter its address", func() (entered bool) {
+		r.fsm.read(func(s *state.State) { entered = s.Members()[r.cfg.ID] == r.Addr() })
+		return entered && r.raft.State() == raft.Leader
+	})
 	return r
 }
 
