--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -135,9 +135,9 @@
 	return since, minRevision, nil
 }
 
-// handleCoordination returns the coordination view. after=REV waits until there is a later revision, or wait_ms are over; unit=UID
-// returns that unit and its permit alone, node=UID what settings that node is to run, without the contents of versions that
-// it has (has=N,M); units=1 returns all units, lead=UID that controller; consistent=1 is as for instances.
+// handleCoordination returns the coordination view. after=REV waits until there is a later revision, or wait_ms are over;
+// unit=UID returns that unit and its permit alone, node=UID what settings that node is to run, without the contents of
+// versions that it has (has=N,M); units=1 returns all units, lead=UID that controller; consistent=1 is as for instances.
 func (r *Replica) handleCoordination(w http.ResponseWriter, q *http.Request) {
 	query := q.URL.Query()
 	if query.Get("consistent") != "" && !r.ensureConsistent(w, q) {
@@ -161,8 +161,8 @@
 	reply(w, json.RawMessage(text), err)
 }
 
-// encodeCoordination encodes the part of the coordination view that a call is for. That is done under the state's lock, as much of it
-// changes in place.
+// encodeCoordination encodes the part of the coordination view that a call is for. That is done under the state's lock, as
+// much of it changes in place.
 func (r *Replica) encodeCoordination(query url.Values) (text []byte, revision int64, err error) {
 	unit, node := query.Get("unit"), query.Get("node")
 	known := knownVersions(query.Get("has"))
