--- a/cmd/umberbank/fleet_faulttest.go
+++ b/cmd/umberbank/fleet_faulttest.go
@@ -93,12 +93,18 @@
 			return err
 		}
 	}
+	return c.printSummary(env, &summary, summary.Failed)
+}
+
+// printSummary prints the summary of all runs. It returns errCheckFailed if one failed.
+func (c *fleetFaultTestCmd) printSummary(env *environment, summary interface{ print(io.Writer) error }, failed int) error {
+	var err error
 	if c.JSON {
 		err = json.NewEncoder(env.stdout).Encode(summary)
 	} else {
 		err = summary.print(env.stdout)
 	}
-	if err == nil && summary.Failed > 0 {
+	if err == nil && failed > 0 {
 		err = errCheckFailed
 	}
 	return err
--- a/cmd/umberbank/fleet_faulttest_settings.go
+++ b/cmd/umberbank/fleet_faulttest_settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"time"
@@ -123,13 +122,5 @@
 	if summary.InForceMS, err = inForceQuantiles(results); err != nil {
 		return err
 	}
-	if c.JSON {
-		err = json.NewEncoder(env.stdout).Encode(summary)
-	} else {
-		err = summary.print(env.stdout)
-	}
-	if err == nil && summary.Failed > 0 {
-		err = errCheckFailed
-	}
-	return err
+	return c.printSummary(env, &summary, summary.Failed)
 }
