--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -47,7 +47,7 @@
 
 // admit sends the first attempt of a request, or enqueues the request while none may be sent.
 func (b *Balancer) admit(r *request) {
-	if b.limitReached() {
+	if b.mustQueue() {
 		b.enqueue(r)
 		return
 	}
@@ -59,9 +59,9 @@
 	b.send(r, e)
 }
 
-// limitReached reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier,
+// mustQueue reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier,
 // the concurrency limit is reached.
-func (b *Balancer) limitReached() bool {
+func (b *Balancer) mustQueue() bool {
 	if len(b.endpoints.ready) == 0 {
 		return true
 	}
@@ -72,7 +72,7 @@
 // answered.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	b.queue.add(r)
@@ -85,7 +85,7 @@
 		return
 	}
 	if b.now >= b.queueDeadline(r) {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	b.dispatchPending()
@@ -121,7 +121,7 @@
 // dispatchPending sends pending requests while the limit allows it, those of the highest priority first.
 func (b *Balancer) dispatchPending() {
 	for tries := len(b.queue.requests); tries > 0; tries-- {
-		if len(b.queue.requests) == 0 || b.limitReached() {
+		if len(b.queue.requests) == 0 || b.mustQueue() {
 			return
 		}
 		r := b.highestPriority(b.queue.requests)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -19,6 +19,8 @@
 //   - Outcome: the result of an attempt updates latencies, outlier detection, the concurrency limit
 //     and the retry budget, and then decides between a retry and a final answer.
 //
+// A replica, in this package, is one of the nodes that send to the same tier, not one of the registry.
+//
 // # Concurrency
 //
 // A Balancer belongs to one goroutine. Balancers share nothing, so different ones may be used at once.
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -29,7 +29,7 @@
 const (
 	Success        Result = iota
 	Failure               // an answer that reports an error
-	Overloaded            // the endpoint refused the attempt
+	Overloaded            // the endpoint rejected the attempt
 	TimedOut              // no answer within Send.Timeout
 	Unreachable           // no connection
 	ConnectionLost        // the connection broke before the answer was complete
@@ -98,7 +98,7 @@
 	// TimerFired says that a SetTimer came due.
 	TimerFired struct{ Token string }
 	// Reconfigure brings new settings, for requests that come from now on. Settings that New would
-	// refuse change nothing.
+	// reject change nothing.
 	Reconfigure struct{ Settings Settings }
 	// Restore brings the Snapshot of an earlier process, taken Age ago, to a Balancer that knows no
 	// endpoint yet. A snapshot that is invalid, older than Settings.SnapshotMaxAge or of another tier
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -18,9 +18,11 @@
 	maxCoincidence = 0.08
 	// slowRatio is how many times the expected latency makes an endpoint an outlier.
 	slowRatio = 2.5
-	// minLatencySamples is how many latencies are needed before an endpoint can be called slow, and how many
-	// successes in a row lower its ejection level.
+	// minLatencySamples is how many latencies are needed before an endpoint can be called slow.
 	minLatencySamples = 3
+	// successesToLowerLevel is how many successes in a row lower the ejection level; two more lower it
+	// further.
+	successesToLowerLevel = 3
 	// maxExcludedFraction is the share of the ready endpoints that may be excluded as outliers.
 	maxExcludedFraction = 0.2
 	// ejectionLatencies is the length of a first ejection, and about that of a rejection limit, in mean
@@ -138,7 +140,7 @@
 	d.lastSuccess, e.lastSuccess = now, now
 	e.consecutiveFailures, e.consecutiveRejections = 0, 0
 	e.consecutiveSuccesses++
-	if e.consecutiveSuccesses >= minLatencySamples && e.ejectionLevel > 0 {
+	if e.consecutiveSuccesses >= successesToLowerLevel && e.ejectionLevel > 0 {
 		e.ejectionLevel--
 		e.consecutiveSuccesses = 1
 	}
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -8,11 +8,11 @@
 	minTotal = 1e-9
 )
 
-// priority is what an answer to a request adds to the result for each ns that it takes, so that load shedding
-// hits what is worth least. The class that is served worst counts extra, so that no class starves.
+// priority is the credit that answering a request earns per ns of an endpoint's time, so that load shedding
+// hits what earns least. The class that is served worst counts extra, so that no class starves.
 func (b *Balancer) priority(r *request) float64 {
 	c := r.class
-	totalWeight, worst := b.classes.demand(c)
+	totalWeight, worst := b.classes.totalWeightAndWorst(c)
 	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minTotal)
 	if worst == c {
 		value += b.settings.WorstClassWeight / max(c.arrivals, minTotal)
@@ -23,9 +23,9 @@
 	return value / c.meanLatency
 }
 
-// demand returns the priority weight of all recent arrivals, and the class with the least share of answers
-// in time. That is preferred if no class has a smaller share.
-func (t *classTable) demand(preferred *classState) (totalWeight float64, worst *classState) {
+// totalWeightAndWorst returns the priority weight of all recent arrivals, and the class with the least share
+// of answers in time. That is preferred if no class has a smaller share.
+func (t *classTable) totalWeightAndWorst(preferred *classState) (totalWeight float64, worst *classState) {
 	worst = preferred
 	for _, c := range t.ordered {
 		totalWeight += c.PriorityWeight * c.arrivals
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -206,9 +206,9 @@
 	}
 }
 
-// answer gives a final answer without a response: a Reject where a retry by the client does no harm, else a
-// Fail. If a response is being forwarded, it is the answer.
-func (b *Balancer) answer(r *request) {
+// rejectOrFail gives a final answer without a response: a Reject where a retry by the client does no harm,
+// else a Fail. If a response is being forwarded, it is the answer.
+func (b *Balancer) rejectOrFail(r *request) {
 	if r.answered || r.responseStarted {
 		return
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -30,12 +30,12 @@
 	timeLeft := float64(r.deadline - b.now)
 	tooLate := timeLeft < r.class.meanLatency/2 // an answer in time is not likely
 	if tooLate || b.retries.tokens < cost || !b.retryAllowed(r) {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	e := b.selectEndpoint(r)
 	if e == nil {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	b.retries.tokens -= cost
@@ -56,15 +56,15 @@
 		return false
 	}
 	for _, a := range r.attempts {
-		if !a.notExecuted && !b.repeatable(a) {
+		if !a.notExecuted && !b.mayRepeat(a) {
 			return false
 		}
 	}
 	return true
 }
 
-// repeatable reports whether an attempt which may have run may be repeated now.
-func (b *Balancer) repeatable(a *attempt) bool {
+// mayRepeat reports whether an attempt which may have run may be repeated now.
+func (b *Balancer) mayRepeat(a *attempt) bool {
 	c := a.request.class
 	switch c.Effect {
 	case NonIdempotent:
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -53,7 +53,7 @@
 	return !a.ended || (a.result != Overloaded && a.result != Unreachable && a.result != NotSent)
 }
 
-// repeatable reports whether the request may be executed anywhere any number of times.
+// mayRepeat reports whether the request may be executed anywhere any number of times.
 func (r *checkedRequest) repeatable() bool {
 	return r.class.Effect == Idempotent ||
 		r.class.Effect == WithIdempotencyKey && r.class.IdempotencyScope == ScopeAll
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -273,7 +273,7 @@
 	return true
 }
 
-// answer checks a final answer against the settings.
+// rejectOrFail checks a final answer against the settings.
 func (h *scaledHost) answer(now time.Duration, id string, retryAfter time.Duration) {
 	r := h.requests[id]
 	if r.answered || now > r.deadline+h.settings.Tick || retryAfter > h.settings.MaxRetryAfter {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -53,8 +53,8 @@
 type SlowStart struct {
 	InitialFraction  float64       // fraction of its capacity that a fresh endpoint has at least
 	Duration         time.Duration // time from its start to its full capacity
-	OverloadMultiple float64       // a warming endpoint that gets more than this times its capacity
-	OverloadWindow   time.Duration // for this long fails
+	OverloadMultiple float64       // times its present capacity that overloads a warming endpoint
+	OverloadWindow   time.Duration // how long it bears such load before it fails
 }
 
 // Settings configure a Balancer. Reconfigure replaces them.
@@ -66,8 +66,8 @@
 	TotalValueWeight float64 // weight of the credit earned over all classes when shedding load
 	WorstClassWeight float64 // weight of the class that is served worst when shedding load
 
-	MaxAttempts   int  // attempts of a request, at least one
-	Hedging       bool // two attempts of a request may be active at once; no decision makes use of it
+	MaxAttempts   int  // attempts of a request; 0 counts as 1
+	Hedging       bool // no effect; kept for the form of the settings
 	Cancellation  bool // the host can carry out a Cancel
 	WeightKind    WeightKind
 	PollDiscovery bool          // the endpoint list comes only after a Subscribe
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -70,8 +70,8 @@
 //
 // Within OverloadWindow an endpoint bears N = OverloadMultiple x fraction x capacity x OverloadWindow
 // attempts. The capacity that is known of a warm endpoint is what it has had of this replica's attempts. If
-// fewer endpoints are warm than then, one that is warming up gets more than its fraction of that; this is
-// accepted up to warmupBudgetFraction x N.
+// fewer endpoints are warm than when that was measured, one that is warming up gets more than its fraction of
+// that; this is accepted up to warmupBudgetFraction x N.
 func (b *Balancer) warmCapacityScarce() bool {
 	subset, ready := len(b.endpoints.subset), len(b.endpoints.ready)
 	rule := b.settings.SlowStart
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -6,7 +6,7 @@
 // an agent that is partitioned, late, or whose release was halted meanwhile changes nothing.
 //
 // An [Agent] runs in the goroutine that calls [Agent.Run]; beside it, one goroutine renews the lease and one waits for the
-// process. Both end with what they serve.
+// process. They end when the lease or the process ends.
 package agent
 
 import (
@@ -30,7 +30,7 @@
 	Registry    []string       // endpoints, host:port
 	Instance    state.Instance // of the unit; Run sets its start time, state and TTL, and after a change its version
 	TTL         time.Duration  // of its lease
-	Command     []string       // of its process, with {version} for the version; empty: the agent is the unit itself
+	Command     []string       // of its process, with {version} for the version; empty: no process, the agent only holds the lease
 	ReadyURL    string         // answers 200 once the process serves; empty: it serves if it has run for half a second
 	DrainTime   time.Duration  // from when nodes are notified that the unit drains until its process is stopped
 	StopTimeout time.Duration  // from then until the process is killed
--- a/internal/coordination/agent/process.go
+++ b/internal/coordination/agent/process.go
@@ -13,8 +13,8 @@
 
 // process is the process of a unit. Its methods must not be called concurrently.
 type process struct {
-	cmd    *exec.Cmd  // nil: the process has exited, or the agent is the unit itself
-	exited chan error // receives the result of cmd.Wait; nil: the agent is the unit itself
+	cmd    *exec.Cmd  // nil: the process has exited, or there is none
+	exited chan error // receives the result of cmd.Wait; nil: there is no process
 	err    error      // that result, once it was received
 }
 
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -132,12 +132,12 @@
 			return
 		}
 		if result.Code == state.CodeFenced {
-			c.lostLease()
+			c.noteLeaseLost()
 		}
 		if result.Code != "" {
 			return
 		}
-		c.scheduler.PermitGranted(w)
+		c.scheduler.WriteApplied(w)
 		c.appendEvent(eventlog.Event{Kind: eventlog.Acted, Unit: w.UID, Plan: w.Plan, Token: c.token, SentAt: sentAt, Reason: w.Reason})
 		if w.Reason != "" {
 			c.Log.Info("release write applied", "controller", c.Name, "kind", w.Kind, "reason", w.Reason)
--- a/internal/coordination/controller/lease.go
+++ b/internal/coordination/controller/lease.go
@@ -43,12 +43,12 @@
 	var response api.RenewResponse
 	err := c.registry.Call(ctx, http.MethodPost, api.PathRenew, request, &response)
 	if err == nil && len(response.Unknown) > 0 {
-		c.lostLease()
+		c.noteLeaseLost()
 	}
 	return err == nil
 }
 
-func (c *Controller) lostLease() {
+func (c *Controller) noteLeaseLost() {
 	c.Log.Info("lost leadership", "controller", c.Name, "token", c.token)
 	c.token = 0
 }
--- a/internal/coordination/disruption/limits.go
+++ b/internal/coordination/disruption/limits.go
@@ -6,7 +6,7 @@
 )
 
 // Limit is the fraction of a tier's capacity, from 0 to 1, that may be unavailable at once: of the whole tier, and of each of
-// its zones, regions and racks. 1 and nil are no limit.
+// its zones, regions and racks. nil is no limit; Total must be set.
 type Limit struct {
 	Tier   string   `json:"tier" toml:"tier"`
 	Total  *float64 `json:"whole,omitempty" toml:"whole"`
--- a/internal/coordination/release/capacity.go
+++ b/internal/coordination/release/capacity.go
@@ -7,9 +7,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// CheckCapacity returns an error with the figures if a tier would be left with less than its required capacity, while as
-// much is unavailable as the plan may take out at once, or as is unavailable already if that is more. required is by tier;
-// a tier without an entry is not checked.
+// CheckCapacity returns an error with the figures if a tier's capacity, less the larger of what the plan may take out at once
+// and what is unavailable now, is below what is required of the tier. A tier without a requirement is not checked.
 func CheckCapacity(
 	p *Plan, required map[string]float64, units []*state.Instance, limits disruption.Limits, unavailable []disruption.UnavailableUnit,
 ) error {
--- a/internal/coordination/release/golden_test.go
+++ b/internal/coordination/release/golden_test.go
@@ -76,7 +76,7 @@
 				t.Errorf("poll %d: reason %q, want %q", i, writes[k].Reason, want.Why)
 			}
 			if want.Granted {
-				m.PermitGranted(writes[k])
+				m.WriteApplied(writes[k])
 			}
 		}
 	}
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -60,7 +60,7 @@
 		if a, _ := s.Apply(w.Op); a.Code != "" {
 			break
 		}
-		m.PermitGranted(w)
+		m.WriteApplied(w)
 	}
 	return len(writes)
 }
--- a/internal/coordination/release/scheduler.go
+++ b/internal/coordination/release/scheduler.go
@@ -23,7 +23,7 @@
 	Holder string // of the permits that it asks for
 
 	since   map[string]time.Duration // on the controller's clock: when a condition became true
-	permits map[string]int           // granted, by plan, unit and incarnation
+	permits map[string]int           // applied writes, by plan, unit and incarnation
 }
 
 const (
@@ -34,8 +34,8 @@
 	maxConcurrentPermits = 256
 )
 
-// PermitGranted records that the registry granted the permit that w asked for.
-func (s *Scheduler) PermitGranted(w Write) { s.permits[permitKey(w.Plan, w.UID, w.Incarnation)]++ }
+// WriteApplied records a write that the registry has applied: it counts the permits that each incarnation was granted.
+func (s *Scheduler) WriteApplied(w Write) { s.permits[permitKey(w.Plan, w.UID, w.Incarnation)]++ }
 
 func permitKey(plan, unit string, incarnation int64) string {
 	return fmt.Sprintf("%s %s %d", plan, unit, incarnation)
@@ -68,8 +68,8 @@
 	return now - since
 }
 
-// round is the decision about one release at one time.
-type round struct {
+// planEvaluation is the decision about one release at one time.
+type planEvaluation struct {
 	scheduler   *Scheduler
 	plan        *Plan
 	now         time.Duration
@@ -81,8 +81,8 @@
 	concurrent  int                           // permits of this plan
 }
 
-func newRound(s *Scheduler, p *Plan, v *View, now time.Duration) *round {
-	r := &round{
+func newPlanEvaluation(s *Scheduler, p *Plan, v *View, now time.Duration) *planEvaluation {
+	r := &planEvaluation{
 		scheduler: s, plan: p, now: now,
 		units: map[string]*state.Instance{}, unavailable: map[string]disruption.UnavailableUnit{}, permits: map[string]*disruption.Permit{},
 	}
@@ -106,12 +106,12 @@
 }
 
 func (s *Scheduler) nextWritesOf(p *Plan, v *View, now time.Duration) []Write {
-	r := newRound(s, p, v, now)
+	r := newPlanEvaluation(s, p, v, now)
 	if r.progress.Stage >= len(p.Stages) {
 		r.progress.Done = true
 		return []Write{r.writeProgress("all stages stand")}
 	}
-	todo, unfinished, haltReason := r.unfinishedSteps()
+	requestable, unfinished, haltReason := r.unfinishedSteps()
 	if haltReason != "" {
 		return r.halt(haltReason)
 	}
@@ -120,12 +120,12 @@
 	if unfinished == 0 {
 		return r.finishStage(finishedFor)
 	}
-	return r.requestPermits(todo)
+	return r.requestPermits(requestable)
 }
 
 // unfinishedSteps returns the steps of the present stage for which a permit can be requested now, and how many are not
 // finished. haltReason is not empty if a unit has not recovered in time.
-func (r *round) unfinishedSteps() (todo []Step, unfinished int, haltReason string) {
+func (r *planEvaluation) unfinishedSteps() (requestable []Step, unfinished int, haltReason string) {
 	for _, step := range r.plan.Stages[r.progress.Stage] {
 		permit := r.permits[step.Unit]
 		inProgress := permit != nil && permit.Plan == r.plan.Name && permit.Begun
@@ -138,21 +138,21 @@
 		}
 		unfinished++
 		if r.canRequest(step) {
-			todo = append(todo, step)
+			requestable = append(requestable, step)
 		}
 	}
-	return todo, unfinished, ""
+	return requestable, unfinished, ""
 }
 
 // isFinished reports whether a step's unit is decommissioned, or fully available in its new version.
-func (r *round) isFinished(step Step) bool {
+func (r *planEvaluation) isFinished(step Step) bool {
 	u, permit := r.units[step.Unit], r.permits[step.Unit]
 	return u == nil || permit == nil && u.Version == step.ToVersion && r.unavailable[step.Unit].Fraction == 0
 }
 
 // canRequest reports whether a permit for an unfinished step can be requested: the unit has none, is reachable and runs
 // another version, or it is changing to the version that this plan rolls back.
-func (r *round) canRequest(step Step) bool {
+func (r *planEvaluation) canRequest(step Step) bool {
 	permit := r.permits[step.Unit]
 	if permit == nil {
 		return r.units[step.Unit].Version != step.ToVersion && r.unavailable[step.Unit].Reason != disruption.ReasonUnreachable
@@ -161,7 +161,7 @@
 }
 
 // finishStage moves on to the next stage once the present one has been finished for the bake time.
-func (r *round) finishStage(finishedFor time.Duration) []Write {
+func (r *planEvaluation) finishStage(finishedFor time.Duration) []Write {
 	if finishedFor < time.Duration(r.plan.BakeMS)*time.Millisecond {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 // requestPermits returns writes that ask for the permits of steps, as many as the plan allows to be held.
-func (r *round) requestPermits(steps []Step) []Write {
+func (r *planEvaluation) requestPermits(steps []Step) []Write {
 	var writes []Write
 	requested := slices.Clone(r.progress.Requested)
 	for _, step := range steps {
@@ -196,7 +196,7 @@
 	return writes
 }
 
-func (r *round) requestPermit(step Step, u *state.Instance) Write {
+func (r *planEvaluation) requestPermit(step Step, u *state.Instance) Write {
 	op := state.Op{
 		Kind: state.OpGrantPermit, UID: step.Unit, Incarnation: u.Token, Holder: r.scheduler.Holder,
 		Plan: r.plan.Name, TargetVersion: step.ToVersion, ReplacesPlan: r.plan.RollsBack,
@@ -205,11 +205,11 @@
 }
 
 // writeProgress stores the progress, unless another controller has stored one since.
-func (r *round) writeProgress(reason string) Write {
+func (r *planEvaluation) writeProgress(reason string) Write {
 	op := state.Op{Kind: state.OpPutRecord, Key: ProgressKeyPrefix + r.plan.Name, Value: encode(r.progress), IfModRevision: r.modRevision}
 	return Write{Op: op, Reason: reason}
 }
 
-func (r *round) halt(reason string) []Write {
+func (r *planEvaluation) halt(reason string) []Write {
 	return []Write{{Op: HaltOp(r.plan.Name, reason), Reason: reason}}
 }
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -27,8 +27,8 @@
 	return s.setPending(hash, replaces, stages), nil
 }
 
-// Rollback proposes the committed content again, in place of a pending version that is partially applied or of a halted
-// rollback. Its only stage starts it on all nodes, those that have the replaced version as their target first.
+// Rollback proposes the committed content again, in place of a pending version that is partially applied or of a pending
+// rollback. It fails if there is none, and if version 0 is committed. Its only stage starts it on all nodes, those that have the replaced version as their target first.
 func (s *State) Rollback() (*Version, error) {
 	if s.Pending == nil || s.Stage == 0 && !s.partiallyApplied() {
 		return nil, errors.New("no version was told to nodes and not to all")
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -10,8 +10,8 @@
 type Version struct {
 	Number   int64     `json:"number"`
 	Hash     string    `json:"hash"`              // of the content
-	Replaces int64     `json:"replaces"`          // number of the version in force when this one was proposed
-	Stages   []float64 `json:"stages"`            // fraction of all nodes after each stage, increasing; the last is 1
+	Replaces int64     `json:"replaces"`          // number of the committed version when this one was proposed; of a rollback: the pending version that it replaces
+	Stages   []float64 `json:"stages"`            // fraction of the nodes in sync when a stage starts, increasing; the last is 1, all nodes
 	BakeMS   int64     `json:"bake_ms,omitempty"` // how long a stage must be ready before the next one, in milliseconds
 }
 
--- a/internal/lab/scale/hollownode.go
+++ b/internal/lab/scale/hollownode.go
@@ -74,7 +74,7 @@
 		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
 	// Each returns when ctx ends, with its error.
 	h.running.Go(func() { _ = h.watcher.Run(ctx, func(u client.WatchEvent) { h.listRevision.Store(u.Revision) }) })
-	h.running.Go(func() { _ = follower.Run(ctx, follow) })
+	h.running.Go(func() { _ = follower.RunStandalone(ctx, follow) })
 	h.running.Go(func() { _ = unit.Run(ctx) })
 	return h, nil
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// If the decisions never answer a request, the client gets an answer before its deadline.
+// If the balancer never answer a request, the client gets an answer before its deadline.
 func TestSilentDecisions(t *testing.T) {
 	t.Parallel()
 	disconnected := make(chan balancer.ClientDisconnected, 1)
@@ -131,7 +131,7 @@
 	}
 }
 
-// The first success is the answer and marked RequestDone; the decisions still get the outcome of an attempt that ends
+// The first success is the answer and marked RequestDone; the balancer still get the outcome of an attempt that ends
 // later.
 func TestLateOutcome(t *testing.T) {
 	t.Parallel()
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -13,7 +13,7 @@
 	"umberbank/internal/node/upstream"
 )
 
-// attempt is one Send of the decisions. The loop owns it.
+// attempt is one Send of the balancer. The loop owns it.
 type attempt struct {
 	request    *request
 	index      int    // among the attempts of the request
@@ -72,7 +72,7 @@
 	r := at.request
 	call := upstream.Call{
 		Request:         r.outgoing.Clone(ctx),
-		Conditions:      upstream.Conditions{Now: l.now, Wanted: r.wanted, Deadline: deadline, RetryDeadline: r.retryDeadline()},
+		Conditions:      upstream.Conditions{Now: l.now, Wanted: r.clientIsWaiting, Deadline: deadline, RetryDeadline: r.retryDeadline()},
 		ResponseStarted: func(response *upstream.Response) { l.post(func() { l.responseStarted(at, response) }) },
 	}
 	if r.streamedBody == nil {
@@ -91,7 +91,7 @@
 	return call
 }
 
-// cancel ends an attempt that the decisions want no more.
+// cancel ends an attempt that the balancer wants no more.
 func (l *loop) cancel(a balancer.Cancel) {
 	if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 		r.attempts[a.Attempt].cancel(upstream.ErrCancelled)
@@ -113,7 +113,7 @@
 
 // responseStarted makes a response that begins the final answer of its request, unless there is one already.
 func (l *loop) responseStarted(at *attempt, response *upstream.Response) {
-	if !l.close(at.request) {
+	if !l.markFinished(at.request) {
 		at.cancel(upstream.ErrCancelled)
 		response.Discard()
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// end notes that an attempt has ended and returns that as an event for the decisions. The first success is the request's answer.
+// end notes that an attempt has ended and returns that as an event for the balancer. The first success is the request's answer.
 func (l *loop) end(at *attempt, result upstream.AttemptResult) balancer.Outcome {
 	r := at.request
 	at.stopTimer()
@@ -140,7 +140,7 @@
 	if at.responding {
 		l.metrics.InFlight.Add(-1)
 	}
-	if r.disconnected.Load() && l.close(r) { // the loop is about to be notified; no retry may be sent meanwhile
+	if r.disconnected.Load() && l.markFinished(r) { // the loop is about to be notified; no retry may be sent meanwhile
 		l.metrics.InFlight.Add(-1)
 	}
 	if mayHaveRun(result.Result) && (r.firstSentAt == 0 || at.sentAt < r.firstSentAt) {
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -26,10 +26,10 @@
 	maxReadAheadBytes = 4 << 10
 	// readAheadBytes is how much of that is read at once.
 	readAheadBytes = 512
-	// lingerTimeout is how long a closed connection goes on reading, into nothing, so that no reset takes along what the client
+	// closeLingerTimeout is how long a closed connection goes on reading, into nothing, so that no reset takes along what the client
 	// has not read yet, and maxLingerBytes how much of it.
-	lingerTimeout  = 400 * time.Millisecond
-	maxLingerBytes = 1 << 20
+	closeLingerTimeout = 400 * time.Millisecond
+	maxLingerBytes     = 1 << 20
 )
 
 // Conn is a client's connection. It gives its capacity back when it is closed for good, and it sees its client disconnect also
@@ -89,7 +89,7 @@
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.err = err
 	}
-	// While a request is served net/http reads single bytes, and but one.
+	// While a request is served net/http reads one single byte, to notice a disconnect.
 	c.probed = n == 1 && len(p) == 1
 	c.readAheadIfDue()
 	return n, err
@@ -149,7 +149,7 @@
 	}
 }
 
-// Close ends sending, and then reads into nothing until the client closes too or for lingerTimeout: a close over bytes that
+// Close ends sending, and then reads into nothing until the client closes too or for closeLingerTimeout: a close over bytes that
 // nobody has read is a reset, which may take the last response along. The capacity is given back after that.
 func (c *Conn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
@@ -165,7 +165,7 @@
 	}
 	go func() {
 		defer c.release()
-		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		c.SetReadDeadline(time.Now().Add(closeLingerTimeout))
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // an error is an end like any other
 		c.Conn.Close()
 	}()
--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -32,11 +32,11 @@
 	Discovery   string           // host:port of the discovery service
 	Control     string           // host:port for operators' commands; "": none
 	AcceptFD    int              // descriptor of an inherited listening socket for clients; 0: none, listen on Listen
-	Seed        uint64           // of the random numbers of the decisions
+	Seed        uint64           // of the random numbers of the balancer
 	Cores       float64          // processor cores that the process may use; 0: no limit
 	MemoryMB    float64          // memory limit in MiB; 0: none
 	Sockets     int              // file descriptors that the process may hold
-	Known       discovery.Update // the endpoint list as this node last had it
+	InitialList discovery.Update // the endpoint list as this node last had it
 	Registry    Registry
 	Snapshots   Snapshots
 	Rollout     Rollout
@@ -205,15 +205,15 @@
 // parseKnown reads the endpoint list as the node last had it.
 func (c *Config) parseKnown(text json.RawMessage) (err error) {
 	if len(text) > 0 {
-		if c.Known, err = discovery.ParseUpdate(text); err != nil {
+		if c.InitialList, err = discovery.ParseUpdate(text); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Known.Complete = true
+	c.InitialList.Full = true
 	return nil
 }
 
-// parseSettings reads the settings of the decisions and of connections.
+// parseSettings reads the settings of the balancer and of connections.
 func (c *Config) parseSettings(text json.RawMessage) (err error) {
 	if len(text) == 0 {
 		return errors.New("settings: missing")
--- a/internal/node/config/config_test.go
+++ b/internal/node/config/config_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Revision != 41 ||
-		len(c.Known.Targets) != 1 || c.Connections.IdleTimeout != 30*time.Second || c.Connections.ConnectTimeout != 200*time.Millisecond ||
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.InitialList.Revision != 41 ||
+		len(c.InitialList.Entries) != 1 || c.Connections.IdleTimeout != 30*time.Second || c.Connections.ConnectTimeout != 200*time.Millisecond ||
 		!c.Settings.PollDiscovery || c.Settings.Classes[0].Effect != balancer.Idempotent {
 		t.Errorf("%+v", c)
 	}
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -10,7 +10,7 @@
 	"umberbank/balancer"
 )
 
-// optionalKeys are the keys that a complete configuration may be without.
+// optionalKeys are keys that the platform may leave out. The node reads none of them.
 var optionalKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true, "fleet": true}
 
 // CheckReload says why next cannot take the place of c while the node runs; nil: it can. It is stricter than a start, which has
--- a/internal/node/config/snapshots.go
+++ b/internal/node/config/snapshots.go
@@ -13,7 +13,7 @@
 	defaultSnapshotMaxAge   = time.Minute
 )
 
-// Snapshots say where a node saves what the decisions have learned, for the process after it. They are read at the start alone.
+// Snapshots say where a node saves what the balancer has learned, for the process after it. They are read at the start alone.
 type Snapshots struct {
 	Dir      string        // of this node alone, on a disk that survives; "": nothing is saved
 	Interval time.Duration // between snapshots
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -50,7 +50,7 @@
 	t.Parallel()
 	taken, answer := make(chan string, 2), make(chan struct{})
 	n := newNodeFor(t, testConfig("127.0.0.1:1"))
-	n.loop.decisions = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
 		if r, is := e.(balancer.Request); is {
 			taken <- r.ID
 			if len(taken) == 1 {
@@ -128,7 +128,7 @@
 			})
 			n := newNodeFor(t, testConfig("127.0.0.1:1", serving("away", "127.0.0.1:1"), serving("s", addr)))
 			outcomes := make(chan balancer.Outcome, 4)
-			n.loop.decisions = decisionsFunc(func(e balancer.Event) []balancer.Action {
+			n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: []string{"s", "away"}[first]}}
@@ -257,7 +257,7 @@
 	}
 	n := newNodeFor(t, cfg)
 	outcomes := make(chan balancer.Outcome, 2)
-	n.loop.decisions = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "a"}}
@@ -294,7 +294,7 @@
 	const late, given = 100 * time.Millisecond, 10 * time.Second
 	failing, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true)
 	n := newNodeFor(t, testConfig("127.0.0.1:1", serving("s", failing)))
-	n.loop.decisions = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
@@ -321,7 +321,7 @@
 	}
 }
 
-// The decisions are notified of a client that closes its connection, and their cancel closes the connection of the attempt.
+// The balancer are notified of a client that closes its connection, and their cancel closes the connection of the attempt.
 func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
 	began, closed := make(chan struct{}), make(chan struct{})
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -110,7 +110,7 @@
 		return Update{}, causeOr(ctx, err)
 	}
 	u, err := ParseUpdate(text)
-	if err == nil && !u.Complete {
+	if err == nil && !u.Full {
 		err = errors.New("not the whole list")
 	}
 	if err != nil {
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -31,7 +31,7 @@
 			lines := strings.Split(text, "\n")
 			for i, line := range lines {
 				l, complete, err := m.add(bytes.TrimSpace([]byte(line)))
-				if last := i == len(lines)-1; err != nil || complete != last || last && (l.Revision != 9 || len(l.Targets) != 2) {
+				if last := i == len(lines)-1; err != nil || complete != last || last && (l.Revision != 9 || len(l.Entries) != 2) {
 					t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, complete, err)
 				}
 			}
--- a/internal/node/discovery/golden_test.go
+++ b/internal/node/discovery/golden_test.go
@@ -47,15 +47,15 @@
 	t.Parallel()
 	complete := `{"rev":42,"all":true,"targets":[` + fullTarget + `]}`
 	l, err := ParseUpdate([]byte(complete))
-	if err != nil || l.Revision != 42 || !l.Complete || len(l.Targets) != 1 {
+	if err != nil || l.Revision != 42 || !l.Full || len(l.Entries) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	want := balancer.Endpoint{ID: "s-1", Zone: "a", Cell: 3, State: balancer.Draining, Weight: 2.5, StartTime: 1500500 * time.Microsecond}
-	if got := l.Targets[0].Endpoint(); !reflect.DeepEqual(got, want) || l.Targets[0].Address != "127.0.0.1:9" {
-		t.Errorf("got %+v, want %+v", l.Targets[0], want)
+	if got := l.Entries[0].Endpoint(); !reflect.DeepEqual(got, want) || l.Entries[0].Address != "127.0.0.1:9" {
+		t.Errorf("got %+v, want %+v", l.Entries[0], want)
 	}
 	for name, state := range map[string]balancer.EndpointState{"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed} {
-		if l, err := ParseUpdate([]byte(strings.Replace(complete, "DRAINING", name, 1))); err != nil || l.Targets[0].Endpoint().State != state {
+		if l, err := ParseUpdate([]byte(strings.Replace(complete, "DRAINING", name, 1))); err != nil || l.Entries[0].Endpoint().State != state {
 			t.Errorf("%s: %+v, %v", name, l, err)
 		}
 	}
--- a/internal/node/discovery/update.go
+++ b/internal/node/discovery/update.go
@@ -12,13 +12,13 @@
 
 // Update is a message of discovery: the complete endpoint list, or the entries that changed. It is immutable once parsed.
 type Update struct {
-	Revision int64    `json:"rev"` // of the list as it is after this update
-	Complete bool     `json:"all"` // what is not named is gone
-	Targets  []Target `json:"targets"`
+	Revision int64   `json:"rev"` // of the list as it is after this update
+	Full     bool    `json:"all"` // what is not named is gone
+	Entries  []Entry `json:"targets"`
 }
 
-// Target is an entry of the endpoint list.
-type Target struct {
+// Entry is an entry of the endpoint list.
+type Entry struct {
 	UID         string  `json:"uid"`
 	Address     string  `json:"endpoint"` // host:port
 	Zone        string  `json:"az"`
@@ -28,7 +28,7 @@
 	StartTimeMS float64 `json:"boot_ms"` // Unix time in milliseconds; 0: not known
 }
 
-// endpointStates are the states of targets, and what the decisions call them.
+// endpointStates are the states of targets, and what the balancer calls them.
 var endpointStates = map[string]balancer.EndpointState{
 	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
 }
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal(text, &u); err != nil {
 		return Update{}, err
 	}
-	if u.Targets == nil {
+	if u.Entries == nil {
 		// In a complete list, what is not named is gone.
 		return Update{}, errors.New("no targets")
 	}
-	for i, t := range u.Targets {
+	for i, t := range u.Entries {
 		if err := t.validate(i); err != nil {
 			return Update{}, err
 		}
@@ -52,7 +52,7 @@
 }
 
 // validate says what is wrong with the target of an index; nil: nothing.
-func (t Target) validate(index int) error {
+func (t Entry) validate(index int) error {
 	if t.UID == "" {
 		return fmt.Errorf("target %d has no uid", index)
 	}
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// Endpoint is the entry in the form of the decisions. Their clock is Unix time, so start times need no conversion but of their
+// Endpoint is the entry in the form of the balancer. Its clock is Unix time, so start times need no conversion but of their
 // unit.
-func (t Target) Endpoint() balancer.Endpoint {
+func (t Entry) Endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:        t.UID,
 		Zone:      t.Zone,
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -6,19 +6,19 @@
 	"umberbank/internal/node/upstream"
 )
 
-// applyUpdate applies an update of the endpoint list: first to what attempts may use, then to the decisions. cached: it is from before
+// applyUpdate applies an update of the endpoint list: first to what attempts may use, then to the balancer. cached: it is from before
 // the start of the process.
 func (l *loop) applyUpdate(u discovery.Update, cached bool) {
 	l.watcher.updated(u.Revision, cached)
 	listed := map[string]bool{}
-	e := balancer.EndpointUpdate{Full: u.Complete, Cached: cached}
-	for _, t := range u.Targets {
+	e := balancer.EndpointUpdate{Full: u.Full, Cached: cached}
+	for _, t := range u.Entries {
 		endpoint := t.Endpoint()
 		e.Endpoints = append(e.Endpoints, endpoint)
 		listed[t.UID] = endpoint.State != balancer.Removed
-		l.applyTarget(t, endpoint)
+		l.applyEntry(t, endpoint)
 	}
-	if u.Complete {
+	if u.Full {
 		for id := range l.endpoints {
 			if !listed[id] {
 				l.removeEndpoint(id)
@@ -29,8 +29,8 @@
 	l.handle(e)
 }
 
-// applyTarget applies one entry of the endpoint list to what attempts may use. endpoint is the entry in the form of the decisions.
-func (l *loop) applyTarget(t discovery.Target, endpoint balancer.Endpoint) {
+// applyEntry applies one entry of the endpoint list to what attempts may use. endpoint is the entry in the form of the balancer.
+func (l *loop) applyEntry(t discovery.Entry, endpoint balancer.Endpoint) {
 	e := l.endpoints[t.UID]
 	if e == nil || e.Addr != t.Address || e.StartTime != endpoint.StartTime {
 		// Connections to an earlier process or address are of no use.
--- a/internal/node/follower/event.go
+++ b/internal/node/follower/event.go
@@ -16,7 +16,7 @@
 	Running   EventKind = iota // it runs the version from now on
 	Validated                  // it could run the version, which is proposed
 	InSync                     // the registry counts it as in sync, running the version
-	OutOfSync                  // it does no longer
+	OutOfSync                  // the registry no longer counts it as in sync
 	Serving                    // it serves clients from now on; there is no version
 )
 
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -2,15 +2,16 @@
 // describes rollouts for operators.
 //
 // A Follower registers its node, validates each version that is proposed and acknowledges or rejects it, and runs what the node
-// is told to run. Its invariants:
+// is to run. Its invariants:
 //
 //   - It never runs a version with a lower number than the one that it runs.
-//   - A version is saved before it is run, so that a process that dies in between starts with what it was told.
+//   - A version is saved before it is run, so that a process that dies in between starts with it. A save that
+//     fails is logged, and the version runs all the same.
 //   - It is in sync only by the registry's view after its own report of the version that it runs; what the registry knew before
 //     that was about an earlier process.
 //
 // It runs beside the node's event loop on a goroutine of its own; traffic never waits for it. While the registry cannot be reached
-// the node runs what it was last told, for as long as that lasts.
+// the node goes on with its last target, for as long as that lasts.
 package follower
 
 import (
@@ -74,8 +75,9 @@
 	return &Follower{Options: options, writer: writer, running: running, firstInSync: make(chan struct{})}, nil
 }
 
-// Run follows until ctx ends or another process is the node.
-func Run(ctx context.Context, options Options) error {
+// RunStandalone runs a new Follower without a saved version, as hollow nodes of the lab do. It returns when ctx ends or another process
+// has registered the node's name.
+func RunStandalone(ctx context.Context, options Options) error {
 	f, err := New(options, Version{})
 	if err != nil {
 		return err
@@ -90,7 +92,7 @@
 // RunningVersion is the version that the node runs.
 func (f *Follower) RunningVersion() Version { return f.running }
 
-// Run follows until ctx ends or another process is the node.
+// Run follows until ctx ends, or until another process has registered the node's name, which is logged.
 func (f *Follower) Run(ctx context.Context) {
 	f.notify(Event{Kind: Running, Version: f.running})
 	var revision int64 // of the registry's log, as last seen; 0: ask anew
@@ -120,7 +122,7 @@
 	return view != nil && view.Node != nil && (f.lease == nil || view.Node.Incarnation == f.lease.Token(f.Name))
 }
 
-// knownVersions are the numbers of the versions whose settings it has, which the registry need not send.
+// knownVersions returns the numbers of the versions whose settings it has, which the registry need not send.
 func (f *Follower) knownVersions() string {
 	return strconv.FormatInt(f.running.Number, 10) + "," + strconv.FormatInt(f.proposed.Number, 10)
 }
@@ -201,7 +203,8 @@
 	f.inSync = confirmed || f.inSync && node.InSync()
 }
 
-// Activate runs a version from now on, and saves it for the process after this one.
+// Activate saves a version for the process after this one and runs it. It ignores content that is missing or has another hash. Errors
+// are logged.
 func (f *Follower) Activate(content state.VersionContent) {
 	next := Version{content.Number, content.Hash, content.Settings}
 	if next.Settings == nil && f.proposed.Number == next.Number {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -12,10 +12,9 @@
 )
 
 const (
-	// requestTimeout is how long a request's head may take to come in, from connecting or, for a later one, from its first bytes on.
-	// A peer that sends something else, or nothing, gets an error or a close within 3 s of connecting, and counts against the
-	// limit of clients until then. It bounds what net/http reads by itself of a body that is not wanted, too; the rate of one that is wanted is
-	// clientconn.Body's.
+	// requestTimeout bounds the reading of a request's head, from connecting or, for a later request, from its first bytes on. A peer
+	// that sends something else, or nothing, counts against the limit of clients until then. It also bounds a body that net/http drains
+	// by itself; clientconn.Body bounds a body that is forwarded.
 	requestTimeout = 2500 * time.Millisecond
 	// idleTimeout is how long a client's connection may be idle.
 	idleTimeout = 2 * time.Minute
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -131,7 +131,7 @@
 	nodetest.Golden(t, "forwarded.golden", b.String())
 }
 
-// What the decisions learn of a client's request.
+// What the balancer learn of a client's request.
 func TestGoldenRequestHeaders(t *testing.T) {
 	t.Parallel()
 	requests := make(chan balancer.Request, 1)
--- a/internal/node/header/header.go
+++ b/internal/node/header/header.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Names of headers. The first four come from clients; TimeLeft goes on to servers with each attempt, with what is left then.
+// Names of headers. All but Unprocessed come from clients; TimeLeft goes on to servers with each attempt, with what is left then.
 const (
 	CorrelationID  = "X-Correlation-Id"
 	TimeLeft       = "X-Time-Left"
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -100,13 +100,13 @@
 	return b.String() + "0\r\nX-Trailer: t\r\n\r\n"
 }
 
-func testConfig(discoveryAddr string, targets ...discovery.Target) config.Config {
+func testConfig(discoveryAddr string, targets ...discovery.Entry) config.Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
 		return balancer.Class{Name: name, Effect: e, IdempotencyScope: balancer.ScopeAll, IdempotencyWindow: 10 * time.Second,
 			LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}
 	}
 	return config.Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discoveryAddr, Seed: 1, Sockets: 256,
-		Known: discovery.Update{Revision: 7, Complete: true, Targets: targets},
+		InitialList: discovery.Update{Revision: 7, Full: true, Entries: targets},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{class("read", balancer.Idempotent), class("send", balancer.WithIdempotencyKey),
 				class("order", balancer.NonIdempotent)},
@@ -115,12 +115,12 @@
 		Connections: simwire.Connections{IdleTimeout: time.Minute, ConnectTimeout: nodetest.Limit}}
 }
 
-func serving(uid, addr string) discovery.Target {
-	return discovery.Target{UID: uid, Address: addr, Zone: "a", State: "SERVING", Weight: 1}
+func serving(uid, addr string) discovery.Entry {
+	return discovery.Entry{UID: uid, Address: addr, Zone: "a", State: "SERVING", Weight: 1}
 }
 
 // startNode runs a node until the test ends. Its decisions are a balancer.Balancer if d is nil.
-func startNode(t *testing.T, cfg config.Config, d decisions) *Node {
+func startNode(t *testing.T, cfg config.Config, d requestBalancer) *Node {
 	t.Helper()
 	if d == nil {
 		b, err := balancer.New(cfg.Settings, cfg.Seed)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// lingerTimeout is how long a stopping node goes on to accept. New connections come for up to 0.4 s after the signal, and
+	// acceptLingerTimeout is how long a stopping node goes on to accept. New connections come for up to 0.4 s after the signal, and
 	// closing the listener would reset those not yet accepted.
-	lingerTimeout = 500 * time.Millisecond
-	// A stopping node is killed once the longest deadline of a request, maxRequestTimeout at the most, and killGrace more have
+	acceptLingerTimeout = 500 * time.Millisecond
+	// The platform kills a stopping node with SIGKILL once the longest deadline of a request, maxRequestTimeout at the most, and killGrace more have
 	// passed. It answers everything by killMargin before that.
 	maxRequestTimeout = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
@@ -63,13 +63,13 @@
 		if restored {
 			n.loop.handle(snapshot)
 		}
-		n.loop.applyUpdate(n.known, true)
+		n.loop.applyUpdate(n.initialList, true)
 		close(listKnown)
 		if n.loop.watcher.pushed {
 			n.loop.watcher.subscribe()
 		}
 	})
-	if n.registry != nil {
+	if n.registryWatcher != nil {
 		go n.readRegistry(running)
 	}
 	if n.follower != nil {
@@ -92,7 +92,7 @@
 
 // awaitReady waits until the node may serve; false: ctx ended first.
 func (n *Node) awaitReady(ctx context.Context) bool {
-	if !n.cfg.Settings.PollDiscovery && n.registry == nil {
+	if !n.cfg.Settings.PollDiscovery && n.registryWatcher == nil {
 		n.awaitFirstUpdate(ctx)
 	}
 	return n.awaitInSync(ctx)
@@ -149,11 +149,11 @@
 		select {
 		case err := <-served:
 			return fmt.Errorf("serving callers: %w", err)
-		case <-time.After(n.lingerTimeout):
+		case <-time.After(n.acceptLingerTimeout):
 		}
 	} // else the successor accepts what is in the backlog
 	_ = n.listener.Close()
-	<-served //nolint:errcheck // returned for that, if for nothing before
+	<-served //nolint:errcheck // the listener was closed on purpose
 	n.frontend.awaitClosed(n.listener.OpenConnections)
 	return nil
 }
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -224,10 +224,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.lingerTimeout <= 400*time.Millisecond {
-		t.Errorf("new connections are taken for %v only", n.lingerTimeout)
+	if n.acceptLingerTimeout <= 400*time.Millisecond {
+		t.Errorf("new connections are taken for %v only", n.acceptLingerTimeout)
 	}
-	n.lingerTimeout = 3 * time.Second // a slow machine gets more
+	n.acceptLingerTimeout = 3 * time.Second // a slow machine gets more
 	n.longestRequest.Store(int64(nodetest.Limit))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -18,7 +18,7 @@
 	eventBacklog = 1024
 	// staleInterval is how often stale connections to servers are looked for.
 	staleInterval = time.Second
-	// ejectedInterval is how often the decisions are asked how many endpoints are ejected.
+	// ejectedInterval is how often the balancer is asked how many endpoints are ejected.
 	ejectedInterval = 200 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// decisions is what the loop needs of the decisions; balancer.Balancer implements it. Only the loop's goroutine may call it.
-type decisions interface {
+// requestBalancer is what the loop needs of the balancer; balancer.Balancer implements it. Only the loop's goroutine may call it.
+type requestBalancer interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 	EjectedCount(now time.Duration) int
 	Snapshot(now time.Duration) balancer.Snapshot
@@ -40,7 +40,7 @@
 // goroutine may call. I/O happens on other goroutines, which post its results.
 type loop struct {
 	now         func() time.Duration // of the clock
-	decisions   decisions
+	balancer    requestBalancer
 	pool        *upstream.Pool
 	watcher     *watcher
 	metrics     *metrics.Metrics
@@ -50,17 +50,17 @@
 	events      chan func()
 	done        chan struct{} // closed when run has ended
 
-	queue     []balancer.Event // for the decisions, in order
+	queue     []balancer.Event // for the balancer, in order
 	requests  map[string]*request
 	endpoints map[string]*upstream.Endpoint // by ID
 	lastID    uint64                        // of a request
 	closing   bool                          // the process is about to be killed
 }
 
-func newLoop(cfg config.Config, decisions decisions, pool *upstream.Pool, client *discovery.Client, counters *metrics.Metrics) *loop {
+func newLoop(cfg config.Config, b requestBalancer, pool *upstream.Pool, client *discovery.Client, counters *metrics.Metrics) *loop {
 	l := &loop{
 		now:         clock{time.Now()}.now,
-		decisions:   decisions,
+		balancer:    b,
 		pool:        pool,
 		metrics:     counters,
 		maxAttempts: cfg.Settings.MaxAttempts,
@@ -108,7 +108,7 @@
 		case <-stale.C:
 			go l.pool.CloseStale()
 		case <-ejected.C:
-			l.metrics.EndpointsEjected.Store(int64(l.decisions.EjectedCount(l.now())))
+			l.metrics.EndpointsEjected.Store(int64(l.balancer.EjectedCount(l.now())))
 		case <-ctx.Done():
 			return
 		}
@@ -128,19 +128,19 @@
 	return time.AfterFunc(d, func() { l.post(f) })
 }
 
-// handle gives the decisions an event, and then those that their own actions caused at once.
+// handle gives the balancer an event, and then those that their own actions caused at once.
 func (l *loop) handle(e balancer.Event) {
 	l.queue = append(l.queue, e)
 	for len(l.queue) > 0 {
 		e := l.queue[0]
 		l.queue = l.queue[1:]
-		for _, a := range l.decisions.Handle(l.now(), e) {
+		for _, a := range l.balancer.Handle(l.now(), e) {
 			l.perform(a)
 		}
 	}
 }
 
-// perform carries out an action of the decisions.
+// perform carries out an action of the balancer.
 func (l *loop) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
@@ -158,10 +158,10 @@
 	}
 }
 
-// snapshot asks the loop for what the decisions have learned; false: the loop has ended.
+// snapshot asks the loop for what the balancer has learned; false: the loop has ended.
 func (l *loop) snapshot() (s balancer.Snapshot, ok bool) {
 	taken := make(chan balancer.Snapshot, 1)
-	l.post(func() { taken <- l.decisions.Snapshot(l.now()) })
+	l.post(func() { taken <- l.balancer.Snapshot(l.now()) })
 	select {
 	case s = <-taken:
 		return s, true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,26 +27,26 @@
 // Node is one node of the load balancer. New returns a node that listens, and Run serves, once; the other methods may be called by
 // any goroutine while it runs.
 type Node struct {
-	loop        *loop
-	frontend    *frontend
-	listener    *clientconn.Listener
-	cfg         config.Config            // as the node was started with
-	lock        *processlock.Lock        // nil: the process is not replaced while it serves
-	control     *control.Server          // nil: there is no address for operators
-	known       discovery.Update         // the endpoint list to start with
-	registry    *client.Watcher          // nil: the node follows discovery
-	snapshotter *snapshotter.Snapshotter // nil: nothing is saved for the process after this one
-	follower    *follower.Follower       // nil: settings come from the configuration alone
+	loop            *loop
+	frontend        *frontend
+	listener        *clientconn.Listener
+	cfg             config.Config            // as the node was started with
+	lock            *processlock.Lock        // nil: the process is not replaced while it serves
+	control         *control.Server          // nil: there is no address for operators
+	initialList     discovery.Update         // the endpoint list to start with
+	registryWatcher *client.Watcher          // nil: the node follows discovery
+	snapshotter     *snapshotter.Snapshotter // nil: nothing is saved for the process after this one
+	follower        *follower.Follower       // nil: settings come from the configuration alone
 
-	lingerTimeout  time.Duration // how long a stopping node goes on to accept
-	longestRequest atomic.Int64  // a time.Duration: how long clients may wait for what a stopping node has accepted
+	acceptLingerTimeout time.Duration // how long a stopping node goes on to accept
+	longestRequest      atomic.Int64  // a time.Duration: how long clients may wait for what a stopping node has accepted
 
 	reloading sync.Mutex      // of what follows, which a reload changes
 	current   config.Config   // the configuration in force
 	agreed    json.RawMessage // settings from a rollout, if there are any
 
 	serving  atomic.Bool // clients are served
-	stopping atomic.Bool // and will not be much longer
+	stopping atomic.Bool // SIGTERM has come; accepted requests are being answered
 }
 
 // New returns a node that listens and does not serve yet.
@@ -69,13 +69,13 @@
 }
 
 // newNode is New with given decisions, and without a follower of rollouts.
-func newNode(cfg config.Config, decisions decisions) (*Node, error) {
+func newNode(cfg config.Config, b requestBalancer) (*Node, error) {
 	socket, err := listen(cfg)
 	if err != nil {
 		return nil, err
 	}
-	n := assemble(cfg, decisions, socket)
-	if err := n.openFacilities(); err != nil {
+	n := assemble(cfg, b, socket)
+	if err := n.openOptionalParts(); err != nil {
 		socket.Close()
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 }
 
 // assemble creates the parts of a node whose creation cannot fail.
-func assemble(cfg config.Config, decisions decisions, socket net.Listener) *Node {
+func assemble(cfg config.Config, b requestBalancer, socket net.Listener) *Node {
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(upstream.Options{
 		Connections:    cfg.Connections,
@@ -99,16 +99,16 @@
 		Metrics:        counters,
 		Budget:         bodybudget.ForMemory(cfg.MemoryMB, cfg.AcceptFD > 0),
 	})
-	l := newLoop(cfg, decisions, pool, discovery.NewClient(cfg.Discovery), counters)
+	l := newLoop(cfg, b, pool, discovery.NewClient(cfg.Discovery), counters)
 	front := newFrontend(l)
 	n := &Node{
-		loop:          l,
-		frontend:      front,
-		listener:      clientconn.NewListener(listener.Persistent{Listener: socket}, 1, front.idle.Evict),
-		cfg:           cfg,
-		known:         cfg.Known,
-		lingerTimeout: lingerTimeout,
-		current:       cfg,
+		loop:                l,
+		frontend:            front,
+		listener:            clientconn.NewListener(listener.Persistent{Listener: socket}, 1, front.idle.Evict),
+		cfg:                 cfg,
+		initialList:         cfg.InitialList,
+		acceptLingerTimeout: acceptLingerTimeout,
+		current:             cfg,
 	}
 	n.setQuota(1)
 	n.longestRequest.Store(int64(longestRequestOf(cfg.Settings)))
@@ -118,12 +118,12 @@
 	return n
 }
 
-// openFacilities opens the registry client, the process lock and the operators' address, where the configuration asks for them.
-func (n *Node) openFacilities() (err error) {
+// openOptionalParts opens the registry client, the process lock and the operators' address, where the configuration asks for them.
+func (n *Node) openOptionalParts() (err error) {
 	if err := n.openRegistry(); err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	n.loop.watcher.external = n.registry != nil
+	n.loop.watcher.external = n.registryWatcher != nil
 	if n.cfg.AcceptFD > 0 {
 		if n.lock, err = processlock.Open(os.TempDir(), n.cfg.Name); err != nil {
 			return fmt.Errorf("lock of the serving process: %w", err)
--- a/internal/node/nodetest/discovery.go
+++ b/internal/node/nodetest/discovery.go
@@ -10,7 +10,7 @@
 )
 
 // Discovery is a stub of discovery. What comes on lines goes out on the watch that is open, one message or heartbeat at a time; "end"
-// ends it. asked tells the path and query of each watch. Polls are not answered.
+// ends it. watches receives the path and query of each watch. Polls are not answered.
 func Discovery(t *testing.T) (addr string, lines, watches chan string) {
 	t.Helper()
 	lines, watches = make(chan string), make(chan string, 100)
--- a/internal/node/nodetest/golden.go
+++ b/internal/node/nodetest/golden.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// update makes the golden tests write their files instead of comparing with them. The files in the repository were written
-// by the program before its names were changed; they are rewritten only when a form changes on purpose.
+// update rewrites the golden files. It is for a stored or sent form that changes on purpose.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Golden compares got with the file of this name under testdata, byte for byte.
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -9,8 +9,8 @@
 const (
 	// reservedDescriptors are for the listener, the watch, the log and the runtime.
 	reservedDescriptors = 32
-	// upstreamFractionNum/upstreamFractionDen of the descriptors are for connections to servers. An attempt needs a client, and clients
-	// have idle connections besides: they get the larger part.
+	// upstreamFractionNum/upstreamFractionDen of the descriptors are for connections to servers. Each attempt belongs to a client's
+	// connection, and clients also hold idle ones, so clients get the larger part.
 	upstreamFractionNum, upstreamFractionDen = 2, 5
 	// memoryLimitFraction is the fraction of the memory limit from which on the garbage collector works harder, well below the limit at
 	// which the node is killed.
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -20,24 +20,24 @@
 	if err != nil {
 		return err
 	}
-	n.registry = reader
+	n.registryWatcher = reader
 	if view := reader.View(); len(view.Instances) > 0 {
 		known, err := fromRegistry(client.WatchEvent{Revision: view.Revision, FullList: true, Instances: view.Instances})
 		if err != nil {
 			return fmt.Errorf("%s: %w", n.cfg.Registry.Cache, err)
 		}
-		n.known = known
+		n.initialList = known
 	}
 	return nil
 }
 
-// readRegistry gives the event loop what the registry says until ctx ends. The reader applies nothing that is older or incomplete. An
-// update that makes no sense to a node is logged and ignored.
+// readRegistry gives the event loop what the registry says until ctx ends. The registry watcher applies nothing that is older or
+// incomplete. An invalid update is logged and ignored.
 func (n *Node) readRegistry(ctx context.Context) {
-	_ = n.registry.Run(ctx, func(u client.WatchEvent) {
+	_ = n.registryWatcher.Run(ctx, func(u client.WatchEvent) {
 		update, err := fromRegistry(u)
 		if err != nil {
-			slog.Error("registry: ignoring an update that makes no sense", "revision", u.Revision, "error", err)
+			slog.Error("registry: ignoring an invalid update", "revision", u.Revision, "error", err)
 			return
 		}
 		n.loop.post(func() { n.loop.applyUpdate(update, false) })
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -24,7 +24,7 @@
 	clientRetry  bool             // the client has sent it before
 	costHint     time.Duration    // the work to expect; 0: not known
 	timeLeft     time.Duration    // how long the client waits from the request's last byte on
-	deadline     time.Duration    // by which the decisions are to answer
+	deadline     time.Duration    // by which the balancer is to answer
 	fallbackAt   time.Duration    // at which the node answers by itself
 	outgoing     *http.Request    // what goes to a server
 	body         []byte           // as much of it as is buffered
@@ -83,7 +83,7 @@
 	})
 }
 
-// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the decisions never answer it.
+// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the balancer never answer it.
 func (l *loop) startFallbackTimer(r *request) {
 	r.fallbackTimer = l.after(r.fallbackAt-l.now(), func() {
 		if !r.finished.Load() {
@@ -100,7 +100,7 @@
 	r.fallbackAt = r.deadline + reserved/2
 }
 
-// abandon fails a request without the decisions, which are told that nobody waits for it any more.
+// abandon fails a request without the balancer, which is notified that nobody waits for it any more.
 func (l *loop) abandon(r *request) {
 	l.finish(r.id, answer{status: http.StatusBadGateway})
 	l.handle(balancer.ClientDisconnected{ID: r.id})
@@ -118,7 +118,7 @@
 
 // clientDisconnected notes that a client has closed its connection.
 func (l *loop) clientDisconnected(r *request) {
-	if r.fallbackTimer != nil && l.close(r) { // else it was never accepted
+	if r.fallbackTimer != nil && l.markFinished(r) { // else it was never accepted
 		l.metrics.InFlight.Add(-1)
 		l.handle(balancer.ClientDisconnected{ID: r.id})
 		l.forget(r)
@@ -128,15 +128,15 @@
 // finish gives a request its final answer, once.
 func (l *loop) finish(id string, a answer) {
 	r := l.requests[id]
-	if r != nil && l.close(r) {
+	if r != nil && l.markFinished(r) {
 		l.metrics.InFlight.Add(-1)
 		r.answer <- a
 		l.forget(r)
 	}
 }
 
-// close makes a request one that is finished; false: it was before.
-func (l *loop) close(r *request) bool {
+// markFinished makes a request one that is finished; false: it was before.
+func (l *loop) markFinished(r *request) bool {
 	r.fallbackTimer.Stop()
 	return r.finished.CompareAndSwap(false, true)
 }
@@ -158,5 +158,5 @@
 	return r.firstSentAt + window - min(overhead, window/4)
 }
 
-// wanted reports whether the request is unanswered and its client connected. Any goroutine may call it.
-func (r *request) wanted() bool { return !r.finished.Load() && r.connected() }
+// clientIsWaiting reports whether the request is unanswered and its client connected. Any goroutine may call it.
+func (r *request) clientIsWaiting() bool { return !r.finished.Load() && r.connected() }
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -302,7 +302,7 @@
 	}
 }
 
-// The decisions get the cost hint of a request.
+// The balancer get the cost hint of a request.
 func TestCostHint(t *testing.T) {
 	t.Parallel()
 	costs := make(chan time.Duration, 1)
@@ -344,7 +344,7 @@
 				resp.Body.Close()
 				switch resp.StatusCode {
 				case http.StatusOK:
-				case http.StatusServiceUnavailable: // by the decisions, for want of capacity
+				case http.StatusServiceUnavailable: // by the balancer, for want of capacity
 					refused.Add(1)
 				default:
 					err = errors.New(resp.Status)
--- a/internal/node/snapshotter/snapshotter.go
+++ b/internal/node/snapshotter/snapshotter.go
@@ -1,4 +1,4 @@
-// Package snapshotter saves what the decisions of a node have learned, beside its event loop, and restores it in the process after
+// Package snapshotter saves what the balancer of a node has learned, beside its event loop, and restores it in the process after
 // it. docs/durability.md says what is promised, docs/oncall/state.md describes it for operators.
 package snapshotter
 
@@ -65,7 +65,7 @@
 	return event, snapshot != nil
 }
 
-// Run saves what take returns until ctx ends. take asks the event loop for a snapshot; false: the loop has ended.
+// Run saves what takeSnapshot returns until ctx ends. take asks the event loop for a snapshot; false: the loop has ended.
 func (s *Snapshotter) Run(ctx context.Context, takeSnapshot func() (balancer.Snapshot, bool)) {
 	defer func() {
 		if s.store != nil {
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -81,7 +81,7 @@
 		p.put(e, c) // not a byte was written
 		return AttemptResult{Result: result}
 	}
-	stop := context.AfterFunc(ctx, c.abort) // all that stops an exchange
+	stop := context.AfterFunc(ctx, c.abort) // the end of ctx aborts the connection, and the exchange with it
 	var result AttemptResult
 	var reusable bool
 	if call.StreamedBody == nil {
@@ -89,7 +89,7 @@
 	} else {
 		result, reusable = p.exchangeLong(ctx, c, call)
 	}
-	p.adjustTrust(c, result)
+	p.adjustMaxReuseIdle(c, result)
 	if stop() && reusable {
 		p.put(e, c)
 	} else {
@@ -100,15 +100,15 @@
 
 // connect returns a connection for a request; long: not all of its body is buffered.
 func (p *Pool) connect(ctx context.Context, e *Endpoint, r *http.Request, long bool) (*conn, error) {
-	if (long || !repeatable(r)) && p.distrustful() {
+	if (long || !protocolAllowsRetry(r)) && p.reuseIdleLowered() {
 		// Servers drop idle connections, and a reset leaves open whether the request ran.
 		return p.dial(ctx, e)
 	}
 	return p.get(ctx, e)
 }
 
-// repeatable reports whether the protocol lets a request run twice: it is a GET or carries a key.
-func repeatable(r *http.Request) bool {
+// protocolAllowsRetry reports whether the protocol lets a request run twice: it is a GET or carries a key.
+func protocolAllowsRetry(r *http.Request) bool {
 	return r.Method == http.MethodGet || r.Header.Get(header.IdempotencyKey) != ""
 }
 
@@ -167,7 +167,7 @@
 		if result, complete = p.receiveOK(ctx, c, resp, call); !complete {
 			return result, false
 		}
-	case rejected(resp):
+	case provesUnprocessed(resp):
 		result.Result = balancer.Overloaded
 		complete = discard(resp.Body)
 	default:
@@ -177,8 +177,8 @@
 	return result, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// rejected reports whether the server says that it has not run the request.
-func rejected(resp *http.Response) bool {
+// provesUnprocessed reports whether the server says that it has not run the request.
+func provesUnprocessed(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(header.Unprocessed) == "1"
 }
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -180,7 +180,7 @@
 }
 
 // A reused connection that breaks once the request is written is an attempt that may have run: it must not be sent again
-// without the decisions, though it is idempotent.
+// without the balancer, though it is idempotent.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var seen atomic.Int64
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -42,7 +42,7 @@
 	idle           map[*Endpoint][]*conn // the one used last comes last
 	open           int                   // connections there are, idle ones and dials among them
 	limit          int                   // and may be
-	trustedIdle    time.Duration         // idle connections are used again after less than this, idleTimeout at the most
+	reuseIdle      time.Duration         // idle connections are used again after less than this, idleTimeout at the most
 }
 
 // NewPool returns a Pool without connections.
@@ -58,7 +58,7 @@
 		connectTimeout: o.Connections.ConnectTimeout,
 		idle:           map[*Endpoint][]*conn{},
 		limit:          o.MaxConnections,
-		trustedIdle:    timeout,
+		reuseIdle:      timeout,
 	}
 }
 
@@ -69,11 +69,11 @@
 func (p *Pool) Reconfigure(c simwire.Connections) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.trustedIdle == p.idleTimeout {
-		p.trustedIdle = safeIdle(c.IdleTimeout)
+	if p.reuseIdle == p.idleTimeout {
+		p.reuseIdle = safeIdle(c.IdleTimeout)
 	}
 	p.idleTimeout, p.connectTimeout = safeIdle(c.IdleTimeout), c.ConnectTimeout
-	p.trustedIdle = min(p.trustedIdle, p.idleTimeout)
+	p.reuseIdle = min(p.reuseIdle, p.idleTimeout)
 }
 
 // SetLimit changes how many connections there may be. Those over a lower limit stay until they are closed.
@@ -102,11 +102,11 @@
 		}
 		c.wasIdle = max(1, time.Since(c.idleSince))
 		alive := c.alive()
-		if alive && c.wasIdle < p.trust() {
+		if alive && c.wasIdle < p.maxReuseIdle() {
 			return c, nil
 		}
 		if !alive {
-			p.distrust(c.wasIdle)
+			p.lowerMaxReuseIdle(c.wasIdle)
 		}
 		p.close(c)
 	}
@@ -195,7 +195,7 @@
 // CloseStale closes idle connections that are too old or that their server has closed, lest they hold descriptors until they would
 // be used next.
 func (p *Pool) CloseStale() {
-	p.closeIdle(func(_ *Endpoint, c *conn) bool { return time.Since(c.idleSince) >= p.trustedIdle || !c.alive() })
+	p.closeIdle(func(_ *Endpoint, c *conn) bool { return time.Since(c.idleSince) >= p.reuseIdle || !c.alive() })
 }
 
 // closeIdle closes the idle connections for which stale, which is called with p.mu locked, returns true.
--- a/internal/node/upstream/pool_test.go
+++ b/internal/node/upstream/pool_test.go
@@ -21,11 +21,11 @@
 	for _, shaken := range []bool{false, true} {
 		u := newTestPool(10)
 		if shaken {
-			u.distrust(4 * time.Second)
+			u.lowerMaxReuseIdle(4 * time.Second)
 		}
 		u.Reconfigure(simwire.Connections{IdleTimeout: time.Hour, ConnectTimeout: time.Second})
-		if u.distrustful() != shaken {
-			t.Errorf("shaken %v: trusted for %v of %v", shaken, u.trustedIdle, u.idleTimeout)
+		if u.reuseIdleLowered() != shaken {
+			t.Errorf("shaken %v: trusted for %v of %v", shaken, u.reuseIdle, u.idleTimeout)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 }
 
 // Once a server has dropped an idle connection early, a request that must not run twice is sent on a new connection, and
-// others on none that was idle for nearly as long. Successes restore the trust.
+// others on none that was idle for nearly as long. Successes raise the limit again.
 func TestEarlyIdleClose(t *testing.T) {
 	t.Parallel()
 	var dials atomic.Int64
@@ -197,18 +197,18 @@
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections while idle ones are trusted", n)
 	}
-	u.adjustTrust(&conn{wasIdle: time.Hour, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.trust() != u.idleTimeout {
-		t.Errorf("a drop after an hour left %v of %v", u.trust(), u.idleTimeout)
+	u.adjustMaxReuseIdle(&conn{wasIdle: time.Hour, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if u.maxReuseIdle() != u.idleTimeout {
+		t.Errorf("a drop after an hour left %v of %v", u.maxReuseIdle(), u.idleTimeout)
 	}
-	u.adjustTrust(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes - 1}}, AttemptResult{Result: balancer.ConnectionLost})
-	u.adjustTrust(&conn{limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.trust() != u.idleTimeout {
-		t.Errorf("an answer cut short, or a new connection's reset, left %v", u.trust())
+	u.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes - 1}}, AttemptResult{Result: balancer.ConnectionLost})
+	u.adjustMaxReuseIdle(&conn{limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if u.maxReuseIdle() != u.idleTimeout {
+		t.Errorf("an answer cut short, or a new connection's reset, left %v", u.maxReuseIdle())
 	}
-	u.adjustTrust(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.trust() != 2*time.Second {
-		t.Errorf("a drop after 4 s left %v", u.trust())
+	u.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if u.maxReuseIdle() != 2*time.Second {
+		t.Errorf("a drop after 4 s left %v", u.maxReuseIdle())
 	}
 	send("GET")
 	if n := dials.Load(); n != 1 {
@@ -218,14 +218,14 @@
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections after a request that must not run twice, want a new one", n)
 	}
-	u.distrust(time.Microsecond) // a crash
-	if u.trust() != minTrustedIdle {
-		t.Errorf("a drop after next to no time left %v", u.trust())
+	u.lowerMaxReuseIdle(time.Microsecond) // a crash
+	if u.maxReuseIdle() != minReuseIdle {
+		t.Errorf("a drop after next to no time left %v", u.maxReuseIdle())
 	}
 	for range 1000 {
-		u.adjustTrust(&conn{wasIdle: u.idleTimeout}, AttemptResult{Result: balancer.Success})
+		u.adjustMaxReuseIdle(&conn{wasIdle: u.idleTimeout}, AttemptResult{Result: balancer.Success})
 	}
-	if u.trust() != u.idleTimeout {
-		t.Errorf("answers brought trust back to %v only", u.trust())
+	if u.maxReuseIdle() != u.idleTimeout {
+		t.Errorf("successes raised the limit of idle reuse to %v only", u.maxReuseIdle())
 	}
 }
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -15,7 +15,7 @@
 // The staleness bound. Once nothing has confirmed for discovery.SilenceTimeout that the list is current, because watches are silent,
 // break, are rejected or deliver malformed messages, the complete list is polled every pollInterval, beside whatever watch there is,
 // until a response or a watch confirms it again. So discovery, from when it can be reached, is heard after SilenceTimeout +
-// pollInterval and the time of one response at the most: 2.75 s and that, of the 6 s within which a change has to be known,
+// pollInterval and the time of one response at the most: 2.75 s and that, of the 6 s within which a change has to be known (docs/fleet-test.md),
 // however many watches go wrong in a row. Before a process has any confirmation, and after its discovery has moved, the first poll goes
 // out after pollInterval alone.
 const (
@@ -30,7 +30,7 @@
 )
 
 // Where discovery pushes the list, a watch that breaks is opened again after a pause: minRewatchDelay, doubled up to maxRewatchDelay as long as
-// watches break at once. Elsewhere the decisions say when.
+// watches break at once. Elsewhere the balancer says when.
 const (
 	minRewatchDelay = 50 * time.Millisecond
 	maxRewatchDelay = time.Second
@@ -41,7 +41,7 @@
 type watcher struct {
 	loop   *loop
 	client *discovery.Client
-	// pushed says that the node watches by itself; else it does when the decisions subscribe.
+	// pushed says that the node watches by itself; else it does when the balancer subscribes.
 	pushed bool
 	// external says that the list comes from a registry, and discovery is not called.
 	external bool
@@ -106,7 +106,7 @@
 // list from before the start is replaced by any complete one.
 func (w *watcher) receive(u discovery.Update, at time.Duration) {
 	w.confirm(at)
-	if w.cached && u.Complete || u.Revision > w.revision {
+	if w.cached && u.Full || u.Revision > w.revision {
 		w.loop.applyUpdate(u, false)
 	} else {
 		w.noteAnswer()
@@ -222,7 +222,7 @@
 	if errors.Is(err, discovery.ErrMalformed) {
 		w.setConfirmed(min(w.confirmedAt, w.loop.now()-discovery.SilenceTimeout)) // what did not count is polled at once
 	}
-	// Where lists are polled the decisions say when to watch again; a silent watch is broken and opened anew in any case.
+	// Where lists are polled the balancer decides when to subscribe again; after a silent watch the node does at once.
 	if !w.pushed && !errors.Is(err, discovery.ErrSilent) {
 		w.loop.handle(balancer.SubscriptionFailed{})
 		return
--- a/internal/node/watcher_test.go
+++ b/internal/node/watcher_test.go
@@ -185,11 +185,11 @@
 func TestStartTime(t *testing.T) {
 	c := clock{time.Now()}
 	boot := c.start.Add(-3 * time.Second) // before the node
-	s := discovery.Target{UID: "s", State: "SERVING", StartTimeMS: float64(boot.UnixMilli())}.Endpoint()
+	s := discovery.Entry{UID: "s", State: "SERVING", StartTimeMS: float64(boot.UnixMilli())}.Endpoint()
 	if age := c.now() - s.StartTime; age < 3*time.Second || age > 3*time.Second+nodetest.Limit {
 		t.Errorf("age %v", age)
 	}
-	if s := (discovery.Target{}).Endpoint(); s.StartTime != 0 {
+	if s := (discovery.Entry{}).Endpoint(); s.StartTime != 0 {
 		t.Errorf("a boot long ago is %v", s.StartTime)
 	}
 }
@@ -199,20 +199,20 @@
 	m := decisionsFunc(func(balancer.Event) []balancer.Action { return nil })
 	cfg := testConfig("127.0.0.1:1")
 	l := newLoop(cfg, m, newTestPool(cfg), discovery.NewClient(cfg.Discovery), &metrics.Metrics{})
-	l.applyUpdate(discovery.Update{Complete: true, Targets: []discovery.Target{serving("a", "127.0.0.1:1"), serving("b", "127.0.0.1:2"),
+	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{serving("a", "127.0.0.1:1"), serving("b", "127.0.0.1:2"),
 		serving("c", "127.0.0.1:3")}}, false)
 	a, b, c := l.endpoints["a"], l.endpoints["b"], l.endpoints["c"]
 	drain := serving("a", "127.0.0.1:1")
 	drain.State = "DRAINING"
-	l.applyUpdate(discovery.Update{Targets: []discovery.Target{drain, serving("b", "127.0.0.1:9")}}, false)
+	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{drain, serving("b", "127.0.0.1:9")}}, false)
 	if a.Ready() || b.Ready() || !c.Ready() || !l.endpoints["b"].Ready() {
 		t.Error("after changes: a drains, b moved, c stays")
 	}
-	l.applyUpdate(discovery.Update{Targets: []discovery.Target{serving("a", "127.0.0.1:1")}}, false)
+	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{serving("a", "127.0.0.1:1")}}, false)
 	if !a.Ready() || l.endpoints["a"] != a {
 		t.Error("a serves again")
 	}
-	l.applyUpdate(discovery.Update{Complete: true, Targets: []discovery.Target{serving("a", "127.0.0.1:1")}}, false)
+	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{serving("a", "127.0.0.1:1")}}, false)
 	if c.Ready() || len(l.endpoints) != 1 {
 		t.Error("a full list that names only a")
 	}
--- a/internal/node/write.go
+++ b/internal/node/write.go
@@ -32,7 +32,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if a.response != nil {
-		f.passOn(w, hr, r, a)
+		f.streamResponse(w, hr, r, a)
 		return
 	}
 	write(w, a)
@@ -44,8 +44,8 @@
 	}
 }
 
-// passOn writes a long answer to its client as it comes.
-func (f *frontend) passOn(w http.ResponseWriter, hr *http.Request, r *request, a answer) {
+// streamResponse writes a long answer to its client as it comes.
+func (f *frontend) streamResponse(w http.ResponseWriter, hr *http.Request, r *request, a answer) {
 	err := copyResponse(w, hr, a.response)
 	a.response.Finish(err)
 	f.metrics.CountAnswer(r.class, a.status, err != nil)
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -11,14 +11,14 @@
 	"umberbank/internal/durable"
 )
 
-// What a cache's files are, and their bounds.
+// Kind, schema and limits of the cache's files.
 const (
-	cacheKind        = "registry-list"
-	cacheSchema      = 1
-	cacheSnapshots   = 2       // that are kept
-	maxPendingEvents = 1024    // beyond that the full list is written
-	minLogToCompact  = 1 << 18 // bytes; a shorter log is never worth another snapshot
-	logToSnapshot    = 2       // nor is one shorter than so many snapshots
+	cacheKind             = "registry-list"
+	cacheSchema           = 1
+	cacheSnapshots        = 2       // number of snapshots retained
+	maxPendingEvents      = 1024    // beyond that the full list is written
+	minLogToCompact       = 1 << 18 // bytes; a shorter log is never worth another snapshot
+	minLogToSnapshotRatio = 2       // the log is compacted once it is this many times the snapshot
 )
 
 var (
@@ -159,7 +159,7 @@
 
 // needsCompaction says whether the log has grown so long that a snapshot pays.
 func (c *cache) needsCompaction() bool {
-	return c.store != nil && c.store.LogSize() > max(minLogToCompact, logToSnapshot*c.store.SnapshotSize())
+	return c.store != nil && c.store.LogSize() > max(minLogToCompact, minLogToSnapshotRatio*c.store.SnapshotSize())
 }
 
 func (c *cache) writeListNext() {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -30,7 +30,7 @@
 	http *http.Client
 
 	mu      sync.Mutex
-	current int // the replica that answered last, counted on with each that did not
+	current int // index, modulo the endpoints, of the replica to call first; it moves on after each failure
 }
 
 // New returns a Client.
@@ -56,7 +56,7 @@
 // Unwrap returns the underlying error.
 func (e rejectedError) Unwrap() error { return e.err }
 
-// Call calls replicas in turn until one answers other than that it cannot now, or ctx ends. The JSON of body is sent, and
+// Call calls replicas in turn until one succeeds or rejects the call (status 400 to 499), or ctx ends. The JSON of body is sent, and
 // what comes back is decoded into the value that result points to.
 func (c *Client) Call(ctx context.Context, method, path string, body, result any) error {
 	text, err := json.Marshal(body)
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -13,7 +13,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// Renewals are sent about each third of a lease's time to live, drawn from this share of it up to this much more.
+// Renewals are sent every third of a lease's time to live, times a random factor from 0.8 to 1.2.
 const (
 	renewalsPerTTL     = 3
 	minRenewalFraction = 0.8
@@ -120,7 +120,8 @@
 }
 
 // MaxRenewalGap returns the longest time, since it was last called, from sending one renewal to the answer to the next, or to
-// now. A registry that expired a lease of a longer time to live than that, less the time between its checks, has erred.
+// now. A lease whose time to live is longer than this plus the interval of the leader's checks must not have
+// expired.
 func (h *LeaseHolder) MaxRenewalGap() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/replica/guard.go
+++ b/internal/registry/replica/guard.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ExpiryGuard is the configuration of when expired leases are not believed.
+// ExpiryGuard says when expired leases are not acted on, as in the self-preservation mode of a service registry.
 //
-// An expired lease is believed, and its instance is removed, unless within Window at least MinExpired leases have expired,
+// An expired lease is acted on, and its instance is removed, unless within Window at least MinExpired leases have expired,
 // and with them those of more than MaxZoneFraction of the zone's instances: a mass expiry. Then that zone's instances stay as
 // suspects. If every other zone (and there is one) renews as ever, the zone is taken for lost after ConfirmAfter, and its
 // suspects are removed. If there is a mass expiry in two zones or more, or there is no other zone, the fault is likelier
@@ -23,7 +23,7 @@
 // zoneLeases counts the leases of a zone, and those that were lost within the guard's window or are suspects.
 type zoneLeases struct{ total, lost int }
 
-// zonesWithMassExpiry are the zones whose expired leases are not believed.
+// zonesWithMassExpiry are the zones whose expired leases are not acted on.
 func (g ExpiryGuard) zonesWithMassExpiry(zones map[string]*zoneLeases) map[string]bool {
 	lost := 0
 	for _, z := range zones {
@@ -38,6 +38,6 @@
 	return found
 }
 
-// settleTime is how long an expired lease waits for others before it is believed: heartbeats are spread, so leases that are
+// settleTime is how long an expired lease waits for others before it is acted on: heartbeats are spread, so leases that are
 // lost together expire over some time.
 func (g ExpiryGuard) settleTime() time.Duration { return g.Window / 2 }
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -12,8 +12,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// leaseCheckInterval is how often the leader looks at its leases, and every replica at its disk.
-const leaseCheckInterval = 100 * time.Millisecond
+// leaderCheckInterval is how often the leader looks at its leases, and every replica at its disk.
+const leaderCheckInterval = 100 * time.Millisecond
 
 // leaderLoop is the state of the goroutine that keeps the leases while this replica leads. It alone touches them.
 type leaderLoop struct {
@@ -33,7 +33,7 @@
 	now := time.Now()
 	l := &leaderLoop{Replica: r, started: now, lastCheck: now}
 	leads := r.raft.LeaderCh()
-	ticker := time.NewTicker(leaseCheckInterval)
+	ticker := time.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -8,18 +8,18 @@
 	"umberbank/internal/registry/state"
 )
 
-// suspendedAfter is how long the leader may go without a check before it takes itself for the one that was suspended.
+// suspendedAfter is how long the leader may go without a check before it assumes that its own process was suspended.
 const suspendedAfter = time.Second
 
 // lease is what the leader knows of the lease of one instance. Times are on the leader's clock.
 type lease struct {
-	token       int64
-	zone        string
-	ttl         time.Duration
-	expires     time.Duration
-	expiredAt   time.Duration // of the check that found it expired; 0: it has not
-	suspect     bool          // the state has the instance as a suspect
-	independent bool          // its expiry is believed whatever else expires
+	token           int64
+	zone            string
+	ttl             time.Duration
+	expires         time.Duration
+	expiredAt       time.Duration // of the check that found it expired; 0: it has not
+	suspect         bool          // the state has the instance as a suspect
+	exemptFromGuard bool          // its expiry is believed whatever else expires
 }
 
 // leaseTable has all leases, the warm-up of units and the permits that have not begun. It is kept by the leader alone, in
@@ -64,12 +64,12 @@
 		return
 	}
 	t.byUID[e.UID] = &lease{
-		token:       e.Token,
-		zone:        e.Zone,
-		ttl:         ttl,
-		expires:     now + ttl,
-		suspect:     e.Suspect,
-		independent: e.Role == state.RoleController,
+		token:           e.Token,
+		zone:            e.Zone,
+		ttl:             ttl,
+		expires:         now + ttl,
+		suspect:         e.Suspect,
+		exemptFromGuard: e.Role == state.RoleController,
 	}
 }
 
@@ -112,7 +112,7 @@
 func (t *leaseTable) collect(now time.Duration) (ops []state.Op, expired []string, zones map[string]*zoneLeases) {
 	zones = map[string]*zoneLeases{}
 	for uid, l := range t.byUID {
-		if l.independent {
+		if l.exemptFromGuard {
 			if now >= l.expires {
 				ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: l.token})
 			}
--- a/internal/registry/replica/syncmonitor.go
+++ b/internal/registry/replica/syncmonitor.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A leader whose disk is slow delays every write, while its heartbeats go on and nobody stands against it. In ticks:
+// A leader whose disk is slow delays every write, while its heartbeats go on and no replica starts an election. In ticks:
 const (
 	slowSyncTicks         = 5   // a sync that takes longer is slow
 	hungSyncTicks         = 50  // one that takes longer hangs, and the replica ends
-	transferCooldownTicks = 300 // between two transfers of leadership, so that it does not go round where all disks are slow
+	transferCooldownTicks = 300 // between two transfers of leadership, so that it does not pass from replica to replica where all disks are slow
 )
 
 // slowSyncsToTransfer is after how many slow syncs in a row a leader transfers its leadership.
@@ -17,8 +17,8 @@
 
 // syncMonitor measures the syncs of a log, of which one at a time is under way. Any goroutine may read it.
 type syncMonitor struct {
-	base      time.Time     // origin of began, on the monotonic clock
-	began     atomic.Int64  // start of the sync under way, in ns since base; 0: none is
+	base      time.Time     // origin of startedNS, on the monotonic clock
+	startedNS atomic.Int64  // start of the sync under way, in ns since base; 0: none is
 	slow      atomic.Int32  // slow syncs in a row
 	slowAfter time.Duration // a sync that takes longer is slow
 }
@@ -26,12 +26,12 @@
 // begin notes that a sync begins now.
 func (m *syncMonitor) begin() time.Time {
 	now := time.Now()
-	m.began.Store(max(1, int64(now.Sub(m.base))))
+	m.startedNS.Store(max(1, int64(now.Sub(m.base))))
 	return now
 }
 
 // end notes that no sync is under way.
-func (m *syncMonitor) end() { m.began.Store(0) }
+func (m *syncMonitor) end() { m.startedNS.Store(0) }
 
 // record counts a sync by its duration.
 func (m *syncMonitor) record(took time.Duration) {
@@ -47,7 +47,7 @@
 
 // pending is how long the sync under way has taken; 0 without one.
 func (m *syncMonitor) pending() time.Duration {
-	began := m.began.Load()
+	began := m.startedNS.Load()
 	if began == 0 {
 		return 0
 	}
@@ -56,7 +56,7 @@
 
 // discount leaves a time in which this process was suspended out of the sync under way: the disk may be well.
 func (m *syncMonitor) discount(suspended time.Duration) {
-	if began := m.began.Load(); began != 0 {
-		m.began.CompareAndSwap(began, began+int64(suspended))
+	if began := m.startedNS.Load(); began != 0 {
+		m.startedNS.CompareAndSwap(began, began+int64(suspended))
 	}
 }
--- a/internal/registry/replica/syncmonitor_test.go
+++ b/internal/registry/replica/syncmonitor_test.go
@@ -12,7 +12,7 @@
 		t.Error("no sync is under way")
 	}
 	c.discount(time.Second)
-	c.began.Store(int64(50 * time.Second)) // ten seconds ago
+	c.startedNS.Store(int64(50 * time.Second)) // ten seconds ago
 	if d := c.pending(); d < 10*time.Second || d > 40*time.Second {
 		t.Errorf("it lasts %v", d)
 	}
--- a/internal/registry/state/op.go
+++ b/internal/registry/state/op.go
@@ -29,7 +29,7 @@
 	OpBeginPermit   OpKind = "begin"  // the unit is taken out of service from now on; a server drains with it
 	OpReturnPermit  OpKind = "return" // a permit that has not begun
 	OpDecommission  OpKind = "gone"   // a unit that will not come back
-	OpReportEjected OpKind = "avoid"  // by a node: the servers that it has ejected as outliers
+	OpReportEjected OpKind = "avoid"  // by a node: the servers that it has ejected; no node of this build sends it
 	OpPutRecord     OpKind = "put"    // an empty value deletes the record
 )
 
@@ -38,9 +38,9 @@
 	OpPropose     OpKind = "propose"
 	OpAcknowledge OpKind = "ack"      // by a node: it can run the proposed version, or why not
 	OpReport      OpKind = "report"   // by a node: the version that it runs
-	OpAdvance     OpKind = "commit"   // starts the next stage; the result's token is the version in force
+	OpAdvance     OpKind = "commit"   // starts the next stage, and commits with the last; the result's token is the version in force
 	OpWithdraw    OpKind = "withdraw" // the proposed version, before any stage has started
-	OpRollback    OpKind = "go-back"  // proposes the content in force as a new version
+	OpRollback    OpKind = "go-back"  // proposes the committed content as a new version
 	OpHalt        OpKind = "halt"     // the pending version
 )
 
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -28,7 +28,7 @@
 	}
 	coordination.Permits = s.mergePermits(coordination.Permits, running)
 	// Where both have a record, the later one in this list wins, the running State's. A halt that was lifted since the
-	// backup is back.
+	// backup applies again.
 	coordination.Records = append(coordination.Records, running.Records("")...)
 	s.loadCoordination(coordination)
 	return s
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -16,7 +16,7 @@
 	instances map[string]*Instance // by UID
 	members   map[string]string    // the replicas' API addresses by their IDs
 	replies   replies
-	writeTime int64 // of the write that is being applied; see Op.WallTimeMS
+	writeTime int64 // of the write that is being applied, in Unix ms by the leader's clock; 0: unknown
 
 	limits *disruption.Limits // nil: none were set, and no unit counts as unreachable but nodes
 	budget *disruption.Budget
--- a/internal/registry/state/units.go
+++ b/internal/registry/state/units.go
@@ -124,24 +124,24 @@
 }
 
 // count returns how many nodes have ejected a server.
-func (j *ejections) count(server string) int { return j.byServer[server] }
+func (e *ejections) count(server string) int { return e.byServer[server] }
 
 // set replaces what a node has ejected, and returns the servers that it had or has ejected.
-func (j *ejections) set(node string, servers []string) (affected []string) {
-	before := j.byNode[node]
+func (e *ejections) set(node string, servers []string) (affected []string) {
+	before := e.byNode[node]
 	for _, uid := range before {
-		if j.byServer[uid]--; j.byServer[uid] == 0 {
-			delete(j.byServer, uid)
+		if e.byServer[uid]--; e.byServer[uid] == 0 {
+			delete(e.byServer, uid)
 		}
 	}
 	servers = slices.Compact(slices.Sorted(slices.Values(servers)))
 	if len(servers) == 0 {
-		delete(j.byNode, node)
+		delete(e.byNode, node)
 	} else {
-		j.byNode[node] = servers
+		e.byNode[node] = servers
 	}
 	for _, uid := range servers {
-		j.byServer[uid]++
+		e.byServer[uid]++
 	}
 	return slices.Concat(before, servers)
 }
