--- a/cmd/umberbank/fleet_config.go
+++ b/cmd/umberbank/fleet_config.go
@@ -86,7 +86,7 @@
 	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpHalt, Holder: c.Reason}); err != nil {
 		return err
 	}
-	fmt.Fprintln(env.stdout, "the version under way goes no further: withdraw it, or go back")
+	fmt.Fprintln(env.stdout, "the rollout of the pending version is halted: withdraw it, or roll it back")
 	return nil
 }
 
@@ -100,7 +100,7 @@
 	case err != nil:
 		return err
 	case view.Rollout == nil || view.Rollout.Pending == nil:
-		return errors.New("no version is under way")
+		return errors.New("no version is pending")
 	}
 	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpWithdraw, Number: view.Rollout.Pending.Number}); err != nil {
 		return err
--- a/cmd/umberbank/fleet_faulttest_settings.go
+++ b/cmd/umberbank/fleet_faulttest_settings.go
@@ -23,7 +23,7 @@
 	Failed           int              `json:"failed"`
 	Faults           int              `json:"faults"`
 	Versions         int              `json:"versions"`
-	Uncommitted      int              `json:"versions_uncommitted"` // versions that a node ran before they were committed
+	Uncommitted      int              `json:"versions_uncommitted"` // versions that a node ran without a started stage or a quorum
 	MaxContents      int              `json:"versions_at_once_max"` // different contents that nodes in sync ran at a time
 	Decreased        int              `json:"went_back"`            // times that a node went to a lower version
 	ServedEarly      int              `json:"served_early"`         // times that a node served before it ran the version in force
--- a/cmd/umberbank/lab_compare_play.go
+++ b/cmd/umberbank/lab_compare_play.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(variants[0].results) == 0 {
-		return invalid, errors.New("no seed has valid runs of all sides: this machine could not send the load in time")
+		return invalid, errors.New("no seed has valid runs of all variants: this machine could not send the load in time")
 	}
 	return invalid, nil
 }
--- a/cmd/umberbank/lab_result.go
+++ b/cmd/umberbank/lab_result.go
@@ -31,7 +31,7 @@
 	}
 	switch {
 	case r.Partial:
-		fmt.Fprintln(w, "broken off: this is what came until then")
+		fmt.Fprintln(w, "interrupted: the figures are of the run up to then")
 	case r.Passed():
 		fmt.Fprintln(w, "held: all that the scenario expects")
 	}
--- a/cmd/umberbank/lab_run.go
+++ b/cmd/umberbank/lab_run.go
@@ -88,7 +88,7 @@
 func verdict(r *lab.Result) error {
 	switch {
 	case r.Partial:
-		return errors.New("the run was broken off")
+		return errors.New("the run was interrupted")
 	case !r.Valid:
 		return errors.New("the run is not valid: this machine could not send the load in time")
 	case !r.Passed():
--- a/internal/coordination/faulttest/faults.go
+++ b/internal/coordination/faulttest/faults.go
@@ -97,7 +97,7 @@
 				return err
 			}
 		}
-		end(func() { removeEffect(p.links, silence) })
+		end(func() { removeImpairment(p.links, silence) })
 	}
 	return nil
 }
@@ -105,10 +105,10 @@
 // restart starts a process that a fault has killed. One that cannot start shows in what follows.
 func restart(p *siteProcess) { _ = p.Start() }
 
-// removeEffect ends a silence of links. What was dropped stays dropped.
-func removeEffect(links []*relay.Relay, effect *relay.Impairment) {
+// removeImpairment ends a stall of links. What they held arrives then; see package relay.
+func removeImpairment(links []*relay.Relay, impairment *relay.Impairment) {
 	for _, l := range links {
-		_ = l.Remove(effect) // it only lifts a silence, which cannot fail
+		_ = l.Remove(impairment) // it only ends a stall, which cannot fail
 	}
 }
 
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -90,7 +90,7 @@
 
 // endZoneFault lets everybody reach each other again, and starts what was killed.
 func (s *site) endZoneFault(f *zoneFault, silence *relay.Impairment) {
-	removeEffect(f.links, silence)
+	removeImpairment(f.links, silence)
 	for _, p := range f.killed {
 		restart(p)
 	}
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -159,7 +159,7 @@
 	return addresses, nil
 }
 
-// startExtraProcess starts the process of Options.Beside, and returns a function that ends it.
+// startExtraProcess starts the process of Options.ExtraProcess, and returns a function that ends it.
 func (s *site) startExtraProcess() (stop func(), err error) {
 	if s.opt.ExtraProcess == nil {
 		return func() {}, nil
--- a/internal/lab/fleet/agent.go
+++ b/internal/lab/fleet/agent.go
@@ -41,7 +41,7 @@
 }
 
 // silenceState returns how often the open watches fell silent, and whether new ones are silent now.
-func (a *discoveryAgent) silenceState() (mutes int, muted bool) {
+func (a *discoveryAgent) silenceState() (silences int, silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.silenceCount, a.silent
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// ImpairLinks adds an effect to links, or removes it.
+// ImpairLinks applies an impairment to links, or ends it.
 func (f *Fleet) ImpairLinks(nodes, servers []int, e *model.Impairment, on bool) {
 	for _, n := range nodes {
 		for _, s := range servers {
--- a/internal/lab/model/server_overload.go
+++ b/internal/lab/model/server_overload.go
@@ -46,8 +46,8 @@
 }
 
 // recordOfferedWork adds up the work that is sent to a server that warms up, that of rejected attempts too, and crashes the
-// server if it is too much for any span of fall_for: more than N requests of mean work and some for chance, N + 2 roots of N + 2.
-// N is fall_multiple times what the server can do in that span.
+// server if it is too much for any span of fall_for: more than N + 2*sqrt(N) + 2 requests of mean work, where
+// N is fall_multiple times what the server can do in that span and the rest allows for chance.
 func (s *Server) recordOfferedWork(a *Attempt) {
 	limits := &s.world.Site.Limits
 	now := s.world.Loop.Now()
--- a/internal/lab/model/server_work.go
+++ b/internal/lab/model/server_work.go
@@ -10,7 +10,7 @@
 const (
 	// warmUpStep is how often the rate of a server that warms up is computed anew.
 	warmUpStep = 50 * time.Millisecond
-	// duplicateWorkFraction is the fraction of its work that a duplicate costs which the rack recognizes by its key.
+	// duplicateWorkFraction is the fraction of its work that a call costs if its idempotency key is known in its scope.
 	duplicateWorkFraction = 0.05
 	// finishTolerance makes up for the rounding of times, in nanoseconds of work.
 	finishTolerance = 0.5
--- a/internal/lab/oracle/attempts.go
+++ b/internal/lab/oracle/attempts.go
@@ -43,7 +43,7 @@
 const (
 	// disconnectGrace is how long after its client has disconnected an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// disconnectTolerance is the number of later attempts in a run that are taken for chance.
+	// disconnectTolerance is how many attempts of a run may begin later than that without a violation.
 	disconnectTolerance = 2
 )
 
--- a/internal/lab/oracle/servers.go
+++ b/internal/lab/oracle/servers.go
@@ -16,7 +16,7 @@
 	servingAt time.Duration // when the node was last told that the server serves
 }
 
-// slowStartLoad is the work that arrived at a warming server within the last FallFor.
+// slowStartLoad is the work that arrived at a warming server within the last Limits.CrashLoadWindow.
 type slowStartLoad struct {
 	startTime       time.Duration
 	arrivals        []arrival
--- a/internal/lab/report/draw.go
+++ b/internal/lab/report/draw.go
@@ -21,13 +21,13 @@
 var colours = []color.NRGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}, {150, 120, 40, 255}}
 
-// Measures of a picture.
+// Dimensions of a chart.
 const (
 	width       = 24 * vg.Centimeter
 	height      = 8.5 * vg.Centimeter
 	textSize    = font.Length(9)
 	labelSize   = font.Length(7.5)
-	headroom    = 1.3  // factor on the axis above the lines, for the labels of faults
+	headroom    = 1.3  // factor by which the y axis is longer than the lines need, for the labels of faults
 	legendSpace = 1.17 // and to their right, for the legend
 )
 
@@ -118,7 +118,7 @@
 	end    float64 // of the run
 }
 
-// labelRows is how many rows of words there are, from the top.
+// labelRows is the number of rows of labels, from the top.
 const labelRows = 4
 
 // Plot implements plot.Plotter.
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -69,7 +69,7 @@
 	r.options.Log("%v fault %s %s", r.loop.Now().Round(time.Millisecond), e.Kind, state)
 }
 
-// faultSpan returns a fault with the names of what it strikes.
+// faultSpan returns a fault with the names of what it hits.
 func (r *run) faultSpan(e *fault.Event) FaultSpan {
 	span := FaultSpan{Kind: e.Kind, FromSeconds: e.Start.Seconds(), ToSeconds: e.End.Seconds()}
 	for _, n := range e.Nodes {
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -26,7 +26,7 @@
 	KeyControllerMB       Key = "controller_mb"        // resident
 	KeyLoaderCores        Key = "loader_cores"         // at rest: what all hollow nodes and agents cost this process
 	KeyLoaderMB           Key = "loader_mb"            // resident
-	KeyConnect            Key = "connect_s"            // from the start of all hollow nodes until all is known of all
+	KeyConnect            Key = "connect_s"            // until every hollow node holds the full list and the registry knows all
 	KeyConnectBytes       Key = "connect_bytes"        // of a node until then
 	KeyReconnect          Key = "reconnect_s"          // after all connections broke, until the last was answered again
 	KeyReconnectBytes     Key = "reconnect_bytes"      // of a node until then
@@ -34,10 +34,10 @@
 	KeyListChangeBytes    Key = "list_change_bytes"    // of a node, net of what it spends at rest
 	KeyFullListBytes      Key = "whole_list_bytes"     // of one answer with it
 	KeyInForceP99         Key = "in_force_p99_s"       // of all nodes and single versions
-	KeyInForceMax         Key = "in_force_max_s"       //
+	KeyInForceMax         Key = "in_force_max_s"       // the longest of these
 	KeyVersionBytes       Key = "version_bytes"        // of a node, net of what it spends at rest
 	KeyVersionAgentBytes  Key = "version_agent_bytes"  // of an agent, likewise: it is woken too
-	KeyVersionCalls       Key = "version_calls"        // likewise
+	KeyVersionCalls       Key = "version_calls"        // of a node, net of what it makes at rest
 	KeyVersionWrites      Key = "version_writes"       // revisions
 	KeyVersionReplicaTime Key = "version_replica_s"    // processor time of all three, net of what they spend at rest
 	KeyBurst10            Key = "burst_10_in_force_s"  // until the last of 10 versions that were proposed at once
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -167,7 +167,7 @@
 	DrainTimeout      Duration `toml:"drain_within"` // within which a node must stop sending to a server that drains
 	Slack             Duration `toml:"slack"`        // added to every limit of a time
 	CrashLoadMultiple float64  `toml:"fall_multiple"`
-	CrashLoadWindow   Duration `toml:"fall_for"` // a server that warms up crashes under that multiple of its capacity for so long
+	CrashLoadWindow   Duration `toml:"fall_for"` // a warming server crashes under CrashLoadMultiple times its capacity for so long
 	MaxMemoryMB       int      `toml:"memory_mb"`
 	MaxSockets        int      `toml:"sockets"`
 	PropagateDeadline bool     `toml:"passes_time_left"` // servers give calls to the next tier the rest of their own time
--- a/internal/lab/sim/loop.go
+++ b/internal/lab/sim/loop.go
@@ -55,7 +55,7 @@
 // Events returns the number of timers that have run.
 func (l *Loop) Events() uint64 { return l.events }
 
-// At schedules f for time t, or for now if t is over.
+// At schedules f for time t, or for now if t has passed.
 func (l *Loop) At(t time.Duration, f func()) *Timer {
 	l.lastSeq++
 	timer := &Timer{at: max(t, l.now), seq: l.lastSeq, f: f}
--- a/internal/lab/traffic/request.go
+++ b/internal/lab/traffic/request.go
@@ -68,7 +68,7 @@
 	return r
 }
 
-// startAttempt sends a request to a node, as was intended for a time that may be over.
+// startAttempt sends a request to a node, as was intended for a time that may have passed.
 func (c *Clients) startAttempt(r *request, intended time.Duration) {
 	now := c.world.Loop.Now()
 	delay := now - intended
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -13,7 +13,7 @@
 // messageBytes is the assumed size of a request or a response on links with a limited rate.
 const messageBytes = 300
 
-// link returns the state of a link with all effects on it.
+// link returns the state of a link with all impairments on it.
 func (f *Fleet) link(n, s int) link {
 	base := f.world.Site.Network.SameZone.Std()
 	if f.world.Site.Nodes[n].Zone != f.world.Site.Servers[s].Zone {
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -23,8 +23,8 @@
 	SilenceTimeout = 2500 * time.Millisecond
 	// FetchTimeout is how long one poll may take to its last byte.
 	FetchTimeout = 2 * time.Second
-	// defaultLineTimeout is how long a message that has begun may pause: discovery writes one in one go. One that goes on and on
-	// is given up after the silence, as no part of it counts as a message.
+	// defaultLineTimeout is how long a message that has begun may pause: discovery writes one in one go. One that goes on without
+	// an end is given up after SilenceTimeout, as a part of a message resets no timer but this.
 	defaultLineTimeout = time.Second
 )
 
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// awaitClosed waits until every connection is closed, while it drains: open counts those not closed for good.
+// awaitClosed waits until every connection is closed, for maxCloseWait at the most, while the frontend drains. open returns how
+// many accepted connections have not been released yet.
 func (f *frontend) awaitClosed(open func() int) {
 	for end := time.Now().Add(maxCloseWait); (f.conns.Load() > 0 || open() > 0) && time.Now().Before(end); {
 		time.Sleep(closePollInterval)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -132,7 +132,7 @@
 	go func() { served <- server.Serve(n.listener) }()
 	select {
 	case err := <-served:
-		return fmt.Errorf("serving callers: %w", err)
+		return fmt.Errorf("serving clients: %w", err)
 	case <-ctx.Done():
 	}
 	return n.shutdown(served)
@@ -148,7 +148,7 @@
 	if n.lock == nil {
 		select {
 		case err := <-served:
-			return fmt.Errorf("serving callers: %w", err)
+			return fmt.Errorf("serving clients: %w", err)
 		case <-time.After(n.acceptLingerTimeout):
 		}
 	} // else the successor accepts what is in the backlog
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 	acceptLingerTimeout time.Duration // how long a stopping node goes on to accept
 	longestRequest      atomic.Int64  // a time.Duration: how long clients may wait for what a stopping node has accepted
 
-	reloading sync.Mutex      // of what follows, which a reload changes
+	reloading sync.Mutex      // guards current and agreed
 	current   config.Config   // the configuration in force
 	agreed    json.RawMessage // settings from a rollout, if there are any
 
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -10,8 +10,8 @@
 	"umberbank/internal/registry/client"
 )
 
-// openRegistry opens the reader of the registry that the configuration names, if it does. The reader's cached list is later than what
-// the configuration knew.
+// openRegistry opens a Watcher of the registry that the configuration names, if it names one. A list that the Watcher has cached
+// replaces the one in the configuration, which is older.
 func (n *Node) openRegistry() error {
 	if len(n.cfg.Registry.Endpoints) == 0 {
 		return nil
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -83,7 +83,7 @@
 	})
 }
 
-// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the balancer never answer it.
+// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the balancer never answers it.
 func (l *loop) startFallbackTimer(r *request) {
 	r.fallbackTimer = l.after(r.fallbackAt-l.now(), func() {
 		if !r.finished.Load() {
--- a/internal/node/snapshotter/snapshotter.go
+++ b/internal/node/snapshotter/snapshotter.go
@@ -65,7 +65,7 @@
 	return event, snapshot != nil
 }
 
-// Run saves what takeSnapshot returns until ctx ends. take asks the event loop for a snapshot; false: the loop has ended.
+// Run saves what takeSnapshot returns until ctx ends. takeSnapshot asks the event loop for a snapshot; false: the loop has ended.
 func (s *Snapshotter) Run(ctx context.Context, takeSnapshot func() (balancer.Snapshot, bool)) {
 	defer func() {
 		if s.store != nil {
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -65,7 +65,8 @@
 // RequestBudget bounds the memory that the bodies of requests hold.
 func (p *Pool) RequestBudget() *bodybudget.Part { return p.budget.Requests }
 
-// Reconfigure takes over new settings of connections. Trust that no server has shaken follows the setting.
+// Reconfigure takes over new settings of connections. The maximum idle time for reuse
+// follows the setting unless it was lowered; see lowerMaxReuseIdle.
 func (p *Pool) Reconfigure(c simwire.Connections) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/process/launcher.go
+++ b/internal/process/launcher.go
@@ -1,4 +1,4 @@
-// Package process runs child processes for tests, benches and the lab, and does to them what befalls processes: it kills
+// Package process runs child processes for tests, benches and the lab, and injects the faults of processes: it kills
 // them, sends them signals and starts them again. Children die with this process, however it ends. Package relay below it
 // does the same to the connections between processes.
 package process
--- a/internal/process/relay/pipe.go
+++ b/internal/process/relay/pipe.go
@@ -12,7 +12,7 @@
 
 const (
 	copyBufferSize = 16 << 10
-	// writesPerSecond is into how many parts a second's worth of bytes is cut while the rate is limited.
+	// writesPerSecond is the number of writes into which a second's bytes are split while the rate is limited.
 	writesPerSecond = 20
 	// rereadTimeout is how long a direction looks for what came during a stall. A deadline that has passed would read nothing.
 	rereadTimeout = time.Millisecond
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -58,7 +58,7 @@
 	gcPercent = "25"
 )
 
-// Places of the instances that are registered.
+// Zones, racks and addresses of the instances that are registered.
 const (
 	zoneCount = 3
 	rackSize  = 20
--- a/internal/registry/faulttest/check.go
+++ b/internal/registry/faulttest/check.go
@@ -27,7 +27,7 @@
 		ifModRevision int64 // 0: whatever it is
 	}
 	output struct {
-		known       bool // false: no answer came, it may have been carried out or not, and at any time from then on
+		known       bool // false: no answer came; the operation may be carried out at any time from its call on, or never
 		code        state.Code
 		value       float64
 		modRevision int64
@@ -95,7 +95,7 @@
 	case porcupine.Illegal:
 		res.Violations = append(res.Violations, "writes and consistent reads are not linearizable")
 	case porcupine.Unknown:
-		res.Violations = append(res.Violations, "whether they are linearizable could not be told in time")
+		res.Violations = append(res.Violations, "the check for linearizability did not finish in time")
 	}
 	for _, v := range h.views {
 		res.Violations = append(res.Violations, h.viewViolations(v)...)
--- a/internal/registry/faulttest/faults.go
+++ b/internal/registry/faulttest/faults.go
@@ -20,10 +20,10 @@
 	killReplica    faultKind = "kill"
 	killAll        faultKind = "kill-all"
 	suspendReplica faultKind = "stop"
-	isolate        faultKind = "isolate" // nothing passes from or to the others
-	blockIncoming  faultKind = "deaf"    // nor to it
-	blockOutgoing  faultKind = "mute"    // nor from it
-	cutOneLink     faultKind = "cut"     // to and from one other
+	isolate        faultKind = "isolate" // nothing passes between it and the other replicas
+	blockIncoming  faultKind = "deaf"    // nothing from the other replicas reaches it
+	blockOutgoing  faultKind = "mute"    // nothing from it reaches the other replicas
+	cutOneLink     faultKind = "cut"     // nothing passes between it and one other replica
 	delayLinks     faultKind = "slow"
 	delaySyncs     faultKind = "slow-disk"
 )
--- a/internal/registry/faulttest/history.go
+++ b/internal/registry/faulttest/history.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// addView notes what a watcher has come to.
+// addView records a view that a watcher has reached.
 func (h *history) addView(watcher int, v client.View) {
 	text, err := json.Marshal(v.Instances)
 	h.mu.Lock()
--- a/internal/registry/replica/guard.go
+++ b/internal/registry/replica/guard.go
@@ -8,7 +8,7 @@
 // and with them those of more than MaxZoneFraction of the zone's instances: a mass expiry. Then that zone's instances stay as
 // suspects. If every other zone (and there is one) renews as ever, the zone is taken for lost after ConfirmAfter, and its
 // suspects are removed. If there is a mass expiry in two zones or more, or there is no other zone, the fault is likelier
-// between the registry and the servers: suspects stay until they renew, or an operator declares them decommissioned.
+// between the registry and the servers: suspects stay until they renew, or an operator removes or decommissions them.
 //
 // Where it must fail: a partition between the registry and one zone alone looks like that zone's loss, and its servers are
 // removed after ConfirmAfter though clients may reach them; and when two zones are truly lost at once, their servers stay
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// waitingPermits takes over the limits' times, and returns copies of the permits that have not begun.
+// waitingPermits copies the warm-up time and the permit expiry of the limits in force to l.leases, and returns copies of the
+// permits that have not begun.
 func (l *leaderLoop) waitingPermits() (waiting []*disruption.Permit) {
 	l.fsm.read(func(s *state.State) {
 		limits := s.Limits()
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -94,7 +94,7 @@
 	return ops
 }
 
-// discountSuspension gives back the time in which this process was suspended: nobody could renew, nor is it known who ran.
+// discountSuspension gives back the time in which this process was suspended: nobody could renew, and who tried is not known.
 func (t *leaseTable) discountSuspension(now time.Duration) {
 	gap := now - t.lastCheck
 	if gap <= suspendedAfter {
