--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -18,8 +18,8 @@
 	// initialUtilization stands for all three averages before the first answer.
 	initialUtilization = maxUtilization / 2
 
-	// An average of the latency utilization moves by gain/n of its difference to a new sample. n is the number
-	// of answers that come while one attempt is in flight, and noiseAnswers more to smooth out noise.
+	// An average of the latency utilization moves by gain/n of its difference to a new sample. n is the
+	// number of answers that come while one attempt is in flight, and noiseAnswers more to smooth out noise.
 	fastUtilizationGain = 2.0
 	slowUtilizationGain = 0.5
 	noiseAnswers        = 16
@@ -82,8 +82,8 @@
 	l.recordUtilization(min(utilization, 1), answers)
 	l.updateBaseline(floor)
 
-	// Only attempts are sampled. If shed requests lowered the bound, less would be sent and more shed, and the
-	// limit would stay at its floor long after the overload.
+	// Only attempts are sampled. If shed requests lowered the bound, less would be sent and more shed, and
+	// the limit would stay at its floor long after the overload.
 	bound := min(maxUtilization, maxBaselineRatio*l.baselineUtilization)
 	if l.utilization > bound {
 		l.decrease()
