--- a/balancer/action.go
+++ b/balancer/action.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Action is something the host must do, in the order given: one of the types below.
+// Action is an instruction to the host, which executes actions in the order in which they are
+// returned. Its implementations are the types below.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request (numbered from 0); it times out after Timeout.
+	// Send starts the next attempt of a request. Attempts are numbered from 0. The attempt times
+	// out after Timeout.
 	Send struct {
 		ID, Endpoint string
 		Timeout      time.Duration
 	}
-	// Cancel stops waiting for an attempt; its Outcome still comes.
+	// Cancel stops waiting for an attempt. The Outcome of the attempt still follows.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// Reject is a final answer that promises the client that a retry does no harm.
+	// Reject is a final response. It promises the client that a retry of the request is safe.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // advice; 0: none
+		RetryAfter time.Duration // suggested wait before a retry; zero if there is no suggestion
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final response. It makes no promise about whether a retry is safe.
 	Fail struct{ ID string }
-	// SetTimer asks for a TimerFired with this token at the clock time At.
+	// SetTimer requests a TimerFired event with this token at the clock time At.
 	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the endpoint list and its changes.
+	// Subscribe requests the endpoint list and its changes from discovery.
 	Subscribe struct{}
 )
 
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// shedSmoothing is the weight of a new sample in the share of requests that are shed.
+	// shedSmoothing is the weight of a new sample in the moving average of the shed rate.
 	shedSmoothing = classSmoothing / 4
-	// likelyDeviations is how many mean deviations above the mean latency an answer is still likely to take.
-	likelyDeviations = 2
-	// minQueueTimeDivisor makes the least time in the queue that fraction of the latency objective.
+	// latencyMarginDeviations is the number of mean deviations that are added to the mean latency
+	// to estimate how long an attempt is likely to take.
+	latencyMarginDeviations = 2
+	// minQueueTimeDivisor divides the latency objective to give the minimum time in the queue.
 	minQueueTimeDivisor = 4
 )
 
-// pendingQueue holds requests that wait for an attempt, in the order in which they were enqueued.
+// pendingQueue holds the requests that wait for their first attempt, in the order in which they
+// were enqueued.
 type pendingQueue struct {
 	requests []*request
-	shedRate float64 // decayed share of requests that are answered without an attempt
+	shedRate float64 // moving average of the share of requests that are finished without an attempt
 }
 
-// add enqueues a request, unless it is queued already.
+// add enqueues a request unless it is already queued.
 func (q *pendingQueue) add(r *request) {
 	if !r.queued {
 		r.queued = true
@@ -28,7 +30,7 @@
 	}
 }
 
-// remove takes a request out of the queue, if it is there.
+// remove removes a request from the queue if it is queued.
 func (q *pendingQueue) remove(r *request) {
 	if !r.queued {
 		return
@@ -39,13 +41,14 @@
 	}
 }
 
-// recordShed counts a request that is answered without an attempt.
+// recordShed records a request that is rejected or failed without an attempt.
 func (q *pendingQueue) recordShed() { q.shedRate += shedSmoothing * (1 - q.shedRate) }
 
-// recordServed counts a request that gets its first attempt.
+// recordServed records a request that gets its first attempt.
 func (q *pendingQueue) recordServed() { q.shedRate -= shedSmoothing * q.shedRate }
 
-// admit sends the first attempt of a request, or enqueues the request while none may be sent.
+// admit sends the first attempt of a request, or enqueues the request if no attempt may be sent
+// now.
 func (b *Balancer) admit(r *request) {
 	if b.mustQueue() {
 		b.enqueue(r)
@@ -59,8 +62,8 @@
 	b.send(r, e)
 }
 
-// mustQueue reports whether no first attempt may be sent now: no endpoint is ready or, on the first tier,
-// the concurrency limit is reached.
+// mustQueue reports whether no first attempt may be sent now, either because no endpoint is ready
+// or, on the first tier, because the concurrency limit is reached.
 func (b *Balancer) mustQueue() bool {
 	if len(b.endpoints.ready) == 0 {
 		return true
@@ -68,20 +71,21 @@
 	return b.settings.Tier == 0 && b.limiter.reached(b.now)
 }
 
-// enqueue keeps a request pending, or answers it if waiting makes no sense. Its timer makes sure that it is
-// answered.
+// enqueue adds a request to the queue and sets a timer that limits its time there. If that time is
+// already over, it rejects or fails the request.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
 		b.rejectOrFail(r)
 		return
 	}
 	b.queue.add(r)
-	b.setRequestTimer(r, b.nextReview(r))
+	b.setRequestTimer(r, b.nextRecheck(r))
 }
 
-// reviewPending answers a request whose time in the queue is over, or tries to dispatch it.
-func (b *Balancer) reviewPending(r *request) {
-	if r.answered || r.responseStarted || !r.queued {
+// recheckPending rejects or fails a queued request whose time in the queue is over. Otherwise it
+// dispatches pending requests and, if this request is still queued, sets another timer for it.
+func (b *Balancer) recheckPending(r *request) {
+	if r.finished || r.responseStarted || !r.queued {
 		return
 	}
 	if b.now >= b.queueDeadline(r) {
@@ -90,12 +94,13 @@
 	}
 	b.dispatchPending()
 	if r.queued {
-		b.setRequestTimer(r, b.nextReview(r))
+		b.setRequestTimer(r, b.nextRecheck(r))
 	}
 }
 
-// nextReview is when a pending request is looked at again, if nothing else happens.
-func (b *Balancer) nextReview(r *request) time.Duration {
+// nextRecheck returns the time at which a pending request is checked again if no other event leads
+// to its dispatch.
+func (b *Balancer) nextRecheck(r *request) time.Duration {
 	deadline := b.queueDeadline(r)
 	if paced := b.limiter.pacedUntil(); b.now < paced {
 		return min(paced, deadline)
@@ -103,22 +108,24 @@
 	return deadline
 }
 
-// queueDeadline is when a pending request is rejected: when its answer may well miss the latency objective,
-// as late answers take the capacity of those in time. While no endpoint is ready, a late answer is the best
-// there can be. In any case the client is answered before half of its time is over, while a retry of its own
-// still makes sense.
+// queueDeadline returns the time at which a pending request is rejected or failed. This happens
+// once its response is likely to miss the latency objective, because late responses use capacity
+// that other requests need to meet theirs. While no endpoint is ready, the objective does not
+// apply, because a late response is then the best possible result. In every case the client gets a
+// response before half of its timeout has passed, so that it still has time to retry.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	latest := r.acceptedAt + (r.deadline-r.acceptedAt)/2 - 2*b.settings.Tick
 	if len(b.endpoints.ready) == 0 {
 		return latest
 	}
 	c := r.class
-	likelyLatency := time.Duration(c.meanLatency + likelyDeviations*c.latencyDeviation)
+	likelyLatency := time.Duration(c.meanLatency + latencyMarginDeviations*c.latencyDeviation)
 	wait := max(c.LatencyObjective/minQueueTimeDivisor, c.LatencyObjective-likelyLatency)
 	return min(latest, r.firstTriedAt+wait)
 }
 
-// dispatchPending sends pending requests while the limit allows it, those of the highest priority first.
+// dispatchPending sends pending requests in descending order of priority while the concurrency
+// limit allows it.
 func (b *Balancer) dispatchPending() {
 	for tries := len(b.queue.requests); tries > 0; tries-- {
 		if len(b.queue.requests) == 0 || b.mustQueue() {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
-func TestPendingRequestAnsweredDespiteEarlyTimers(t *testing.T) {
+// Hosts round times. A request must be finished by its deadline even if its timers fire slightly
+// early.
+func TestPendingRequestFinishedDespiteEarlyTimers(t *testing.T) {
 	const deadline, early = 1000 * ms, time.Microsecond / 2
 	b := newTestBalancer(t, nil)
 	actions := b.Handle(0, Request{ID: "a", Class: "get", Deadline: deadline})
@@ -22,15 +23,16 @@
 			}
 		}
 		if next.Token == "" {
-			t.Fatalf("at %v neither an answer nor a timer", now)
+			t.Fatalf("at %v: got neither a final response nor a timer", now)
 		}
 		now = max(now+2*ms, next.At-early)
 		actions = b.Handle(now, TimerFired{Token: next.Token})
 	}
-	t.Fatal("no final answer in time")
+	t.Fatal("no final response by the deadline")
 }
 
-// A request is pending for less than half of its time, with endpoints that are full and with none.
+// A request is pending for less than half of its timeout, both when the endpoints are full and when
+// there are none.
 func TestPendingLessThanHalfOfTimeout(t *testing.T) {
 	const acceptedAt, timeout = 2 * ms, 400 * ms
 	for _, endpoints := range []int{0, 2} {
@@ -38,26 +40,27 @@
 			b := newTestBalancer(t, nil)
 			b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(endpoints)})
 			b.limiter.limit, b.limiter.inFlight = 1, minInFlight
-			var answeredAt time.Duration
+			var finishedAt time.Duration
 			actions := b.Handle(acceptedAt, Request{ID: "a", Class: "get", Deadline: acceptedAt + timeout})
-			for len(actions) > 0 && answeredAt == 0 {
+			for len(actions) > 0 && finishedAt == 0 {
 				action := actions[0]
 				actions = actions[1:]
 				switch a := action.(type) {
 				case SetTimer:
 					actions = append(actions, b.Handle(a.At, TimerFired{Token: a.Token})...)
 				case Reject, Fail:
-					answeredAt = b.now
+					finishedAt = b.now
 				}
 			}
-			if answeredAt == 0 || answeredAt-acceptedAt >= timeout/2 {
-				t.Errorf("answered after %v of %v", answeredAt-acceptedAt, timeout)
+			if finishedAt == 0 || finishedAt-acceptedAt >= timeout/2 {
+				t.Errorf("finished after %v of %v", finishedAt-acceptedAt, timeout)
 			}
 		})
 	}
 }
 
-// A rejected client is not told to stay away for long: it would come back when its objective is mostly over.
+// A Reject does not advise a long wait, because the client would then retry when most of its
+// objective has passed.
 func TestRejectAdvisesShortRetryAfter(t *testing.T) {
 	b := newTestBalancer(t, nil)
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(2)})
@@ -71,5 +74,5 @@
 			return
 		}
 	}
-	t.Error("not rejected")
+	t.Error("request was not rejected")
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,44 +1,45 @@
-// Package balancer decides, for one load balancer node, which endpoint serves a request, when a
-// failed attempt is retried and when a request is rejected.
+// Package balancer decides, for one load balancer node, which endpoint serves a request, when a failed
+// attempt is retried and when a request is rejected.
 //
-// It is a pure state machine. The host feeds events to [Balancer.Handle] and carries out the actions
-// that it returns, in their order. The package does no I/O, starts no goroutine and reads no clock:
-// its only clock is the time given with each event, and its only randomness is the seed given to
-// [New], so the same events always give the same actions.
+// It is a pure state machine. The host passes events to [Balancer.Handle] and executes the returned
+// actions in order. The package does no I/O, starts no goroutine and reads no clock. Its only time is the
+// time passed with each event, and its only source of randomness is the seed passed to [New], so the same
+// events always produce the same actions.
 //
-// # How a request is decided
+// # How a request is processed
 //
-//   - Admission ([Balancer.Handle] of a [Request]): on the first tier a request waits in the pending
-//     queue while the concurrency limit is reached; priority decides who leaves the queue, and
-//     whoever waits too long is rejected.
-//   - Candidates: the endpoints of this replica's subset that are ready, not ejected, below their
-//     limits, and allowed by slow start and by the scope of the idempotency key. Fallbacks widen the
-//     choice step by step.
+//   - Admission ([Balancer.Handle] of a [Request]): on the first tier, a request waits in the pending
+//     queue while the concurrency limit is reached. Requests leave the queue in order of priority, and
+//     requests that wait too long are rejected.
+//   - Candidates: the endpoints of this replica's subset that are ready, not ejected, below their limits,
+//     and permitted by slow start and by the scope of the idempotency key. If there are none, the limits
+//     are relaxed step by step, and then the rest of the endpoint list is considered.
 //   - Pick: one candidate is drawn from each half of the shared order, and the one with fewer active
-//     attempts wins.
-//   - Outcome: the result of an attempt updates latencies, outlier detection, the concurrency limit
-//     and the retry budget, and then decides between a retry and a final answer.
+//     attempts is picked.
+//   - Outcome: the result of an attempt updates the latency averages, outlier detection, the concurrency
+//     limit and the retry budget. Unless another attempt is active, a retry or a final response follows.
 //
-// A replica, in this package, is one of the nodes that send to the same tier, not one of the registry.
+// In this package, a replica is one of the nodes that send to the same tier, not a replica of the registry.
 //
 // # Concurrency
 //
-// A Balancer belongs to one goroutine. Balancers share nothing, so different ones may be used at once.
+// A Balancer must be used by one goroutine at a time. Balancers share no state, so different Balancers may
+// be used concurrently.
 //
 // # Invariants
 //
-//   - Every request gets exactly one final answer: the response of an attempt, a [Reject] or a [Fail].
-//   - A [Reject] is given only if no attempt can have had an effect that a retry would repeat.
-//   - A request that is not idempotent is never sent again once an attempt may have run; one with an
-//     idempotency key only within its key's scope and window.
-//   - Attempts go to endpoints that are in the endpoint list and ready.
-//   - A request is kept until it is answered and its attempts have ended, an endpoint until it has left
-//     the list and its attempts have ended.
+//   - Every request gets exactly one final response: the response of an attempt, a [Reject] or a [Fail].
+//   - A [Reject] is returned only if no attempt can have had an effect that a retry would repeat.
+//   - A request that is not idempotent is never sent again once an attempt may have been executed. A
+//     request with an idempotency key is sent again only within the scope and the window of the key.
+//   - Attempts are sent only to endpoints that are in the endpoint list and ready.
+//   - A request is kept until it is finished and its attempts have ended. An endpoint is kept until it has
+//     left the list and its attempts have ended.
 //
 // # Units
 //
-// Points in time are durations on the host's clock. Latencies and costs that are averaged are float64
-// in nanoseconds. Shares and utilizations are fractions of 1.
+// Points in time are durations on the host's clock. Average latencies and costs are float64 values in
+// nanoseconds. Shares and utilizations are fractions of 1.
 package balancer
 
 import (
@@ -46,7 +47,8 @@
 	"time"
 )
 
-// seedStream is the second half of the random generator's seed; the host gives the first.
+// seedStream is the second half of the seed of the random number generator. The host provides the
+// first half.
 const seedStream = 0x51a7e
 
 // Balancer makes the decisions of one node for the endpoints of one tier. It must be created by New
@@ -55,7 +57,7 @@
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration
-	actions  []Action // of the event in hand
+	actions  []Action // returned by the current call of Handle
 
 	requests  map[string]*request
 	classes   classTable
@@ -66,10 +68,11 @@
 	limiter   concurrencyLimiter
 	queue     pendingQueue
 	retries   retryBudget
-	restored  *restoredState // nil: nothing, or the endpoint list is complete by now
+	restored  *restoredState // nil if there is no restored snapshot or the complete endpoint list has arrived
 }
 
-// New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
+// New returns a Balancer without endpoints. If the settings are invalid, the error is a
+// *SettingError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -88,8 +91,9 @@
 	return b, nil
 }
 
-// Handle takes one event at the clock time now and returns what the host must do, in order. The time
-// must not go back; an earlier one counts as the latest one given.
+// Handle processes one event at the clock time now and returns the actions that the host must
+// execute, in order. An earlier time than that of a previous call is replaced by the latest time
+// passed so far.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -119,5 +123,5 @@
 	return b.actions
 }
 
-// do adds an action to the answer to the event in hand.
-func (b *Balancer) do(a Action) { b.actions = append(b.actions, a) }
+// emit appends an action to those that Handle returns.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -3,21 +3,24 @@
 import "math"
 
 const (
-	// minBalancedLimit is the least number of own active attempts at which an endpoint is passed over in
-	// favor of others. It is above one so that the pick, not a search for idle endpoints, decides between
-	// none and one.
+	// minBalancedLimit is the minimum of balancedLimit. It is above one so that the pick, rather
+	// than this filter, decides between an idle endpoint and one with a single active attempt.
 	minBalancedLimit = 2
-	// slownessExponent is the power of an endpoint's slowness by which it is drawn less often.
+	// slownessExponent is the power of an endpoint's relative latency by which its sampling weight
+	// is divided.
 	slownessExponent = 2.0
 )
 
-// attemptLimit returns the number of own active attempts at which an endpoint is passed over.
+// attemptLimit returns the number of this replica's active attempts at which an endpoint is
+// skipped.
 type attemptLimit func(*endpoint) int
 
-// candidates returns the ready endpoints that the next attempt of a request may go to: those within the
-// scope of its idempotency key that it has not tried, not excluded as outliers, warm enough and, as long as
-// that leaves any, not busier than the others. The replica's subset comes before the whole list. If there is
-// no other, a first attempt may go to an idle endpoint that is warming up.
+// candidates returns the ready endpoints that the next attempt of a request may be sent to. A
+// candidate is within the scope of the request's idempotency key, has not been tried by the
+// request, is not excluded as an outlier and is sufficiently warm. Endpoints that are busier than
+// others are skipped unless no others remain. The replica's subset is preferred to the rest of the
+// list. If no endpoint qualifies, a first attempt may be sent to an idle endpoint that is warming
+// up.
 func (b *Balancer) candidates(r *request) []*endpoint {
 	f := candidateFilter{
 		b:        b,
@@ -41,19 +44,20 @@
 	return warmingUp
 }
 
-// candidateFilter holds what decides whether an endpoint may be drawn for one request.
+// candidateFilter holds the conditions that an endpoint must meet to be a candidate for one
+// request.
 type candidateFilter struct {
 	b            *Balancer
 	request      *request
 	excluded     map[*endpoint]bool
-	scarce       bool // warm capacity is scarce
-	beyondSubset bool // endpoints come from the whole list
+	scarce       bool // result of warmCapacityScarce
+	beyondSubset bool // the endpoints are taken from the whole list
 }
 
-// apply returns the preferred endpoints, and apart from them the idle ones that are warming up and were
-// only passed over by their draw.
+// apply returns the preferred endpoints and, separately, the idle ones that are warming up and were
+// skipped only by random sampling.
 func (f *candidateFilter) apply(from []*endpoint, limit attemptLimit) (preferred, warmingUp []*endpoint) {
-	var skipped []*endpoint // warm, but passed over by their draw
+	var skipped []*endpoint // warm, but skipped by random sampling
 	for _, e := range from {
 		if !f.eligible(e, limit) {
 			continue
@@ -63,7 +67,7 @@
 			continue
 		}
 		switch {
-		case f.b.drawWarm(e) && f.b.drawByWeight(e):
+		case f.b.sampleByWarmup(e) && f.b.sampleByWeight(e):
 			preferred = append(preferred, e)
 		case warm:
 			skipped = append(skipped, e)
@@ -77,35 +81,38 @@
 	return preferred, warmingUp
 }
 
-// eligible applies the conditions that no draw decides.
+// eligible reports whether an endpoint meets the conditions that do not depend on random sampling.
 func (f *candidateFilter) eligible(e *endpoint, limit attemptLimit) bool {
 	return !f.excluded[e] && e.activeAttempts < limit(e) && f.request.inScope(e) && !f.request.tried(e)
 }
 
-// withinBudget reports whether an endpoint which is warming up may be drawn while warm capacity is scarce.
-// Beyond the subset none may, because other replicas count on those.
+// withinBudget reports whether an endpoint that is warming up may be used while warm capacity is
+// scarce. An endpoint outside the subset may not, because its budget is divided among the replicas
+// whose subsets contain it.
 func (f *candidateFilter) withinBudget(e *endpoint) bool {
 	return !f.beyondSubset && f.b.withinWarmupBudget(e, f.request.class)
 }
 
-// drawByWeight reports true with the probability that makes draws proportional to an endpoint's weight and,
-// if its answers take longer than others', to its speed: uniform draws would overload endpoints that are
+// sampleByWeight reports true with a probability proportional to an endpoint's weight and, if its
+// latency is higher than expected, to its speed. Uniform sampling would overload endpoints that are
 // small, busy with other work or stalling.
-func (b *Balancer) drawByWeight(e *endpoint) bool {
+func (b *Balancer) sampleByWeight(e *endpoint) bool {
 	effectiveWeight := b.endpoints.weight(e) * math.Exp(-slownessExponent*max(0, e.slowness))
 	return b.random.Float64()*b.endpoints.maxWeight < effectiveWeight
 }
 
-// balancedLimit is just above the subset's mean. Uniform draws now and then meet the same few endpoints
-// twice, and attempts of several replicas that coincide there overload them.
+// balancedLimit returns a limit just above the mean number of active attempts per endpoint of the
+// subset. Uniform sampling occasionally selects the same few endpoints twice, which overloads them
+// when several replicas do so at the same time.
 func (b *Balancer) balancedLimit(e *endpoint) int {
 	mean := b.limiter.inFlight / max(1, len(b.endpoints.subset))
 	return min(b.rejectionLimit(e), max(minBalancedLimit, 1+mean))
 }
 
-// rejectionLimit is the number at which an endpoint rejected one more a while ago: its queue or its
-// connection table, in which other replicas hold idle connections, is full. It is not faulty, so the bound on
-// excluded endpoints does not apply.
+// rejectionLimit returns the number of active attempts that an endpoint had when it recently
+// rejected another one. Other endpoints have no limit. Either the queue of the endpoint is full, or its
+// connection table is full of idle connections of other replicas. Such an endpoint is not faulty, so
+// the bound on excluded endpoints does not apply.
 func (b *Balancer) rejectionLimit(e *endpoint) int {
 	if b.now < e.rejectionLimitUntil {
 		return e.rejectionLimit
@@ -113,5 +120,5 @@
 	return math.MaxInt
 }
 
-// unlimited is the last resort.
+// unlimited is the attemptLimit that applies when all endpoints have reached the other limits.
 func unlimited(*endpoint) int { return math.MaxInt }
--- a/balancer/candidates_test.go
+++ b/balancer/candidates_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Where the list tells weights, draws are in proportion to them; where it does not, or tells a load of some time
-// ago, they are uniform.
-func TestDrawsFollowWeights(t *testing.T) {
+// Endpoints are sampled in proportion to their weights if the list provides capacities. If it
+// provides no weights or a past load, sampling is uniform.
+func TestSamplingFollowsWeights(t *testing.T) {
 	for kind, wantRatio := range map[WeightKind]float64{
 		WeightNominal: 3, WeightApproximate: 3, WeightUnknown: 1, WeightLive: 1,
 	} {
@@ -27,19 +27,19 @@
 			}
 			ratio := float64(byWeight[3]) / float64(byWeight[1])
 			if ratio < 0.75*wantRatio || ratio > 1.25*wantRatio {
-				t.Errorf("heavy to light %.2f, want %.0f", ratio, wantRatio)
+				t.Errorf("ratio of heavy to light endpoints: got %.2f, want %.0f", ratio, wantRatio)
 			}
 		})
 	}
 }
 
-// An endpoint that takes twice as long as the others is drawn less, though not ejected; one that gets expensive
-// requests, as their cost hints say, is not taken for slow.
-func TestDrawsFollowMeasuredLatency(t *testing.T) {
+// An endpoint that takes twice as long as the others is sampled less often but not ejected. An
+// endpoint that gets expensive requests, as shown by their cost hints, does not count as slow.
+func TestSamplingFollowsMeasuredLatency(t *testing.T) {
 	const cheap = 10 * ms
 	for _, c := range []struct {
 		name               string
-		costMultiple       time.Duration // of one request in ten; 0: all are cheap
+		costMultiple       time.Duration // cost of one request in ten; zero if all are cheap
 		minShare, maxShare float64
 	}{
 		{"slow endpoint", 0, 0.03, 0.14},
@@ -68,15 +68,16 @@
 				}
 			}
 			if share := float64(draws) / float64(total); share < c.minShare || share > c.maxShare {
-				t.Errorf("the endpoint got %.3f of the draws, want %.2f to %.2f", share, c.minShare, c.maxShare)
+				t.Errorf("share of the endpoint: got %.3f, want %.2f to %.2f", share, c.minShare, c.maxShare)
 			}
 		})
 	}
 }
 
-// An endpoint with more own attempts than the subset's mean, and two at the least, is passed over while others are
-// not; a single attempt never excludes an endpoint, as comparing them is up to the pick.
-func TestBusierEndpointsPassedOver(t *testing.T) {
+// An endpoint with more active attempts than the subset's mean, and at least two, is skipped while
+// other endpoints remain. A single attempt never excludes an endpoint, because the pick compares
+// those.
+func TestBusierEndpointsSkipped(t *testing.T) {
 	b := newServingBalancer(t, 6, nil)
 	for _, c := range []struct {
 		name           string
@@ -105,8 +106,9 @@
 	}
 }
 
-// Connection tables that other replicas fill reject at once: an endpoint that rejected gets no more own attempts
-// than it had, however many others reject too, and is tried again later.
+// Endpoints whose connection tables are full of connections of other replicas reject immediately.
+// An endpoint that rejected an attempt gets no more attempts than it had, regardless of how many
+// other endpoints reject, and is tried again later.
 func TestRejectionLimitsEndpoint(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
@@ -132,10 +134,10 @@
 	}
 	atFirst := rejections(20)
 	if atFirst < 5 {
-		t.Fatalf("only %d rejections, want the full endpoints found", atFirst)
+		t.Fatalf("got %d rejections, want at least 5 so that the full endpoints are detected", atFirst)
 	}
 	if got := rejections(20); got > atFirst/2 {
-		t.Errorf("%d rejections after %d: full endpoints are still drawn", got, atFirst)
+		t.Errorf("got %d rejections after %d: full endpoints are still used", got, atFirst)
 	}
 	now += time.Minute
 	if rejections(20) == 0 {
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// arrivalDecay is the factor on every class's counts with each request that arrives.
+	// arrivalDecay is the factor by which the counts of every class are multiplied when a request
+	// arrives.
 	arrivalDecay = 0.99
-	// classSmoothing is the weight of a new sample in averages over all endpoints (about 16 samples).
+	// classSmoothing is the weight of a new sample in averages over all endpoints, which then cover
+	// about 16 samples.
 	classSmoothing = 0.06
-	// overdueDeviations is how many mean deviations above the mean latency an answer is overdue.
+	// overdueDeviations is the number of mean deviations above the mean latency at which a response
+	// is overdue.
 	overdueDeviations = 3.0
-	// Before the first sample, the mean latency and its deviation are these fractions of the objective.
+	// Initially, the mean latency and its deviation are the latency objective divided by these.
 	initialLatencyDivisor   = 4
 	initialDeviationDivisor = 8
 )
 
-// classState is a class of requests and what was measured of it.
+// classState is a class of requests with its measurements.
 type classState struct {
 	Class
-	meanLatency      float64 // of successes, in ns
+	meanLatency      float64 // of successful attempts, in ns
 	latencyDeviation float64 // mean absolute deviation, in ns
-	meanCost         float64 // mean cost hint, in ns; 0: none yet
+	meanCost         float64 // mean cost hint, in ns; zero until the first hint arrives
 	arrivals         float64 // decayed count of requests
-	onTime           float64 // decayed count of answers within the latency objective
+	onTime           float64 // decayed count of responses within the latency objective
 	longestTimeout   time.Duration
 }
 
@@ -37,7 +40,8 @@
 	}
 }
 
-// recordLatency adds a success that took latency, in ns, for a request with a cost hint.
+// recordLatency records a successful attempt with its latency and the cost hint of its request,
+// both in ns.
 func (c *classState) recordLatency(latency, costHint float64) {
 	if c.meanCost == 0 {
 		c.meanCost = costHint
@@ -47,15 +51,16 @@
 	c.meanLatency += classSmoothing * (latency - c.meanLatency)
 }
 
-// overdueAfter is the wait for an answer that most of the class's answers stay well under, in ns.
+// overdueAfter returns the wait, in ns, after which a response is overdue. Most responses of the
+// class take much less.
 func (c *classState) overdueAfter() float64 {
 	return c.meanLatency + overdueDeviations*c.latencyDeviation
 }
 
-// classTable holds the classes of the settings and one more, for requests of any other class.
+// classTable holds the classes of the settings and a default class for requests of any other class.
 type classTable struct {
 	byName  map[string]*classState
-	ordered []*classState // as in the settings; the class for all others is the last
+	ordered []*classState // in the order of the settings, followed by the default class
 }
 
 func newClassTable(classes []Class) classTable {
@@ -67,7 +72,7 @@
 			longest = c
 		}
 	}
-	// The zero Effect makes requests of unknown classes non-idempotent.
+	// The zero value of Effect makes requests of unknown classes non-idempotent.
 	t.add(Class{
 		LatencyObjective: longest.LatencyObjective,
 		Deadline:         longest.Deadline,
@@ -82,7 +87,7 @@
 	t.ordered = append(t.ordered, state)
 }
 
-// find returns the class of a name, or the one for all others.
+// find returns the class with the given name, or the default class if there is none.
 func (t *classTable) find(name string) *classState {
 	if c := t.byName[name]; c != nil {
 		return c
@@ -90,7 +95,7 @@
 	return t.ordered[len(t.ordered)-1]
 }
 
-// recordArrival counts a request of class c and lets older ones fade.
+// recordArrival counts a request of class c and decays the counts of earlier requests.
 func (t *classTable) recordArrival(c *classState) {
 	for _, each := range t.ordered {
 		each.arrivals *= arrivalDecay
@@ -99,11 +104,12 @@
 	c.arrivals++
 }
 
-// inherit takes over what was measured of classes that had the same names under earlier settings. It
-// returns the arrivals of those classes and their sum weighted with the old latency objective over the
-// new one: the quotient converts fractions of the old objectives into fractions of the new ones.
+// inherit copies the measurements of the classes that had the same names under the previous
+// settings. It returns the number of arrivals of those classes, and the sum of their arrivals
+// weighted by the old latency objective divided by the new one. The quotient of that sum and the
+// number of arrivals converts fractions of the old objectives into fractions of the new ones.
 func (t *classTable) inherit(previous classTable) (weighted, arrivals float64) {
-	for _, c := range t.ordered { // in a fixed order, as the sums of floats depend on it
+	for _, c := range t.ordered { // in a fixed order, because floating-point sums depend on it
 		old := previous.byName[c.Name]
 		if old == nil {
 			continue
@@ -120,8 +126,8 @@
 	return weighted, arrivals
 }
 
-// reconfigure puts new settings in force. Requests in hand keep their class as it was. Invalid settings
-// change nothing.
+// reconfigure applies new settings. Requests that were accepted earlier keep their class as it was.
+// Invalid settings are ignored.
 func (b *Balancer) reconfigure(settings Settings) {
 	if settings.Validate() != nil {
 		return
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// New settings apply to the requests that come after them. Those in hand keep their class and number of attempts,
-// and what was measured stays.
+// New settings apply to requests that arrive later. Requests accepted earlier keep their class and
+// number of attempts, and measurements are kept.
 func TestReconfigureAppliesToNewRequests(t *testing.T) {
 	b := newServingBalancer(t, 8, nil)
 	b.classes.find("get").meanLatency, b.limiter.limit = float64(77*ms), 33
 	b.endpoints.ready[0].slowness = 0.5
-	inHand := sendsOf(b.Handle(0, Request{ID: "old", Class: "get", Deadline: 1500 * ms}))[0]
+	accepted := sendsOf(b.Handle(0, Request{ID: "old", Class: "get", Deadline: 1500 * ms}))[0]
 	settings := testSettings()
 	settings.MaxAttempts = 1
 	settings.Classes[0].Effect = NonIdempotent
@@ -21,28 +21,29 @@
 	b.Handle(ms, Reconfigure{Settings: settings})
 	if b.classes.find("get").meanLatency != float64(77*ms) || b.limiter.limit != 33 ||
 		b.endpoints.ready[0].slowness != 0.5 {
-		t.Error("what was measured is lost")
+		t.Error("measurements are lost")
 	}
-	if retries := sendsOf(endFirstAttempt(b, 2*ms, inHand, Failure)); len(retries) != 1 {
-		t.Errorf("the request in hand, idempotent when it came, got %d retries", len(retries))
+	if retries := sendsOf(endFirstAttempt(b, 2*ms, accepted, Failure)); len(retries) != 1 {
+		t.Errorf("got %d retries of a request accepted as idempotent, want 1", len(retries))
 	}
 	for id, class := range map[string]string{"no longer idempotent": "get", "of a new class": "put"} {
 		sends := sendsOf(b.Handle(3*ms, Request{ID: id, Class: class, Deadline: 1500 * ms}))
 		if len(sends) != 1 {
-			t.Fatalf("%s: %d attempts", id, len(sends))
+			t.Fatalf("%s: got %d attempts, want 1", id, len(sends))
 		}
 		if retries := sendsOf(endFirstAttempt(b, 4*ms, sends[0], Failure)); len(retries) > 0 {
-			t.Errorf("%s: a second attempt, of 1", id)
+			t.Errorf("%s: got a second attempt with MaxAttempts 1", id)
 		}
 	}
 	b.Handle(5*ms, Reconfigure{})
 	if b.settings.MaxAttempts != 1 || b.classes.byName["put"] == nil {
-		t.Error("invalid settings are in force")
+		t.Error("invalid settings were applied")
 	}
 }
 
-// What depends on a setting changes with it: a shorter deadline does not make first tries look like retries, and
-// utilizations are converted into fractions of the new latency objective.
+// Measurements that depend on a setting are converted when it changes. A shorter deadline does not
+// make first tries look like retries, and utilizations become fractions of the new latency
+// objective.
 func TestReconfigureConvertsMeasurements(t *testing.T) {
 	b := newServingBalancer(t, 4, nil)
 	for i := range 20 {
@@ -55,15 +56,16 @@
 	settings.Classes[0].LatencyObjective, settings.Classes[0].Deadline = 250*ms, 600*ms
 	b.Handle(200*ms, Reconfigure{Settings: settings})
 	if ratio := b.limiter.utilization / before; ratio < 1.99 || ratio > 2.01 {
-		t.Errorf("half the objective: a utilization of %.3f became %.3f", before, b.limiter.utilization)
+		t.Errorf("half the objective: utilization changed from %.3f to %.3f", before, b.limiter.utilization)
 	}
 	b.Handle(200*ms, Request{ID: "first", Class: "get", Deadline: 800 * ms})
 	if r := b.requests["first"]; r.clientRetry || r.firstTriedAt != 200*ms {
-		t.Errorf("a first try counts as a retry, first tried at %v", r.firstTriedAt)
+		t.Errorf("first try was detected as a retry, first tried at %v", r.firstTriedAt)
 	}
 }
 
-// The same events give the same floats to the last bit, however many classes change at once.
+// The same events produce bit-identical floating-point values even if several classes change at
+// once.
 func TestReconfigureIsDeterministic(t *testing.T) {
 	settings := deploymentSettings()["seven classes"]
 	changed := scaleSettings(settings, 3)
@@ -85,6 +87,6 @@
 		utilizations[b.limiter.utilization] = true
 	}
 	if len(utilizations) != 1 {
-		t.Errorf("the same events gave the utilizations %v", utilizations)
+		t.Errorf("the same events produced different utilizations: %v", utilizations)
 	}
 }
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,37 +5,38 @@
 const (
 	// subscribeTimer is the token of the timer for the next Subscribe.
 	subscribeTimer = "list"
-	// The wait before a Subscribe is drawn from up to a fraction of Settings.PollInterval that doubles with
-	// each failure. The longest leaves time for two tries before the replica counts as out of date.
-	longestSubscribeDivisor = 4
-	firstSubscribeDivisor   = 16 // of the longest
-	maxSubscribeDoublings   = 4
+	// The delay before a Subscribe is random, up to a bound that doubles with each failure. The
+	// maximum bound is a fraction of Settings.PollInterval. It leaves time for two tries before the
+	// endpoint list of the replica counts as out of date.
+	maxBackoffDivisor     = 4
+	initialBackoffDivisor = 16 // of the maximum
+	maxBackoffDoublings   = 4
 )
 
-// subscriber says when to ask discovery for the endpoint list next.
+// subscriber schedules the next request for the endpoint list.
 type subscriber struct {
-	failures    int           // since the last update
-	subscribeAt time.Duration // 0: no Subscribe is due
+	failures    int           // consecutive failures since the last update
+	subscribeAt time.Duration // zero if no Subscribe is scheduled
 }
 
-// scheduleSubscribe plans a Subscribe, if the endpoint list must be asked for. The random wait keeps
-// replicas that start, or lose their subscription, together from overloading discovery.
+// scheduleSubscribe schedules a Subscribe if discovery requires one. The random delay prevents
+// replicas that start, or lose their subscription, at the same time from overloading discovery.
 func (b *Balancer) scheduleSubscribe() {
 	if !b.settings.PollDiscovery {
 		return
 	}
-	longest := b.settings.PollInterval / longestSubscribeDivisor
-	doublings := min(b.discovery.failures, maxSubscribeDoublings)
-	wait := min(longest, longest/firstSubscribeDivisor<<doublings)
-	b.discovery.subscribeAt = b.now + time.Duration(b.random.Float64()*float64(wait)) + 1
-	b.do(SetTimer{At: b.discovery.subscribeAt, Token: subscribeTimer})
+	maxBound := b.settings.PollInterval / maxBackoffDivisor
+	doublings := min(b.discovery.failures, maxBackoffDoublings)
+	bound := min(maxBound, maxBound/initialBackoffDivisor<<doublings)
+	b.discovery.subscribeAt = b.now + time.Duration(b.random.Float64()*float64(bound)) + 1
+	b.emit(SetTimer{At: b.discovery.subscribeAt, Token: subscribeTimer})
 }
 
-// subscribeIfDue asks for the endpoint list if the timer that came due is the last one that was set.
+// subscribeIfDue requests the endpoint list if the timer that fired is the last one that was set.
 func (b *Balancer) subscribeIfDue() {
 	at := b.discovery.subscribeAt
 	if at > 0 && b.now+b.settings.Tick >= at {
 		b.discovery.subscribeAt = 0
-		b.do(Subscribe{})
+		b.emit(Subscribe{})
 	}
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -9,38 +9,40 @@
 )
 
 const (
-	// firstGroupFraction is the share of the shared order that makes up the first group of the pick.
+	// firstGroupFraction is the share of the shared order that forms the first group of the pick.
 	firstGroupFraction = 0.5
-	// minSubset is the least number of endpoints that a replica sends first attempts to.
+	// minSubset is the minimum number of endpoints in a replica's subset.
 	minSubset = 4
-	// subsetMultiple is how many times its fair share of the endpoints a replica's subset has at least.
+	// subsetMultiple is the minimum size of a replica's subset, as a multiple of its fair share of
+	// the endpoints.
 	subsetMultiple = 3.0
 )
 
-// endpoint is a listed endpoint, or one that left the list with attempts still active.
+// endpoint is an endpoint in the list, or one that has left the list while attempts were still
+// active.
 type endpoint struct {
 	Endpoint
 	listed      bool
-	secondGroup bool // of the two groups of the pick
-	rank        int  // in the shared order
-	reordering  bool // its place in the shared order is to be found anew
+	secondGroup bool // it is in the second group of the pick
+	rank        int  // position in the shared order
+	reordering  bool // its position in the shared order must be determined again
 
-	activeAttempts int        // until their Outcome
-	awaited        []*attempt // those of them whose response has not started, in order of sending
+	activeAttempts int        // attempts whose Outcome has not arrived
+	awaited        []*attempt // active attempts whose response has not started, ordered by sentAt
 
 	// Outlier detection.
-	suspect              bool // it is among the outlierDetector's suspects
+	suspect              bool // it is in outlierDetector.suspects
 	consecutiveFailures  int
 	consecutiveSuccesses int
-	ejectionLevel        int // doublings of the next ejection
+	ejectionLevel        int // number of times that the duration of the next ejection is doubled
 	ejectedUntil         time.Duration
 	lastSuccess          time.Duration
-	slowness             float64 // mean log of latency over the expected one
+	slowness             float64 // moving average of log(latency / expected latency)
 	latencySamples       int
 
-	// Capacity shown by rejections.
+	// Concurrency limit derived from rejections.
 	consecutiveRejections int
-	rejectionLimit        int // attempts that were active when it rejected one more
+	rejectionLimit        int // attempts that were active when the endpoint rejected another one
 	rejectionLimitUntil   time.Duration
 
 	// Slow start; see withinWarmupBudget.
@@ -48,13 +50,14 @@
 	warmupBudgetUntil time.Duration
 }
 
-// restart forgets all that was known of the endpoint's earlier process, but for what is still active.
+// restart discards everything measured of the endpoint's previous process, except for its active
+// attempts.
 func (e *endpoint) restart() {
 	*e = endpoint{activeAttempts: e.activeAttempts, awaited: e.awaited, suspect: e.suspect}
 }
 
-// stopAwaiting removes an attempt from those whose response has not started; it returns false if the
-// attempt is not among them.
+// stopAwaiting removes an attempt from the awaited ones. It returns false if the attempt is not
+// among them.
 func (e *endpoint) stopAwaiting(a *attempt) bool {
 	i := slices.Index(e.awaited, a)
 	if i < 0 {
@@ -64,14 +67,15 @@
 	return true
 }
 
-// endpointSet holds the endpoints that discovery has named, and those of them that attempts may be sent to.
+// endpointSet holds the endpoints reported by discovery, and those of them that attempts may be
+// sent to.
 type endpointSet struct {
 	settings *Settings
 	byID     map[string]*endpoint
 	ready    []*endpoint // in the shared order
-	subset   []*endpoint // those that this replica's attempts go to first, in the shared order
+	subset   []*endpoint // endpoints that this replica prefers, in the shared order
 
-	// Of the subset.
+	// Weights of the endpoints in the subset.
 	maxWeight  float64
 	meanWeight float64
 }
@@ -80,7 +84,7 @@
 	return endpointSet{settings: settings, byID: map[string]*endpoint{}}
 }
 
-// applyUpdate applies a change of the endpoint list.
+// applyUpdate applies an update of the endpoint list.
 func (b *Balancer) applyUpdate(e EndpointUpdate) {
 	if e.Full {
 		b.endpoints.unlistAll()
@@ -90,14 +94,14 @@
 		changed = append(changed, b.applyEntry(entry))
 	}
 	if e.Full {
-		changed = nil // all may have changed
+		changed = nil // any endpoint may have changed
 	}
 	b.endpoints.rebuild(changed)
 	if b.limiter.limit == 0 {
 		b.setInitialLimit()
 	}
 	if e.Full && !e.Cached {
-		b.restored = nil // an endpoint that is added from now on is new
+		b.restored = nil // endpoints that are added later are new
 	}
 	if e.Cached {
 		b.scheduleSubscribe()
@@ -107,7 +111,8 @@
 	b.dispatchPending()
 }
 
-// applyEntry applies one entry of the endpoint list. A new start time means another process.
+// applyEntry applies one entry of the endpoint list. A changed start time means that the process
+// was restarted.
 func (b *Balancer) applyEntry(entry Endpoint) *endpoint {
 	e := b.endpoints.byID[entry.ID]
 	isNew := e == nil
@@ -125,22 +130,22 @@
 	return e
 }
 
-// unlistAll treats every endpoint as removed until an update lists it.
+// unlistAll marks every endpoint as removed until an update lists it again.
 func (s *endpointSet) unlistAll() {
 	for _, e := range s.byID {
 		e.listed = false
 	}
 }
 
-// removeUnused forgets an endpoint that has left the list, once no attempt is active.
+// removeUnused deletes an endpoint that has left the list and has no active attempts.
 func (s *endpointSet) removeUnused(e *endpoint) {
 	if !e.listed && e.activeAttempts == 0 && s.byID[e.ID] == e {
 		delete(s.byID, e.ID)
 	}
 }
 
-// rebuild puts the ready endpoints in order, divides them into groups and selects this replica's subset.
-// changed are the endpoints that an update named; nil: all may have changed.
+// rebuild sorts the ready endpoints, divides them into groups and selects this replica's subset.
+// changed holds the endpoints named by an update; it is nil if any endpoint may have changed.
 func (s *endpointSet) rebuild(changed []*endpoint) {
 	if changed == nil {
 		s.ready = s.ready[:0]
@@ -153,7 +158,7 @@
 	var added []*endpoint
 	for _, e := range changed {
 		if !e.reordering {
-			continue // the update names it twice
+			continue // named twice in the update
 		}
 		e.reordering = false
 		s.removeUnused(e)
@@ -163,18 +168,19 @@
 	}
 	slices.SortFunc(added, s.compare)
 	s.ready = s.merge(unchanged, added)
-	s.divide()
+	s.assignGroups()
 	s.subset = s.selectSubset()
-	s.measureWeights()
+	s.computeWeights()
 }
 
-// compare is the shared order, which all replicas agree on: the heavier first, so that a subset has
-// endpoints of each weight and ties of the pick go to the heavier.
+// compare defines the shared order, which is the same on all replicas. Endpoints with a higher
+// weight come first, so that every subset contains endpoints of each weight and the pick resolves
+// ties in favor of the higher weight.
 func (s *endpointSet) compare(x, y *endpoint) int {
 	return cmp.Or(cmp.Compare(s.weight(y), s.weight(x)), cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.ID, y.ID))
 }
 
-// merge merges two lists in the shared order. The result uses the memory of unchanged.
+// merge merges two lists that are in the shared order. The result reuses the memory of unchanged.
 func (s *endpointSet) merge(unchanged, added []*endpoint) []*endpoint {
 	merged := append(unchanged, added...)
 	i, j := len(unchanged)-1, len(added)-1
@@ -190,17 +196,19 @@
 	return merged
 }
 
-// divide numbers the ready endpoints and divides them into the two groups of the pick.
-func (s *endpointSet) divide() {
+// assignGroups assigns ranks to the ready endpoints and divides them into the two groups of the
+// pick.
+func (s *endpointSet) assignGroups() {
 	firstGroup := int(math.Ceil(firstGroupFraction * float64(len(s.ready))))
 	for i, e := range s.ready {
 		e.rank, e.secondGroup = i, i >= firstGroup
 	}
 }
 
-// selectSubset selects a few endpoints, spread evenly over the shared order, such that every endpoint is in
-// the subsets of equally many replicas. Hundreds of replicas that each used the whole list would know
-// nothing of any endpoint, and would fill its connection table.
+// selectSubset selects a few endpoints, spread evenly over the shared order, so that every endpoint
+// is in the subsets of about the same number of replicas. If hundreds of replicas each used the
+// whole list, each would have too few samples per endpoint, and their connections would fill the
+// endpoints' connection tables.
 func (s *endpointSet) selectSubset() []*endpoint {
 	ready, replicas := len(s.ready), s.settings.Replicas
 	size := max(minSubset, int(math.Ceil(subsetMultiple*s.perReplica())))
@@ -210,9 +218,9 @@
 	subset := make([]*endpoint, 0, size)
 	step := 1
 	for block := range size {
-		// Each block of the order permutes the replicas in its own way, as otherwise fixed groups of
-		// replicas would share their endpoints. A step that has a common divisor with their number would
-		// put some endpoints into more subsets than others.
+		// Each block of the order permutes the replicas differently; otherwise the same groups of
+		// replicas would share all their endpoints. The step is coprime to the number of replicas;
+		// otherwise some endpoints would be in more subsets than others.
 		position := (float64(s.settings.ReplicaIndex*step%replicas) + 0.5) / float64(replicas)
 		for step++; gcd(step, replicas) > 1; step++ {
 		}
@@ -221,7 +229,7 @@
 	return subset
 }
 
-// gcd returns the greatest common divisor.
+// gcd returns the greatest common divisor of a and b.
 func gcd(a, b int) int {
 	for b > 0 {
 		a, b = b, a%b
@@ -229,8 +237,8 @@
 	return a
 }
 
-// measureWeights finds the greatest and the mean weight of the subset.
-func (s *endpointSet) measureWeights() {
+// computeWeights sets the maximum and the mean weight of the subset.
+func (s *endpointSet) computeWeights() {
 	s.maxWeight, s.meanWeight = 0, 0
 	for _, e := range s.subset {
 		s.maxWeight = max(s.maxWeight, s.weight(e))
@@ -238,7 +246,8 @@
 	}
 }
 
-// weight is an endpoint's capacity in proportion to others', where the list tells it, else 1.
+// weight returns an endpoint's capacity relative to other endpoints, or 1 if the list does not
+// provide it.
 func (s *endpointSet) weight(e *endpoint) float64 {
 	kind := s.settings.WeightKind
 	if e.Weight > 0 && (kind == WeightNominal || kind == WeightApproximate) {
@@ -247,7 +256,7 @@
 	return 1
 }
 
-// perReplica is how many ready endpoints there are for each replica of this tier.
+// perReplica returns the number of ready endpoints per replica that sends to this tier.
 func (s *endpointSet) perReplica() float64 {
 	return float64(len(s.ready)) / float64(max(1, s.settings.Replicas))
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -16,13 +16,13 @@
 	}
 	for i := range endpoints {
 		if x, y := atOnce.endpoints.ready[i].ID, oneByOne.endpoints.ready[i].ID; x != y {
-			t.Fatalf("order differs at %d: %s, %s", i, x, y)
+			t.Fatalf("order differs at index %d: %s and %s", i, x, y)
 		}
 	}
 }
 
-// Of a large fleet the replicas' subsets must cover all endpoints about evenly, span the cells, and hold
-// endpoints of both groups.
+// In a large fleet, the replicas' subsets must cover all endpoints about evenly, span the cells,
+// and contain endpoints of both groups.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
 	const replicas, count = 300, 90
 	endpoints := testEndpoints(count)
@@ -58,11 +58,11 @@
 	}
 	b := newServingBalancer(t, minSubset, func(s *Settings) { s.Replicas, s.ReplicaIndex = replicas, 7 })
 	if len(b.endpoints.subset) != minSubset {
-		t.Errorf("a list of a subset's length is cut to %d", len(b.endpoints.subset))
+		t.Errorf("a list as long as a subset is cut to %d endpoints", len(b.endpoints.subset))
 	}
 }
 
-// An endpoint that comes back with a new start time is another process: its history is forgotten.
+// An endpoint with a new start time is a new process, so its history is discarded.
 func TestRestartResetsEndpoint(t *testing.T) {
 	b := newServingBalancer(t, 4, nil)
 	e := b.endpoints.byID["s01"]
@@ -71,11 +71,12 @@
 	restarted[0].StartTime = time.Second
 	b.Handle(2*time.Second, EndpointUpdate{Endpoints: restarted})
 	if e := b.endpoints.byID["s01"]; e.ejectedUntil != 0 || e.ejectionLevel != 0 || e.slowness != 0 {
-		t.Errorf("after its restart: %+v", e)
+		t.Errorf("history kept after a restart: %+v", e)
 	}
 }
 
-// How the cost of a request, and of an update of one endpoint, grows with the list.
+// BenchmarkEndpointCount measures how the cost of a request, and of an update of one endpoint,
+// grows with the endpoint list.
 func BenchmarkEndpointCount(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		replicas := func(s *Settings) { s.Replicas = max(2, n/10) }
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -2,107 +2,107 @@
 
 import "time"
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint as reported by discovery.
 type EndpointState int
 
-// Endpoint states. Only a Ready endpoint gets new attempts.
+// Endpoint states. Only a Ready endpoint receives new attempts.
 const (
 	Ready EndpointState = iota
 	Draining
 	Removed
 )
 
-// Endpoint is an entry of the endpoint list: one server that attempts can be sent to.
+// Endpoint is an entry of the endpoint list: a server that attempts can be sent to.
 type Endpoint struct {
 	ID        string
 	Zone      string
 	Cell      int
 	State     EndpointState
-	Weight    float64       // capacity in proportion to other endpoints', see Settings.WeightKind; 0: as 1
-	StartTime time.Duration // clock time of its process's start; 0: long ago
+	Weight    float64       // capacity relative to other endpoints, see Settings.WeightKind; zero counts as 1
+	StartTime time.Duration // clock time at which its process started; zero if it started long ago
 }
 
-// Result says how an attempt ended.
+// Result is the result of an attempt.
 type Result int
 
-// Results. Overloaded, Unreachable and NotSent prove that the attempt never ran.
+// Results of attempts. Overloaded, Unreachable and NotSent prove that the attempt was not executed.
 const (
 	Success        Result = iota
-	Failure               // an answer that reports an error
+	Failure               // the response reports an error
 	Overloaded            // the endpoint rejected the attempt
-	TimedOut              // no answer within Send.Timeout
-	Unreachable           // no connection
-	ConnectionLost        // the connection broke before the answer was complete
-	Cancelled             // by a Cancel, or because its client disconnected
-	NotSent               // given up by the host before anything was sent
+	TimedOut              // no response within Send.Timeout
+	Unreachable           // no connection could be established
+	ConnectionLost        // the connection was lost before the response was complete
+	Cancelled             // by a Cancel, or because the client disconnected
+	NotSent               // abandoned by the host before anything was sent
 )
 
-// provesNotExecuted reports whether an attempt with this result cannot have run.
+// provesNotExecuted reports whether an attempt with this result cannot have been executed.
 func (r Result) provesNotExecuted() bool {
 	return r == Overloaded || r == Unreachable || r == NotSent
 }
 
-// LoadReport is an endpoint's own report, late and noisy. Absent values are negative. No decision depends on
-// it.
+// LoadReport is an endpoint's own report of its load, which is delayed and noisy. Absent values are
+// negative. No decision depends on it.
 type LoadReport struct {
 	ActiveRequests float64
-	ServiceTime    time.Duration // recent, without waiting
+	ServiceTime    time.Duration // recent, excluding waiting time
 }
 
-// Event is something that happened: one of the types below.
+// Event is an input of the Balancer. Its implementations are the types below.
 type Event interface{ event() }
 
 type (
-	// EndpointUpdate brings a change of the endpoint list, or all of it.
+	// EndpointUpdate carries changes of the endpoint list, or the complete list.
 	EndpointUpdate struct {
-		Full      bool // the complete list: absent endpoints are removed. Otherwise only changed entries
-		Cached    bool // as last held before a restart, possibly out of date
+		Full      bool // the list is complete and absent endpoints are removed; otherwise it holds changes
+		Cached    bool // the list was stored before a restart and may be outdated
 		Endpoints []Endpoint
 	}
-	// SubscriptionFailed says that a Subscribe failed or that the subscription broke.
+	// SubscriptionFailed reports that a Subscribe failed or that the subscription was lost.
 	SubscriptionFailed struct{}
-	// Request is a client's request; the Balancer owes it one final answer by Deadline.
+	// Request is a client's request. It gets exactly one final response by Deadline.
 	Request struct {
 		ID            string
 		Class         string
 		Deadline      time.Duration // clock time
-		ClientRetry   bool          // the client marked it as a retry of its own
-		CostHint      time.Duration // expected work, as time on a standard core; 0: no hint
-		StreamingBody bool          // forwarded as it comes; the deadline runs from RequestBodySent
+		ClientRetry   bool          // marked by the client as a retry
+		CostHint      time.Duration // expected work, as time on a standard core; zero if there is no hint
+		StreamingBody bool          // forwarded while it is received; RequestBodySent then sets the deadline
 	}
-	// Outcome ends one attempt.
+	// Outcome reports the end of one attempt.
 	Outcome struct {
 		ID           string
 		Attempt      int    // number of the attempt, from 0
-		Endpoint     string // of the Send
+		Endpoint     string // the endpoint of the Send
 		Result       Result
-		Latency      time.Duration // as the host measured it; decisions use the time of the event
-		RequestDone  bool          // the request has its final answer
-		BodyConsumed bool          // a streaming body cannot be sent again
+		Latency      time.Duration // as measured by the host; decisions use the time of the event instead
+		RequestDone  bool          // the request has its final response
+		BodyConsumed bool          // the streaming body cannot be sent again
 		Load         *LoadReport
 	}
-	// RequestBodySent says that the last byte of a streaming body has gone out.
+	// RequestBodySent reports that the last byte of a streaming body has been sent.
 	RequestBodySent struct {
 		ID       string
 		Attempt  int
-		Deadline time.Duration // clock time by which the request must be answered
+		Deadline time.Duration // clock time by which the request needs its final response
 	}
-	// ResponseStarted says that the response is being forwarded to the client: no other attempt can
-	// answer the request from here on.
+	// ResponseStarted reports that the response of an attempt is being forwarded to the client.
+	// From then on, no other attempt can provide the response.
 	ResponseStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientDisconnected says that the client left; no answer is owed.
+	// ClientDisconnected reports that the client disconnected, so no final response is needed.
 	ClientDisconnected struct{ ID string }
-	// TimerFired says that a SetTimer came due.
+	// TimerFired reports that a timer requested by SetTimer fired.
 	TimerFired struct{ Token string }
-	// Reconfigure brings new settings, for requests that come from now on. Settings that New would
-	// reject change nothing.
+	// Reconfigure carries new settings for requests that arrive from now on. Settings that New
+	// would reject are ignored.
 	Reconfigure struct{ Settings Settings }
-	// Restore brings the Snapshot of an earlier process, taken Age ago, to a Balancer that knows no
-	// endpoint yet. A snapshot that is invalid, older than Settings.SnapshotMaxAge or of another tier
-	// changes nothing.
+	// Restore carries the Snapshot of an earlier process, taken Age ago. It is ignored if the
+	// Balancer already has endpoints, or if the snapshot is invalid, not younger than
+	// Settings.SnapshotMaxAge or of another tier.
 	Restore struct {
 		Snapshot Snapshot
 		Age      time.Duration
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,8 @@
 	"umberbank/balancer"
 )
 
-// One Balancer driven by hand: an endpoint list, a request, an attempt that never ran, and its retry.
+// A host passes an endpoint list, a request, an attempt that was not executed, and its retry to a
+// Balancer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, IdempotencyScope: balancer.ScopeAll,
--- a/balancer/helper_test.go
+++ b/balancer/helper_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings has one class of each effect.
+// testSettings returns settings with one class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -27,8 +27,8 @@
 	}
 }
 
-// newTestBalancer returns a Balancer with the test settings, changed by change unless that is nil. It knows no
-// endpoints yet.
+// newTestBalancer returns a Balancer without endpoints. Its settings are the test settings,
+// modified by change unless that is nil.
 func newTestBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -42,7 +42,8 @@
 	return b
 }
 
-// newServingBalancer returns a Balancer that has heard at the time 0 of so many endpoints.
+// newServingBalancer returns a Balancer that received a list with this number of endpoints at time
+// 0.
 func newServingBalancer(t testing.TB, endpoints int, change func(*Settings)) *Balancer {
 	t.Helper()
 	b := newTestBalancer(t, change)
@@ -50,7 +51,7 @@
 	return b
 }
 
-// testEndpoints returns n ready endpoints of two cells, named s00 and so on.
+// testEndpoints returns n ready endpoints in two cells, with the IDs s00, s01 and so on.
 func testEndpoints(n int) []Endpoint {
 	var endpoints []Endpoint
 	for i := range n {
@@ -59,7 +60,7 @@
 	return endpoints
 }
 
-// requestOf returns a request of a class that has no attempts.
+// requestOf returns a request of a class without attempts.
 func requestOf(b *Balancer, class string) *request {
 	return &request{class: b.classes.find(class)}
 }
@@ -75,13 +76,14 @@
 	return sends
 }
 
-// endFirstAttempt ends the first attempt of a request.
+// endFirstAttempt ends the first attempt of a request with this result.
 func endFirstAttempt(b *Balancer, now time.Duration, s Send, r Result) []Action {
 	return b.Handle(now, Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: r, RequestDone: r == Success})
 }
 
-// sendRequests sends n requests one after another; resultOf decides how attempts at an endpoint end. It returns
-// how many first attempts each endpoint got in the second half.
+// sendRequests sends n requests one after another. resultOf returns the result of an attempt at an
+// endpoint. The returned map contains the number of first attempts per endpoint in the second half
+// of the requests.
 func sendRequests(b *Balancer, n int, class string, resultOf func(endpoint string) Result) map[string]int {
 	firstAttempts := map[string]int{}
 	for i := range n {
@@ -100,5 +102,5 @@
 	return firstAttempts
 }
 
-// alwaysSucceed is a resultOf of sendRequests.
+// alwaysSucceed is a resultOf for sendRequests.
 func alwaysSucceed(string) Result { return Success }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// limitFloor is the least concurrency limit of b.
+// limitFloor returns the minimum concurrency limit of b.
 func limitFloor(b *Balancer) float64 { return minLimitPerEndpoint * b.endpoints.perReplica() }
 
-// attemptOf returns an attempt of a request of a class, sent at the time 0.
+// attemptOf returns an attempt of a request of a class, sent at time 0.
 func attemptOf(b *Balancer, class string) *attempt { return &attempt{request: requestOf(b, class)} }
 
-// Under overload the limit must fall, and never below its floor.
+// The limit must fall under overload, but not below its floor.
 func TestLimitFollowsLatency(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
@@ -35,20 +35,20 @@
 			}
 			limit := b.limiter.limit
 			if limit < limitFloor(b) {
-				t.Errorf("limit %.1f below its floor %.1f", limit, limitFloor(b))
+				t.Errorf("limit %.1f is below its floor %.1f", limit, limitFloor(b))
 			}
 			if c.grows && limit <= initial {
-				t.Errorf("limit %.1f from %.1f, want growth", limit, initial)
+				t.Errorf("limit %.1f, want above the initial %.1f", limit, initial)
 			}
 			if !c.grows && limit > limitFloor(b)+1 {
-				t.Errorf("limit %.1f after late answers, want about the floor %.1f", limit, limitFloor(b))
+				t.Errorf("limit %.1f after late responses, want about the floor %.1f", limit, limitFloor(b))
 			}
 		})
 	}
 }
 
-// Overload is judged by the baseline: an answer at half the latency objective is the work alone where it always
-// took so long, and overload where it took an eighth before.
+// Overload is relative to the baseline. A latency of half the objective is normal for requests that
+// always took that long, and indicates overload if they took an eighth of the objective before.
 func TestLimitComparesLatencyWithBaseline(t *testing.T) {
 	const initial = 40
 	limitAfter := func(before, after time.Duration) float64 {
@@ -69,16 +69,17 @@
 		return b.limiter.limit
 	}
 	if slowWork := limitAfter(250*ms, 250*ms); slowWork <= initial {
-		t.Errorf("slow work: limit %.1f from %d, want growth", slowWork, initial)
+		t.Errorf("slow requests: limit %.1f, want above the initial %d", slowWork, initial)
 	}
 	if overload := limitAfter(60*ms, 250*ms); overload >= initial {
-		t.Errorf("overload: limit %.1f from %d, want it lower", overload, initial)
+		t.Errorf("overload: limit %.1f, want below the initial %d", overload, initial)
 	}
 }
 
-// A thousand replicas with one attempt each are an overload: where there are many more replicas than endpoints, a
-// replica has less than one attempt in flight on the average, though two may be sent at once after a rest. An
-// attempt that timed out counts as well, for the endpoint may still be working on it.
+// A thousand replicas with one attempt each cause an overload. If there are many more replicas than
+// endpoints, a replica has less than one attempt in flight on average, but may send two at once
+// after an idle period. An attempt that timed out counts as well, because the endpoint may still be
+// processing it.
 func TestPacingBelowOneAttempt(t *testing.T) {
 	const latency, interval, requests = 300 * ms, 25 * ms, 1200
 	type timedSend struct {
@@ -89,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newServingBalancer(t, 10, func(s *Settings) { s.Replicas, s.MaxAttempts = 100, 1 })
 			var active []timedSend
-			var total time.Duration // of the times that attempts were active
+			var total time.Duration // total time for which attempts were active
 			most := 0
 			for i := range requests {
 				now := time.Duration(i) * interval
@@ -109,31 +110,32 @@
 			}
 			mean, floor := float64(total)/float64(requests*interval), limitFloor(b)
 			if mean > 1.25*floor || mean < 0.25*floor || most < 2 {
-				t.Errorf("%.2f attempts active on the average, %d at most, floor of the limit %.2f", mean, most, floor)
+				t.Errorf("%.2f active attempts on average, %d at most, limit floor %.2f", mean, most, floor)
 			}
 		})
 	}
 }
 
-// What was sent under a high limit does not delay attempts when the limit falls with the number of endpoints.
-func TestPacingForgetsHighLimit(t *testing.T) {
+// Attempts sent under a high limit do not delay others once the limit has fallen with the number of
+// endpoints.
+func TestPacingIgnoresChargesAtHighLimit(t *testing.T) {
 	b := newServingBalancer(t, 1, func(s *Settings) { s.MaxAttempts = 1 })
 	for i := range 400 {
 		now := time.Duration(i) * 5 * ms
 		b.limiter.limit = 3
 		request := Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}
 		for _, s := range sendsOf(b.Handle(now, request)) {
-			endFirstAttempt(b, now+ms, s, Failure) // before the mean latency that a send is charged with
+			endFirstAttempt(b, now+ms, s, Failure) // sooner than the mean latency that is charged for a Send
 		}
 	}
 	b.limiter.limit = 1
 	now := b.now + 100*ms
 	if len(sendsOf(b.Handle(now, Request{ID: "next", Class: "get", Deadline: now + time.Second}))) != 1 {
-		t.Errorf("a replica without active attempts keeps a request pending for %v", b.limiter.pacedUntil()-now)
+		t.Errorf("a replica without active attempts holds a request for %v", b.limiter.pacedUntil()-now)
 	}
 }
 
-// A lost connection does not show how loaded the endpoints are, however soon it was lost.
+// A lost connection does not indicate the load of the endpoints, regardless of when it was lost.
 func TestLostConnectionsKeepLimit(t *testing.T) {
 	const initial = 100
 	b := newTestBalancer(t, nil)
@@ -145,16 +147,17 @@
 		before := b.limiter.utilization
 		b.adjustLimit(a, ConnectionLost)
 		if b.limiter.utilization != before {
-			t.Fatalf("a lost connection took the utilization from %.2f to %.2f", before, b.limiter.utilization)
+			t.Fatalf("lost connection changed the utilization from %.2f to %.2f", before, b.limiter.utilization)
 		}
 	}
 	if b.limiter.limit != initial {
-		t.Errorf("limit %.1f from %d", b.limiter.limit, initial)
+		t.Errorf("limit %.1f, want the initial %d", b.limiter.limit, initial)
 	}
 }
 
-// Shedding must not hold the limit down: a lower limit sheds more, and the replica would stay at its floor long
-// after the overload. Neither must the difference between fast and slow machines.
+// Shedding must not lower the limit, because a lower limit sheds more requests and the replica
+// would stay at its floor long after the overload. Different speeds of endpoints must not lower it
+// either.
 func TestSheddingKeepsLimit(t *testing.T) {
 	const initial = 100
 	limitAfter := func(t *testing.T, shedRate, spread float64) float64 {
@@ -171,7 +174,7 @@
 			b.now, b.limiter.inFlight = 200*ms, int(b.limiter.limit)
 			b.adjustLimit(a, Success)
 			if b.limiter.utilization < 0.39 {
-				t.Fatalf("utilization fell to %.2f at answer %d", b.limiter.utilization, i)
+				t.Fatalf("utilization fell to %.2f at response %d", b.limiter.utilization, i)
 			}
 		}
 		return b.limiter.limit
@@ -180,14 +183,15 @@
 		t.Run(fmt.Sprint("spread ", spread), func(t *testing.T) {
 			none, much := limitAfter(t, 0, spread), limitAfter(t, 0.8, spread)
 			if none <= initial || much != none {
-				t.Errorf("limit from %d: %.1f with nothing shed, %.1f with much", initial, none, much)
+				t.Errorf("limit from %d: %.1f with nothing shed, %.1f at shed rate 0.8", initial, none, much)
 			}
 		})
 	}
 }
 
-// Requests differ, so a mean of few answers varies; the least of it must not pass for the baseline, or a steady
-// mean looks like overload half of the time and holds the limit at its floor.
+// The cost of requests varies, and so does a mean over few responses. Its minimum must not become
+// the baseline. Otherwise a steady mean looks like overload half of the time and keeps the limit at
+// its floor.
 func TestLimitToleratesVariance(t *testing.T) {
 	b := newTestBalancer(t, nil)
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(4)})
@@ -200,6 +204,6 @@
 		b.adjustLimit(a, Success)
 	}
 	if b.limiter.limit < 4*initial {
-		t.Errorf("steady work of uneven cost took the limit from %.1f to %.1f", initial, b.limiter.limit)
+		t.Errorf("steady load with varying cost changed the limit from %.1f to %.1f", initial, b.limiter.limit)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -8,46 +8,52 @@
 )
 
 const (
-	// endpointSmoothing is the weight of a new sample in a single endpoint's averages.
+	// endpointSmoothing is the weight of a new sample in the averages of a single endpoint.
 	endpointSmoothing = 0.25
-	// Error rate over all endpoints, before the first result and at the least.
+	// Initial and minimum error rate over all endpoints.
 	initialErrorRate = 0.02
 	minErrorRate     = 0.01
-	// maxCoincidence is the probability, at the error rate over all endpoints, above which a run of failures
-	// counts as coincidence.
-	maxCoincidence = 0.08
-	// slowRatio is how many times the expected latency makes an endpoint an outlier.
+	// failureRunSignificance is the significance level of a run of failures. A run ejects an
+	// endpoint if its probability, given the error rate over all endpoints, is lower.
+	failureRunSignificance = 0.08
+	// slowRatio is the ratio of an endpoint's latency to the expected latency above which it is an
+	// outlier.
 	slowRatio = 2.5
-	// minLatencySamples is how many latencies are needed before an endpoint can be called slow.
+	// minLatencySamples is the number of latencies that are required before an endpoint can be
+	// ejected as slow.
 	minLatencySamples = 3
-	// successesToLowerLevel is how many successes in a row lower the ejection level; two more lower it
-	// further.
+	// successesToLowerLevel is the number of consecutive successes that lower the ejection level.
+	// Every two further successes lower it again.
 	successesToLowerLevel = 3
-	// maxExcludedFraction is the share of the ready endpoints that may be excluded as outliers.
+	// maxExcludedFraction is the maximum share of the ready endpoints that are excluded as
+	// outliers.
 	maxExcludedFraction = 0.2
-	// ejectionLatencies is the length of a first ejection, and about that of a rejection limit, in mean
-	// latencies of the class.
+	// ejectionLatencies is the duration of a first ejection, and the average duration of a first
+	// rejection limit, in mean latencies of the class.
 	ejectionLatencies = 12
-	// maxEjectionLevel is how many times the length of an ejection, or of a rejection limit, is doubled.
+	// maxEjectionLevel is how many times the duration of an ejection, or of a rejection limit, is
+	// doubled at most.
 	maxEjectionLevel = 5
 )
 
-// outlierDetector finds endpoints that fail, are slow or do not respond, in comparison with the others.
+// outlierDetector detects endpoints that fail, are slow or do not respond, in comparison with the
+// others.
 //
-// An ejected endpoint gets no attempts until its ejection is over. Then one attempt at a time of a request
-// that may be repeated tries it; each further ejection lasts twice as long, until successes in a row lower
-// the level again.
+// An ejected endpoint receives no attempts until its ejection ends. It is then probed with one
+// attempt at a time, and only with requests that may be repeated. Each further ejection lasts twice
+// as long, until consecutive successes lower the ejection level.
 type outlierDetector struct {
-	errorRate   float64       // decayed share of failures among the results of all endpoints
-	lastSuccess time.Duration // of any endpoint
-	// suspects holds every endpoint that may have to be excluded: those with an awaited attempt, an ejection
-	// or an ejection level. A pick looks at these alone, as the list can have thousands of endpoints.
+	errorRate   float64       // moving average of the share of failures among the results of all endpoints
+	lastSuccess time.Duration // clock time of the last success of any endpoint
+	// suspects holds every endpoint that may have to be excluded: those with an awaited attempt, an
+	// ejection or an ejection level above zero. A pick checks only these, because the list can
+	// contain thousands of endpoints.
 	suspects []*endpoint
 }
 
 func newOutlierDetector() outlierDetector { return outlierDetector{errorRate: initialErrorRate} }
 
-// addSuspect keeps an endpoint among the suspects.
+// addSuspect adds an endpoint to the suspects unless it is already among them.
 func (d *outlierDetector) addSuspect(e *endpoint) {
 	if !e.suspect {
 		e.suspect = true
@@ -55,35 +61,38 @@
 	}
 }
 
-// ejected reports whether an endpoint gets no attempts now, whatever the request.
+// ejected reports whether an endpoint receives no attempts now, regardless of the request.
 func (d *outlierDetector) ejected(e *endpoint, now time.Duration) bool {
 	return now < e.ejectedUntil || d.unresponsive(e, now)
 }
 
-// unresponsive reports whether the oldest awaited attempt of an endpoint is overdue although other endpoints
-// answered later ones: a process that hangs shows nothing else until its attempts time out.
+// unresponsive reports whether the oldest awaited attempt of an endpoint is overdue although other
+// endpoints have responded in the meantime. When a process hangs, this is the only symptom until
+// its attempts time out.
 func (d *outlierDetector) unresponsive(e *endpoint, now time.Duration) bool {
 	if len(e.awaited) == 0 {
 		return false
 	}
 	oldest := e.awaited[0]
 	wait := time.Duration(oldest.request.class.overdueAfter())
-	answeredBy := oldest.sentAt + wait/2
-	return now-oldest.sentAt > wait && d.lastSuccess > answeredBy && e.lastSuccess < answeredBy
+	midpoint := oldest.sentAt + wait/2
+	return now-oldest.sentAt > wait && d.lastSuccess > midpoint && e.lastSuccess < midpoint
 }
 
-// isOutlier reports whether an endpoint must not get an attempt of a request now. After an ejection one
-// attempt at a time tries the endpoint, and never one of a request that cannot be repeated.
+// isOutlier reports whether an endpoint must not receive an attempt of a request now. After an
+// ejection, an endpoint is probed with one attempt at a time, and never with a request that cannot
+// be repeated.
 func (d *outlierDetector) isOutlier(e *endpoint, r *request, now time.Duration) bool {
 	if d.ejected(e, now) {
 		return true
 	}
-	onProbation := e.ejectionLevel > 0 && e.consecutiveSuccesses == 0
-	return onProbation && (r.class.Effect == NonIdempotent || e.activeAttempts > 0)
+	probing := e.ejectionLevel > 0 && e.consecutiveSuccesses == 0
+	return probing && (r.class.Effect == NonIdempotent || e.activeAttempts > 0)
 }
 
-// outliersFor returns the ready endpoints that are outliers for a request, the longest run of failures first,
-// then in the shared order. It drops endpoints that are no longer suspect.
+// outliersFor returns the ready endpoints that are outliers for a request, ordered by the number of
+// consecutive failures, highest first, and then by the shared order. It removes endpoints that no
+// longer have to be checked from the suspects.
 func (d *outlierDetector) outliersFor(r *request, now time.Duration) []*endpoint {
 	var outliers []*endpoint
 	kept := d.suspects[:0]
@@ -105,7 +114,7 @@
 	return outliers
 }
 
-// mayBecomeOutlier reports whether an endpoint must stay among the suspects.
+// mayBecomeOutlier reports whether an endpoint must remain among the suspects.
 func (e *endpoint) mayBecomeOutlier(now time.Duration) bool {
 	if !e.listed && e.activeAttempts == 0 {
 		return false
@@ -113,7 +122,8 @@
 	return len(e.awaited) > 0 || e.ejectionLevel > 0 || now < e.ejectedUntil
 }
 
-// eject excludes an endpoint for a time that doubles with its level.
+// eject excludes an endpoint for a duration that doubles with each ejection level. An ejection in
+// progress is not extended.
 func (d *outlierDetector) eject(e *endpoint, c *classState, now time.Duration) {
 	if now < e.ejectedUntil {
 		return
@@ -123,19 +133,19 @@
 	e.ejectionLevel = min(e.ejectionLevel+1, maxEjectionLevel)
 }
 
-// recordFailure adds a failure of an endpoint. Failures that all endpoints share come from what they depend
-// on, and ejecting for those would leave nobody: a run of failures ejects only if the error rate over all
-// endpoints makes it unlikely.
+// recordFailure records a failure of an endpoint. A run of failures ejects the endpoint only if the
+// error rate over all endpoints makes the run unlikely. Failures of all endpoints are caused by a
+// shared dependency, and ejecting for those would leave no endpoint.
 func (d *outlierDetector) recordFailure(e *endpoint, c *classState, now time.Duration) {
 	e.consecutiveFailures++
 	e.consecutiveSuccesses = 0
-	if math.Pow(d.errorRate, float64(e.consecutiveFailures)) < maxCoincidence {
+	if math.Pow(d.errorRate, float64(e.consecutiveFailures)) < failureRunSignificance {
 		d.eject(e, c, now)
 	}
 	d.updateErrorRate(1)
 }
 
-// recordSuccess adds a success of an endpoint.
+// recordSuccess records a success of an endpoint.
 func (d *outlierDetector) recordSuccess(e *endpoint, now time.Duration) {
 	d.lastSuccess, e.lastSuccess = now, now
 	e.consecutiveFailures, e.consecutiveRejections = 0, 0
@@ -147,14 +157,14 @@
 	d.updateErrorRate(0)
 }
 
-// updateErrorRate adds a sample: 1 for a failure, 0 for a success.
+// updateErrorRate adds a sample to the error rate: 1 for a failure, 0 for a success.
 func (d *outlierDetector) updateErrorRate(sample float64) {
 	d.errorRate += classSmoothing * (sample - d.errorRate)
 	d.errorRate = max(d.errorRate, minErrorRate)
 }
 
-// recordLatency compares a latency, in ns, with the expected one. An endpoint that is slow over several
-// attempts is ejected, so that others carry its load and it can recover.
+// recordLatency compares a latency, in ns, with the expected one. An endpoint that is slow over
+// several attempts is ejected, so that other endpoints take over its load and it can recover.
 func (b *Balancer) recordLatency(e *endpoint, r *request, latency float64) {
 	expected := b.expectedLatency(e, r)
 	e.slowness += endpointSmoothing * (math.Log(max(latency, 1)/expected) - e.slowness)
@@ -165,23 +175,24 @@
 	}
 }
 
-// expectedLatency is the mean latency of the request's class, corrected for the request's cost and for the
-// endpoint's weight, in ns.
+// expectedLatency returns the mean latency of the request's class, in ns, corrected for the cost of
+// the request and the weight of the endpoint.
 func (b *Balancer) expectedLatency(e *endpoint, r *request) float64 {
 	c := r.class
 	expected := c.meanLatency
 	if r.costHint > 0 && c.meanCost > 0 {
-		expected *= math.Sqrt(r.costHint / c.meanCost) // waiting does not grow with the work
+		expected *= math.Sqrt(r.costHint / c.meanCost) // waiting time does not grow with the cost
 	}
 	if weight := b.endpoints.weight(e); weight < b.endpoints.meanWeight {
-		expected *= b.endpoints.meanWeight / weight // a small machine is slower without a fault
+		expected *= b.endpoints.meanWeight / weight // a small machine is slower without being faulty
 	}
 	return expected
 }
 
-// excludedEndpoints returns the endpoints that a request must not go to as outliers. If many look faulty
-// to one node, the fault is likelier in the node itself or in what the endpoints depend on, and those left
-// would take all the load: only the worst are excluded.
+// excludedEndpoints returns the endpoints that are excluded as outliers for a request. If many
+// endpoints appear faulty to one node, the cause is more likely the node itself or a shared
+// dependency, and the remaining endpoints would have to take the whole load. Only the worst
+// outliers are therefore excluded.
 func (b *Balancer) excludedEndpoints(r *request) map[*endpoint]bool {
 	excluded := map[*endpoint]bool{}
 	outliers := b.outliers.outliersFor(r, b.now)
@@ -191,18 +202,19 @@
 	return excluded
 }
 
-// maxExcluded is how many endpoints may be excluded now. While load is shed it is fewer: every endpoint is
-// needed then, and timeouts show load rather than faults. Of three endpoints or more it is one at the least,
-// as long as less than half of the requests is shed: a share rounded down would never exclude any.
+// maxExcluded returns the number of endpoints that may be excluded now. It is lower while load is
+// shed, because every endpoint is needed then and timeouts indicate load rather than faults. With
+// three or more ready endpoints it is at least one while no more than half of the requests are
+// shed. A share that is rounded down would never exclude an endpoint of a short list.
 func (b *Balancer) maxExcluded() int {
 	admitted := 1 - b.queue.shedRate
 	ready := len(b.endpoints.ready)
-	least := math.Round(admitted * float64(min(1, ready/3)))
-	return int(max(least, maxExcludedFraction*admitted*float64(ready)))
+	minimum := math.Round(admitted * float64(min(1, ready/3)))
+	return int(max(minimum, maxExcludedFraction*admitted*float64(ready)))
 }
 
-// EjectedCount returns how many ready endpoints are excluded as outliers, whatever the request, at the
-// clock time now.
+// EjectedCount returns the number of ready endpoints that are excluded as outliers at the clock
+// time now, regardless of the request.
 func (b *Balancer) EjectedCount(now time.Duration) int {
 	b.now = max(b.now, now)
 	count := 0
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// An endpoint that fails at once has few active attempts; without ejection it would win every pick.
+// An endpoint that fails immediately has few active attempts and would win every pick without
+// ejection.
 func TestFastFailuresAreEjected(t *testing.T) {
 	for name, result := range map[string]Result{
 		"failure": Failure, "unreachable": Unreachable, "connection lost": ConnectionLost,
@@ -24,23 +25,24 @@
 				return Success
 			})
 			if got["s03"] > 10 {
-				t.Errorf("the faulty endpoint got %d of 300 first attempts", got["s03"])
+				t.Errorf("the faulty endpoint got %d of 300 first attempts, want at most 10", got["s03"])
 			}
 		})
 	}
 }
 
-// When all endpoints fail alike the fault is in what they depend on: none may be starved of attempts.
+// Failures of all endpoints are caused by a shared dependency. Most endpoints must still receive
+// attempts.
 func TestCommonFailuresEjectFew(t *testing.T) {
 	b := newServingBalancer(t, 10, nil)
 	got := sendRequests(b, 800, "get", func(string) Result { return Failure })
 	if len(got) < 8 {
-		t.Errorf("only %d of 10 endpoints are still used", len(got))
+		t.Errorf("only %d of 10 endpoints still receive attempts, want at least 8", len(got))
 	}
 }
 
-// A process that hangs shows nothing but an overdue attempt while others answer.
-func TestUnresponsiveEndpointPassedOver(t *testing.T) {
+// When a process hangs, the only symptom is an overdue attempt while other endpoints respond.
+func TestUnresponsiveEndpointSkipped(t *testing.T) {
 	b := newServingBalancer(t, 10, nil)
 	unanswered, now := 0, time.Duration(0)
 	for i := range 600 {
@@ -55,18 +57,19 @@
 		}
 	}
 	if unanswered == 0 || unanswered > 6 {
-		t.Errorf("the unresponsive endpoint holds %d attempts", unanswered)
+		t.Errorf("the unresponsive endpoint holds %d attempts, want 1 to 6", unanswered)
 	}
 }
 
-// An overdue attempt makes an endpoint unresponsive once attempts sent later were answered elsewhere, not before.
-func TestUnresponsiveNeedsAnswersElsewhere(t *testing.T) {
+// An overdue attempt makes an endpoint unresponsive only once other endpoints have responded to
+// later attempts.
+func TestUnresponsiveRequiresResponsesElsewhere(t *testing.T) {
 	b := newServingBalancer(t, 4, nil)
 	first := sendsOf(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0]
 	hanging := b.endpoints.byID[first.Endpoint]
 	b.Handle(5*time.Second, TimerFired{Token: "x"})
 	if b.outliers.unresponsive(hanging, b.now) {
-		t.Error("unresponsive although nothing was answered anywhere")
+		t.Error("endpoint is unresponsive although no other endpoint has responded")
 	}
 	now := 5 * time.Second
 	second := sendsOf(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
@@ -75,28 +78,29 @@
 		return
 	}
 	if !b.outliers.isOutlier(hanging, requestOf(b, "get"), b.now) {
-		t.Error("the hanging endpoint is no outlier")
+		t.Error("the hanging endpoint is not an outlier")
 	}
 	if b.outliers.unresponsive(b.endpoints.byID[second.Endpoint], b.now) {
-		t.Error("the endpoint that answered is taken for unresponsive")
+		t.Error("the endpoint that responded is unresponsive")
 	}
 }
 
-// After an ejection the first attempt must not be one of a request that cannot be repeated.
-func TestTrialAfterEjectionIsRepeatable(t *testing.T) {
+// An endpoint must not be probed with a request that cannot be repeated after an ejection.
+func TestProbeAfterEjectionIsRepeatable(t *testing.T) {
 	b := newServingBalancer(t, 10, nil)
 	e := b.endpoints.byID["s03"]
 	e.ejectionLevel, e.ejectedUntil = 1, 0
 	b.outliers.addSuspect(e)
 	if got := sendRequests(b, 400, "pay", alwaysSucceed); got["s03"] != 0 {
-		t.Errorf("an endpoint after its ejection got %d requests that are not idempotent", got["s03"])
+		t.Errorf("an endpoint received %d non-idempotent requests as probes after its ejection", got["s03"])
 	}
 	if got := sendRequests(b, 400, "get", alwaysSucceed); got["s03"] == 0 {
-		t.Error("the endpoint was never tried again")
+		t.Error("the endpoint was never probed")
 	}
 }
 
-// A small machine is slower without a fault, and must not be drawn less for it once more.
+// A small machine is slower without being faulty, so its low weight must not be applied a second
+// time as slowness.
 func TestLowWeightIsNotSlowness(t *testing.T) {
 	for kind, wantSlow := range map[WeightKind]bool{WeightNominal: false, WeightUnknown: true} {
 		t.Run(fmt.Sprint("kind ", kind), func(t *testing.T) {
@@ -116,13 +120,13 @@
 			}
 			slowness := max(b.endpoints.byID["s00"].slowness, b.endpoints.byID["s01"].slowness)
 			if slow := slowness > 0.3; slow != wantSlow {
-				t.Errorf("slowness %.2f, want it above 0.3: %v", slowness, wantSlow)
+				t.Errorf("slowness %.2f, want above 0.3: %v", slowness, wantSlow)
 			}
 		})
 	}
 }
 
-// Under overload every endpoint is needed: the more is shed, the fewer may be excluded.
+// Every endpoint is needed under overload, so fewer may be excluded while more requests are shed.
 func TestSheddingExcludesFewerEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		shedRate float64
@@ -137,13 +141,14 @@
 			}
 			b.queue.shedRate = c.shedRate
 			if got := len(b.excludedEndpoints(requestOf(b, "get"))); got != c.want {
-				t.Errorf("%d excluded, want %d", got, c.want)
+				t.Errorf("got %d excluded endpoints, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// Of a short list too an endpoint that fails at once can be excluded; of a list of two, or under overload, not.
+// One endpoint of a short list may be excluded, but none if the list has only two or most requests
+// are shed.
 func TestShortListExcludesOne(t *testing.T) {
 	for _, c := range []struct {
 		endpoints int
@@ -157,37 +162,39 @@
 				b.outliers.eject(e, b.classes.find("get"), b.now)
 			}
 			if got := len(b.excludedEndpoints(requestOf(b, "get"))); got != c.want {
-				t.Errorf("%d excluded, want %d", got, c.want)
+				t.Errorf("got %d excluded endpoints, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// Operators see how many endpoints are excluded as outliers, and no more than are.
+// EjectedCount returns the number of endpoints that are excluded as outliers, up to the number that
+// may be.
 func TestEjectedCount(t *testing.T) {
 	b := newServingBalancer(t, 10, nil)
 	if n := b.EjectedCount(0); n != 0 {
-		t.Errorf("%d at the start", n)
+		t.Errorf("got %d at the start, want 0", n)
 	}
 	for i, e := range b.endpoints.ready[:4] {
 		b.outliers.eject(e, b.classes.find("get"), b.now)
 		if n := b.EjectedCount(0); n != min(i+1, 2) {
-			t.Errorf("%d ejected, %d counted; 2 of 10 may be excluded", i+1, n)
+			t.Errorf("%d of 10 endpoints ejected: got a count of %d, want one each up to 2", i+1, n)
 		}
 	}
 	if n := b.EjectedCount(time.Hour); n != 0 {
-		t.Errorf("%d when every ejection is over", n)
+		t.Errorf("got %d after the end of all ejections, want 0", n)
 	}
 }
 
-// activeSend is an attempt whose outcome has not been given yet.
+// activeSend is an attempt whose outcome the Balancer has not received yet.
 type activeSend struct {
 	Send
 	attempt int
 }
 
-// Whatever happens, the suspects are all endpoints that a scan of the whole list would find, in the same order,
-// and none without a reason; and the ready endpoints are in the shared order, each once.
+// After every event, the suspects include exactly the endpoints that a scan of the whole list
+// finds, in the same order, and none without a reason. The ready endpoints are in the shared order
+// without duplicates.
 func TestSuspectsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(testSettings(), rapid.Uint64().Draw(t, "seed"))
@@ -213,7 +220,8 @@
 	})
 }
 
-// drawEvent draws a request, the outcome of an active attempt, or a change of an endpoint; nil: no event.
+// drawEvent draws a request, the outcome of an active attempt or a change of an endpoint. It
+// returns nil if it draws an outcome and no attempt is active.
 func drawEvent(t *rapid.T, now time.Duration, id string, endpoints []Endpoint, active *[]activeSend) Event {
 	switch rapid.IntRange(0, 5).Draw(t, "event") {
 	case 0, 1, 2:
@@ -252,7 +260,7 @@
 			return want[i].consecutiveFailures > want[j].consecutiveFailures
 		})
 		if got := b.outliers.outliersFor(r, b.now); !slices.Equal(got, want) {
-			t.Fatalf("%s: %d found of %d", class, len(got), len(want))
+			t.Fatalf("%s: got %d outliers, want %d in the same order", class, len(got), len(want))
 		}
 	}
 	for _, e := range b.outliers.suspects {
@@ -262,7 +270,7 @@
 	}
 }
 
-// checkSharedOrder compares the ready endpoints with a scan of all that are known.
+// checkSharedOrder compares the ready endpoints with a scan of all known endpoints.
 func checkSharedOrder(t *rapid.T, b *Balancer) {
 	ready := 0
 	for _, e := range b.endpoints.byID {
@@ -271,9 +279,9 @@
 		}
 	}
 	inOrder := slices.IsSortedFunc(b.endpoints.ready, func(x, y *endpoint) int {
-		return min(1, 2*b.endpoints.compare(x, y)+1) // equal ones count as out of order
+		return min(1, 2*b.endpoints.compare(x, y)+1) // equal endpoints count as unordered
 	})
 	if !inOrder || ready != len(b.endpoints.ready) {
-		t.Fatalf("%d endpoints in order (%v), %d are ready", len(b.endpoints.ready), inOrder, ready)
+		t.Fatalf("%d ready endpoints, sorted: %v, want %d sorted", len(b.endpoints.ready), inOrder, ready)
 	}
 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -1,6 +1,7 @@
 package balancer
 
-// selectEndpoint picks one of the candidates for the next attempt of a request; nil: there is none.
+// selectEndpoint picks one of the candidates for the next attempt of a request. It returns nil if
+// there are none.
 func (b *Balancer) selectEndpoint(r *request) *endpoint {
 	var first, second []*endpoint
 	for _, e := range b.candidates(r) {
@@ -13,9 +14,10 @@
 	return b.pick(first, second)
 }
 
-// pick is the two-choice rule: one endpoint is drawn uniformly from each group and the one with fewer
-// active attempts is picked. Equal counts above zero go to the first group; at zero the group is drawn by
-// the groups' sizes. If a group is empty, the draw from the other decides.
+// pick applies the power of two choices: one endpoint is drawn uniformly from each group, and the
+// one with fewer active attempts is picked. If both have the same number, the endpoint of the first
+// group is picked, except that idle endpoints are picked with probabilities proportional to the
+// sizes of their groups. If one group is empty, the endpoint drawn from the other is picked.
 func (b *Balancer) pick(first, second []*endpoint) *endpoint {
 	if len(first) == 0 || len(second) == 0 {
 		return b.draw(append(first, second...))
@@ -34,7 +36,7 @@
 	return y
 }
 
-// draw returns a uniformly drawn endpoint of a group; nil: the group is empty.
+// draw returns a uniformly drawn endpoint of a group, or nil if the group is empty.
 func (b *Balancer) draw(group []*endpoint) *endpoint {
 	if len(group) == 0 {
 		return nil
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -9,7 +9,7 @@
 
 const pickTrials = 20000
 
-// endpointsWith returns an endpoint for each count of active attempts.
+// endpointsWith returns one endpoint for each number of active attempts.
 func endpointsWith(activeAttempts ...int) []*endpoint {
 	var endpoints []*endpoint
 	for i, n := range activeAttempts {
@@ -42,12 +42,12 @@
 				}
 			}
 			if got := float64(fromFirst) / pickTrials; math.Abs(got-c.wantFirst) > 0.02 {
-				t.Errorf("share of the first group %.3f, want %.2f", got, c.wantFirst)
+				t.Errorf("share of the first group: got %.3f, want %.2f", got, c.wantFirst)
 			}
 		})
 	}
 	if b.pick(nil, nil) != nil {
-		t.Error("picked from nothing")
+		t.Error("got an endpoint from empty groups")
 	}
 	group, picks := endpointsWith(0, 0, 0, 0), map[*endpoint]int{}
 	for range pickTrials {
@@ -55,7 +55,7 @@
 	}
 	for _, e := range group {
 		if got := float64(picks[e]) / pickTrials; math.Abs(got-0.25) > 0.02 {
-			t.Errorf("uniform draw of four gave an endpoint %.3f", got)
+			t.Errorf("uniform draw from four endpoints: share of one is %.3f, want 0.25", got)
 		}
 	}
 }
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -1,30 +1,32 @@
 package balancer
 
 const (
-	// minClassArrivals is the decayed count of arrivals above which a class can be the one that is served
-	// worst.
+	// minClassArrivals is the decayed count of arrivals above which a class can be the worst-served
+	// one.
 	minClassArrivals = 1
-	// minTotal keeps a quotient finite.
-	minTotal = 1e-9
+	// minDivisor prevents divisions by zero.
+	minDivisor = 1e-9
 )
 
-// priority is the credit that answering a request earns per ns of an endpoint's time, so that load shedding
-// hits what earns least. The class that is served worst counts extra, so that no class starves.
+// priority returns the credit earned per ns of endpoint time by serving a request, so that load
+// shedding drops the requests that earn least. The worst-served class earns extra credit, so that
+// no class starves.
 func (b *Balancer) priority(r *request) float64 {
 	c := r.class
 	totalWeight, worst := b.classes.totalWeightAndWorst(c)
-	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minTotal)
+	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minDivisor)
 	if worst == c {
-		value += b.settings.WorstClassWeight / max(c.arrivals, minTotal)
+		value += b.settings.WorstClassWeight / max(c.arrivals, minDivisor)
 	}
-	if r.clientRetry { // its objective runs from the client's first try and is mostly over
+	if r.clientRetry { // most of its objective, which starts with the client's first try, has passed
 		value *= c.LateCredit
 	}
 	return value / c.meanLatency
 }
 
-// totalWeightAndWorst returns the priority weight of all recent arrivals, and the class with the least share
-// of answers in time. That is preferred if no class has a smaller share.
+// totalWeightAndWorst returns the total priority weight of recent arrivals, and the class with the
+// lowest share of responses within the latency objective. preferred is returned unless another
+// class has a lower share.
 func (t *classTable) totalWeightAndWorst(preferred *classState) (totalWeight float64, worst *classState) {
 	worst = preferred
 	for _, c := range t.ordered {
@@ -36,8 +38,8 @@
 	return totalWeight, worst
 }
 
-// highestPriority returns the request of the highest priority; of equal ones the last, which has most time
-// left.
+// highestPriority returns the request with the highest priority. Among equal ones it returns the
+// last, which has the most time left.
 func (b *Balancer) highestPriority(requests []*request) *request {
 	best := requests[0]
 	for _, r := range requests[1:] {
--- a/balancer/priority_test.go
+++ b/balancer/priority_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A retry by a client is mostly past its objective already: while capacity is scarce, first tries go first.
+// Most of the objective of a client's retry has passed, so first tries have priority while capacity
+// is scarce.
 func TestFirstTriesBeforeClientRetries(t *testing.T) {
 	b := newServingBalancer(t, 1, nil)
 	b.limiter.limit = 1
@@ -14,9 +15,9 @@
 	b.Handle(2*ms, Request{ID: "retry", Class: "get", Deadline: time.Second, ClientRetry: true})
 	b.classes.find("get").LateCredit = 0.5
 	b.limiter.inFlight = int(limitFloor(b)) + 2
-	b.limiter.limit = float64(b.limiter.inFlight) // the next answer makes room for one
+	b.limiter.limit = float64(b.limiter.inFlight) // the next response makes room for one request
 	next := sendsOf(endFirstAttempt(b, 10*ms, active, Success))
 	if len(next) == 0 || next[0].ID != "first try" {
-		t.Errorf("after an answer %v was sent", next)
+		t.Errorf("got %v after a response, want the first try", next)
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// randomHost drives a Balancer with random events, legal ones and odd ones: repeated timers and outcomes, requests
-// of an unknown class, and events for requests that were never made.
+// randomHost drives a Balancer with random events, both valid and invalid: repeated timers and
+// outcomes, requests of an unknown class, and events for requests that do not exist.
 type randomHost struct {
 	b         *Balancer
-	checker   *ruleChecker // nil: none
+	checker   *ruleChecker // may be nil
 	random    *rand.Rand
 	now       time.Duration
 	endpoints []Endpoint
 	active    []activeSendUntil
 	timers    []SetTimer
 	requests  []string        // IDs
-	done      map[string]bool // requests that have their final answer, as far as the host decides it
-	log       []string        // of all actions
+	done      map[string]bool // requests with a final response, as far as the host determines it
+	log       []string        // every action
 }
 
-// activeSendUntil is an attempt that ends at a time.
+// activeSendUntil is an attempt with the time at which it ends.
 type activeSendUntil struct {
 	activeSend
 	at       time.Duration
@@ -46,7 +46,7 @@
 	}
 }
 
-// run plays so many steps. No request comes in the last quarter, so that all can end.
+// run runs this number of steps. No request is sent in the last quarter, so that all can finish.
 func (h *randomHost) run(steps int) {
 	h.handle(EndpointUpdate{Full: true, Cached: true, Endpoints: slices.Clone(h.endpoints)})
 	for step := range steps {
@@ -68,7 +68,8 @@
 	}
 }
 
-// handle gives an event to the Balancer, logs its actions and plans what follows from them.
+// handle passes an event to the Balancer, logs its actions and schedules the events that follow
+// from them.
 func (h *randomHost) handle(event Event) {
 	if h.checker != nil {
 		h.checker.observeEvent(h.now, event)
@@ -81,15 +82,16 @@
 		h.log = append(h.log, fmt.Sprintf("%v %T%v", h.now, action, action))
 		switch a := action.(type) {
 		case Send:
-			h.planOutcome(a)
+			h.scheduleOutcome(a)
 		case SetTimer:
 			h.timers = append(h.timers, a)
 		}
 	}
 }
 
-// planOutcome draws when the attempt ends. One in eight times out whatever it takes.
-func (h *randomHost) planOutcome(s Send) {
+// scheduleOutcome draws the time at which the attempt ends. One in eight attempts times out
+// regardless of its latency.
+func (h *randomHost) scheduleOutcome(s Send) {
 	latency := time.Duration(h.random.ExpFloat64() * float64(120*ms))
 	a := activeSendUntil{activeSend: activeSend{s, len(h.b.requests[s.ID].attempts) - 1}, at: h.now + latency}
 	if h.random.IntN(8) == 0 || latency > s.Timeout {
@@ -98,7 +100,7 @@
 	h.active = append(h.active, a)
 }
 
-// fireTimers fires the timers that are due; one in twenty twice.
+// fireTimers fires the timers that are due, one in twenty of them twice.
 func (h *randomHost) fireTimers() {
 	for k := 0; k < len(h.timers); k++ {
 		timer := h.timers[k]
@@ -114,7 +116,7 @@
 	}
 }
 
-// endAttempts gives the outcomes that are due; one in ten twice.
+// endAttempts passes the outcomes that are due, one in ten of them twice.
 func (h *randomHost) endAttempts() {
 	for k := 0; k < len(h.active); k++ {
 		a := h.active[k]
@@ -134,7 +136,7 @@
 	}
 }
 
-// outcomeOf draws the result of an attempt; two in three of those that do not time out succeed.
+// outcomeOf draws the result of an attempt. Two in three attempts that do not time out succeed.
 func (h *randomHost) outcomeOf(a activeSendUntil) Outcome {
 	outcome := Outcome{ID: a.ID, Attempt: a.attempt, Endpoint: a.Endpoint, Result: Success}
 	if a.timesOut {
@@ -143,7 +145,7 @@
 		outcome.Result = Result(1 + h.random.IntN(int(NotSent)))
 	}
 	r := h.b.requests[a.ID]
-	if outcome.Result == Success || r == nil || r.answered {
+	if outcome.Result == Success || r == nil || r.finished {
 		h.done[a.ID] = true
 	}
 	outcome.RequestDone = h.done[a.ID]
@@ -151,13 +153,14 @@
 }
 
 func (h *randomHost) sendRequest(id string) {
-	class := []string{"get", "post", "pay", "odd"}[h.random.IntN(4)]
+	class := []string{"get", "post", "pay", "unknown"}[h.random.IntN(4)]
 	h.requests = append(h.requests, id)
 	timeout := time.Duration(1+h.random.IntN(1500)) * ms
 	h.handle(Request{ID: id, Class: class, Deadline: h.now + timeout})
 }
 
-// changeEndpoint changes or restarts an endpoint, and tells of it in one of the ways that discovery has.
+// changeEndpoint changes or restarts an endpoint and reports it in one of the ways in which
+// discovery does.
 func (h *randomHost) changeEndpoint() {
 	e := &h.endpoints[h.random.IntN(len(h.endpoints))]
 	e.State = EndpointState(h.random.IntN(3))
@@ -182,10 +185,10 @@
 }
 
 func (h *randomHost) handleUnknownRequest() {
-	h.handle(Outcome{ID: "nobody", Attempt: 3, Result: Success})
-	h.handle(TimerFired{Token: "r:nobody"})
+	h.handle(Outcome{ID: "unknown", Attempt: 3, Result: Success})
+	h.handle(TimerFired{Token: "r:unknown"})
 	h.handle(TimerFired{Token: "x"})
-	h.handle(ClientDisconnected{ID: "nobody"})
+	h.handle(ClientDisconnected{ID: "unknown"})
 }
 
 func (h *randomHost) disconnect(id string) {
@@ -209,21 +212,21 @@
 			if len(h.log) < 1000 {
 				t.Errorf("only %d actions", len(h.log))
 			}
-			checkNothingLeft(t, h.b)
+			checkNoLeaks(t, h.b)
 		})
 	}
 }
 
-// checkNothingLeft checks that a Balancer whose requests are all done holds nothing for them.
-func checkNothingLeft(t *testing.T, b *Balancer) {
+// checkNoLeaks checks that a Balancer holds no state of its requests once all are finished.
+func checkNoLeaks(t *testing.T, b *Balancer) {
 	t.Helper()
 	if len(b.requests) > 0 || len(b.queue.requests) > 0 || b.limiter.inFlight != 0 {
-		t.Errorf("%d requests, %d pending ones and %d attempts in flight are left", len(b.requests),
+		t.Errorf("%d requests, %d pending requests and %d attempts in flight remain", len(b.requests),
 			len(b.queue.requests), b.limiter.inFlight)
 	}
 	for id, e := range b.endpoints.byID {
 		if !e.listed || e.activeAttempts != 0 || len(e.awaited) != 0 {
-			t.Errorf("endpoint %s is left", id)
+			t.Errorf("endpoint %s is unlisted or has active attempts", id)
 		}
 	}
 }
@@ -235,17 +238,17 @@
 		return h.log
 	}
 	first := logOf()
-	other, err := New(testSettings(), 99) // another Balancer of the process changes nothing
+	other, err := New(testSettings(), 99) // another Balancer in the process has no effect
 	if err != nil {
 		t.Fatal(err)
 	}
 	other.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(3)})
 	second := logOf()
 	if len(first) < 500 {
-		t.Fatalf("only %d actions", len(first))
+		t.Fatalf("got only %d actions, want at least 500", len(first))
 	}
 	if strings.Join(first, "\n") != strings.Join(second, "\n") {
-		t.Fatal("the same events and seed gave other actions")
+		t.Fatal("the same events and seed produced different actions")
 	}
 }
 
@@ -262,7 +265,7 @@
 	})
 }
 
-// fuzzEvent returns the event that byte x, the one of number i, stands for.
+// fuzzEvent returns the event encoded by the byte x at index i.
 func fuzzEvent(now time.Duration, i int, x byte, endpoints []Endpoint) Event {
 	id := fmt.Sprint("r", x%5)
 	switch x % 7 {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// retryTimeoutFraction is the share of a class's longest timeout below which a request counts as a retry
-// by its client.
+// retryTimeoutFraction is the fraction of a class's longest timeout below which the timeout of a
+// request shows that it is a retry by its client.
 const retryTimeoutFraction = 0.95
 
-// request is an accepted request, kept until it is answered and its attempts have ended.
+// request is an accepted request. It is kept until it is finished and its attempts have ended.
 type request struct {
 	id              string
 	class           *classState
 	acceptedAt      time.Duration
-	firstTriedAt    time.Duration // when its client first tried, as far as is known
+	firstTriedAt    time.Duration // estimated time of the client's first try
 	deadline        time.Duration
-	maxAttempts     int     // by the settings when it was accepted; 0 once it cannot be sent again
-	costHint        float64 // in ns; 0: none
-	clientRetry     bool    // by mark or by its timeout
-	bodyPending     bool    // the last byte of its streaming body has not gone out
+	maxAttempts     int     // setting at the time of acceptance; zero once the request cannot be sent again
+	costHint        float64 // in ns; zero if there is no hint
+	clientRetry     bool    // marked by the client, or detected by the timeout
+	bodyPending     bool    // the last byte of the streaming body has not been sent
 	queued          bool    // it is in the pending queue
 	attempts        []*attempt
 	activeAttempts  int
 	responseStarted bool
-	answered        bool
-	timerAt         time.Duration // of the last timer that was set; 0: it came due
+	finished        bool
+	timerAt         time.Duration // time of the last timer that was set; zero once it has fired
 }
 
-// attempt is one send of a request to an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	request         *request
 	endpoint        *endpoint
 	number          int
-	sentAt          time.Duration // of the last byte of a streaming body
-	zone            string        // of the endpoint, when it was sent
-	cell            int           // likewise
+	sentAt          time.Duration // for a streaming body, the time of its last byte
+	zone            string        // of the endpoint at the time of sending
+	cell            int           // of the endpoint at the time of sending
 	responseStarted bool
 	ended           bool
-	notExecuted     bool // it is proven that it never ran
+	notExecuted     bool // the result proves that the attempt was not executed
 }
 
-// accept takes a client's request in hand. A request whose ID is in hand already is ignored.
+// accept registers and admits a request. A request whose ID is already registered is ignored.
 func (b *Balancer) accept(e Request) {
 	if b.requests[e.ID] != nil {
 		return
@@ -60,8 +60,9 @@
 	b.admit(r)
 }
 
-// detectClientRetry finds when the client first tried. Clients give all tries the same timeout unless the
-// class's deadline, which runs over all of them, ends sooner: a shorter timeout tells how much is over.
+// detectClientRetry estimates when the client first tried. Clients use the same timeout for every
+// try unless the deadline of the class, which covers all tries, is earlier. A shorter timeout
+// therefore shows how much of the deadline has passed.
 func (b *Balancer) detectClientRetry(r *request) {
 	timeout := r.deadline - b.now
 	r.class.longestTimeout = max(r.class.longestTimeout, timeout)
@@ -90,21 +91,22 @@
 	e.activeAttempts++
 	e.warmupBudget--
 	b.slowStart.recordSend(b.now, len(b.endpoints.ready))
-	if !r.bodyPending { // the endpoint has nothing to do before the last byte
+	if !r.bodyPending { // the endpoint cannot process the request before the last byte
 		b.awaitResponse(a)
 	}
 	b.limiter.charge(r.class, r.class.meanLatency, b.now)
-	b.do(Send{ID: r.id, Endpoint: e.ID, Timeout: max(r.deadline-b.now, b.settings.Tick)})
+	b.emit(Send{ID: r.id, Endpoint: e.ID, Timeout: max(r.deadline-b.now, b.settings.Tick)})
 }
 
-// awaitResponse counts an attempt as one that the endpoint works on.
+// awaitResponse counts an attempt as being processed by its endpoint.
 func (b *Balancer) awaitResponse(a *attempt) {
 	a.endpoint.awaited = append(a.endpoint.awaited, a)
 	b.outliers.addSuspect(a.endpoint)
 	b.limiter.inFlight++
 }
 
-// bodySent starts the time of a request whose body was streamed.
+// bodySent sets the deadline of a request whose streaming body has been sent. The time until then
+// does not count as latency.
 func (b *Balancer) bodySent(e RequestBodySent) {
 	a := b.activeAttempt(e.ID, e.Attempt)
 	if a == nil || !a.request.bodyPending {
@@ -118,8 +120,8 @@
 	b.awaitResponse(a)
 }
 
-// startResponse judges an attempt by the first bytes of its response: how long the rest takes is up to its
-// reader. The request's other attempts are cancelled.
+// startResponse records the result of an attempt when its response starts, because how long the
+// rest takes depends on the client that reads it. The other attempts of the request are cancelled.
 func (b *Balancer) startResponse(e ResponseStarted) {
 	a := b.activeAttempt(e.ID, e.Attempt)
 	if a == nil || a.responseStarted {
@@ -135,7 +137,8 @@
 	b.dispatchPending()
 }
 
-// endAttempt applies the outcome of an attempt, and retries or answers the request if no other is active.
+// endAttempt applies the outcome of an attempt. If no other attempt is active, the request is
+// retried or finished.
 func (b *Balancer) endAttempt(e Outcome) {
 	a := b.activeAttempt(e.ID, e.Attempt)
 	if a == nil {
@@ -158,17 +161,17 @@
 	switch {
 	case e.RequestDone:
 		b.finish(r)
-	case !r.answered && r.activeAttempts == 0:
-		b.retryOrAnswer(r)
+	case !r.finished && r.activeAttempts == 0:
+		b.retryOrFinish(r)
 	}
-	b.forgetFinished(r)
+	b.removeFinished(r)
 	b.dispatchPending()
 }
 
-// finishAwaiting learns from the end of the wait for a response, and no longer counts the attempt as one that
-// the endpoint works on.
+// finishAwaiting records the result of an attempt whose response is no longer awaited. The attempt
+// no longer counts as being processed by its endpoint.
 func (b *Balancer) finishAwaiting(a *attempt, result Result) {
-	// While an endpoint hangs, how long attempts wait there does not show how loaded the others are.
+	// While an endpoint hangs, the latency of its attempts does not show how loaded the others are.
 	unresponsive := b.outliers.unresponsive(a.endpoint, b.now)
 	if a.endpoint.stopAwaiting(a) {
 		if !unresponsive {
@@ -178,12 +181,12 @@
 	}
 	b.recordResult(a, result)
 	r := a.request
-	if result == Success && !r.answered && b.now <= r.firstTriedAt+r.class.LatencyObjective {
+	if result == Success && !r.finished && b.now <= r.firstTriedAt+r.class.LatencyObjective {
 		r.class.onTime++
 	}
 }
 
-// activeAttempt finds an attempt that has not ended; nil: there is none.
+// activeAttempt returns the attempt with this number, or nil if there is none or it has ended.
 func (b *Balancer) activeAttempt(id string, number int) *attempt {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
@@ -192,55 +195,56 @@
 	return r.attempts[number]
 }
 
-// cancel stops waiting for an attempt, if the host can.
+// cancel stops waiting for an attempt if the host supports cancellation.
 func (b *Balancer) cancel(a *attempt) {
 	if !a.ended && b.settings.Cancellation {
-		b.do(Cancel{ID: a.request.id, Attempt: a.number})
+		b.emit(Cancel{ID: a.request.id, Attempt: a.number})
 	}
 }
 
-// clientDisconnected ends a request without an answer.
+// clientDisconnected finishes a request without a final response.
 func (b *Balancer) clientDisconnected(e ClientDisconnected) {
 	if r := b.requests[e.ID]; r != nil {
 		b.finish(r)
 	}
 }
 
-// rejectOrFail gives a final answer without a response: a Reject where a retry by the client does no harm,
-// else a Fail. If a response is being forwarded, it is the answer.
+// rejectOrFail finishes a request with a Reject if a retry by the client is safe, otherwise with a
+// Fail. It has no effect if the response of an attempt is being forwarded.
 func (b *Balancer) rejectOrFail(r *request) {
-	if r.answered || r.responseStarted {
+	if r.finished || r.responseStarted {
 		return
 	}
 	if len(r.attempts) == 0 {
 		b.queue.recordShed()
 	}
 	if r.rejectable() {
-		// A client that is told to stay away for long comes back when its objective is mostly over, and its
-		// late answer takes the capacity of one in time. The concurrency limit keeps the load off instead.
-		b.do(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
+		// A client that is asked to wait long retries when most of its objective has passed, and
+		// its late response uses capacity that other requests need to meet theirs. The concurrency
+		// limit keeps the load low instead.
+		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
-		b.do(Fail{ID: r.id})
+		b.emit(Fail{ID: r.id})
 	}
 	b.finish(r)
 }
 
-// finish ends a request and cancels the attempts that are still active.
+// finish marks a request as finished and cancels its active attempts.
 func (b *Balancer) finish(r *request) {
-	if r.answered {
+	if r.finished {
 		return
 	}
-	r.answered = true
+	r.finished = true
 	b.queue.remove(r)
 	for _, a := range r.attempts {
 		b.cancel(a)
 	}
-	b.forgetFinished(r)
+	b.removeFinished(r)
 }
 
-// forgetFinished drops a request that is answered and has no active attempt.
-func (b *Balancer) forgetFinished(r *request) {
-	if r.answered && r.activeAttempts == 0 {
+// removeFinished deletes a request that is finished and has no active attempts.
+func (b *Balancer) removeFinished(r *request) {
+	if r.finished && r.activeAttempts == 0 {
 		delete(b.requests, r.id)
 	}
 }
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recordResult learns from the result of an attempt: the class's latency, the retry budget, and how its
-// endpoint does in comparison with the others.
+// recordResult updates what is measured with the result of an attempt: the latency of the class,
+// the retry budget and the history of the endpoint.
 func (b *Balancer) recordResult(a *attempt, result Result) {
 	e, c := a.endpoint, a.request.class
 	latency := float64(b.now - a.sentAt)
@@ -16,7 +16,7 @@
 	case Failure, ConnectionLost:
 		b.outliers.recordFailure(e, c, b.now)
 	case TimedOut:
-		b.limiter.charge(c, latency, b.now) // the endpoint may still be working on it
+		b.limiter.charge(c, latency, b.now) // the endpoint may still be processing the request
 		b.outliers.recordFailure(e, c, b.now)
 	case Overloaded, Unreachable:
 		b.recordRejection(e, c)
@@ -24,15 +24,16 @@
 		if latency > c.overdueAfter() {
 			b.recordLatency(e, a.request, latency)
 		}
-	case NotSent: // it shows nothing
+	case NotSent: // indicates nothing about the endpoint
 	}
 }
 
-// recordRejection limits an endpoint that rejected an attempt to the attempts that it had, for a time that
-// doubles with each rejection in a row. Rejections come at once, so the endpoint would else win every pick.
+// recordRejection limits an endpoint that rejected an attempt to the attempts that it still has,
+// for a duration that doubles with each consecutive rejection. Rejections arrive immediately, so
+// the endpoint would otherwise have the fewest active attempts and win every pick.
 func (b *Balancer) recordRejection(e *endpoint, c *classState) {
 	e.rejectionLimit = e.activeAttempts
-	jitter := 0.5 + b.random.Float64() // one on the average
+	jitter := 0.5 + b.random.Float64() // 1 on average
 	wait := time.Duration(jitter * ejectionLatencies * c.meanLatency)
 	e.rejectionLimitUntil = b.now + wait<<e.consecutiveRejections
 	e.consecutiveRejections = min(e.consecutiveRejections+1, maxEjectionLevel)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,19 +1,20 @@
 package balancer
 
 const (
-	// retryTokensPerSuccess is what a success adds to the retry budget.
+	// retryTokensPerSuccess is the number of tokens that a success adds to the retry budget.
 	retryTokensPerSuccess = 0.15
-	// retryCost is the cost of a retry; retryCostNotExecuted is that after an attempt that never ran.
+	// retryCost is the number of tokens that a retry costs, and retryCostNotExecuted the number
+	// after an attempt that was not executed.
 	retryCost            = 1.0
 	retryCostNotExecuted = 0.1
-	// maxRetryTokens is the most that can be saved up.
+	// maxRetryTokens is the capacity of the retry budget.
 	maxRetryTokens = 10
-	// initialRetryTokens is what a new budget holds.
+	// initialRetryTokens is the number of tokens in a new budget.
 	initialRetryTokens = maxRetryTokens / 2
 )
 
-// retryBudget bounds retries to a share of the successes. Without it the retries of every tier would multiply
-// the load of the tiers below.
+// retryBudget limits retries to a share of the successes. Without it, the retries of each tier
+// would multiply the load on the tiers below.
 type retryBudget struct {
 	tokens float64
 }
@@ -23,12 +24,12 @@
 // earn adds the tokens of a success.
 func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+retryTokensPerSuccess) }
 
-// retryOrAnswer decides what follows when no attempt of a request is active: a retry, if the class, the
-// budget and the time left allow one, or the final answer.
-func (b *Balancer) retryOrAnswer(r *request) {
+// retryOrFinish decides how a request without active attempts continues. It is retried if the
+// class, the budget and the time left allow it, and otherwise finished.
+func (b *Balancer) retryOrFinish(r *request) {
 	cost := r.retryCost()
 	timeLeft := float64(r.deadline - b.now)
-	tooLate := timeLeft < r.class.meanLatency/2 // an answer in time is not likely
+	tooLate := timeLeft < r.class.meanLatency/2 // a response before the deadline is unlikely
 	if tooLate || b.retries.tokens < cost || !b.retryAllowed(r) {
 		b.rejectOrFail(r)
 		return
@@ -42,7 +43,7 @@
 	b.send(r, e)
 }
 
-// retryCost is what the next attempt costs.
+// retryCost returns the cost of the next attempt in tokens.
 func (r *request) retryCost() float64 {
 	if r.attempts[len(r.attempts)-1].notExecuted {
 		return retryCostNotExecuted
@@ -50,9 +51,10 @@
 	return retryCost
 }
 
-// retryAllowed reports whether the class's effect and the number of attempts allow one more now.
+// retryAllowed reports whether the effect of the class and the number of attempts permit another
+// attempt now.
 func (b *Balancer) retryAllowed(r *request) bool {
-	if r.answered || r.responseStarted || len(r.attempts) >= r.maxAttempts {
+	if r.finished || r.responseStarted || len(r.attempts) >= r.maxAttempts {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -63,7 +65,7 @@
 	return true
 }
 
-// mayRepeat reports whether an attempt which may have run may be repeated now.
+// mayRepeat reports whether an attempt that may have been executed may be repeated now.
 func (b *Balancer) mayRepeat(a *attempt) bool {
 	c := a.request.class
 	switch c.Effect {
@@ -75,8 +77,8 @@
 	return true
 }
 
-// inScope reports whether an endpoint shares the idempotency keys of those that may have executed the
-// request.
+// inScope reports whether an endpoint shares the idempotency keys of all endpoints that may have
+// executed the request.
 func (r *request) inScope(e *endpoint) bool {
 	if r.class.Effect != WithIdempotencyKey {
 		return true
@@ -95,7 +97,7 @@
 	return true
 }
 
-// tried reports whether an attempt of the request has gone to the endpoint before.
+// tried reports whether an attempt of the request was sent to the endpoint.
 func (r *request) tried(e *endpoint) bool {
 	for _, a := range r.attempts {
 		if a.endpoint == e {
@@ -105,7 +107,7 @@
 	return false
 }
 
-// rejectable reports whether a Reject may promise that a retry by the client does no harm.
+// rejectable reports whether a Reject may promise the client that a retry is safe.
 func (r *request) rejectable() bool {
 	for _, a := range r.attempts {
 		if a.notExecuted {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each tier's retries multiply the next one's load: they are earned by successes, and what can be saved up is
-// bounded.
+// The retries of each tier multiply the load on the next one. They must be earned by successes, and
+// the budget must be bounded.
 func TestRetryBudget(t *testing.T) {
 	b := newServingBalancer(t, 4, func(s *Settings) { s.Tier = 1 })
 	sendRequests(b, 2000, "get", alwaysSucceed)
@@ -22,11 +22,12 @@
 		}
 	}
 	if retries < 5 || retries > maxRetryTokens {
-		t.Errorf("%d retries of 200 failed requests, want 5 to %d", retries, maxRetryTokens)
+		t.Errorf("got %d retries of 200 failed requests, want 5 to %d", retries, maxRetryTokens)
 	}
 }
 
-// A request with an idempotency key that may have run is not sent again once the key may be forgotten.
+// A request with an idempotency key that may have been executed is not retried once the key may
+// have expired.
 func TestIdempotencyWindowLimitsRetries(t *testing.T) {
 	for _, c := range []struct {
 		failedAt time.Duration
@@ -36,7 +37,7 @@
 			b := newServingBalancer(t, 8, nil)
 			s := sendsOf(b.Handle(0, Request{ID: "k", Class: "post", Deadline: 1500 * ms}))[0]
 			if got := len(sendsOf(endFirstAttempt(b, c.failedAt, s, Failure))); got != c.want {
-				t.Errorf("%d retries, want %d", got, c.want)
+				t.Errorf("got %d retries, want %d", got, c.want)
 			}
 		})
 	}
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// ruleChecker follows the events given to one Balancer and its actions, and notes every violation of these rules:
+// ruleChecker observes the events passed to one Balancer and its actions, and records each violation of these
+// rules:
 //
-//  1. Every request has one final answer, by its deadline, and no attempt after it.
+//  1. Every request has one final response, by its deadline, and no attempt after it.
 //  2. A request is sent again, or rejected, only as its effect allows.
-//  3. Attempts go to endpoints that are ready.
+//  3. Attempts are sent only to ready endpoints.
 //
 // It shares no code with the package.
 type ruleChecker struct {
 	settings   Settings
-	slack      time.Duration // by which an answer may come late
+	slack      time.Duration // by which a final response may be late
 	endpoints  map[string]Endpoint
 	requests   map[string]*checkedRequest
 	violations []string
@@ -53,7 +54,7 @@
 	return !a.ended || (a.result != Overloaded && a.result != Unreachable && a.result != NotSent)
 }
 
-// mayRepeat reports whether the request may be executed anywhere any number of times.
+// repeatable reports whether the request may be executed any number of times at any endpoint.
 func (r *checkedRequest) repeatable() bool {
 	return r.class.Effect == Idempotent ||
 		r.class.Effect == WithIdempotencyKey && r.class.IdempotencyScope == ScopeAll
@@ -76,7 +77,7 @@
 	}
 	for id, r := range c.requests {
 		if !r.done && now > r.deadline+c.slack {
-			c.violation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			c.violation("rule 1: %s has no final response %v after its deadline", id, now-r.deadline)
 			r.done = true
 		}
 	}
@@ -94,7 +95,7 @@
 	}
 }
 
-// classOf returns the class of a name; an unknown one is not idempotent.
+// classOf returns the class with this name. An unknown class is not idempotent.
 func (c *ruleChecker) classOf(name string) Class {
 	for _, class := range c.settings.Classes {
 		if class.Name == name {
@@ -124,7 +125,7 @@
 		case Reject:
 			c.observeReject(a)
 		case Fail:
-			c.observeFinalAnswer(a.ID)
+			c.observeFinalResponse(a.ID)
 		case Cancel:
 			c.observeCancel(a)
 		}
@@ -132,31 +133,32 @@
 }
 
 func (c *ruleChecker) observeReject(a Reject) {
-	r := c.observeFinalAnswer(a.ID)
+	r := c.observeFinalResponse(a.ID)
 	if r == nil || r.repeatable() {
 		return
 	}
 	for _, attempt := range r.attempts {
 		if attempt.mayHaveExecuted() {
-			c.violation("rule 2: %s rejected though it may have run", a.ID)
+			c.violation("rule 2: %s rejected although it may have been executed", a.ID)
 		}
 	}
 }
 
 func (c *ruleChecker) observeCancel(a Cancel) {
 	if r := c.requests[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-		c.violation("cancel of an attempt never made")
+		c.violation("cancel of an attempt that does not exist")
 	}
 	if !c.settings.Cancellation {
-		c.violation("cancel is not allowed")
+		c.violation("cancel without support for cancellation")
 	}
 }
 
-// observeFinalAnswer returns the request that is answered; nil: none should be.
-func (c *ruleChecker) observeFinalAnswer(id string) *checkedRequest {
+// observeFinalResponse returns the request that is finished, or nil if no final response is
+// allowed.
+func (c *ruleChecker) observeFinalResponse(id string) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.done {
-		c.violation("rule 1: final answer for %s, which is done or unknown", id)
+		c.violation("rule 1: final response for %s, which is done or unknown", id)
 		return nil
 	}
 	r.done = true
@@ -177,7 +179,7 @@
 	}
 	for _, a := range r.attempts {
 		if !a.ended && !c.settings.Hedging {
-			c.violation("hedged request of %s", s.ID)
+			c.violation("request %s hedged although hedging is disabled", s.ID)
 		}
 		if a.mayHaveExecuted() {
 			c.checkRepeat(now, r, a, s)
@@ -186,11 +188,11 @@
 	r.attempts = append(r.attempts, &checkedAttempt{endpoint: s.Endpoint, sentAt: now})
 }
 
-// checkRepeat checks that a request may be sent although an earlier attempt may have executed it.
+// checkRepeat checks that a request may be sent although an earlier attempt may have been executed.
 func (c *ruleChecker) checkRepeat(now time.Duration, r *checkedRequest, earlier *checkedAttempt, s Send) {
 	switch r.class.Effect {
 	case NonIdempotent:
-		c.violation("rule 2: %s sent again though it is not idempotent", s.ID)
+		c.violation("rule 2: %s sent again although it is not idempotent", s.ID)
 	case WithIdempotencyKey:
 		if now > earlier.sentAt+r.class.IdempotencyWindow {
 			c.violation("rule 2: %s sent again outside its window", s.ID)
@@ -203,7 +205,7 @@
 	}
 }
 
-// TestRuleCheckerFindsViolations gives the checker traces that break each rule.
+// TestRuleCheckerFindsViolations passes sequences that violate each rule to the checker.
 func TestRuleCheckerFindsViolations(t *testing.T) {
 	update := EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
@@ -212,17 +214,17 @@
 	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
 	for _, c := range []struct {
 		want  string
-		steps []any // events, actions, and times from which on the next ones come
+		steps []any // events, actions, and the times of the steps that follow
 	}{
-		{"rule 1: r has no answer", []any{update, request("get"), 2 * time.Second, TimerFired{}}},
-		{"rule 1: final answer", []any{update, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: r has no final response", []any{update, request("get"), 2 * time.Second, TimerFired{}}},
+		{"rule 1: final response", []any{update, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: sent r, which is done", []any{update, request("get"), Fail{ID: "r"}, send("a")}},
-		{"though it is not idempotent", []any{update, request("pay"), send("a"), timedOut, send("a")}},
+		{"although it is not idempotent", []any{update, request("pay"), send("a"), timedOut, send("a")}},
 		{"rule 2: r rejected", []any{update, request("pay"), send("a"), timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{update, request("post"), send("a"), 950 * ms, timedOut, send("a")}},
 		{"outside its scope", []any{update, request("post"), send("a"), timedOut, send("b")}},
 		{"rule 3", []any{update, request("get"), send("c")}},
-		{"never made", []any{update, request("get"), Cancel{ID: "r", Attempt: 0}}},
+		{"does not exist", []any{update, request("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			checker := newRuleChecker(testSettings())
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Effect says what happens when a request is executed more than once.
+// Effect states whether a request may be executed more than once.
 type Effect int
 
 // Effects. The zero value is the most restrictive one.
 const (
-	NonIdempotent      Effect = iota // must never run twice
-	WithIdempotencyKey               // endpoints of one scope discard duplicates for a while
-	Idempotent                       // may run any number of times
+	NonIdempotent      Effect = iota // must not be executed twice
+	WithIdempotencyKey               // endpoints of one scope discard duplicates for a limited time
+	Idempotent                       // may be executed any number of times
 )
 
-// IdempotencyScope names the endpoints that share the idempotency keys they have seen.
+// IdempotencyScope states which endpoints share the idempotency keys that they receive.
 type IdempotencyScope int
 
-// Scopes, from the narrowest.
+// Scopes, from the narrowest to the widest.
 const (
 	ScopeCell IdempotencyScope = iota // endpoints of one cell of one zone
 	ScopeZone                         // endpoints of one zone
@@ -29,73 +29,74 @@
 type Class struct {
 	Name              string
 	Effect            Effect
-	IdempotencyScope  IdempotencyScope // for WithIdempotencyKey
-	IdempotencyWindow time.Duration    // for WithIdempotencyKey: how long keys are kept, from the first send
-	LatencyObjective  time.Duration    // answers within it earn full credit
-	Deadline          time.Duration    // how long a client waits over all its retries
-	LateCredit        float64          // share of the credit that an answer after the objective earns
-	PriorityWeight    float64          // credit of an answer in time; more is served first under overload
-	Streaming         bool             // answers are streams; no decision depends on it
+	IdempotencyScope  IdempotencyScope // used with WithIdempotencyKey
+	IdempotencyWindow time.Duration    // used with WithIdempotencyKey: lifetime of keys since the first send
+	LatencyObjective  time.Duration    // responses within it earn full credit
+	Deadline          time.Duration    // how long a client waits in total, including its retries
+	LateCredit        float64          // fraction of the credit that a response after the objective earns
+	PriorityWeight    float64          // credit within the objective; more is served first under overload
+	Streaming         bool             // responses are streams; no decision depends on it
 }
 
-// WeightKind says what Endpoint.Weight means.
+// WeightKind states what Endpoint.Weight means.
 type WeightKind int
 
 // Meanings of Endpoint.Weight.
 const (
-	WeightUnknown     WeightKind = iota // nothing
-	WeightNominal                       // the registered capacity
-	WeightApproximate                   // about the capacity
-	WeightLive                          // capacity over load, some time ago
+	WeightUnknown     WeightKind = iota // unspecified; weights are ignored
+	WeightNominal                       // registered capacity
+	WeightApproximate                   // approximate capacity
+	WeightLive                          // capacity divided by load, delayed; weights are ignored
 )
 
-// SlowStart describes how an endpoint warms up after its start, and what overloads it meanwhile.
+// SlowStart describes how an endpoint warms up after its start, and which load it tolerates
+// meanwhile.
 type SlowStart struct {
-	InitialFraction  float64       // fraction of its capacity that a fresh endpoint has at least
+	InitialFraction  float64       // minimum fraction of its capacity that an endpoint has at its start
 	Duration         time.Duration // time from its start to its full capacity
-	OverloadMultiple float64       // times its present capacity that overloads a warming endpoint
-	OverloadWindow   time.Duration // how long it bears such load before it fails
+	OverloadMultiple float64       // multiple of its current capacity that overloads it meanwhile
+	OverloadWindow   time.Duration // how long it tolerates such a load before it fails
 }
 
-// Settings configure a Balancer. Reconfigure replaces them.
+// Settings configures a Balancer. A Reconfigure event replaces the settings.
 type Settings struct {
 	Classes          []Class
-	Replicas         int     // balancers that send to this tier
-	ReplicaIndex     int     // of this one among them, from 0
-	Tier             int     // the tier sent to; 0: the one that clients' requests reach first
-	TotalValueWeight float64 // weight of the credit earned over all classes when shedding load
-	WorstClassWeight float64 // weight of the class that is served worst when shedding load
-
-	MaxAttempts   int  // attempts of a request; 0 counts as 1
-	Hedging       bool // no effect; kept for the form of the settings
-	Cancellation  bool // the host can carry out a Cancel
+	Replicas         int     // number of balancers that send to this tier
+	ReplicaIndex     int     // index of this balancer among them, from 0
+	Tier             int     // tier that requests are sent to; zero is the first
+	TotalValueWeight float64 // weight of the total credit of all classes in load shedding
+	WorstClassWeight float64 // weight of the worst-served class in load shedding
+
+	MaxAttempts   int  // maximum number of attempts of a request; zero counts as 1
+	Hedging       bool // has no effect; kept for compatibility of the settings
+	Cancellation  bool // the host supports Cancel
 	WeightKind    WeightKind
-	PollDiscovery bool          // the endpoint list comes only after a Subscribe
-	PollInterval  time.Duration // a replica without a subscription must ask at least this often
-	Tick          time.Duration // resolution of the host's clock: events come no more often
-	MaxRetryAfter time.Duration // longest advice that clients heed
+	PollDiscovery bool          // the endpoint list is sent only after a Subscribe
+	PollInterval  time.Duration // longest time between requests for the endpoint list without a subscription
+	Tick          time.Duration // resolution of the host's clock, which limits how often events arrive
+	MaxRetryAfter time.Duration // longest RetryAfter that clients respect
 
 	SlowStart      SlowStart
-	SnapshotMaxAge time.Duration // an older snapshot is ignored; 0: nothing is restored
+	SnapshotMaxAge time.Duration // a snapshot of this age or older is ignored; zero if nothing is restored
 }
 
-// SettingError reports that a setting is missing or out of range.
+// SettingError reports a setting that is missing or out of range.
 type SettingError struct {
 	Field string // path of the field in Settings, such as Classes[0].Deadline
 }
 
-// Error names the setting.
+// Error returns a message that names the field.
 func (e *SettingError) Error() string {
 	return "balancer: setting " + e.Field + " is missing or out of range"
 }
 
-// settingCheck is the result of checking one field.
+// settingCheck is the result of validating one field.
 type settingCheck struct {
 	field string
 	valid bool
 }
 
-// Validate returns a *SettingError that names the first invalid setting, or nil.
+// Validate returns a *SettingError for the first invalid field, or nil if all fields are valid.
 func (s Settings) Validate() error {
 	checks := []settingCheck{
 		{"Classes", len(s.Classes) > 0},
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// checks checks the class's fields; path names the class.
+// checks validates the fields of the class. path is the path of the class in Settings.
 func (c Class) checks(path string) []settingCheck {
 	return []settingCheck{
 		{path + ".Name", c.Name != ""},
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// warmupBudgetFraction is the share that replicas may use, on the average, of the attempts that overload an
-// endpoint which is warming up. The rest is for variance.
+// warmupBudgetFraction is a share of the number of attempts that would overload an endpoint while it
+// is warming up. All replicas together may send it that share on average. The rest is a margin for
+// variance.
 const warmupBudgetFraction = 0.67
 
-// slowStart limits the attempts at endpoints that are warming up. While enough others are warm, such an
-// endpoint is drawn in proportion to its warm-up fraction. While warm capacity is scarce, a budget bounds
-// what all replicas together send to it; the budget is reckoned from how many attempts a warm endpoint has
-// had from this replica.
+// slowStart limits the attempts sent to endpoints that are warming up. While enough other endpoints
+// are warm, such an endpoint is sampled in proportion to its warm-up fraction. While warm capacity
+// is scarce, a budget limits what all replicas together send to it. The budget is derived from the
+// number of attempts that a warm endpoint has received from this replica.
 type slowStart struct {
 	settings *Settings
 
-	// Decayed over about SlowStart.Duration, as of updatedAt. They stand still while warm capacity is
-	// scarce: what endpoints are spared then says nothing about what they can bear.
+	// The following averages decay with SlowStart.Duration as the time constant, as of updatedAt.
+	// They are not updated while warm capacity is scarce, because the reduced load then does not
+	// show how much the endpoints can handle.
 	sends            float64 // attempts sent by this replica
 	sendsPerEndpoint float64
-	span             float64 // the time that they were sent in, in ns
+	span             float64 // time within which they were sent, in ns
 	updatedAt        time.Duration
 
-	scarce bool // at the last selection; see warmCapacityScarce
+	scarce bool // last result of warmCapacityScarce
 }
 
-// warmFraction is the fraction of its capacity that an endpoint surely has at the clock time now.
+// warmFraction returns the minimum fraction of its capacity that an endpoint has at the clock time
+// now.
 func (s *slowStart) warmFraction(e *endpoint, now time.Duration) float64 {
 	rule := s.settings.SlowStart
 	age := now - e.StartTime
@@ -37,7 +40,7 @@
 	return rule.InitialFraction + (1-rule.InitialFraction)*elapsed
 }
 
-// recordSend counts an attempt that is sent while there are so many ready endpoints.
+// recordSend records an attempt that is sent while this number of endpoints is ready.
 func (s *slowStart) recordSend(now time.Duration, ready int) {
 	if !s.scarce {
 		s.decay(now)
@@ -47,7 +50,7 @@
 	s.updatedAt = now
 }
 
-// decay lets older attempts fade until now.
+// decay applies the decay since updatedAt.
 func (s *slowStart) decay(now time.Duration) {
 	if s.sends == 0 {
 		return
@@ -59,41 +62,45 @@
 	s.span = s.span*retained + window*(1-retained)
 }
 
-// drawWarm reports true with the probability of an endpoint's warm-up fraction. While it is warming up it
-// gets one own attempt at a time: many replicas that each send a little overload it together.
-func (b *Balancer) drawWarm(e *endpoint) bool {
+// sampleByWarmup reports true with a probability equal to the endpoint's warm-up fraction. An
+// endpoint that is warming up gets one attempt at a time from this replica, because many replicas
+// that each send a few attempts would together overload it.
+func (b *Balancer) sampleByWarmup(e *endpoint) bool {
 	fraction := b.slowStart.warmFraction(e, b.now)
 	return fraction == 1 || (e.activeAttempts == 0 && b.random.Float64() < fraction)
 }
 
-// warmCapacityScarce reports whether draws by warm-up fraction would overload endpoints that are warming up.
+// warmCapacityScarce reports whether sampling by warm-up fraction would overload endpoints that are
+// warming up.
 //
-// Within OverloadWindow an endpoint bears N = OverloadMultiple x fraction x capacity x OverloadWindow
-// attempts. The capacity that is known of a warm endpoint is what it has had of this replica's attempts. If
-// fewer endpoints are warm than when that was measured, one that is warming up gets more than its fraction of
-// that; this is accepted up to warmupBudgetFraction x N.
+// Within OverloadWindow, an endpoint can handle N = OverloadMultiple x fraction x capacity x
+// OverloadWindow attempts. The known capacity of a warm endpoint is the number of attempts that it
+// has received from this replica. If fewer endpoints are warm than when that was measured, an
+// endpoint that is warming up receives more than its fraction of that number. This is accepted up to
+// warmupBudgetFraction x N.
 func (b *Balancer) warmCapacityScarce() bool {
 	subset, ready := len(b.endpoints.subset), len(b.endpoints.ready)
 	rule := b.settings.SlowStart
-	capacity := 0.0 // of the list, in warm endpoints
+	capacity := 0.0 // of the whole list, in warm endpoints
 	for _, e := range b.endpoints.subset {
 		capacity += b.slowStart.warmFraction(e, b.now)
 	}
 	someWarmingUp := capacity < float64(subset)
 	capacity *= float64(ready) / float64(max(1, subset))
-	bearable := warmupBudgetFraction * rule.OverloadMultiple * capacity * b.slowStart.sendsPerEndpoint
-	b.slowStart.scarce = someWarmingUp && rule.OverloadWindow > 0 && bearable < b.slowStart.sends
+	maxSends := warmupBudgetFraction * rule.OverloadMultiple * capacity * b.slowStart.sendsPerEndpoint
+	b.slowStart.scarce = someWarmingUp && rule.OverloadWindow > 0 && maxSends < b.slowStart.sends
 	return b.slowStart.scarce
 }
 
-// withinWarmupBudget bounds what all replicas together send to an endpoint that is warming up while warm
-// capacity is scarce.
+// withinWarmupBudget limits what all replicas together send to an endpoint that is warming up while
+// warm capacity is scarce.
 //
-// Every OverloadWindow a replica is granted its part of warmupBudgetFraction x N attempts, with N as in
-// warmCapacityScarce; a fraction of an attempt is granted with that probability. Any OverloadWindow meets two
-// grants at most. Where endpoints were used to three quarters of their capacity, the grants of all replicas
-// make N attempts on the average, with a variance under N, however many replicas there are and whichever of
-// them have the requests.
+// In every OverloadWindow, a replica is granted its share of warmupBudgetFraction x N attempts,
+// where N is defined at warmCapacityScarce. A fraction of an attempt is granted with the
+// corresponding probability. Any interval of length OverloadWindow overlaps at most two grants. If
+// endpoints were used to three quarters of their capacity, the overlapping grants of all replicas
+// amount to N attempts on average, with a variance below N, regardless of the number of replicas
+// and of which of them receive the requests.
 func (b *Balancer) withinWarmupBudget(e *endpoint, c *classState) bool {
 	if b.now >= e.warmupBudgetUntil {
 		window := b.settings.SlowStart.OverloadWindow
@@ -103,10 +110,11 @@
 	return e.warmupBudget > 0
 }
 
-// warmupCapacity is how many attempts of this replica an endpoint that is warming up bears within
-// OverloadWindow. A warm endpoint bore what this replica has sent to it, next to what others sent. A replica
-// that has sent hardly anything assumes that an endpoint serves one request at a time for all replicas
-// together. As only some replicas have the endpoint in their subset, each of them may use more.
+// warmupCapacity returns the number of attempts of this replica that an endpoint that is warming up
+// can handle within OverloadWindow. A warm endpoint could handle what this replica has sent to it
+// in addition to the attempts of others. A replica that has sent almost nothing assumes that an
+// endpoint processes one request at a time for all replicas together. Only some replicas have the
+// endpoint in their subset, so each of them may use more.
 func (b *Balancer) warmupCapacity(e *endpoint, c *classState) float64 {
 	rule := b.settings.SlowStart
 	window := float64(rule.OverloadWindow)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// A deployment can leave a replica with a subset of endpoints that are all warming up: while the list has warm ones
-// it must go there, as otherwise all replicas that share the subset overload it.
-func TestWarmEndpointsBeyondSubsetBeforeWarmingUp(t *testing.T) {
+// During a deployment, all endpoints of a replica's subset can be warming up. While the list has
+// warm endpoints, these must be used. Otherwise the replicas that share the subset overload it
+// together.
+func TestWarmEndpointsOutsideSubsetPreferred(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.Replicas, s.SlowStart.InitialFraction = 100, 0 })
 	endpoints := testEndpoints(40)
 	b.Handle(time.Minute, EndpointUpdate{Full: true, Endpoints: endpoints})
@@ -29,18 +30,19 @@
 		now := time.Minute + time.Duration(i)*ms
 		for _, s := range sendsOf(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: 2 * time.Minute})) {
 			if warmingUp[s.Endpoint] {
-				t.Fatalf("request %d went to an endpoint that started %d ms ago", i, i)
+				t.Fatalf("request %d was sent to an endpoint that started %d ms ago", i, i)
 			}
 		}
 	}
 }
 
-// replicaSet is a number of Balancers that send to the same endpoints, which answer every attempt after a while.
+// replicaSet is a set of Balancers that send to the same endpoints, which respond to every attempt
+// with the same latency.
 type replicaSet struct {
 	balancers []*Balancer
 	latency   time.Duration
 	outcomes  []pendingOutcome           // in order of time
-	sent      map[string][]time.Duration // to each endpoint
+	sent      map[string][]time.Duration // times of the attempts at each endpoint
 }
 
 type pendingOutcome struct {
@@ -64,7 +66,7 @@
 	return r
 }
 
-// handle gives an event to a Balancer and plans the outcomes of what it sends.
+// handle passes an event to a Balancer and schedules the outcomes of the attempts that it sends.
 func (r *replicaSet) handle(b *Balancer, now time.Duration, e Event) {
 	for _, s := range sendsOf(b.Handle(now, e)) {
 		outcome := Outcome{ID: s.ID, Endpoint: s.Endpoint, Result: Success, RequestDone: true}
@@ -73,7 +75,7 @@
 	}
 }
 
-// handleOutcomes gives the outcomes that are due at now.
+// handleOutcomes passes the outcomes that are due at now.
 func (r *replicaSet) handleOutcomes(now time.Duration) {
 	for len(r.outcomes) > 0 && r.outcomes[0].at <= now {
 		o := r.outcomes[0]
@@ -82,7 +84,7 @@
 	}
 }
 
-// sentWithin returns how many of the times are within window from the time i on.
+// sentWithin returns the number of times within window, starting at index i.
 func sentWithin(times []time.Duration, i int, window time.Duration) int {
 	n := 0
 	for _, at := range times[i:] {
@@ -93,17 +95,19 @@
 	return n
 }
 
-// Replicas that are left with endpoints that are warming up keep together to what these bear, whichever of them
-// have the requests: N and 2 roots of N + 2 within OverloadWindow, N by what a warm endpoint had borne.
+// When only endpoints that are warming up remain, all replicas together stay within what these can
+// handle, regardless of which replicas receive the requests. The limit is N + 2 sqrt(N) + 2
+// attempts within OverloadWindow, where N is derived from the load that a warm endpoint handled
+// before.
 func TestWarmupBudgetOverAllReplicas(t *testing.T) {
 	const (
-		listed, left    = 20, 2
-		requestRate     = 200.0            // per second, over all replicas
-		shrinkAt        = 10 * time.Second // from then on only those left are listed, and are warming up
-		startedAt       = shrinkAt - time.Second
-		end             = 19 * time.Second // they are warm by then
-		usedOfCapacity  = 0.75             // of the warm endpoints, before shrinkAt
-		requestLifetime = 1500 * ms
+		listed, remaining = 20, 2
+		requestRate       = 200.0            // per second, over all replicas
+		shrinkAt          = 10 * time.Second // then the list shrinks to endpoints that are warming up
+		startedAt         = shrinkAt - time.Second
+		end               = 19 * time.Second // the endpoints are warm by then
+		utilization       = 0.75             // of the warm endpoints, before shrinkAt
+		requestLifetime   = 1500 * ms
 	)
 	for _, replicas := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
@@ -119,7 +123,7 @@
 				if !shrunk && now >= shrinkAt {
 					shrunk, request = true, 0
 					set.sent = map[string][]time.Duration{}
-					warmingUp := slices.Clone(endpoints[:left])
+					warmingUp := slices.Clone(endpoints[:remaining])
 					for i := range warmingUp {
 						warmingUp[i].StartTime = startedAt
 					}
@@ -127,7 +131,7 @@
 						set.handle(b, now, EndpointUpdate{Full: true, Endpoints: slices.Clone(warmingUp)})
 					}
 				}
-				// Every third request goes to a tenth of the replicas.
+				// Every third request is sent to a tenth of the replicas.
 				b := set.balancers[rng.IntN(replicas)]
 				if request%3 == 0 {
 					b = set.balancers[rng.IntN(max(1, replicas/10))]
@@ -140,23 +144,24 @@
 				for i, from := range times {
 					age := float64(from+rule.OverloadWindow-startedAt) / float64(rule.Duration)
 					fraction := rule.InitialFraction + (1-rule.InitialFraction)*min(1, age)
-					bears := rule.OverloadMultiple * fraction * requestRate / listed / usedOfCapacity *
+					threshold := rule.OverloadMultiple * fraction * requestRate / listed / utilization *
 						rule.OverloadWindow.Seconds()
-					limit := bears + 2*math.Sqrt(bears) + 2
+					limit := threshold + 2*math.Sqrt(threshold) + 2
 					if n := sentWithin(times, i, rule.OverloadWindow); float64(n) > limit {
 						t.Fatalf("%d attempts at %s within %v of %v, limit %.0f", n, id, rule.OverloadWindow, from, limit)
 					}
 				}
 			}
-			if len(set.sent) != left {
-				t.Errorf("attempts went to %d endpoints, want %d", len(set.sent), left)
+			if len(set.sent) != remaining {
+				t.Errorf("attempts were sent to %d endpoints, want %d", len(set.sent), remaining)
 			}
 		})
 	}
 }
 
-// 12 replicas send to 6 endpoints, of which one is warming up, at three quarters of their capacity. What all send
-// it in any OverloadWindow must stay under OverloadMultiple times what it can do then.
+// 12 replicas send to 6 endpoints at three quarters of their capacity while one endpoint is warming
+// up. In any OverloadWindow, that endpoint must receive fewer attempts than OverloadMultiple times
+// its current capacity.
 func TestWarmingUpEndpointIsNotOverloaded(t *testing.T) {
 	const (
 		replicas, count = 12, 6
@@ -192,7 +197,7 @@
 		}
 	}
 	if len(sent) < 20 {
-		t.Fatalf("the endpoint that is warming up got only %d attempts", len(sent))
+		t.Fatalf("the endpoint that is warming up received only %d attempts, want at least 20", len(sent))
 	}
 	rule := settings.SlowStart
 	for i, from := range sent {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -5,59 +5,60 @@
 	"time"
 )
 
-// Snapshot is what a Balancer has learned, for a later process of the same node. It holds no request: what
-// became of those that a process had in hand when it ended nobody can know, so none of them may be sent
-// again. Its JSON form is stored.
+// Snapshot contains what a Balancer has learned, for a later process of the same node. It contains
+// no requests: whether those that were active when a process ended have been executed is unknown,
+// so none of them may be sent again. The JSON form is stored.
 type Snapshot struct {
 	Tier                int                `json:"tier"`
 	ErrorRate           float64            `json:"errors"` // share of failures among results
-	RetryTokens         float64            `json:"tokens"` // retry budget
-	LimitPerEndpoint    float64            `json:"window"` // concurrency limit per endpoint of a fair share
-	Utilization         float64            `json:"fill"`   // mean latency over the latency objective
-	SlowUtilization     float64            `json:"calm"`   // the same over four times as many answers
-	BaselineUtilization float64            `json:"bare"`   // the least of that, forgetting slowly
+	RetryTokens         float64            `json:"tokens"` // tokens in the retry budget
+	LimitPerEndpoint    float64            `json:"window"` // concurrency limit per endpoint of the fair share
+	Utilization         float64            `json:"fill"`   // mean latency divided by the latency objective
+	SlowUtilization     float64            `json:"calm"`   // the same over four times as many responses
+	BaselineUtilization float64            `json:"bare"`   // minimum of SlowUtilization, with slow recovery
 	Classes             []ClassSnapshot    `json:"classes"`
-	Endpoints           []EndpointSnapshot `json:"servers"` // those of which anything is known
+	Endpoints           []EndpointSnapshot `json:"servers"` // endpoints with a history
 }
 
-// ClassSnapshot is what was learned of a class under the settings that it names.
+// ClassSnapshot contains what was learned of a class with this latency objective and deadline.
 type ClassSnapshot struct {
 	Name             string        `json:"name"`
 	LatencyObjective time.Duration `json:"aim"`
 	Deadline         time.Duration `json:"deadline"`
-	MeanLatency      float64       `json:"mean"` // of successes, in ns
+	MeanLatency      float64       `json:"mean"` // of successful attempts, in ns
 	LatencyDeviation float64       `json:"dev"`  // mean absolute deviation, in ns
 	MeanCost         float64       `json:"cost"` // mean cost hint, in ns
 	LongestTimeout   time.Duration `json:"longest_try"`
 }
 
-// EndpointSnapshot is what was learned of an endpoint since the start of its process.
+// EndpointSnapshot contains what was learned of an endpoint since the start of its process.
 type EndpointSnapshot struct {
 	ID                string        `json:"id"`
 	StartTime         time.Duration `json:"boot"`
-	Slowness          float64       `json:"slow,omitempty"` // mean log of latency over the expected one
+	Slowness          float64       `json:"slow,omitempty"` // average of log(latency / expected latency)
 	LatencySamples    int           `json:"samples,omitempty"`
-	EjectionLevel     int           `json:"level,omitempty"` // doublings of the next ejection
+	EjectionLevel     int           `json:"level,omitempty"` // doublings of the next ejection's duration
 	EjectionRemaining time.Duration `json:"left,omitempty"`
 }
 
-// SnapshotError reports that a part of a Snapshot cannot be what a Balancer has learned.
+// SnapshotError reports a part of a Snapshot with values that a Balancer cannot have learned.
 type SnapshotError struct {
-	Part string // the class or the endpoint, or "a figure" for one of the whole
+	Part string // "class NAME", "endpoint ID", or "a top-level field"
 }
 
-// Error names the part.
+// Error returns a message that names the part.
 func (e *SnapshotError) Error() string {
 	return "balancer: snapshot: " + e.Part + " is out of range"
 }
 
-// Validate returns a *SnapshotError if s cannot be what a Balancer has learned, else nil.
+// Validate returns a *SnapshotError for the first part with values that a Balancer cannot have
+// learned, or nil.
 func (s Snapshot) Validate() error {
 	if s.Tier < 0 ||
 		!within(0, 1, s.ErrorRate, s.Utilization, s.SlowUtilization, s.BaselineUtilization) ||
 		!within(0, maxRetryTokens, s.RetryTokens) ||
 		!within(0, math.MaxFloat64, s.LimitPerEndpoint) {
-		return &SnapshotError{Part: "a figure"}
+		return &SnapshotError{Part: "a top-level field"}
 	}
 	for _, c := range s.Classes {
 		if !c.valid() {
@@ -85,7 +86,7 @@
 		e.EjectionRemaining >= 0
 }
 
-// within reports whether all values are numbers from lowest to highest.
+// within reports whether all values are numbers between lowest and highest, both included.
 func within(lowest, highest float64, values ...float64) bool {
 	for _, v := range values {
 		if !(v >= lowest && v <= highest) { // false for NaN
@@ -95,7 +96,7 @@
 	return true
 }
 
-// Snapshot returns what b has learned until the clock time now.
+// Snapshot returns what b has learned up to the clock time now.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.now = max(b.now, now)
 	s := Snapshot{
@@ -116,21 +117,23 @@
 	return s
 }
 
-// snapshot bounds latencies by the deadline: a late answer may have taken longer.
+// snapshot returns the measurements of the class. Latencies are limited to the deadline, because a
+// late response may have taken longer.
 func (c *classState) snapshot() ClassSnapshot {
-	longest := float64(c.Deadline)
+	deadline := float64(c.Deadline)
 	return ClassSnapshot{
 		Name:             c.Name,
 		LatencyObjective: c.LatencyObjective,
 		Deadline:         c.Deadline,
-		MeanLatency:      min(c.meanLatency, longest),
-		LatencyDeviation: min(c.latencyDeviation, longest),
+		MeanLatency:      min(c.meanLatency, deadline),
+		LatencyDeviation: min(c.latencyDeviation, deadline),
 		MeanCost:         c.meanCost,
 		LongestTimeout:   c.longestTimeout,
 	}
 }
 
-// snapshot returns what was learned of the ready endpoints. It allocates once, as the host waits meanwhile.
+// snapshot returns what was learned of the ready endpoints. It allocates once, because the host
+// waits for the result.
 func (s *endpointSet) snapshot(now time.Duration) []EndpointSnapshot {
 	count := 0
 	for _, e := range s.ready {
@@ -154,21 +157,21 @@
 	return snapshots
 }
 
-// hasHistory reports whether something was learned of an endpoint that is worth keeping.
+// hasHistory reports whether anything was learned of an endpoint that is worth storing.
 func (e *endpoint) hasHistory(now time.Duration) bool {
 	return e.latencySamples > 0 || e.ejectionLevel > 0 || e.ejectedUntil > now
 }
 
-// restoredState is the part of a restored Snapshot that is applied when the endpoint list comes.
+// restoredState is the part of a restored Snapshot that is applied when the endpoint list arrives.
 type restoredState struct {
-	trust            float64 // weight of the snapshot against initial values, by its age
+	weight           float64 // weight of the snapshot relative to the initial values, lower with age
 	age              time.Duration
-	limitPerEndpoint float64 // 0: not to be restored
+	limitPerEndpoint float64 // zero if the limit is not restored
 	endpoints        map[string]*EndpointSnapshot
 }
 
-// restore takes over a Snapshot of an earlier process, before any endpoint list has come. The older it is,
-// the less it counts against the values that a Balancer begins with.
+// restore applies a Snapshot of an earlier process before the first endpoint list arrives. The
+// older the snapshot, the lower its weight relative to the initial values.
 func (b *Balancer) restore(e Restore) {
 	if e.Age < 0 || e.Age >= b.settings.SnapshotMaxAge || len(b.endpoints.byID) > 0 ||
 		e.Snapshot.Validate() != nil || e.Snapshot.Tier != b.settings.Tier {
@@ -176,17 +179,17 @@
 	}
 	s := e.Snapshot
 	restored := &restoredState{
-		trust:     1 - float64(e.Age)/float64(b.settings.SnapshotMaxAge),
+		weight:    1 - float64(e.Age)/float64(b.settings.SnapshotMaxAge),
 		age:       e.Age,
 		endpoints: make(map[string]*EndpointSnapshot, len(s.Endpoints)),
 	}
-	blend(&b.outliers.errorRate, s.ErrorRate, restored.trust)
-	blend(&b.retries.tokens, s.RetryTokens, restored.trust)
-	if b.restoreClasses(s, restored.trust) {
+	blend(&b.outliers.errorRate, s.ErrorRate, restored.weight)
+	blend(&b.retries.tokens, s.RetryTokens, restored.weight)
+	if b.restoreClasses(s, restored.weight) {
 		restored.limitPerEndpoint = s.LimitPerEndpoint
-		blend(&b.limiter.utilization, s.Utilization, restored.trust)
-		blend(&b.limiter.slowUtilization, s.SlowUtilization, restored.trust)
-		blend(&b.limiter.baselineUtilization, s.BaselineUtilization, restored.trust)
+		blend(&b.limiter.utilization, s.Utilization, restored.weight)
+		blend(&b.limiter.slowUtilization, s.SlowUtilization, restored.weight)
+		blend(&b.limiter.baselineUtilization, s.BaselineUtilization, restored.weight)
 	}
 	for i := range s.Endpoints {
 		restored.endpoints[s.Endpoints[i].ID] = &s.Endpoints[i]
@@ -194,14 +197,15 @@
 	b.restored = restored
 }
 
-// blend moves a value towards a restored one, by the trust in that.
-func blend(value *float64, restored, trust float64) {
-	*value += trust * (restored - *value)
+// blend moves a value towards the restored one by a fraction of the difference.
+func blend(value *float64, restored, weight float64) {
+	*value += weight * (restored - *value)
 }
 
-// restoreClasses restores the classes whose objective and deadline are as they were. It says whether all
-// classes are: the concurrency limit and the utilizations depend on all their objectives.
-func (b *Balancer) restoreClasses(s Snapshot, trust float64) bool {
+// restoreClasses restores the classes whose latency objective and deadline are unchanged. It
+// reports whether all classes are unchanged, because the concurrency limit and the utilizations
+// depend on the objectives of all classes.
+func (b *Balancer) restoreClasses(s Snapshot, weight float64) bool {
 	unchanged := 0
 	for _, c := range s.Classes {
 		state := b.classes.byName[c.Name]
@@ -209,15 +213,16 @@
 			continue
 		}
 		unchanged++
-		blend(&state.meanLatency, c.MeanLatency, trust)
-		blend(&state.latencyDeviation, c.LatencyDeviation, trust)
+		blend(&state.meanLatency, c.MeanLatency, weight)
+		blend(&state.latencyDeviation, c.LatencyDeviation, weight)
 		state.meanCost, state.longestTimeout = c.MeanCost, c.LongestTimeout
 	}
 	return unchanged == len(b.settings.Classes) && unchanged == len(s.Classes)
 }
 
-// restoreEndpoint restores what was known of an endpoint that is new in the list. Whatever caused its
-// ejection may be long over, so it begins at a lower level and serves the rest of its time only.
+// restoreEndpoint applies the restored history to an endpoint that is new in the list. The cause of
+// its ejection may be gone, so the ejection level is reduced and only the remaining time of the
+// ejection applies.
 func (b *Balancer) restoreEndpoint(e *endpoint) {
 	if b.restored == nil {
 		return
@@ -226,8 +231,8 @@
 	if s == nil || s.StartTime != e.StartTime {
 		return
 	}
-	e.slowness, e.latencySamples = b.restored.trust*s.Slowness, s.LatencySamples
-	e.ejectionLevel = int(b.restored.trust * float64(s.EjectionLevel))
+	e.slowness, e.latencySamples = b.restored.weight*s.Slowness, s.LatencySamples
+	e.ejectionLevel = int(b.restored.weight * float64(s.EjectionLevel))
 	if remaining := s.EjectionRemaining - b.restored.age; remaining > 0 {
 		e.ejectedUntil = b.now + remaining
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -14,13 +14,13 @@
 	"pgregory.net/rapid"
 )
 
-// snapshotAge is the SnapshotMaxAge of these tests.
+// snapshotAge is the SnapshotMaxAge in these tests.
 const snapshotAge = time.Minute
 
 func withSnapshots(s *Settings) { s.SnapshotMaxAge = snapshotAge }
 
-// newTrainedBalancer returns a Balancer that has served for a while, and the time: s00 is slow, s01 fails, the
-// concurrency limit has grown to 100.
+// newTrainedBalancer returns a Balancer that has served requests, and its time. s00 is slow, s01
+// fails, and the concurrency limit has grown to 100.
 func newTrainedBalancer(t testing.TB) (*Balancer, time.Duration) {
 	t.Helper()
 	b := newServingBalancer(t, 10, withSnapshots)
@@ -45,7 +45,8 @@
 	return b, b.now
 }
 
-// newRestoredBalancer returns a Balancer that has restored a snapshot and then heard of endpoints.
+// newRestoredBalancer returns a Balancer that restored a snapshot and then received a cached list
+// of endpoints.
 func newRestoredBalancer(t testing.TB, s Snapshot, age time.Duration, endpoints []Endpoint,
 	change func(*Settings)) *Balancer {
 	t.Helper()
@@ -60,11 +61,12 @@
 	return b
 }
 
-// newLimit is the concurrency limit of a test Balancer with 10 endpoints and no history.
-const newLimit = initialLimitPerEndpoint * 5
+// initialLimit is the concurrency limit of a test Balancer with 10 endpoints and no history.
+const initialLimit = initialLimitPerEndpoint * 5
 
-// A snapshot counts by its age: all of it at once, nothing from SnapshotMaxAge on, nothing where that is 0.
-func TestSnapshotCountsByAge(t *testing.T) {
+// The weight of a snapshot decreases with its age: it is 1 for a new snapshot, and 0 from
+// SnapshotMaxAge on and if SnapshotMaxAge is zero.
+func TestSnapshotWeightDecreasesWithAge(t *testing.T) {
 	trained, now := newTrainedBalancer(t)
 	snapshot := trained.Snapshot(now)
 	if len(snapshot.Endpoints) < 2 || snapshot.LimitPerEndpoint != 20 {
@@ -74,7 +76,7 @@
 	for _, age := range []time.Duration{0, snapshotAge / 4, snapshotAge / 2, snapshotAge - 1, snapshotAge, time.Hour} {
 		b := newRestoredBalancer(t, snapshot, age, testEndpoints(10), nil)
 		if b.limiter.limit > previous {
-			t.Errorf("age %v: limit %v, after %v of a newer one", age, b.limiter.limit, previous)
+			t.Errorf("age %v: limit %v, more than %v of a newer snapshot", age, b.limiter.limit, previous)
 		}
 		previous = b.limiter.limit
 		if age == 0 {
@@ -85,19 +87,20 @@
 		}
 	}
 	b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10), func(s *Settings) { s.SnapshotMaxAge = 0 })
-	if b.limiter.limit != newLimit {
-		t.Errorf("without a SnapshotMaxAge: limit %v", b.limiter.limit)
+	if b.limiter.limit != initialLimit {
+		t.Errorf("SnapshotMaxAge 0: limit %v, want the initial one", b.limiter.limit)
 	}
 }
 
-// checkRestored compares a Balancer that restored a new snapshot with the one that it was taken of.
+// checkRestored compares a Balancer that restored a new snapshot with the one that it was taken
+// from.
 func checkRestored(t *testing.T, b, original *Balancer) {
 	t.Helper()
 	for _, id := range []string{"s00", "s01"} {
 		got, want := b.endpoints.byID[id], original.endpoints.byID[id]
 		if got.slowness != want.slowness || got.ejectionLevel != want.ejectionLevel ||
 			got.latencySamples != want.latencySamples {
-			t.Errorf("%s: %+v, was %+v", id, got, want)
+			t.Errorf("%s: got %+v, want %+v", id, got, want)
 		}
 	}
 	for name, values := range map[string][2]float64{
@@ -106,22 +109,22 @@
 		"baseline":     {b.limiter.baselineUtilization, original.limiter.baselineUtilization},
 	} {
 		if got, want := values[0], values[1]; math.Abs(got-want) >= 1e-9*(1+want) {
-			t.Errorf("%s: %v, was %v", name, got, want)
+			t.Errorf("%s: got %v, want %v", name, got, want)
 		}
 	}
 }
 
-// checkNotRestored checks that a Balancer has no history.
+// checkNotRestored checks that a Balancer has initial values.
 func checkNotRestored(t *testing.T, b *Balancer) {
 	t.Helper()
 	mean, want := b.classes.find("get").meanLatency, newTestBalancer(t, nil).classes.find("get").meanLatency
-	if b.limiter.limit != newLimit || b.restored != nil || mean != want {
-		t.Errorf("restored: limit %v, mean latency %v", b.limiter.limit, mean)
+	if b.limiter.limit != initialLimit || b.restored != nil || mean != want {
+		t.Errorf("snapshot was restored: limit %v, mean latency %v", b.limiter.limit, mean)
 	}
 }
 
-// What the settings or the endpoint list say otherwise wins.
-func TestSnapshotYieldsToSettingsAndList(t *testing.T) {
+// Settings and an endpoint list that differ from the snapshot take precedence.
+func TestSettingsAndListOverrideSnapshot(t *testing.T) {
 	trained, now := newTrainedBalancer(t)
 	snapshot := trained.Snapshot(now)
 	t.Run("restarted endpoint", func(t *testing.T) {
@@ -129,17 +132,17 @@
 		endpoints[0].StartTime = 5 * ms
 		b := newRestoredBalancer(t, snapshot, 0, endpoints, nil)
 		if e := b.endpoints.byID["s00"]; e.latencySamples != 0 || e.slowness != 0 {
-			t.Errorf("it has a history: %+v", e)
+			t.Errorf("history restored for another process: %+v", e)
 		}
 		if b.endpoints.byID["s01"].ejectionLevel == 0 {
-			t.Error("another's ejection is forgotten")
+			t.Error("ejection of another endpoint is lost")
 		}
 	})
 	t.Run("other latency objective", func(t *testing.T) {
 		b := newRestoredBalancer(t, snapshot, 0, testEndpoints(10),
 			func(s *Settings) { s.Classes[0].LatencyObjective *= 2 })
 		changed, unchanged := b.classes.find("get"), b.classes.find("pay")
-		if b.limiter.limit != newLimit || changed.meanLatency != float64(changed.LatencyObjective)/4 ||
+		if b.limiter.limit != initialLimit || changed.meanLatency != float64(changed.LatencyObjective)/4 ||
 			unchanged.meanLatency != trained.classes.find("pay").meanLatency {
 			t.Errorf("limit %v, mean latencies %v, %v", b.limiter.limit, changed.meanLatency, unchanged.meanLatency)
 		}
@@ -150,24 +153,24 @@
 		}
 	})
 	t.Run("from the future", func(t *testing.T) {
-		if b := newRestoredBalancer(t, snapshot, -1, testEndpoints(10), nil); b.limiter.limit != newLimit {
-			t.Errorf("limit %v, want %v", b.limiter.limit, newLimit)
+		if b := newRestoredBalancer(t, snapshot, -1, testEndpoints(10), nil); b.limiter.limit != initialLimit {
+			t.Errorf("limit %v, want %v", b.limiter.limit, initialLimit)
 		}
 	})
 }
 
-// A snapshot that cannot be what a Balancer learned, or is of another tier, is ignored as a whole.
+// A snapshot that a Balancer cannot have produced, or of another tier, is ignored as a whole.
 func TestInvalidSnapshotIgnored(t *testing.T) {
 	trained, now := newTrainedBalancer(t)
 	snapshot := trained.Snapshot(now)
 	for _, c := range []struct {
 		name     string
 		change   func(*Snapshot)
-		wantPart string // of the *SnapshotError; empty: it is valid
+		wantPart string // of the *SnapshotError; empty if the snapshot is valid
 	}{
-		{"limit", func(s *Snapshot) { s.LimitPerEndpoint = math.NaN() }, "a figure"},
-		{"utilization", func(s *Snapshot) { s.Utilization = 3 }, "a figure"},
-		{"retry tokens", func(s *Snapshot) { s.RetryTokens = math.Inf(1) }, "a figure"},
+		{"limit", func(s *Snapshot) { s.LimitPerEndpoint = math.NaN() }, "a top-level field"},
+		{"utilization", func(s *Snapshot) { s.Utilization = 3 }, "a top-level field"},
+		{"retry tokens", func(s *Snapshot) { s.RetryTokens = math.Inf(1) }, "a top-level field"},
 		{"mean latency", func(s *Snapshot) { s.Classes[0].MeanLatency = -1 }, "class get"},
 		{"slowness", func(s *Snapshot) { s.Endpoints[0].Slowness = math.NaN() }, "endpoint s00"},
 		{"ejection level", func(s *Snapshot) { s.Endpoints[0].EjectionLevel = 1 << 40 }, "endpoint s00"},
@@ -179,19 +182,20 @@
 			changed.Endpoints = slices.Clone(snapshot.Endpoints)
 			c.change(&changed)
 			b := newRestoredBalancer(t, changed, 0, testEndpoints(10), nil)
-			if b.limiter.limit != newLimit || b.restored != nil {
-				t.Errorf("restored: limit %v", b.limiter.limit)
+			if b.limiter.limit != initialLimit || b.restored != nil {
+				t.Errorf("snapshot was restored: limit %v", b.limiter.limit)
 			}
 			var invalid *SnapshotError
 			if err := changed.Validate(); errors.As(err, &invalid) != (c.wantPart != "") ||
 				invalid != nil && invalid.Part != c.wantPart {
-				t.Errorf("got %v, want an error of %q", err, c.wantPart)
+				t.Errorf("got %v, want an error for %q", err, c.wantPart)
 			}
 		})
 	}
 }
 
-// A restored limit that is far too high falls to twice the attempts in flight at the first sign of overload.
+// A restored limit that is far too high falls to twice the attempts in flight at the first sign of
+// overload.
 func TestRestoredLimitFalls(t *testing.T) {
 	const requests = 300
 	trained, now := newTrainedBalancer(t)
@@ -206,19 +210,19 @@
 		active = append(active, sendsOf(b.Handle(now, request))...)
 	}
 	if len(active) != requests {
-		t.Fatalf("%d of %d were admitted", len(active), requests)
+		t.Fatalf("%d of %d requests were admitted", len(active), requests)
 	}
 	now += 600 * ms
-	for i := 0; i < len(active) && b.limiter.limit > 1e6; i++ { // one late answer after another
+	for i := 0; i < len(active) && b.limiter.limit > 1e6; i++ { // one late response after another
 		endFirstAttempt(b, now, active[i], Success)
 	}
 	if b.limiter.limit > 2*requests {
-		t.Errorf("limit %v", b.limiter.limit)
+		t.Errorf("got limit %v, want at most twice the attempts in flight", b.limiter.limit)
 	}
 }
 
-// Whatever happened before, a snapshot is valid and survives JSON, and a snapshot of a Balancer that has just
-// restored it differs in nothing but rounding.
+// After any events, a snapshot is valid and survives a JSON round trip. A snapshot of a Balancer
+// that has just restored it differs only by rounding.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
@@ -238,7 +242,7 @@
 		}
 		var decoded Snapshot
 		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(snapshot, decoded) {
-			t.Fatalf("%v: %+v is decoded as %+v", err, snapshot, decoded)
+			t.Fatalf("error %v: %+v is decoded as %+v", err, snapshot, decoded)
 		}
 		next, err := New(settings, 4)
 		if err != nil {
@@ -261,7 +265,8 @@
 	})
 }
 
-// runDrawnRequests lets b serve requests with drawn latencies and results, and returns the time.
+// runDrawnRequests lets b serve requests with drawn latencies and results, and returns the time at
+// the end.
 func runDrawnRequests(t *rapid.T, b *Balancer) time.Duration {
 	b.Handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(rapid.IntRange(1, 30).Draw(t, "endpoints"))})
 	now := time.Duration(0)
@@ -277,7 +282,8 @@
 	return now
 }
 
-// roundLatencies rounds what blending a restored value with the initial one rounds.
+// roundLatencies rounds the latencies, because blending a restored value with the initial one is not
+// exact.
 func roundLatencies(s Snapshot) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
@@ -288,16 +294,16 @@
 // snapshotFile is a snapshot that an earlier version took of newTrainedBalancer.
 const snapshotFile = "testdata/snapshot.json"
 
-// The stored form of a snapshot does not change: the same events give the same bytes, and a stored one is decoded
-// and restored completely.
-func TestStoredSnapshotForm(t *testing.T) {
+// The stored format of a snapshot must not change. The same events produce the same bytes, and a
+// stored snapshot is decoded and restored completely.
+func TestStoredSnapshotFormat(t *testing.T) {
 	stored, err := os.ReadFile(snapshotFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	trained, now := newTrainedBalancer(t)
 	if text := encodeSnapshot(t, trained.Snapshot(now)); !bytes.Equal(text, stored) {
-		t.Errorf("the same events give another snapshot:\n%s", text)
+		t.Errorf("the same events produced another snapshot:\n%s", text)
 	}
 	var snapshot Snapshot
 	decoder := json.NewDecoder(bytes.NewReader(stored))
@@ -332,7 +338,7 @@
 	return append(text, '\n')
 }
 
-// A snapshot in which every field has a value of its own, with the keys that it is stored under.
+// Each field of a snapshot is stored under its key. Every field has a different value.
 func TestSnapshotKeys(t *testing.T) {
 	const stored = `{"tier":1,"errors":0.1,"tokens":2,"window":3,"fill":0.4,"calm":0.5,"bare":0.6,` +
 		`"classes":[{"name":"c","aim":7,"deadline":80,"mean":9,"dev":10,"cost":11,"longest_try":12}],` +
@@ -347,11 +353,11 @@
 	}
 	text, err := json.Marshal(snapshot)
 	if err != nil || string(text) != stored {
-		t.Errorf("%v, stored as %s", err, text)
+		t.Errorf("error %v, stored as %s", err, text)
 	}
 }
 
-// newBalancerWithHistory returns a Balancer that knows something of each of 10,000 endpoints.
+// newBalancerWithHistory returns a Balancer with a history of each of 10,000 endpoints.
 func newBalancerWithHistory(b *testing.B) (*Balancer, []Endpoint) {
 	b.Helper()
 	endpoints := testEndpoints(10_000)
@@ -363,7 +369,7 @@
 	return bal, endpoints
 }
 
-// How long the host waits for a snapshot of 10,000 endpoints.
+// BenchmarkSnapshot measures how long the host waits for a snapshot of 10,000 endpoints.
 func BenchmarkSnapshot(b *testing.B) {
 	bal, _ := newBalancerWithHistory(b)
 	b.ResetTimer()
@@ -372,7 +378,7 @@
 	}
 }
 
-// How long it takes to decode and restore a snapshot of 10,000 endpoints.
+// BenchmarkRestore measures how long it takes to decode and restore a snapshot of 10,000 endpoints.
 func BenchmarkRestore(b *testing.B) {
 	bal, endpoints := newBalancerWithHistory(b)
 	text, err := json.Marshal(bal.Snapshot(snapshotAge))
--- a/balancer/timer.go
+++ b/balancer/timer.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// requestTimerPrefix begins the token of a request's timer; its ID follows.
+// requestTimerPrefix is the prefix of the token of a request's timer. The ID of the request
+// follows.
 const requestTimerPrefix = "r:"
 
-// timerFired does what has come due. A host may round times down, so a timer can come up to a tick early:
-// nothing relies on its being late enough, and a review that finds nothing due sets another.
+// timerFired handles a timer. A host may round times down, so a timer can fire up to one tick
+// early. Nothing depends on its firing late enough: a recheck that finds nothing due sets another
+// timer.
 func (b *Balancer) timerFired(e TimerFired) {
 	if e.Token == subscribeTimer {
 		b.subscribeIfDue()
@@ -23,15 +25,15 @@
 	if b.now+b.settings.Tick >= r.timerAt {
 		r.timerAt = 0
 	}
-	b.reviewPending(r)
+	b.recheckPending(r)
 }
 
-// setRequestTimer asks for a review of a request, unless one comes by then already.
+// setRequestTimer sets a timer for a recheck of a request, unless one is set that fires no later.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.timerAt > b.now && r.timerAt <= at {
 		return
 	}
 	r.timerAt = at
-	b.do(SetTimer{At: at, Token: requestTimerPrefix + r.id})
+	b.emit(SetTimer{At: at, Token: requestTimerPrefix + r.id})
 }
--- a/balancer/timer_test.go
+++ b/balancer/timer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Hosts send the tokens of timers over the simulator's wire: their form does not change.
+// The simulator's protocol carries the tokens of timers, so their format must not change.
 func TestTimerTokens(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.PollDiscovery = true })
 	for name, c := range map[string]struct {
