--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -92,7 +92,7 @@
 }
 
 // Handle processes one event at the clock time now and returns the actions that the host must
-// execute, in order. An earlier time than that of a previous call is replaced by the latest time
+// execute, in order. Time must not go backwards: an earlier time is treated as the latest time
 // passed so far.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -110,9 +110,9 @@
 }
 
 // rejectionLimit returns the number of active attempts that an endpoint had when it recently
-// rejected another one. Other endpoints have no limit. Either the queue of the endpoint is full, or its
-// connection table is full of idle connections of other replicas. Such an endpoint is not faulty, so
-// the bound on excluded endpoints does not apply.
+// rejected another one, because its queue is full or its connection table is full of idle
+// connections of other replicas. The endpoint is not faulty, so the bound on excluded endpoints does
+// not apply. Without a recent rejection there is no limit.
 func (b *Balancer) rejectionLimit(e *endpoint) int {
 	if b.now < e.rejectionLimitUntil {
 		return e.rejectionLimit
--- a/balancer/candidates_test.go
+++ b/balancer/candidates_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Endpoints are sampled in proportion to their weights if the list provides capacities. If it
-// provides no weights or a past load, sampling is uniform.
+// Endpoints are sampled in proportion to their weights if these are capacities. Sampling is uniform
+// if the list provides no weights, or weights that reflect an earlier load.
 func TestSamplingFollowsWeights(t *testing.T) {
 	for kind, wantRatio := range map[WeightKind]float64{
 		WeightNominal: 3, WeightApproximate: 3, WeightUnknown: 1, WeightLive: 1,
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EndpointState is the state of an endpoint as reported by discovery.
+// EndpointState is the state of an endpoint as reported by discovery. The zero value is Ready.
 type EndpointState int
 
 // Endpoint states. Only a Ready endpoint receives new attempts.
@@ -22,7 +22,7 @@
 	StartTime time.Duration // clock time at which its process started; zero if it started long ago
 }
 
-// Result is the result of an attempt.
+// Result is the result of an attempt, as reported by its Outcome.
 type Result int
 
 // Results of attempts. Overloaded, Unreachable and NotSent prove that the attempt was not executed.
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recordResult updates what is measured with the result of an attempt: the latency of the class,
-// the retry budget and the history of the endpoint.
+// recordResult records the result of an attempt in the latency of the class, the retry budget and
+// the history of the endpoint.
 func (b *Balancer) recordResult(a *attempt, result Result) {
 	e, c := a.endpoint, a.request.class
 	latency := float64(b.now - a.sentAt)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -3,8 +3,8 @@
 const (
 	// retryTokensPerSuccess is the number of tokens that a success adds to the retry budget.
 	retryTokensPerSuccess = 0.15
-	// retryCost is the number of tokens that a retry costs, and retryCostNotExecuted the number
-	// after an attempt that was not executed.
+	// retryCost is the cost of a retry in tokens. retryCostNotExecuted applies after an attempt
+	// that was not executed.
 	retryCost            = 1.0
 	retryCostNotExecuted = 0.1
 	// maxRetryTokens is the capacity of the retry budget.
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -117,7 +117,7 @@
 // error for every violation of the settings.
 type scaledHost struct {
 	t                 *testing.T
-	settings          Settings // multiplied by factor
+	settings          Settings // with durations multiplied by factor
 	factor            time.Duration
 	b                 *Balancer
 	random            *rand.Rand
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -34,7 +34,7 @@
 	LatencyObjective  time.Duration    // responses within it earn full credit
 	Deadline          time.Duration    // how long a client waits in total, including its retries
 	LateCredit        float64          // fraction of the credit that a response after the objective earns
-	PriorityWeight    float64          // credit within the objective; more is served first under overload
+	PriorityWeight    float64          // credit of a response in time; higher is served first under overload
 	Streaming         bool             // responses are streams; no decision depends on it
 }
 
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// warmupBudgetFraction is a share of the number of attempts that would overload an endpoint while it
-// is warming up. All replicas together may send it that share on average. The rest is a margin for
-// variance.
+// warmupBudgetFraction is the share of an endpoint's overload threshold, see SlowStart, that all
+// replicas together may use on average while it is warming up. The rest is a margin for variance.
 const warmupBudgetFraction = 0.67
 
 // slowStart limits the attempts sent to endpoints that are warming up. While enough other endpoints
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -20,7 +20,7 @@
 	Endpoints           []EndpointSnapshot `json:"servers"` // endpoints with a history
 }
 
-// ClassSnapshot contains what was learned of a class with this latency objective and deadline.
+// ClassSnapshot contains what was learned about a class with this latency objective and deadline.
 type ClassSnapshot struct {
 	Name             string        `json:"name"`
 	LatencyObjective time.Duration `json:"aim"`
@@ -31,7 +31,7 @@
 	LongestTimeout   time.Duration `json:"longest_try"`
 }
 
-// EndpointSnapshot contains what was learned of an endpoint since the start of its process.
+// EndpointSnapshot contains what was learned about an endpoint since the start of its process.
 type EndpointSnapshot struct {
 	ID                string        `json:"id"`
 	StartTime         time.Duration `json:"boot"`
@@ -132,7 +132,7 @@
 	}
 }
 
-// snapshot returns what was learned of the ready endpoints. It allocates once, because the host
+// snapshot returns what was learned about the ready endpoints. It allocates once, because the host
 // waits for the result.
 func (s *endpointSet) snapshot(now time.Duration) []EndpointSnapshot {
 	count := 0
@@ -157,7 +157,7 @@
 	return snapshots
 }
 
-// hasHistory reports whether anything was learned of an endpoint that is worth storing.
+// hasHistory reports whether anything was learned about an endpoint that is worth storing.
 func (e *endpoint) hasHistory(now time.Duration) bool {
 	return e.latencySamples > 0 || e.ejectionLevel > 0 || e.ejectedUntil > now
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -152,7 +152,7 @@
 			t.Errorf("limit %v, want 200", b.limiter.limit)
 		}
 	})
-	t.Run("from the future", func(t *testing.T) {
+	t.Run("negative age", func(t *testing.T) {
 		if b := newRestoredBalancer(t, snapshot, -1, testEndpoints(10), nil); b.limiter.limit != initialLimit {
 			t.Errorf("limit %v, want %v", b.limiter.limit, initialLimit)
 		}
--- a/balancer/timer.go
+++ b/balancer/timer.go
@@ -9,9 +9,8 @@
 // follows.
 const requestTimerPrefix = "r:"
 
-// timerFired handles a timer. A host may round times down, so a timer can fire up to one tick
-// early. Nothing depends on its firing late enough: a recheck that finds nothing due sets another
-// timer.
+// timerFired handles a timer. A host may round times down, so a timer can fire up to one tick early.
+// This is harmless, because a recheck that finds nothing due sets another timer.
 func (b *Balancer) timerFired(e TimerFired) {
 	if e.Token == subscribeTimer {
 		b.subscribeIfDue()
