--- a/cmd/umberbank/fleet_config_status.go
+++ b/cmd/umberbank/fleet_config_status.go
@@ -40,7 +40,7 @@
 func printRollout(w io.Writer, s *rollout.State) {
 	fmt.Fprintf(w, "in force: version %d %.12s\n", s.Committed.Number, s.Committed.Hash)
 	if p := s.Pending; p != nil {
-		fmt.Fprintf(w, "under way: version %d %.12s, %d of %d stages told; %s\n", p.Number, p.Hash, s.Stage, len(p.Stages), pendingStatus(s))
+		fmt.Fprintf(w, "under way: version %d %.12s, %d of %d stages told; %s\n", p.Number, p.Hash, s.StartedStages, len(p.Stages), pendingStatus(s))
 	}
 	for _, zone := range slices.Sorted(maps.Keys(s.LostZones)) {
 		fmt.Fprintf(w, "zone %s is LOST since %s: its quorum is passed over\n", zone, formatTime(s.LostZones[zone]))
@@ -67,7 +67,7 @@
 	fmt.Fprintln(t, "node\tzone\truns\ttold\tacknowledged\t")
 	for _, id := range slices.Sorted(maps.Keys(s.Nodes)) {
 		n := s.Nodes[id]
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", id, n.Zone, runningVersion(n), n.TargetVersion, n.Acknowledged, strings.TrimSpace(n.Violation+" "+n.RejectReason))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", id, n.Zone, runningVersion(n), n.TargetVersion, n.AcknowledgedVersion, strings.TrimSpace(n.Violation+" "+n.RejectReason))
 	}
 	return t.Flush()
 }
@@ -87,10 +87,10 @@
 
 // possibleVersions describes which versions a node may run that is out of sync.
 func possibleVersions(n *rollout.Node) string {
-	if n.HighestPossible <= n.RunningVersion {
+	if n.HighestPossibleVersion <= n.RunningVersion {
 		return fmt.Sprint(n.RunningVersion)
 	}
-	return fmt.Sprintf("%d to %d", n.RunningVersion, n.HighestPossible)
+	return fmt.Sprintf("%d to %d", n.RunningVersion, n.HighestPossibleVersion)
 }
 
 // formatTime returns the time of a write by the leader's clock, or its revision where the time is unknown.
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -110,7 +110,7 @@
 	sentAt := eventlog.Now()
 	// Before the write: the controller may be killed before it has the result.
 	c.appendEvent(eventlog.Event{Kind: eventlog.StageRequested, Version: version, Token: c.token})
-	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpAdvance, Number: r.Pending.Number, Stage: r.Stage, Fence: c.fence()})
+	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpAdvance, Number: r.Pending.Number, Stage: r.StartedStages, Fence: c.fence()})
 	if err != nil || result.Code != "" {
 		return
 	}
@@ -119,7 +119,7 @@
 		reason = "in force"
 	}
 	c.appendEvent(eventlog.Event{Kind: eventlog.Acted, Version: version, Token: c.token, SentAt: sentAt, Reason: reason})
-	c.Log.Info("started rollout stage", "controller", c.Name, "version", r.Pending.Number, "stage", r.Stage)
+	c.Log.Info("started rollout stage", "controller", c.Name, "version", r.Pending.Number, "stage", r.StartedStages)
 }
 
 // send sends the writes of a release in order. After the first that is not applied, the rest waits for the next poll.
--- a/internal/coordination/controller/controller_test.go
+++ b/internal/coordination/controller/controller_test.go
@@ -129,7 +129,7 @@
 		hash := state.ContentHash([]byte(`{}`))
 		stage := func() (stage int, committed int64) {
 			f.poll()
-			f.registry.Read(func(s *state.State) { stage, committed = s.Rollout().Stage, s.Rollout().Committed.Number })
+			f.registry.Read(func(s *state.State) { stage, committed = s.Rollout().StartedStages, s.Rollout().Committed.Number })
 			return stage, committed
 		}
 		if got, _ := stage(); got != 0 {
--- a/internal/coordination/rollout/acknowledge.go
+++ b/internal/coordination/rollout/acknowledge.go
@@ -55,7 +55,7 @@
 		if n.InSync() {
 			oldest = min(oldest, n.TargetVersion, n.RunningVersion)
 		} else {
-			kept[n.RunningVersion], kept[n.HighestPossible] = true, true
+			kept[n.RunningVersion], kept[n.HighestPossibleVersion] = true, true
 		}
 	}
 	maps.DeleteFunc(s.Hashes, func(number int64, _ string) bool { return number < oldest && !kept[number] })
@@ -73,10 +73,10 @@
 	case !n.InSync():
 		return fmt.Errorf("node %s has not caught up with version %d", id, n.TargetVersion)
 	case rejectReason != "":
-		n.RejectReason, n.Acknowledged = rejectReason, 0
+		n.RejectReason, n.AcknowledgedVersion = rejectReason, 0
 		s.haltUnlessHalted(fmt.Sprintf("node %s could not take version %d: %s", id, number, rejectReason))
 	default:
-		n.Acknowledged, n.RejectReason = number, ""
+		n.AcknowledgedVersion, n.RejectReason = number, ""
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 		if zones[n.Zone] == nil {
 			zones[n.Zone] = &acknowledgements{}
 		}
-		acknowledged := n.Acknowledged == s.Pending.Number && n.InSync()
+		acknowledged := n.AcknowledgedVersion == s.Pending.Number && n.InSync()
 		zones[n.Zone].add(acknowledged)
 		all.add(acknowledged)
 	}
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -21,10 +21,10 @@
 		return fmt.Errorf("version %d is not under way", number)
 	}
 	switch {
-	case s.Stage > stage:
+	case s.StartedStages > stage:
 		return nil
-	case s.Stage < stage:
-		return fmt.Errorf("version %d is at stage %d", number, s.Stage)
+	case s.StartedStages < stage:
+		return fmt.Errorf("version %d is at stage %d", number, s.StartedStages)
 	case s.HaltReason != "":
 		return errors.New("halted: " + s.HaltReason)
 	}
@@ -42,7 +42,7 @@
 // startStage gives the pending version to the nodes of the next stage, and commits it with the last one. Nodes out of
 // sync get it with the last stage, or when they return after it.
 func (s *State) startStage() {
-	if s.Stage == len(s.Pending.Stages)-1 {
+	if s.StartedStages == len(s.Pending.Stages)-1 {
 		remaining := s.unstarted(s.nodeIDs())
 		s.setTargets(remaining, len(remaining))
 		s.commit()
@@ -56,16 +56,16 @@
 			started++
 		}
 	}
-	want := int(math.Ceil(s.Pending.Stages[s.Stage]*float64(len(ids))-roundingSlack)) - started
+	want := int(math.Ceil(s.Pending.Stages[s.StartedStages]*float64(len(ids))-roundingSlack)) - started
 	s.setTargets(remaining, want)
-	s.Stage++
+	s.StartedStages++
 }
 
 // commit makes the pending version the committed one.
 func (s *State) commit() {
-	s.Committed, s.Pending, s.Stage = *s.Pending, nil, 0
+	s.Committed, s.Pending, s.StartedStages = *s.Pending, nil, 0
 	for _, n := range s.Nodes {
-		n.TargetVersion, n.Acknowledged = s.Committed.Number, 0
+		n.TargetVersion, n.AcknowledgedVersion = s.Committed.Number, 0
 	}
 }
 
@@ -114,7 +114,7 @@
 // version, or says that too few of the started nodes run it. A single started node that is out of sync passes; see
 // [State.Advance].
 func (s *State) checkStartedNodes() error {
-	if s.Stage == 0 {
+	if s.StartedStages == 0 {
 		return nil
 	}
 	started, running := 0, 0
@@ -148,5 +148,5 @@
 			started = append(started, n)
 		}
 	}
-	return s.Stage > 0 && len(started) == 1 && !started[0].InSync()
+	return s.StartedStages > 0 && len(started) == 1 && !started[0].InSync()
 }
--- a/internal/coordination/rollout/bake.go
+++ b/internal/coordination/rollout/bake.go
@@ -19,8 +19,8 @@
 		t.readySince = 0
 		return false
 	}
-	if t.readySince == 0 || t.number != s.Pending.Number || t.stage != s.Stage {
-		t.number, t.stage, t.readySince = s.Pending.Number, s.Stage, max(1, now)
+	if t.readySince == 0 || t.number != s.Pending.Number || t.stage != s.StartedStages {
+		t.number, t.stage, t.readySince = s.Pending.Number, s.StartedStages, max(1, now)
 	}
-	return s.Stage == 0 || now-t.readySince >= time.Duration(s.Pending.BakeMS)*time.Millisecond
+	return s.StartedStages == 0 || now-t.readySince >= time.Duration(s.Pending.BakeMS)*time.Millisecond
 }
--- a/internal/coordination/rollout/helpers_test.go
+++ b/internal/coordination/rollout/helpers_test.go
@@ -29,7 +29,7 @@
 	v, err := s.Propose(fmt.Sprint("c", s.HighestNumber+1), s.Committed.Number, stages)
 	for err == nil && s.Pending != nil {
 		if err = answer(s); err == nil {
-			err = s.Advance(v.Number, s.Stage)
+			err = s.Advance(v.Number, s.StartedStages)
 		}
 	}
 	return errors.Join(err, answer(s))
--- a/internal/coordination/rollout/model_test.go
+++ b/internal/coordination/rollout/model_test.go
@@ -175,7 +175,7 @@
 		return nil
 	}
 	number := m.state.Pending.Number
-	err := m.state.Advance(number, m.state.Stage)
+	err := m.state.Advance(number, m.state.StartedStages)
 	if err == nil && !m.isQuorum(number) {
 		m.t.Fatalf("version %d was started without a quorum", number)
 	}
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -30,7 +30,7 @@
 // Rollback proposes the committed content again, in place of a pending version that is partially applied or of a pending
 // rollback. It fails if there is none, and if version 0 is committed. Its only stage starts it on all nodes, those that have the replaced version as their target first.
 func (s *State) Rollback() (*Version, error) {
-	if s.Pending == nil || s.Stage == 0 && !s.partiallyApplied() {
+	if s.Pending == nil || s.StartedStages == 0 && !s.partiallyApplied() {
 		return nil, errors.New("no version was told to nodes and not to all")
 	}
 	if s.Committed.Number == 0 {
@@ -44,13 +44,13 @@
 	switch {
 	case s.Pending == nil || s.Pending.Number != number:
 		return fmt.Errorf("version %d is not under way", number)
-	case s.Stage > 0:
+	case s.StartedStages > 0:
 		return fmt.Errorf("version %d was told to nodes: only going back undoes it", number)
 	case s.partiallyApplied():
 		return fmt.Errorf("version %d is itself a way back", number)
 	}
 	delete(s.Hashes, number)
-	s.Pending, s.Stage, s.HaltReason = nil, 0, ""
+	s.Pending, s.StartedStages, s.HaltReason = nil, 0, ""
 	s.clearAcknowledgements()
 	return nil
 }
@@ -125,7 +125,7 @@
 func (s *State) setPending(hash string, replaces int64, stages []float64) *Version {
 	s.HighestNumber++
 	s.Pending = &Version{Number: s.HighestNumber, Hash: hash, Replaces: replaces, Stages: stages}
-	s.Stage, s.HaltReason = 0, ""
+	s.StartedStages, s.HaltReason = 0, ""
 	s.Hashes[s.HighestNumber] = hash
 	s.clearAcknowledgements()
 	return s.Pending
@@ -134,6 +134,6 @@
 // clearAcknowledgements drops what nodes have answered to the version that was pending.
 func (s *State) clearAcknowledgements() {
 	for _, n := range s.Nodes {
-		n.Acknowledged, n.RejectReason = 0, ""
+		n.AcknowledgedVersion, n.RejectReason = 0, ""
 	}
 }
--- a/internal/coordination/rollout/reachability.go
+++ b/internal/coordination/rollout/reachability.go
@@ -9,18 +9,18 @@
 	if n == nil {
 		n = &Node{
 			ID: id, Zone: zone, Incarnation: incarnation, Syncing: true, OutOfSyncSince: &at,
-			TargetVersion: s.Committed.Number, HighestPossible: s.Committed.Number,
+			TargetVersion: s.Committed.Number, HighestPossibleVersion: s.Committed.Number,
 		}
 		s.Nodes[id] = n
 	}
 	restarted := n.Incarnation != incarnation
 	if n.InSync() && (unreachable || restarted) {
-		n.OutOfSyncSince, n.HighestPossible = &at, n.TargetVersion
+		n.OutOfSyncSince, n.HighestPossibleVersion = &at, n.TargetVersion
 	}
 	if restarted {
 		n.Incarnation = incarnation
 		n.Reported, n.Syncing = false, true
-		n.Acknowledged, n.RejectReason, n.Violation = 0, "", ""
+		n.AcknowledgedVersion, n.RejectReason, n.Violation = 0, "", ""
 	}
 	if n.Unreachable && !unreachable {
 		n.Reported, n.Syncing = false, true
@@ -70,6 +70,6 @@
 
 // markInSync records that a node is in sync from now on, and so its zone is not lost.
 func (s *State) markInSync(n *Node) {
-	n.Syncing, n.OutOfSyncSince, n.HighestPossible = false, nil, 0
+	n.Syncing, n.OutOfSyncSince, n.HighestPossibleVersion = false, nil, 0
 	delete(s.LostZones, n.Zone)
 }
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	n := s.Nodes["a0"]
-	if s.Committed.Number != 306 || n.RunningVersion != 5 || n.HighestPossible != 6 || *n.OutOfSyncSince != (Timestamp{9, 1000}) {
+	if s.Committed.Number != 306 || n.RunningVersion != 5 || n.HighestPossibleVersion != 6 || *n.OutOfSyncSince != (Timestamp{9, 1000}) {
 		t.Errorf("in force %d, and of the dead is known: %+v", s.Committed.Number, n)
 	}
 	if len(s.Hashes) > 4 || len(s.NeededVersions()) > 2 {
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	s.MigrateLegacy()
-	if n := s.OutOfSync(); len(n) != 2 || n[0].ID != "n1" || n[1].ID != "n2" || n[1].HighestPossible != 3 {
+	if n := s.OutOfSync(); len(n) != 2 || n[0].ID != "n1" || n[1].ID != "n2" || n[1].HighestPossibleVersion != 3 {
 		t.Errorf("out of sync: %+v", n)
 	}
 	if _, lost := s.LostZones["b"]; !lost || len(s.LostZones) != 1 {
@@ -283,7 +283,7 @@
 func testStages(t *testing.T, s *State) {
 	noError(t, s.Advance(1, 0))
 	noError(t, s.Advance(1, 0)) // a repeat
-	if s.Nodes["n0"].TargetVersion != 1 || s.Stage != 1 {
+	if s.Nodes["n0"].TargetVersion != 1 || s.StartedStages != 1 {
 		t.Errorf("%+v", s)
 	}
 	checkError(t, s.Advance(1, 1), "node n0 (zone a) was told version 1 and is not known to run it")
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -29,18 +29,18 @@
 	Unreachable bool   `json:"missing,omitempty"` // its lease has ended
 	// OutOfSyncSince is when the node was last in sync, or first registered. It is nil while the node is in sync.
 	OutOfSyncSince *Timestamp `json:"since,omitempty"`
-	// HighestPossible is the target version that the node had at OutOfSyncSince. While it is not in sync, the node may
-	// run RunningVersion, HighestPossible, or a version that was its target in between.
-	HighestPossible int64 `json:"may_run,omitempty"`
+	// HighestPossibleVersion is the target version that the node had at OutOfSyncSince. While it is not in sync, the node may
+	// run RunningVersion, HighestPossibleVersion, or a version that was its target in between.
+	HighestPossibleVersion int64 `json:"may_run,omitempty"`
 	// Syncing: the node is reachable, and this incarnation has not yet reported that it runs its target version.
 	Syncing bool `json:"catching_up,omitempty"`
 
-	Reported       bool   `json:"known,omitempty"`   // this incarnation has reported its running version
-	RunningVersion int64  `json:"running"`           // as last reported, by this or an earlier incarnation
-	Acknowledged   int64  `json:"acked,omitempty"`   // the version that this incarnation has acknowledged; 0: none
-	TargetVersion  int64  `json:"told"`              // the version that the node is to run
-	Violation      string `json:"fault,omitempty"`   // the rule that its last report breaks; empty: none
-	RejectReason   string `json:"refused,omitempty"` // why it cannot run the pending version; empty: it has not rejected it
+	Reported            bool   `json:"known,omitempty"`   // this incarnation has reported its running version
+	RunningVersion      int64  `json:"running"`           // as last reported, by this or an earlier incarnation
+	AcknowledgedVersion int64  `json:"acked,omitempty"`   // the version that this incarnation has acknowledged; 0: none
+	TargetVersion       int64  `json:"told"`              // the version that the node is to run
+	Violation           string `json:"fault,omitempty"`   // the rule that its last report breaks; empty: none
+	RejectReason        string `json:"refused,omitempty"` // why it cannot run the pending version; empty: it has not rejected it
 }
 
 // InSync reports whether the node is reachable and runs its target version as far as it has reported.
@@ -51,7 +51,7 @@
 type State struct {
 	Committed     Version          `json:"committed"`         // the target of all nodes, unless a version is pending
 	Pending       *Version         `json:"pending,omitempty"` // proposed, and possibly the target of some nodes; nil: none
-	Stage         int              `json:"stage"`             // number of stages of Pending that have started
+	StartedStages int              `json:"stage"`             // number of stages of Pending that have started
 	HaltReason    string           `json:"halted,omitempty"`  // why no stage of Pending starts any more; empty: not halted
 	Hashes        map[int64]string `json:"hashes"`            // by the number of each version that a node may run or get
 	HighestNumber int64            `json:"highest"`           // the highest version number ever given
@@ -89,7 +89,7 @@
 	for _, n := range s.Nodes {
 		n.Syncing = n.Syncing || !n.Reported && !n.Unreachable
 		if n.Unreachable && n.OutOfSyncSince == nil {
-			n.OutOfSyncSince, n.HighestPossible = &Timestamp{}, n.TargetVersion
+			n.OutOfSyncSince, n.HighestPossibleVersion = &Timestamp{}, n.TargetVersion
 		}
 	}
 	s.updateLostZones(Timestamp{})
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -154,7 +154,7 @@
 // validateProposed validates the version that is proposed, and acknowledges or rejects it, unless that is done.
 func (f *Follower) validateProposed(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	p := view.Pending
-	if p == nil || view.Node.Acknowledged == p.Number || view.Node.RejectReason != "" || p.Number <= f.running.Number {
+	if p == nil || view.Node.AcknowledgedVersion == p.Number || view.Node.RejectReason != "" || p.Number <= f.running.Number {
 		return
 	}
 	if f.proposed.Number != p.Number {
--- a/internal/registry/state/snapshot_test.go
+++ b/internal/registry/state/snapshot_test.go
@@ -136,7 +136,7 @@
 				{Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid}, {Kind: OpReport, UID: uid, Token: instance.Token, Number: n.TargetVersion, Hash: s.Rollout().Hashes[n.TargetVersion]},
 				{Kind: OpPropose, Value: json.RawMessage(fmt.Sprint(s.Rollout().HighestNumber)), Replaces: s.Rollout().Committed.Number, Stages: []float64{0.4, 1}}, {Kind: OpRollback}}
 			if v != nil {
-				ops = append(ops, Op{Kind: OpAcknowledge, UID: uid, Token: instance.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: OpAdvance, Number: v.Number, Stage: s.Rollout().Stage})
+				ops = append(ops, Op{Kind: OpAcknowledge, UID: uid, Token: instance.Token, Number: v.Number, Hash: v.Hash}, Op{Kind: OpAdvance, Number: v.Number, Stage: s.Rollout().StartedStages})
 			}
 			return rapid.SampledFrom(ops).Draw(rt, "op")
 		}
