--- a/internal/coordination/disruption/budget.go
+++ b/internal/coordination/disruption/budget.go
@@ -3,34 +3,34 @@
 // Unit is a server or a node process.
 type Unit struct {
 	ID                  string
-	Incarnation         int64   // fencing token of its present process
-	StartTimeMS         float64 // when that process started, by the unit's clock, in Unix milliseconds; a later one has a higher value
+	Incarnation         int64   // fencing token of its current process
+	StartTimeMS         float64 // start of that process by the unit's clock, in Unix milliseconds; higher for a later process
 	Tier                string
 	Zone                string
 	Region              string
 	Rack                int
-	Capacity            float64 // above 0
-	UnavailableFraction float64 // fraction of its capacity that does not serve
-	Reason              string  // why UnavailableFraction is not 0
+	Capacity            float64 // above 0, in the unit of the endpoint list
+	UnavailableFraction float64 // fraction of its capacity that is unavailable
+	Reason              string  // why UnavailableFraction is above 0
 }
 
-// ReasonUnreachable is the reason of a unit whose lease has ended or that has left.
+// ReasonUnreachable is the reason of a unit whose lease has ended or that has deregistered.
 const ReasonUnreachable = "missing"
 
-// Budget holds the units, limits and permits of a site. Its methods may not be called concurrently.
+// Budget holds the units, limits and permits of a site. Its methods must not be called concurrently.
 type Budget struct {
 	limits  map[string]*Limit  // by tier
-	units   map[string]*Unit   // by ID
+	units   map[string]*Unit   // by the unit's ID
 	permits map[string]*Permit // by the unit's ID
-	sums    map[scope]*sum     // of the scopes that have a unit
+	sums    map[scope]*sum     // of the scopes that contain a unit
 }
 
-// NewBudget returns a Budget without units and limits.
+// NewBudget returns a Budget without units, limits and permits. It grants no permits until units and limits are set.
 func NewBudget() *Budget {
 	return &Budget{limits: map[string]*Limit{}, units: map[string]*Unit{}, permits: map[string]*Permit{}, sums: map[scope]*sum{}}
 }
 
-// SetLimits replaces all limits. Permits that exceed the new limits remain.
+// SetLimits replaces all limits. Granted permits remain, even if they exceed the new limits.
 func (b *Budget) SetLimits(limits Limits) {
 	clear(b.limits)
 	for i := range limits.Tiers {
@@ -38,7 +38,7 @@
 	}
 }
 
-// SetUnit records a unit as it is now. It returns the permit that this ends, or nil.
+// SetUnit adds a unit or updates its state. It returns the permit that ends with the update, or nil.
 func (b *Budget) SetUnit(u Unit) (ended *Permit) {
 	if old := b.units[u.ID]; old != nil {
 		b.count(old, -1)
@@ -53,7 +53,7 @@
 	return ended
 }
 
-// Decommission removes a unit that will not come back. It returns the permit that this ends, or nil.
+// Decommission removes a unit permanently. It returns the unit's permit, which ends, or nil.
 func (b *Budget) Decommission(id string) (ended *Permit) {
 	if u := b.units[id]; u != nil {
 		b.count(u, -1)
@@ -64,7 +64,8 @@
 	return ended
 }
 
-// unavailableCapacity is how much of a unit's capacity counts as unavailable, in millionths.
+// unavailableCapacity returns how much of a unit's capacity counts as unavailable, in millionths: all of it while the unit has
+// a permit.
 func (b *Budget) unavailableCapacity(u *Unit) int64 {
 	if b.permits[u.ID] != nil {
 		return millionths(u.Capacity)
@@ -72,8 +73,8 @@
 	return millionths(u.Capacity * u.UnavailableFraction)
 }
 
-// count adds a unit to the sums of its scopes (sign 1), or takes it out of them (sign -1). Between the two calls, neither
-// the unit nor its permit may change.
+// count adds a unit to the sums of its scopes (sign 1) or subtracts it (sign -1). A unit must be subtracted before it or its
+// permit changes, and added again afterwards.
 func (b *Budget) count(u *Unit, sign int) {
 	for _, k := range scopesOf(u) {
 		s := b.sums[k]
--- a/internal/coordination/disruption/budget_test.go
+++ b/internal/coordination/disruption/budget_test.go
@@ -20,13 +20,13 @@
 	return Unit{ID: fmt.Sprint("s", i), Incarnation: 1, Tier: "web", Zone: []string{"a", "b"}[i%2], Rack: i / 2, Capacity: 1}
 }
 
-// modelBudget is a Budget and the units that it was told, from which the model counts by itself.
+// modelBudget is a Budget and a copy of its units, from which the model computes the unavailable capacity independently.
 type modelBudget struct {
 	t           *rapid.T
 	budget      *Budget
 	units       map[string]*Unit
 	ids         []string
-	total, zone float64 // limits
+	total, zone float64 // limits of the tier and of each zone
 }
 
 func newModelBudget(t *rapid.T) *modelBudget {
@@ -44,81 +44,81 @@
 	return m
 }
 
-// excess is by how much the scopes of a unit exceed their limits, the worse of the two.
+// excess returns the larger of the amounts by which the tier and the zone of a unit exceed their limits.
 func (m *modelBudget) excess(of *Unit) (worst float64) {
 	for _, zone := range []string{"", of.Zone} {
-		var all, unavailable float64
+		var capacity, unavailable float64
 		for _, u := range m.units {
 			if zone != "" && u.Zone != zone {
 				continue
 			}
-			all += u.Capacity
+			capacity += u.Capacity
 			if m.budget.Permit(u.ID) != nil {
 				unavailable += u.Capacity
 			} else {
 				unavailable += u.Capacity * u.UnavailableFraction
 			}
 		}
-		allowed := m.total * all
+		allowed := m.total * capacity
 		if zone != "" {
-			allowed = m.zone * all
+			allowed = m.zone * capacity
 		}
 		worst = max(worst, unavailable-allowed)
 	}
 	return worst
 }
 
-// step does one thing of those that happen to a unit and its permit.
+// step draws one event for a random unit and its permit, and checks its effect.
 func (m *modelBudget) step(step int) {
 	t, b := m.t, m.budget
 	u := m.units[rapid.SampledFrom(m.ids).Draw(t, "unit")]
 	had := b.Permit(u.ID)
-	switch rapid.IntRange(0, 5).Draw(t, "what") {
+	switch rapid.IntRange(0, 5).Draw(t, "event") {
 	case 0:
 		u.UnavailableFraction = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "unavailable")
 		mustEnd := had != nil && (had.SeenUnavailable || u.StartTimeMS > had.StartTimeMS) && u.UnavailableFraction == 0
 		if ended := b.SetUnit(*u); (ended != nil) != mustEnd {
-			t.Fatalf("permit %+v ended: %v at %+v", had, ended != nil, u)
+			t.Fatalf("permit %+v ended: %v, which is wrong for unit %+v", had, ended != nil, u)
 		}
 	case 1:
 		u.Incarnation++
 		u.StartTimeMS++
 		u.UnavailableFraction = 0.5
 		if ended := b.SetUnit(*u); ended != nil {
-			t.Fatalf("ended while warming up: %+v", ended)
+			t.Fatalf("permit ended while its unit warms up: %+v", ended)
 		}
 	case 2, 3:
 		p, err := b.Grant(Permit{Unit: u.ID, Incarnation: u.Incarnation, Token: int64(step + 1), Holder: "me"}, "")
-		if err == nil && had == nil && m.excess(u) > 1e-5 { // of rounding
-			t.Fatalf("%+v was granted and exceeds a limit by %v", p, m.excess(u))
+		if err == nil && had == nil && m.excess(u) > 1e-5 { // 1e-5 for rounding
+			t.Fatalf("permit %+v was granted, and a limit is exceeded by %v", p, m.excess(u))
 		}
 		if err != nil && had == nil && !strings.Contains(err.Error(), "more would be") {
 			t.Fatal(err)
 		}
 	case 4:
 		if had != nil {
-			_, _ = b.Begin(u.ID, had.Token) // of an earlier incarnation it fails
+			_, _ = b.Begin(u.ID, had.Token) // fails if the permit is for an earlier incarnation
 		}
 	case 5:
 		if had != nil && b.Return(u.ID, had.Token) == had.Begun {
-			t.Fatalf("%+v was returned", had)
+			t.Fatalf("permit %+v: Return must succeed exactly if the permit has not begun", had)
 		}
 	}
 }
 
-// checkSum compares the budget's sum with a count from scratch.
+// checkSum compares the incrementally updated sum of the tier with one that is computed from all units.
 func (m *modelBudget) checkSum() {
 	var unavailable int64
 	for _, u := range m.units {
 		unavailable += m.budget.unavailableCapacity(u)
 	}
 	if s := m.budget.sums[scope{tier: "web"}]; s.unavailable != unavailable {
-		m.t.Fatalf("the sum is %v, the units have %v", s.unavailable, unavailable)
+		m.t.Fatalf("unavailable capacity of the tier: got %v, want %v (millionths)", s.unavailable, unavailable)
 	}
 }
 
-// Units come, fail, warm up and restart, permits are asked for, begun and returned in any order. No permit makes a scope
-// exceed its limit, sums agree with a count from scratch, and a permit ends only where it may.
+// Units fail, warm up and restart while permits are requested, begun and returned in random order. No granted permit may
+// exceed a limit, the incremental sums must match a full computation, and a permit must end exactly when the rules say so.
 func TestPermitsNeverExceedLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModelBudget(t)
@@ -129,7 +129,7 @@
 	})
 }
 
-// The life of a permit, and what ends it.
+// A permit is granted, begun, kept while its unit restarts and warms up, and ended. The steps depend on each other.
 func TestPermitLifecycle(t *testing.T) {
 	b := NewBudget()
 	b.SetLimits(limits(0.5, 1))
@@ -146,42 +146,42 @@
 		}
 	}
 	_, err := grant(0, 1, "a")
-	must("the first is granted", err == nil)
+	must("first permit is granted", err == nil)
 	again, err := grant(0, 1, "a")
-	must("asked for again it is the same", err == nil && again.Token == 10)
+	must("repeated request returns the same permit", err == nil && again.Token == 10)
 	_, err = grant(0, 1, "b")
-	must("another holder gets none", err != nil)
+	must("another holder is rejected", err != nil)
 	_, err = grant(0, 7, "a")
-	must("nor is there one for another incarnation", err != nil)
+	must("request for another incarnation is rejected", err != nil)
 	_, err = b.Begin("s0", 11)
-	must("nobody begins without it", err != nil)
-	dead := unit(1)
-	dead.UnavailableFraction, dead.Reason = 1, ReasonUnreachable
-	b.SetUnit(dead)
+	must("Begin with a wrong token is rejected", err != nil)
+	failed := unit(1)
+	failed.UnavailableFraction, failed.Reason = 1, ReasonUnreachable
+	b.SetUnit(failed)
 	_, err = grant(2, 1, "a")
-	must("what a fault took counts: "+fmt.Sprint(err), err != nil && strings.Contains(err.Error(), "2 of 4 out"))
+	must("failed unit counts against the limit: "+fmt.Sprint(err), err != nil && strings.Contains(err.Error(), "2 of 4 out"))
 	_, err = b.Begin("s0", 10)
-	must("its holder begins", err == nil)
-	must("and cannot return it then", !b.Return("s0", 10))
-	must("while the unit is still available it stays", b.SetUnit(unit(0)) == nil)
+	must("holder begins the permit", err == nil)
+	must("begun permit cannot be returned", !b.Return("s0", 10))
+	must("permit stays while the unit has not been unavailable", b.SetUnit(unit(0)) == nil)
 	u := unit(0)
 	u.Incarnation, u.StartTimeMS, u.UnavailableFraction = 2, 2, 0.6
-	must("while the unit warms up it stays", b.SetUnit(u) == nil)
+	must("permit stays while the unit warms up", b.SetUnit(u) == nil)
 	u.UnavailableFraction = 0
-	must("once the unit is warm it ends", b.SetUnit(u) != nil)
+	must("permit ends when the unit is fully available", b.SetUnit(u) != nil)
 	_, err = grant(2, 1, "a")
-	must("and another fits", err == nil)
+	must("next permit is granted", err == nil)
 	_, err = grant(3, 1, "a")
-	must("but no more", err != nil)
-	must("decommissioned, the dead one counts no more", b.Decommission("s1") == nil)
-	// Three units are left and one is unavailable, where one and a half may be.
+	must("permit beyond the limit is rejected", err != nil)
+	must("decommissioned unit has no permit to end", b.Decommission("s1") == nil)
+	// Three units are left. One of them counts as unavailable, and at most 1.5 may be.
 	_, err = grant(3, 1, "a")
-	must("which makes the rest smaller too", err != nil)
+	must("decommissioning lowers the allowance", err != nil)
 }
 
 func TestLimitsValidate(t *testing.T) {
 	for want, l := range map[string]Limits{
-		"tier: none":      {},
+		"tier: missing":   {},
 		"tier[0].tier":    {Tiers: []Limit{{Total: fraction(1)}}},
 		"tier[1].tier":    {Tiers: []Limit{{Tier: "a", Total: fraction(1)}, {Tier: "a", Total: fraction(1)}}},
 		"tier[0].whole":   {Tiers: []Limit{{Tier: "a"}}},
@@ -191,7 +191,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			if err := l.Validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("%v, want %s", err, want)
+				t.Errorf("got error %v, want %s", err, want)
 			}
 		})
 	}
--- a/internal/coordination/disruption/golden_test.go
+++ b/internal/coordination/disruption/golden_test.go
@@ -8,7 +8,7 @@
 	"umberbank/internal/stricttoml"
 )
 
-// The files were written by the build of revision f63bdca.
+// The golden files were written by the build of revision f63bdca.
 func TestGoldenForms(t *testing.T) {
 	golden.RoundTripFull[Permit](t, "testdata/permit.json")
 	golden.RoundTripFull[Usage](t, "testdata/use.json")
@@ -25,6 +25,6 @@
 		t.Errorf("limits as JSON %+v, and as TOML %+v", fromJSON, fromTOML)
 	}
 	if web := fromTOML.Tiers[0]; web.Tier != "web" || *web.Total != 0.6 || *web.Zone != 1 || *web.Region != 0.9 || *web.Rack != 1 {
-		t.Errorf("%+v", web)
+		t.Errorf("decoded limit of tier web: %+v", web)
 	}
 }
--- a/internal/coordination/disruption/limits.go
+++ b/internal/coordination/disruption/limits.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Limit is the fraction of a tier's capacity, from 0 to 1, that may be unavailable at once: of the whole tier, and of each of
-// its zones, regions and racks. nil is no limit; Total must be set.
+// Limit is the fraction, from 0 to 1, of a tier's capacity that may be unavailable at the same time: in the whole tier, and in
+// each of its zones, regions and racks. Total is required; nil in the other fields means no limit.
 type Limit struct {
 	Tier   string   `json:"tier" toml:"tier"`
 	Total  *float64 `json:"whole,omitempty" toml:"whole"`
@@ -15,21 +15,21 @@
 	Rack   *float64 `json:"rack,omitempty" toml:"rack"`
 }
 
-// fractions returns the limits by kind of scope.
+// fractions returns the limits, indexed by kind of scope.
 func (l *Limit) fractions() [scopeKinds]*float64 {
 	return [scopeKinds]*float64{scopeTier: l.Total, scopeZone: l.Zone, scopeRegion: l.Region, scopeRack: l.Rack}
 }
 
-// Limits are the limits of all tiers of a site, how its units warm up, and how long permits wait. A tier without a Limit
-// gets no permits.
+// Limits holds the limits of all tiers of a site, the warm-up of its units, and the expiry of permits. No permit is granted
+// in a tier without a Limit.
 type Limits struct {
 	Tiers           []Limit `json:"tiers" toml:"tier"`
-	InitialFraction float64 `json:"cold_from" toml:"cold_from"` // fraction of its capacity that a unit has when it starts
-	WarmUpMS        int64   `json:"warm_ms" toml:"warm_ms"`     // until a started unit has its whole capacity, in milliseconds; 0: at once
-	PermitExpiryMS  int64   `json:"lapse_ms" toml:"lapse_ms"`   // until a permit that has not begun expires, in milliseconds; 0: 2,000
+	InitialFraction float64 `json:"cold_from" toml:"cold_from"` // fraction of a unit's capacity that is available when it starts
+	WarmUpMS        int64   `json:"warm_ms" toml:"warm_ms"`     // ms until a started unit is fully available; zero if at once
+	PermitExpiryMS  int64   `json:"lapse_ms" toml:"lapse_ms"`   // ms until a permit that has not begun expires; zero means 2,000
 }
 
-// Validate returns an error that names the first key with a wrong value.
+// Validate returns an error that names the first invalid key and its value, or nil.
 func (l *Limits) Validate() error {
 	seen := map[string]bool{}
 	for i := range l.Tiers {
@@ -41,22 +41,22 @@
 	}
 	switch {
 	case len(l.Tiers) == 0:
-		return errors.New("tier: none is named")
+		return errors.New("tier: missing, at least one is required")
 	case !isFraction(l.InitialFraction):
 		return fmt.Errorf("cold_from: %v is no share from 0 to 1", l.InitialFraction)
 	case l.WarmUpMS < 0 || l.PermitExpiryMS < 0:
-		return errors.New("warm_ms, lapse_ms: a time cannot be negative")
+		return errors.New("warm_ms, lapse_ms: must not be negative")
 	}
 	return nil
 }
 
-// validate checks one tier; duplicate says that an earlier one has the same name.
+// validate checks the limits of one tier. duplicate reports whether an earlier tier has the same name.
 func (l *Limit) validate(duplicate bool) error {
 	if l.Tier == "" {
 		return errors.New("tier: missing")
 	}
 	if duplicate {
-		return fmt.Errorf("tier: %q stands twice", l.Tier)
+		return fmt.Errorf("tier: duplicate name %q", l.Tier)
 	}
 	keys := [scopeKinds]string{scopeTier: "whole", scopeZone: "zone", scopeRegion: "region", scopeRack: "rack"}
 	for kind, fraction := range l.fractions() {
@@ -65,10 +65,10 @@
 		}
 	}
 	if l.Total == nil {
-		return fmt.Errorf("whole: missing: how much of %s may be out at once", l.Tier)
+		return fmt.Errorf("whole: missing, tier %s needs a limit on its whole capacity", l.Tier)
 	}
 	return nil
 }
 
-// isFraction reports whether v is between 0 and 1; NaN is not.
+// isFraction reports whether v is between 0 and 1. It returns false for NaN.
 func isFraction(v float64) bool { return v >= 0 && v <= 1 }
--- a/internal/coordination/disruption/permit.go
+++ b/internal/coordination/disruption/permit.go
@@ -11,18 +11,18 @@
 type Permit struct {
 	Unit            string  `json:"unit"`
 	Incarnation     int64   `json:"start"`
-	StartTimeMS     float64 `json:"boot"`  // of that incarnation, in Unix milliseconds
-	Token           int64   `json:"token"` // identifies this permit; later permits have higher ones
+	StartTimeMS     float64 `json:"boot"`  // start of that incarnation's process, in Unix milliseconds
+	Token           int64   `json:"token"` // identifies the permit; later permits have higher tokens
 	Holder          string  `json:"holder"`
-	Plan            string  `json:"plan,omitempty"` // the release that it belongs to; empty: none
-	TargetVersion   string  `json:"to,omitempty"`   // the version that the unit is to return with; empty: any
-	Begun           bool    `json:"begun"`          // the holder may have taken the unit out
-	SeenUnavailable bool    `json:"seen_out"`       // the unit has been unavailable since then
+	Plan            string  `json:"plan,omitempty"` // release that the permit belongs to; empty if it belongs to none
+	TargetVersion   string  `json:"to,omitempty"`   // version that the unit must run when it returns; empty if any
+	Begun           bool    `json:"begun"`          // the holder may have taken the unit out of service
+	SeenUnavailable bool    `json:"seen_out"`       // the unit was seen unavailable or restarted after the permit had begun
 }
 
-// observe records what a unit's present state says about its permit, and reports whether the permit ends.
+// observe updates the permit from its unit's current state, and reports whether the permit ends.
 func (p *Permit) observe(u *Unit) bool {
-	restarted := u.StartTimeMS > p.StartTimeMS // an earlier start is one that a restored backup knows
+	restarted := u.StartTimeMS > p.StartTimeMS // an earlier start time is no restart: it comes from a restored backup
 	if p.Begun && (u.UnavailableFraction > 0 || restarted) {
 		p.SeenUnavailable = true
 	}
@@ -35,10 +35,10 @@
 	ErrUnitRestarted  = errors.New("the unit has started anew since")
 )
 
-// Grant grants a permit for the present incarnation of a unit, or returns an error that says with the figures why not. A
-// holder that asks again for the same incarnation, plan and version gets the permit that it has. replacesPlan names a plan
-// whose permit for the unit, once it has begun, is replaced by the new one: the unit is unavailable already, so the
-// budget is not checked.
+// Grant grants a permit for the current incarnation of a unit. The error names the exceeded limit with its figures, or the
+// other reason for the rejection. A repeated request for the same holder, incarnation, plan and version returns the existing
+// permit. If the unit's permit belongs to the plan replacesPlan and has begun, the new permit replaces it. The limits are not
+// checked then, since the unit already counts as unavailable. The caller must not change the returned permit.
 func (b *Budget) Grant(p Permit, replacesPlan string) (*Permit, error) {
 	u := b.units[p.Unit]
 	if u == nil {
@@ -59,7 +59,7 @@
 	return &p, nil
 }
 
-// grantAgain answers a request for a permit of a unit that has one.
+// grantAgain handles a request for a unit that already has a permit.
 func (b *Budget) grantAgain(has *Permit, p Permit, replacesPlan string) (*Permit, error) {
 	if replacesPlan != "" && has.Plan == replacesPlan && has.Begun {
 		p.Begun, p.SeenUnavailable = true, has.SeenUnavailable
@@ -72,7 +72,8 @@
 	return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, has.Holder)
 }
 
-// checkLimits returns an error if the rest of a unit's capacity cannot become unavailable within every limit.
+// checkLimits returns an error if the tier of a unit has no limit, or names the first limit that is exceeded when the unit's
+// whole capacity is unavailable.
 func (b *Budget) checkLimits(u *Unit) error {
 	limit := b.limits[u.Tier]
 	if limit == nil {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// setPermit puts a permit in place, or with nil removes the unit's, and keeps the sums right.
+// setPermit sets the permit of a unit, or removes it if p is nil, and updates the sums.
 func (b *Budget) setPermit(u *Unit, p *Permit) {
 	b.count(u, -1)
 	if p == nil {
@@ -104,8 +105,9 @@
 	b.count(u, 1)
 }
 
-// Begin marks the permit of a unit with this token as begun: its holder may take the unit out from now on. A repeated call
-// changes nothing. The errors are [ErrPermitNotFound] and, for a permit that has not begun, [ErrUnitRestarted].
+// Begin marks the permit with this token as begun. From then on its holder may take the unit out of service. A repeated call
+// has no further effect. The error wraps [ErrPermitNotFound] if the unit has no permit with this token, and [ErrUnitRestarted]
+// if the permit has not begun and the unit runs in another incarnation.
 func (b *Budget) Begin(unit string, token int64) (*Permit, error) {
 	p := b.permits[unit]
 	if p == nil || p.Token != token {
@@ -122,7 +124,7 @@
 	return p, nil
 }
 
-// Return ends the permit of a unit with this token if it has not begun, and reports whether it did.
+// Return ends the permit with this token if it has not begun, and reports whether it ended.
 func (b *Budget) Return(unit string, token int64) bool {
 	p := b.permits[unit]
 	if p == nil || p.Token != token || p.Begun {
@@ -132,17 +134,17 @@
 	return true
 }
 
-// Restore puts a stored permit in place. It is ignored if its unit has been decommissioned.
+// Restore sets a permit that was loaded from a snapshot. It has no effect if the unit has been decommissioned.
 func (b *Budget) Restore(p Permit) {
 	if u := b.units[p.Unit]; u != nil {
 		b.setPermit(u, &p)
 	}
 }
 
-// Permit returns the permit of a unit, or nil.
+// Permit returns the permit of a unit, or nil. The caller must not change it.
 func (b *Budget) Permit(unit string) *Permit { return b.permits[unit] }
 
-// Permits returns all permits by ascending ID of their units.
+// Permits returns all permits in ascending order of their units' IDs. The caller must not change them.
 func (b *Budget) Permits() []*Permit {
 	permits := make([]*Permit, 0, len(b.permits))
 	for _, id := range slices.Sorted(maps.Keys(b.permits)) {
--- a/internal/coordination/disruption/scope.go
+++ b/internal/coordination/disruption/scope.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// scopeKind is a kind of part of a site to which a limit applies.
+// scopeKind is a kind of scope to which a limit applies.
 type scopeKind int
 
 const (
@@ -13,17 +13,17 @@
 	scopeZone
 	scopeRegion
 	scopeRack
-	scopeKinds // how many kinds there are
+	scopeKinds // number of kinds
 )
 
-// scope is one such part: a tier, or one zone, region or rack of a tier.
+// scope is a set of units that share a limit: a tier, or one zone, region or rack of a tier.
 type scope struct {
 	tier string
 	kind scopeKind
-	name string // of the zone, region or rack; empty for a tier
+	name string // name of the zone, region or rack; empty for a tier
 }
 
-// String names the scope as operators read it.
+// String returns the name of the scope for operators, such as "zone a of tier web".
 func (s scope) String() string {
 	if s.kind == scopeTier {
 		return "tier " + s.tier
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s %s of tier %s", kind, s.name, s.tier)
 }
 
-// scopesOf returns the scopes that a unit counts in, by kind.
+// scopesOf returns the scopes that contain a unit, indexed by kind.
 func scopesOf(u *Unit) [scopeKinds]scope {
 	return [scopeKinds]scope{
 		scopeTier:   {tier: u.Tier},
@@ -42,20 +42,20 @@
 	}
 }
 
-// sum adds up the units of a scope. Capacities are in millionths.
+// sum is the number of units in a scope and their total capacities, in millionths.
 type sum struct {
 	units       int
 	capacity    int64
 	unavailable int64
 }
 
-// millionths converts a capacity to the integers that sums are kept in.
+// millionths converts a capacity to an integer number of millionths, rounded to the nearest.
 func millionths(capacity float64) int64 { return int64(math.Round(capacity * 1e6)) }
 
-// fromMillionths converts it back.
+// fromMillionths converts a number of millionths to a capacity.
 func fromMillionths(v int64) float64 { return float64(v) / 1e6 }
 
-// allowed is how much of a capacity, both in millionths, a limit allows to be unavailable.
+// allowed returns how much of a scope's capacity may be unavailable under a limit. Both capacities are in millionths.
 func allowed(fraction float64, capacity int64) int64 {
 	return int64(math.Round(fraction * float64(capacity)))
 }
--- a/internal/coordination/disruption/usage.go
+++ b/internal/coordination/disruption/usage.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Usage is how much of a scope's capacity is unavailable, and how much a limit allows.
+// Usage is the capacity of a scope, how much of it is unavailable, and how much may be unavailable under the limit.
 type Usage struct {
 	Scope       string  `json:"scope"`
 	Capacity    float64 `json:"capacity"`
@@ -14,7 +14,7 @@
 	Allowed     float64 `json:"may"`
 }
 
-// Usages returns the usage of every scope that has a limit, the one with the least capacity left first.
+// Usages returns the usage of every scope that has a limit. The scope with the least remaining allowance comes first.
 func (b *Budget) Usages() []Usage {
 	var usages []Usage
 	for k, s := range b.sums {
@@ -37,10 +37,10 @@
 	return usages
 }
 
-// UnavailableUnit is a unit that is not fully available, or that has a permit.
+// UnavailableUnit describes a unit that is not fully available, or that has a permit.
 type UnavailableUnit struct {
 	Unit      string  `json:"unit"`
-	Fraction  float64 `json:"share"` // of its capacity that is unavailable
+	Fraction  float64 `json:"share"` // unavailable fraction of its capacity; zero if it only has a permit
 	Reason    string  `json:"why"`
 	Permitted bool    `json:"permitted"`
 }
@@ -48,7 +48,7 @@
 // reasonPermitted is the reason of a unit that is fully available and has a permit.
 const reasonPermitted = "permitted"
 
-// UnavailableUnits returns all units that are not fully available or have a permit, by ascending ID.
+// UnavailableUnits returns all units that are not fully available or have a permit, in ascending order of their IDs.
 func (b *Budget) UnavailableUnits() []UnavailableUnit {
 	var units []UnavailableUnit
 	for _, id := range slices.Sorted(maps.Keys(b.units)) {
