--- a/internal/coordination/rollout/acknowledge.go
+++ b/internal/coordination/rollout/acknowledge.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Report records the version and hash that an incarnation of a node runs. A node that reports its target version is in
-// sync from then on, unless it is unreachable. A report that breaks a rule is recorded as the node's violation and halts
-// the pending version. The error says that the incarnation is not the present one.
+// Report records the version and hash that an incarnation of a node runs. A reachable node that reports its target version is
+// in sync from then on. A report that violates a rule is recorded as the node's violation and halts the pending version. Report
+// fails if the incarnation is not the node's current one.
 func (s *State) Report(id string, incarnation, number int64, hash string) error {
 	n := s.Nodes[id]
 	if n == nil || n.Incarnation != incarnation {
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// violation returns the rule that a node breaks by running a version with a hash; empty: none.
+// violation returns the rule that a node violates by running a version with a hash, or an empty string. The hash of version 0 and
+// of a version whose hash is no longer kept is not checked.
 func (s *State) violation(n *Node, number int64, hash string) string {
 	want := s.Hashes[number]
 	switch {
@@ -42,13 +43,14 @@
 	return ""
 }
 
+// incarnationError returns the error for a call by an incarnation that is not the node's current one.
 func incarnationError(id string, incarnation int64) error {
 	return fmt.Errorf("start %d of node %s is not the one that runs", incarnation, id)
 }
 
-// pruneHashes drops the hashes of versions that no node can run or get any more. For a node that is not in sync it keeps
-// two, that of the last reported version and that of the highest possible one, so that a node that stays away for long
-// does not keep all hashes since.
+// pruneHashes removes the hashes of versions that nodes can no longer run or receive. For a node that is not in sync it keeps
+// only two, those of the last reported version and of the highest possible one. Otherwise a node that is unreachable for a
+// long time would retain the hashes of all versions since.
 func (s *State) pruneHashes() {
 	oldest, kept := s.Committed.Number, map[int64]bool{}
 	for _, n := range s.Nodes {
@@ -61,8 +63,9 @@
 	maps.DeleteFunc(s.Hashes, func(number int64, _ string) bool { return number < oldest && !kept[number] })
 }
 
-// Acknowledge records that an incarnation of a node can run the pending version, or with a rejectReason that it cannot,
-// which halts the version. It fails for another incarnation, another version or hash, and a node that is not in sync.
+// Acknowledge records that an incarnation of a node can run the pending version. A non-empty rejectReason records instead that
+// it cannot, and halts the version. Acknowledge fails if the incarnation is not the node's current one, if no version with this
+// number and hash is pending, and if the node is not in sync.
 func (s *State) Acknowledge(id string, incarnation, number int64, hash, rejectReason string) error {
 	n := s.Nodes[id]
 	switch {
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// acknowledgements counts nodes, and those in sync that have acknowledged the pending version.
+// acknowledgements is the number of nodes, and the number of those that are in sync and have acknowledged the pending version.
 type acknowledgements struct{ nodes, acknowledged int }
 
 func (a *acknowledgements) add(acknowledged bool) {
@@ -94,11 +97,11 @@
 // isQuorum reports whether more than half of the nodes have acknowledged.
 func (a *acknowledgements) isQuorum() bool { return 2*a.acknowledged > a.nodes }
 
-// needed is the smallest number of acknowledgements that is a quorum.
+// needed returns the smallest number of acknowledgements that is a quorum.
 func (a *acknowledgements) needed() int { return a.nodes/2 + 1 }
 
-// CheckQuorum returns an error that says which zone's quorum, or that of all nodes, lacks acknowledgements of the pending
-// version. Lost zones are exempt from their own quorum.
+// CheckQuorum returns nil if the pending version has a quorum in every zone that is not lost, and among all nodes. Otherwise the
+// error names the first zone without a quorum, or the number of acknowledgements that are missing among all nodes.
 func (s *State) CheckQuorum() error {
 	if s.Pending == nil {
 		return errors.New("no version is under way")
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// countAcknowledgements counts by zone and over all nodes.
+// countAcknowledgements counts the acknowledgements of the pending version by zone and over all nodes.
 func (s *State) countAcknowledgements() (zones map[string]*acknowledgements, all acknowledgements) {
 	zones = map[string]*acknowledgements{}
 	for _, n := range s.Nodes {
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -6,17 +6,17 @@
 	"math"
 )
 
-// roundingSlack absorbs the error of a fraction times a number of nodes, so that 0.1 of 30 nodes is 3 and not 4.
+// roundingSlack absorbs the floating-point error of a fraction times a number of nodes, so that 0.1 of 30 nodes is 3 and not 4.
 const roundingSlack = 1e-9
 
-// Advance starts the next stage of the pending version: it becomes the target of more nodes, and with the last stage the
-// committed version of all. It fails unless [State.CheckReady] allows the stage, and when the version is halted. stage is
-// the number of started stages that the caller has seen, so that a repeated call has no further effect. If the only
-// started node is out of sync, the call gives the version to one more node instead and the stage stays.
+// Advance starts the next stage of the pending version, which becomes the target of more nodes. The last stage makes it the
+// target of all nodes and commits it. Advance fails if [State.CheckReady] does, and if the version is halted. stage is the
+// number of started stages that the caller has seen, so that a repeated call has no further effect. If only one node has the
+// version as its target and that node is out of sync, Advance makes it the target of one more node instead of starting a stage.
 func (s *State) Advance(number int64, stage int) error {
 	if s.Pending == nil || s.Pending.Number != number {
 		if number <= s.Committed.Number {
-			return nil // committed since
+			return nil // already committed, or superseded by the committed version
 		}
 		return fmt.Errorf("version %d is not under way", number)
 	}
@@ -31,37 +31,37 @@
 	if err := s.CheckReady(); err != nil {
 		return err
 	}
-	if s.onlyStartedNodeOutOfSync() {
-		s.setTargets(s.unstarted(s.nodesInSync()), 1)
+	if s.onlyTargetedNodeOutOfSync() {
+		s.setTargets(s.untargeted(s.nodesInSync()), 1)
 		return nil
 	}
 	s.startStage()
 	return nil
 }
 
-// startStage gives the pending version to the nodes of the next stage, and commits it with the last one. Nodes out of
-// sync get it with the last stage, or when they return after it.
+// startStage makes the pending version the target of the nodes of the next stage. The last stage includes the nodes that are out
+// of sync, and commits the version.
 func (s *State) startStage() {
 	if s.StartedStages == len(s.Pending.Stages)-1 {
-		remaining := s.unstarted(s.nodeIDs())
+		remaining := s.untargeted(s.nodeIDs())
 		s.setTargets(remaining, len(remaining))
 		s.commit()
 		return
 	}
 	ids := s.nodesInSync()
-	remaining := s.unstarted(ids)
-	started := 0
+	remaining := s.untargeted(ids)
+	targeted := 0
 	for _, id := range ids {
 		if s.Nodes[id].TargetVersion == s.Pending.Number {
-			started++
+			targeted++
 		}
 	}
-	want := int(math.Ceil(s.Pending.Stages[s.StartedStages]*float64(len(ids))-roundingSlack)) - started
+	want := int(math.Ceil(s.Pending.Stages[s.StartedStages]*float64(len(ids))-roundingSlack)) - targeted
 	s.setTargets(remaining, want)
 	s.StartedStages++
 }
 
-// commit makes the pending version the committed one.
+// commit makes the pending version the committed one and the target of all nodes.
 func (s *State) commit() {
 	s.Committed, s.Pending, s.StartedStages = *s.Pending, nil, 0
 	for _, n := range s.Nodes {
@@ -69,16 +69,16 @@
 	}
 }
 
-// setTargets makes the pending version the target of count of the nodes, evenly along their order.
+// setTargets makes the pending version the target of count of the given nodes, evenly spaced in their order.
 func (s *State) setTargets(ids []string, count int) {
 	for i := range min(max(count, 0), len(ids)) {
 		s.Nodes[ids[i*len(ids)/count]].TargetVersion = s.Pending.Number
 	}
 }
 
-// unstarted returns those of ids whose target is not the pending version: nodes with the version that a rollback replaces
-// first, then those with the committed one, each in the given order.
-func (s *State) unstarted(ids []string) []string {
+// untargeted returns the given nodes whose target is not the pending version, in the given order. Nodes whose target is a
+// version that a rollback replaces come before those with the committed version.
+func (s *State) untargeted(ids []string) []string {
 	var replaced, committed []string
 	for _, id := range ids {
 		switch target := s.Nodes[id].TargetVersion; {
@@ -102,28 +102,29 @@
 	return ids
 }
 
-// CheckReady returns an error that says why the next stage of the pending version cannot start yet.
+// CheckReady returns an error that says why the next stage of the pending version cannot start yet, or nil. It does not check
+// whether the version is halted.
 func (s *State) CheckReady() error {
 	if err := s.CheckQuorum(); err != nil {
 		return err
 	}
-	return s.checkStartedNodes()
+	return s.checkTargetedNodes()
 }
 
-// checkStartedNodes returns an error that names the first started node that is in sync and not known to run the pending
-// version, or says that too few of the started nodes run it. A single started node that is out of sync passes; see
-// [State.Advance].
-func (s *State) checkStartedNodes() error {
+// checkTargetedNodes checks the nodes whose target is the pending version. It returns an error that names the first one that is
+// in sync and not known to run the version, or an error if fewer than half of them are in sync. A single node that is out of
+// sync is no error; see [State.Advance].
+func (s *State) checkTargetedNodes() error {
 	if s.StartedStages == 0 {
 		return nil
 	}
-	started, running := 0, 0
+	targeted, running := 0, 0
 	for _, id := range s.nodeIDs() {
 		n := s.Nodes[id]
 		if n.TargetVersion != s.Pending.Number {
 			continue
 		}
-		started++
+		targeted++
 		if !n.InSync() {
 			continue
 		}
@@ -132,21 +133,22 @@
 		}
 		running++
 	}
-	if started > 1 && 2*running < started {
+	if targeted > 1 && 2*running < targeted {
 		return fmt.Errorf("%d of %d nodes that were told version %d are in touch and run it, %d are needed: wait for the others, go back, or declare them gone",
-			running, started, s.Pending.Number, (started+1)/2)
+			running, targeted, s.Pending.Number, (targeted+1)/2)
 	}
 	return nil
 }
 
-// onlyStartedNodeOutOfSync reports whether the stages so far have started a single node, and it is out of sync. What that
-// node would have shown, one more node is to show. When two such nodes are out of sync, the rollout waits.
-func (s *State) onlyStartedNodeOutOfSync() bool {
-	var started []*Node
+// onlyTargetedNodeOutOfSync reports whether a stage has started, only one node has the pending version as its target, and that
+// node is out of sync. One more node then gets the version, so that it has run on a node before the next stage starts. If that
+// node goes out of sync too, the rollout waits.
+func (s *State) onlyTargetedNodeOutOfSync() bool {
+	var targeted []*Node
 	for _, n := range s.Nodes {
 		if n.TargetVersion == s.Pending.Number {
-			started = append(started, n)
+			targeted = append(targeted, n)
 		}
 	}
-	return s.StartedStages > 0 && len(started) == 1 && !started[0].InSync()
+	return s.StartedStages > 0 && len(targeted) == 1 && !targeted[0].InSync()
 }
--- a/internal/coordination/rollout/helpers_test.go
+++ b/internal/coordination/rollout/helpers_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// site is a State with nodes in sync, so many in each zone, named after it.
-func site(t *testing.T, zones string, each int) *State {
+// newSyncedState returns a State in which all nodes are in sync. Each character of zones is the name of a zone.
+func newSyncedState(t *testing.T, zones string, nodesPerZone int) *State {
 	t.Helper()
 	s := New()
 	for _, z := range zones {
-		for i := range each {
+		for i := range nodesPerZone {
 			id := fmt.Sprintf("%c%d", z, i)
 			s.SetNode(id, string(z), 1, false, Timestamp{Revision: 1})
 			if err := s.Report(id, 1, 0, ""); err != nil {
@@ -23,20 +23,20 @@
 	return s
 }
 
-// commitVersion proposes a version and starts its stages until it is committed or one cannot start. Only reachable nodes
-// answer.
+// commitVersion proposes a version and starts its stages until it is committed or a stage cannot start. Only reachable nodes
+// report and acknowledge.
 func commitVersion(s *State, stages ...float64) error {
 	v, err := s.Propose(fmt.Sprint("c", s.HighestNumber+1), s.Committed.Number, stages)
 	for err == nil && s.Pending != nil {
-		if err = answer(s); err == nil {
+		if err = reportAndAcknowledge(s); err == nil {
 			err = s.Advance(v.Number, s.StartedStages)
 		}
 	}
-	return errors.Join(err, answer(s))
+	return errors.Join(err, reportAndAcknowledge(s))
 }
 
-// answer has every reachable node run its target version, and acknowledge the pending one.
-func answer(s *State) error {
+// reportAndAcknowledge makes every reachable node report its target version and acknowledge the pending one.
+func reportAndAcknowledge(s *State) error {
 	for _, id := range s.nodeIDs() {
 		n := s.Nodes[id]
 		if n.Unreachable {
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// setUnreachable makes nodes unreachable.
+// setUnreachable makes nodes unreachable, at revision 9 and 1,000 ms.
 func setUnreachable(s *State, ids ...string) {
 	for _, id := range ids {
 		s.SetNode(id, s.Nodes[id].Zone, s.Nodes[id].Incarnation, true, Timestamp{Revision: 9, UnixMS: 1000})
 	}
 }
 
-// noError ends the test if err is not nil.
+// noError fails the test immediately if err is not nil.
 func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -70,10 +70,10 @@
 	}
 }
 
-// checkError checks that err contains a text, or is nil if the text is empty.
+// checkError checks that the message of err contains want, or that err is nil if want is empty.
 func checkError(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-		t.Errorf("%v, want %q", err, want)
+		t.Errorf("got error %v, want %q", err, want)
 	}
 }
--- a/internal/coordination/rollout/model_test.go
+++ b/internal/coordination/rollout/model_test.go
@@ -7,26 +7,27 @@
 	"pgregory.net/rapid"
 )
 
-// process is a node as it is, and what the model knows of it beside the State.
+// process is the actual state of a node, and what the model records about it independently of the State.
 type process struct {
 	id, zone     string
 	incarnation  int64
-	running      int64  // version
-	content      string // hash
-	unreachable  bool   // as the registry's leader has written
-	inSync       bool   // reachable, and it has reported that it runs its target, since it last started or came back
-	acknowledged int64  // the version that this incarnation has acknowledged, while it was in sync
-	target       int64  // at the last check
+	running      int64  // version number
+	content      string // hash of the version that runs
+	unreachable  bool   // as last written by the registry's leader
+	inSync       bool   // reachable, and has reported its target version since it last restarted or became reachable
+	acknowledged int64  // version that this incarnation acknowledged while it was in sync
+	target       int64  // target version at the last check
 }
 
-// model is a State and the processes that it is about. It keeps track by itself of who is in sync and which zones are lost.
+// model is a State and the processes that it describes. It determines independently which nodes are in sync and which zones are
+// lost.
 type model struct {
 	t         *rapid.T
 	state     *State
 	nodes     map[string]*process
-	names     []string
+	ids       []string
 	lost      map[string]bool
-	contents  map[int64]string // by number, as proposed
+	contents  map[int64]string // hash by number, as proposed
 	withdrawn map[int64]bool
 }
 
@@ -38,44 +39,44 @@
 		m.nodes[p.id] = p
 		m.set(p)
 	}
-	m.names = m.state.nodeIDs()
+	m.ids = m.state.nodeIDs()
 	return m
 }
 
-// set records a process in the State, and keeps track of which zones are lost.
+// set records a process in the State, and updates the model's lost zones.
 func (m *model) set(p *process) {
 	m.state.SetNode(p.id, p.zone, p.incarnation, p.unreachable, Timestamp{Revision: 1})
 	p.inSync = p.inSync && !p.unreachable
-	all := true
+	allUnreachable := true
 	for _, o := range m.nodes {
-		all = all && (o.zone != p.zone || o.unreachable)
+		allUnreachable = allUnreachable && (o.zone != p.zone || o.unreachable)
 	}
-	m.lost[p.zone] = m.lost[p.zone] || all
+	m.lost[p.zone] = m.lost[p.zone] || allUnreachable
 }
 
-// applyTarget has a process run its target version, and report that.
+// applyTarget makes a process run its target version and report it.
 func (m *model) applyTarget(p *process) {
 	n := m.state.Nodes[p.id]
 	if n.TargetVersion > p.running {
 		if m.withdrawn[n.TargetVersion] {
-			m.t.Fatalf("the target is version %d, which was withdrawn", n.TargetVersion)
+			m.t.Fatalf("target version %d was withdrawn", n.TargetVersion)
 		}
 		p.running, p.content = n.TargetVersion, m.contents[n.TargetVersion]
 	}
 	m.report(p)
 }
 
-// report has a process report what it runs.
+// report makes a process report the version that it runs.
 func (m *model) report(p *process) {
 	if err := m.state.Report(p.id, p.incarnation, p.running, p.content); err != nil || m.state.Nodes[p.id].Violation != "" {
-		m.t.Fatalf("%v %s", err, m.state.Nodes[p.id].Violation)
+		m.t.Fatalf("report rejected: %v, violation %q", err, m.state.Nodes[p.id].Violation)
 	}
 	if !p.unreachable && p.running == m.state.Nodes[p.id].TargetVersion {
 		p.inSync, m.lost[p.zone] = true, false
 	}
 }
 
-// isQuorum counts the acknowledgements of the nodes in sync.
+// isQuorum reports whether a version has a quorum by the model's own count of acknowledgements.
 func (m *model) isQuorum(number int64) bool {
 	acknowledged, all := map[string]int{}, map[string]int{}
 	for _, p := range m.nodes {
@@ -94,7 +95,7 @@
 	return true
 }
 
-// canBeQuorum reports whether the reachable nodes can be a quorum.
+// canBeQuorum reports whether the reachable nodes suffice for a quorum.
 func (m *model) canBeQuorum() bool {
 	reachable, all := map[string]int{}, map[string]int{}
 	for _, p := range m.nodes {
@@ -113,17 +114,17 @@
 	return true
 }
 
-// step does one thing of those that happen to nodes and versions.
+// step draws one event for a random node or the pending version, and checks its effect.
 func (m *model) step() {
 	t, s := m.t, m.state
-	p := m.nodes[rapid.SampledFrom(m.names).Draw(t, "node")]
-	switch rapid.IntRange(0, 18).Draw(t, "what") {
+	p := m.nodes[rapid.SampledFrom(m.ids).Draw(t, "node")]
+	switch rapid.IntRange(0, 18).Draw(t, "event") {
 	case 0:
 		if v, err := s.Propose(fmt.Sprint("c", s.HighestNumber+1), s.Committed.Number, []float64{0.4, 1}); err == nil {
 			m.contents[v.Number] = v.Hash
 			for _, o := range m.nodes {
 				if o.inSync && o.running != s.Committed.Number {
-					t.Fatalf("version %d is proposed while %s is in sync and runs %d", v.Number, o.id, o.running)
+					t.Fatalf("version %d was proposed while %s is in sync and runs version %d", v.Number, o.id, o.running)
 				}
 			}
 		}
@@ -131,7 +132,7 @@
 		if s.Pending != nil {
 			err := s.Acknowledge(p.id, p.incarnation, s.Pending.Number, s.Pending.Hash, "")
 			if (err == nil) != p.inSync {
-				t.Fatalf("in sync %v, and its acknowledgment: %v", p.inSync, err)
+				t.Fatalf("in sync: %v, but the acknowledgement returned %v", p.inSync, err)
 			}
 			if err == nil {
 				p.acknowledged = s.Pending.Number
@@ -141,12 +142,12 @@
 		_ = m.advance() // it may have no quorum
 	case 6, 7, 8:
 		m.applyTarget(p)
-	case 9: // a restart, with what it kept
+	case 9: // a restart, after which the node runs the same version
 		p.incarnation++
 		p.inSync, p.acknowledged = false, 0
 		m.set(p)
 		if err := s.Report(p.id, p.incarnation-1, s.Nodes[p.id].TargetVersion, ""); err == nil {
-			t.Fatal("the word of an earlier start is taken")
+			t.Fatal("a report of an earlier incarnation was accepted")
 		}
 	case 10, 13:
 		p.unreachable = !p.unreachable
@@ -160,16 +161,16 @@
 			m.contents[v.Number] = v.Hash
 		}
 	case 14:
-		m.report(p) // before it has polled
+		m.report(p) // without having applied its target
 	case 15, 16, 17:
-		m.round()
+		m.syncReachable()
 	case 18:
-		m.round()
+		m.syncReachable()
 		_ = m.advance() // it may have no quorum
 	}
 }
 
-// advance asks for the next stage.
+// advance starts the next stage if it can, and checks that a started version has a quorum.
 func (m *model) advance() error {
 	if m.state.Pending == nil {
 		return nil
@@ -182,9 +183,9 @@
 	return err
 }
 
-// round has every reachable node run its target version, and acknowledge the pending one.
-func (m *model) round() {
-	for _, id := range m.names {
+// syncReachable makes every reachable node run and report its target version, and acknowledge the pending one.
+func (m *model) syncReachable() {
+	for _, id := range m.ids {
 		p := m.nodes[id]
 		if p.unreachable {
 			continue
@@ -199,34 +200,37 @@
 	}
 }
 
-// check checks what must hold after every step.
+// check checks the invariants that must hold after every step.
 func (m *model) check() {
-	run := map[string]bool{}
+	contents := map[string]bool{}
 	for id, n := range m.state.Nodes {
 		p := m.nodes[id]
 		if p.inSync {
-			run[p.content] = true
+			contents[p.content] = true
 		}
 		if n.InSync() != p.inSync || n.InSync() != (n.OutOfSyncSince == nil) {
-			m.t.Fatalf("%s is in sync: %v, in the State %+v", id, p.inSync, n)
+			m.t.Fatalf("node %s: in sync %v by the model, but the State has %+v", id, p.inSync, n)
 		}
 		if n.TargetVersion < p.target || n.TargetVersion < m.state.Committed.Number {
-			m.t.Fatalf("%s has the target version %d, after %d, with %d in force", id, n.TargetVersion, p.target, m.state.Committed.Number)
+			m.t.Fatalf("node %s: target %d, lower than before (%d) or than committed (%d)", id, n.TargetVersion, p.target, m.state.Committed.Number)
 		}
 		p.target = n.TargetVersion
 		if _, lost := m.state.LostZones[p.zone]; lost != m.lost[p.zone] {
-			m.t.Fatalf("zone %s is lost: %v, in the State %v", p.zone, m.lost[p.zone], m.state.LostZones)
+			m.t.Fatalf("zone %s: lost %v by the model, but the State has %v", p.zone, m.lost[p.zone], m.state.LostZones)
 		}
 	}
-	if len(run) > 2 {
-		m.t.Fatalf("%d contents run among nodes in sync: %v", len(run), run)
+	if len(contents) > 2 {
+		m.t.Fatalf("nodes in sync run %d contents, want at most 2: %v", len(contents), contents)
 	}
 }
 
-// Nodes answer, activate, restart, become unreachable and return in any order, while versions are proposed, advanced, halted,
-// withdrawn and rolled back. At most two contents run at a time among nodes in sync, by the model's own count of who is; no
-// target decreases, or is lower than the committed version; nothing starts without a quorum of all nodes and of each zone
-// that is not lost; a withdrawn version is never a target; reports of an earlier incarnation are rejected.
+// Nodes acknowledge, apply versions, restart, become unreachable and return in random order, while versions are proposed,
+// advanced, withdrawn and rolled back. The model checks that:
+//   - nodes in sync run at most two contents at the same time;
+//   - no target version decreases or is lower than the committed version;
+//   - no stage starts without a quorum of all nodes and of each zone that is not lost;
+//   - a withdrawn version never becomes a target;
+//   - reports of an earlier incarnation are rejected.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -237,51 +241,51 @@
 	})
 }
 
-// Whatever came after the first version, if the reachable nodes are a quorum of all and of every zone but those of which no
-// node is reachable, three more versions are committed without the others; and when these return, they run the committed
-// version before they count.
+// Unreachable nodes must not block a rollout. After random events, enough nodes become reachable for a quorum of all nodes and
+// of every zone with a reachable node. Three more versions must then be committed without the other nodes. When those return,
+// they must run the committed version before they count as in sync.
 func TestUnreachableNodesDoNotBlockRollout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		s := m.state
-		m.round()
+		m.syncReachable()
 		if _, err := s.Propose("c1", 0, []float64{1}); err != nil {
 			t.Fatal(err)
 		}
 		m.contents[1] = "c1"
-		m.round()
+		m.syncReachable()
 		if err := m.advance(); err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
 			m.step()
 		}
-		for _, id := range m.names { // back, until there is a quorum
+		for _, id := range m.ids { // make nodes reachable until a quorum is possible
 			if p := m.nodes[id]; p.unreachable && !m.canBeQuorum() {
 				p.unreachable = false
 				m.set(p)
 			}
 		}
-		m.round()
-		pass := func() error {
-			for range 4 { // as many as a version may have stages, and one more
-				if m.round(); s.Pending == nil {
+		m.syncReachable()
+		complete := func() error { // starts all stages of the pending version
+			for range 4 { // more iterations than the two stages of a version need
+				if m.syncReachable(); s.Pending == nil {
 					return nil
 				}
 				if err := m.advance(); err != nil {
 					return err
 				}
 			}
-			return fmt.Errorf("version %d is still under way", s.Pending.Number)
+			return fmt.Errorf("version %d is still pending", s.Pending.Number)
 		}
-		if s.Pending != nil { // whatever was under way is taken back, or brought to its end
+		if s.Pending != nil { // withdraw, roll back or complete it
 			if s.Withdraw(s.Pending.Number) != nil {
 				if v, err := s.Rollback(); err == nil {
 					m.contents[v.Number] = v.Hash
 				}
 			}
-			if err := pass(); err != nil {
-				t.Fatalf("what was under way: %v", err)
+			if err := complete(); err != nil {
+				t.Fatalf("the version that was pending: %v", err)
 			}
 		}
 		for range 3 {
@@ -290,25 +294,25 @@
 				t.Fatal(err)
 			}
 			m.contents[v.Number] = v.Hash
-			if err := pass(); err != nil {
+			if err := complete(); err != nil {
 				t.Fatal(err)
 			}
 			m.check()
 		}
-		for _, id := range m.names {
+		for _, id := range m.ids {
 			if p := m.nodes[id]; p.unreachable {
 				p.unreachable = false
 				m.set(p)
 				m.report(p)
 				if p.inSync {
-					t.Fatalf("%s is in sync with version %d", id, p.running)
+					t.Fatalf("node %s counts as in sync with version %d", id, p.running)
 				}
 				m.applyTarget(p)
 			}
 			m.check()
 		}
 		if !s.Converged() || len(s.OutOfSync()) > 0 {
-			t.Fatalf("everybody is back: %+v", s)
+			t.Fatalf("not converged after all nodes have returned: %+v", s)
 		}
 	})
 }
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Propose makes a version with the given content hash and stages pending, and returns it with its number. replaces must
-// be the number of the committed version. It fails while another version is pending, while a node in sync is not known
-// to run the committed version, while no node is in sync, and when stages do not increase to 1.
+// Propose makes a version with the given content hash and stages pending, and returns it. The caller may set its BakeMS.
+// replaces must be the number of the committed version. Propose fails while another version is pending, while a node in sync
+// is not known to run the committed version, if no node is in sync, and if stages do not increase to 1.
 func (s *State) Propose(hash string, replaces int64, stages []float64) (*Version, error) {
 	if s.Pending != nil {
 		return nil, fmt.Errorf("version %d is under way", s.Pending.Number)
@@ -27,8 +27,9 @@
 	return s.setPending(hash, replaces, stages), nil
 }
 
-// Rollback proposes the committed content again, in place of a pending version that is partially applied or of a pending
-// rollback. It fails if there is none, and if version 0 is committed. Its only stage starts it on all nodes, those that have the replaced version as their target first.
+// Rollback proposes the committed content as a new version, which replaces the pending one. Its single stage makes it the
+// target of all nodes. Rollback fails unless a stage of the pending version has started or the pending version is a rollback
+// and some node still has a version that it replaces as its target. It also fails if version 0 is committed.
 func (s *State) Rollback() (*Version, error) {
 	if s.Pending == nil || s.StartedStages == 0 && !s.partiallyApplied() {
 		return nil, errors.New("no version was told to nodes and not to all")
@@ -39,7 +40,8 @@
 	return s.setPending(s.Hashes[s.Committed.Number], s.Pending.Number, []float64{1}), nil
 }
 
-// Withdraw drops the pending version with this number, of which no stage has started. Its number is not given again.
+// Withdraw drops the pending version with this number, which is not assigned again. It fails if a stage of the version has
+// started, or if the version is a rollback and some node still has a version that it replaces as its target.
 func (s *State) Withdraw(number int64) error {
 	switch {
 	case s.Pending == nil || s.Pending.Number != number:
@@ -55,8 +57,7 @@
 	return nil
 }
 
-// Halt stops the pending version for a reason; no stage of it starts any more. A version that is halted already keeps its
-// first reason.
+// Halt halts the pending version: no further stage of it starts. If the version is already halted, the first reason is kept.
 func (s *State) Halt(reason string) error {
 	if s.Pending == nil {
 		return errors.New("no version is under way")
@@ -65,17 +66,19 @@
 	return nil
 }
 
+// haltUnlessHalted sets the halt reason if there is none.
 func (s *State) haltUnlessHalted(reason string) {
 	if s.HaltReason == "" {
 		s.HaltReason = reason
 	}
 }
 
-// Converged reports whether no version is pending and every node in sync is known to run the committed one.
+// Converged reports whether no version is pending and every node in sync is known to run the committed one. It is false if there
+// are nodes and none is in sync.
 func (s *State) Converged() bool { return s.Pending == nil && s.checkConverged() == nil }
 
-// checkConverged returns an error that names the first node in sync that is not known to run the committed version, or
-// says that no node is in sync.
+// checkConverged returns an error that names the first node in sync that is not known to run the committed version. It also
+// returns an error if there are nodes and none is in sync.
 func (s *State) checkConverged() error {
 	ids := s.nodeIDs()
 	inSync := 0
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// partiallyApplied reports whether some node has a target that is newer than the committed version.
+// partiallyApplied reports whether any node has a target version that is newer than the committed one.
 func (s *State) partiallyApplied() bool {
 	for _, n := range s.Nodes {
 		if n.TargetVersion > s.Committed.Number {
@@ -106,7 +109,7 @@
 	return false
 }
 
-// checkStages returns an error unless the fractions are above 0 and increase to 1.
+// checkStages returns an error unless the fractions are above 0, increase strictly, and end with 1.
 func checkStages(stages []float64) error {
 	last := 0.0
 	for i, fraction := range stages {
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// setPending makes a version with the next number pending.
+// setPending makes a version with the next number pending, without started stages, halt reason or acknowledgements.
 func (s *State) setPending(hash string, replaces int64, stages []float64) *Version {
 	s.HighestNumber++
 	s.Pending = &Version{Number: s.HighestNumber, Hash: hash, Replaces: replaces, Stages: stages}
@@ -131,7 +134,7 @@
 	return s.Pending
 }
 
-// clearAcknowledgements drops what nodes have answered to the version that was pending.
+// clearAcknowledgements discards the acknowledgements and rejections of the version that was pending.
 func (s *State) clearAcknowledgements() {
 	for _, n := range s.Nodes {
 		n.AcknowledgedVersion, n.RejectReason = 0, ""
--- a/internal/coordination/rollout/reachability.go
+++ b/internal/coordination/rollout/reachability.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// SetNode records the present incarnation of a node and whether it is unreachable, as written at the time at. A new
-// incarnation has reported and acknowledged nothing.
+// SetNode records the current incarnation of a node and whether it is unreachable. at is the time of the write. A new
+// incarnation starts without reports, acknowledgements and violations, and is syncing.
 func (s *State) SetNode(id, zone string, incarnation int64, unreachable bool, at Timestamp) {
 	n := s.Nodes[id]
 	if n == nil {
@@ -29,13 +29,13 @@
 	s.updateLostZones(at)
 }
 
-// Decommission removes a node. Whoever decommissions it is responsible for the node not running any more.
+// Decommission removes a node. The caller must ensure that the node no longer runs: it no longer counts in any quorum.
 func (s *State) Decommission(id string) {
 	delete(s.Nodes, id)
 	s.updateLostZones(Timestamp{})
 }
 
-// OutOfSync returns the nodes that are unreachable or syncing, by ascending ID.
+// OutOfSync returns the nodes that are unreachable or syncing, in ascending order of their IDs.
 func (s *State) OutOfSync() []*Node {
 	nodes := []*Node{}
 	for _, id := range s.nodeIDs() {
@@ -46,7 +46,7 @@
 	return nodes
 }
 
-// updateLostZones adds the zones of which no node is reachable, and removes those that have no node left or one in sync.
+// updateLostZones adds zones without a reachable node to LostZones, and removes zones that have a node in sync or no nodes left.
 func (s *State) updateLostZones(at Timestamp) {
 	reachable, inSync := map[string]bool{}, map[string]bool{}
 	for _, n := range s.Nodes {
@@ -68,7 +68,7 @@
 	})
 }
 
-// markInSync records that a node is in sync from now on, and so its zone is not lost.
+// markInSync records that a node is in sync, which also means that its zone is not lost.
 func (s *State) markInSync(n *Node) {
 	n.Syncing, n.OutOfSyncSince, n.HighestPossibleVersion = false, nil, 0
 	delete(s.LostZones, n.Zone)
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -9,10 +9,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// One of 100 nodes becomes unreachable, and 300 versions are committed, while only two hashes are kept for it: by them it is
-// still known, when it is reachable again, that it runs what it should not.
+// One of 100 nodes is unreachable while 300 versions are committed. Only two hashes are kept for it. They suffice to detect
+// a violation if the node returns and reports one of its possible versions with a wrong hash.
 func TestUnreachableNodeKeepsTwoHashes(t *testing.T) {
-	s := site(t, "abcd", 25)
+	s := newSyncedState(t, "abcd", 25)
 	for range 5 {
 		if err := commitVersion(s, 1); err != nil {
 			t.Fatal(err)
@@ -43,120 +43,122 @@
 	}
 	n := s.Nodes["a0"]
 	if s.Committed.Number != 306 || n.RunningVersion != 5 || n.HighestPossibleVersion != 6 || *n.OutOfSyncSince != (Timestamp{9, 1000}) {
-		t.Errorf("in force %d, and of the dead is known: %+v", s.Committed.Number, n)
+		t.Errorf("committed version %d, unreachable node %+v", s.Committed.Number, n)
 	}
 	if len(s.Hashes) > 4 || len(s.NeededVersions()) > 2 {
-		t.Errorf("hashes of %d versions are kept, contents of %d", len(s.Hashes), len(s.NeededVersions()))
+		t.Errorf("got %d hashes and %d needed contents, want at most 4 and 2", len(s.Hashes), len(s.NeededVersions()))
 	}
-	for number := int64(5); number <= 6; number++ { // rising, as a node runs them
+	for number := int64(5); number <= 6; number++ { // in ascending order, as a node runs them
 		hash := fmt.Sprint("c", number)
-		for _, said := range []string{hash, "another"} {
-			if err := s.Report("a0", 1, number, said); err != nil || (n.Violation == "") != (said == hash) || n.InSync() {
-				t.Errorf("version %d, %s: %v, %+v", number, said, err, n)
+		for _, reported := range []string{hash, "another"} {
+			if err := s.Report("a0", 1, number, reported); err != nil || (n.Violation == "") != (reported == hash) || n.InSync() {
+				t.Errorf("version %d with the hash %s: %v, %+v", number, reported, err, n)
 			}
 		}
 	}
 }
 
-// A zone is lost and returns, and the errors say so; the quorum of all nodes is always needed.
+// A lost zone is exempt from its own quorum until one of its nodes is in sync again. The quorum of all nodes always applies. Each
+// step continues from the state of the previous one.
 func TestLostZone(t *testing.T) {
-	s := site(t, "abc", 3)
+	s := newSyncedState(t, "abc", 3)
 	for _, c := range []struct {
-		what  string
-		do    func()
-		fails string
+		name    string
+		change  func()
+		wantErr string
 	}{
-		{"all are there", func() {}, ""},
-		{"two of a zone are out", func() { setUnreachable(s, "c0", "c1") }, "zone c: 1 of 3 nodes have acknowledged version 2, 2 are needed"},
-		{"it is taken back", func() { noError(t, s.Withdraw(2)) }, "zone c: 1 of 3 nodes have acknowledged version 3"},
-		{"the zone is lost", func() { noError(t, s.Withdraw(3)); setUnreachable(s, "c2") }, ""},
-		{"one is back, with an old word", func() {
+		{"all nodes in sync", func() {}, ""},
+		{"two nodes of a zone unreachable", func() { setUnreachable(s, "c0", "c1") }, "zone c: 1 of 3 nodes have acknowledged version 2, 2 are needed"},
+		{"version withdrawn", func() { noError(t, s.Withdraw(2)) }, "zone c: 1 of 3 nodes have acknowledged version 3"},
+		{"zone lost", func() { noError(t, s.Withdraw(3)); setUnreachable(s, "c2") }, ""},
+		{"node reachable again with an old version", func() {
 			s.SetNode("c0", "c", 1, false, Timestamp{Revision: 12})
 			if err := s.Report("c0", 1, 1, "c1"); err != nil || s.LostZones["c"].Revision != 9 || s.Nodes["c0"].InSync() {
 				t.Errorf("%v: lost %v, %+v", err, s.LostZones, s.Nodes["c0"])
 			}
 			setUnreachable(s, "c0")
 		}, ""},
-		{"one has caught up, and the zone counts", func() {
+		{"node in sync again, so the zone counts", func() {
 			s.SetNode("c0", "c", 1, false, Timestamp{Revision: 13})
 			noError(t, s.Report("c0", 1, 5, "c5"))
 			if len(s.LostZones) > 0 {
-				t.Errorf("lost: %v", s.LostZones)
+				t.Errorf("lost zones: got %v, want none", s.LostZones)
 			}
 		}, "zone c: 1 of 3"},
-		{"fresh starts of it", func() {
+		{"other nodes of the zone restarted", func() {
 			noError(t, s.Withdraw(6))
 			for _, id := range []string{"c1", "c2"} {
 				s.SetNode(id, "c", 2, false, Timestamp{Revision: 14})
 				if s.Nodes[id].InSync() {
-					t.Errorf("a fresh start is in sync: %+v", s.Nodes[id])
+					t.Errorf("restarted node is in sync before its report: %+v", s.Nodes[id])
 				}
 				noError(t, s.Report(id, 2, 5, "c5"))
 			}
 		}, ""},
-		{"two zones are lost", func() { setUnreachable(s, "b0", "b1", "b2", "c0", "c1", "c2") }, "3 of 9 nodes have acknowledged version 8, 5 are needed"},
-		{"a declared loss", func() {
+		{"two zones lost", func() { setUnreachable(s, "b0", "b1", "b2", "c0", "c1", "c2") }, "3 of 9 nodes have acknowledged version 8, 5 are needed"},
+		{"lost nodes decommissioned", func() {
 			noError(t, s.Withdraw(8))
 			for _, id := range []string{"b0", "b1", "b2", "c0"} {
 				s.Decommission(id)
 			}
-			if _, is := s.LostZones["b"]; is {
-				t.Errorf("a zone without nodes is lost: %v", s.LostZones)
+			if _, lost := s.LostZones["b"]; lost {
+				t.Errorf("zone without nodes counts as lost: %v", s.LostZones)
 			}
 		}, ""},
 	} {
-		c.do()
-		t.Run(c.what, func(t *testing.T) { checkError(t, commitVersion(s, 0.4, 1), c.fails) }) // each step goes on from the one before
+		c.change()
+		t.Run(c.name, func(t *testing.T) { checkError(t, commitVersion(s, 0.4, 1), c.wantErr) })
 	}
 }
 
-// If the only node that was started is out of sync, one more is started; when that is out of sync too, or more than half of
-// several, the rollout waits until they are back or decommissioned, or it is rolled back.
-func TestStartedNodesOutOfSync(t *testing.T) {
+// If the only node with the pending version as its target is out of sync, one more node gets the version. If that one is out of
+// sync too, or more than half of several are, the rollout waits until they are in sync again or decommissioned, or until it is
+// rolled back.
+func TestTargetedNodesOutOfSync(t *testing.T) {
 	const all = "a0 a1 a2 a3 a4 b0 b1 b2 b3 b4"
-	back := func(t *testing.T, s *State, id string) {
+	returnInSync := func(t *testing.T, s *State, id string) {
 		s.SetNode(id, "a", s.Nodes[id].Incarnation, false, Timestamp{})
 		noError(t, s.Report(id, s.Nodes[id].Incarnation, 2, "x"))
 	}
 	for name, c := range map[string]struct {
 		fraction float64 // of ten nodes, in the first stage
-		then     func(*testing.T, *State)
-		targeted string // the nodes with the version as their target after the next call
-		fails    string
+		change   func(*testing.T, *State)
+		targeted string // nodes with version 2 as their target after the next Advance
+		wantErr  string
 	}{
-		"all run it":      {0.1, func(*testing.T, *State) {}, all, ""},
-		"the one goes":    {0.1, func(_ *testing.T, s *State) { setUnreachable(s, "a0") }, "a0 a1", ""},
-		"it starts again": {0.1, func(_ *testing.T, s *State) { s.SetNode("a0", "a", 2, false, Timestamp{}) }, "a0 a1", ""},
-		"it is back":      {0.1, func(t *testing.T, s *State) { setUnreachable(s, "a0"); back(t, s, "a0") }, all, ""},
-		"it is gone":      {0.1, func(_ *testing.T, s *State) { setUnreachable(s, "a0"); s.Decommission("a0") }, all[3:], ""},
-		"so does the second": {0.1, func(t *testing.T, s *State) {
+		"in sync":         {0.1, func(*testing.T, *State) {}, all, ""},
+		"unreachable":     {0.1, func(_ *testing.T, s *State) { setUnreachable(s, "a0") }, "a0 a1", ""},
+		"restarted":       {0.1, func(_ *testing.T, s *State) { s.SetNode("a0", "a", 2, false, Timestamp{}) }, "a0 a1", ""},
+		"reachable again": {0.1, func(t *testing.T, s *State) { setUnreachable(s, "a0"); returnInSync(t, s, "a0") }, all, ""},
+		"decommissioned":  {0.1, func(_ *testing.T, s *State) { setUnreachable(s, "a0"); s.Decommission("a0") }, all[3:], ""},
+		"second unreachable": {0.1, func(t *testing.T, s *State) {
 			setUnreachable(s, "a0")
 			noError(t, s.Advance(2, 1))
 			setUnreachable(s, "a1")
 		}, "a0 a1", "0 of 2 nodes that were told version 2 are in touch and run it, 1 are needed"},
-		"the second is slow": {0.1, func(t *testing.T, s *State) { setUnreachable(s, "a0"); noError(t, s.Advance(2, 1)) }, "a0 a1", "node a1 (zone a) was told version 2 and is not known to run it"},
-		"the second runs it": {0.1, func(t *testing.T, s *State) {
+		"second not reported": {0.1, func(t *testing.T, s *State) { setUnreachable(s, "a0"); noError(t, s.Advance(2, 1)) }, "a0 a1", "node a1 (zone a) was told version 2 and is not known to run it"},
+		"second in sync": {0.1, func(t *testing.T, s *State) {
 			setUnreachable(s, "a0")
 			noError(t, s.Advance(2, 1))
 			noError(t, s.Report("a1", 1, 2, "x"))
 		}, all, ""},
-		"one of three goes": {0.3, func(_ *testing.T, s *State) { setUnreachable(s, "a0") }, all, ""},
-		"two of three go":   {0.3, func(_ *testing.T, s *State) { setUnreachable(s, "a0", "a3") }, "a0 a3 b1", "1 of 3 nodes that were told version 2 are in touch and run it, 2 are needed"},
-		"one of them is back": {0.3, func(t *testing.T, s *State) {
+		"one of three unreachable": {0.3, func(_ *testing.T, s *State) { setUnreachable(s, "a0") }, all, ""},
+		"two of three unreachable": {0.3, func(_ *testing.T, s *State) { setUnreachable(s, "a0", "a3") }, "a0 a3 b1", "1 of 3 nodes that were told version 2 are in touch and run it, 2 are needed"},
+		"one of them in sync again": {0.3, func(t *testing.T, s *State) {
 			setUnreachable(s, "a0", "a3")
-			back(t, s, "a3")
+			returnInSync(t, s, "a3")
 		}, all, ""},
-		"it is taken back": {0.3, func(t *testing.T, s *State) {
+		"rolled back": {0.3, func(t *testing.T, s *State) {
 			setUnreachable(s, "a0", "a3")
 			_, err := s.Rollback()
 			noError(t, err)
 		}, "a0 a3 b1", "version 2 is not under way"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := site(t, "ab", 5)
+			s := newSyncedState(t, "ab", 5)
 			startFirstStage(t, s, c.fraction)
-			c.then(t, s)
-			checkError(t, s.Advance(2, 1), c.fails)
+			c.change(t, s)
+			checkError(t, s.Advance(2, 1), c.wantErr)
 			var targeted []string
 			for _, id := range s.nodeIDs() {
 				if s.Nodes[id].TargetVersion == 2 {
@@ -170,7 +172,7 @@
 	}
 }
 
-// startFirstStage commits version 1, and starts version 2 on a fraction of all nodes, which run it.
+// startFirstStage commits version 1 and starts the first stage of version 2, whose nodes report that they run it.
 func startFirstStage(t *testing.T, s *State, fraction float64) {
 	t.Helper()
 	if err := commitVersion(s, 1); err != nil {
@@ -195,8 +197,8 @@
 	}
 }
 
-// A State that a build without the fields on synchronization has stored goes on: a node that had reported is in sync, one
-// that had not is syncing.
+// After a State from a build without the fields on synchronization is migrated, a node that had reported is in sync, one that
+// had not is syncing, and a zone without a reachable node is lost.
 func TestMigrateLegacy(t *testing.T) {
 	var s State
 	if err := json.Unmarshal([]byte(`{"committed":{"number":3,"hash":"c3","replaces":2,"stages":[1]},"hashes":{"3":"c3"},"highest":3,"nodes":{
@@ -210,16 +212,17 @@
 		t.Errorf("out of sync: %+v", n)
 	}
 	if _, lost := s.LostZones["b"]; !lost || len(s.LostZones) != 1 {
-		t.Errorf("lost: %v", s.LostZones)
+		t.Errorf("lost zones: got %v, want b", s.LostZones)
 	}
 	c := s.Clone()
 	c.MigrateLegacy()
 	if d := cmp.Diff(&s, c); d != "" {
-		t.Errorf("twice: %s", d)
+		t.Errorf("the second migration changed the state: %s", d)
 	}
 }
 
-// The life of a version, step by step, and the errors where it cannot go on. The steps go on from each other.
+// A version is proposed, acknowledged, started and halted, with the errors of calls that are not allowed yet. Each step
+// continues from the state of the previous one.
 func TestVersionLifecycle(t *testing.T) {
 	s := New()
 	for i, zone := range []string{"a", "a", "a", "b", "b"} {
@@ -232,12 +235,12 @@
 	t.Run("rejection", func(t *testing.T) {
 		noError(t, s.Acknowledge("n2", 1, 1, "x", "no such class"))
 		if s.Nodes["n2"].RejectReason == "" {
-			t.Error("the reason of a rejection is not kept")
+			t.Error("the reason of the rejection is not recorded")
 		}
 	})
 }
 
-// testProposal proposes version 1 with two stages, after what cannot be proposed.
+// testProposal checks invalid proposals, and then proposes version 1 with two stages.
 func testProposal(t *testing.T, s *State) {
 	propose := func(hash string, replaces int64, stages []float64, want string) {
 		t.Helper()
@@ -254,14 +257,14 @@
 	propose("y", 0, []float64{1}, "under way")
 }
 
-// testQuorum has nodes acknowledge version 1 until its first stage can start.
+// testQuorum makes nodes acknowledge version 1 until its first stage can start.
 func testQuorum(t *testing.T, s *State) {
 	acknowledge := func(id string) {
 		t.Helper()
 		noError(t, s.Acknowledge(id, 1, 1, "x", ""))
 	}
 	acknowledge("n0")
-	acknowledge("n0") // twice counts once
+	acknowledge("n0") // a repetition counts once
 	acknowledge("n3")
 	checkError(t, s.Advance(1, 0), "zone a: 1 of 3 nodes have acknowledged version 1, 2 are needed")
 	acknowledge("n1")
@@ -271,7 +274,7 @@
 	acknowledge("n4")
 	s.SetNode("n4", "b", 1, true, Timestamp{}) // a partition does not shrink the quorum
 	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
-	s.SetNode("n4", "b", 2, false, Timestamp{}) // a restart: the acknowledgement before does not count
+	s.SetNode("n4", "b", 2, false, Timestamp{}) // after a restart, the earlier acknowledgement does not count
 	checkError(t, s.Advance(1, 0), "zone b: 1 of 2")
 	checkError(t, s.Acknowledge("n4", 2, 1, "x", ""), "node n4 has not caught up with version 0")
 	noError(t, s.Report("n4", 2, 0, ""))
@@ -279,39 +282,40 @@
 	noError(t, s.Acknowledge("n4", 2, 1, "x", ""))
 }
 
-// testStages starts the first stage of version 1, and cannot start the second one.
+// testStages starts the first stage of version 1, and checks that the second one cannot start yet.
 func testStages(t *testing.T, s *State) {
 	noError(t, s.Advance(1, 0))
-	noError(t, s.Advance(1, 0)) // a repeat
+	noError(t, s.Advance(1, 0)) // a repeated call has no effect
 	if s.Nodes["n0"].TargetVersion != 1 || s.StartedStages != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("the first stage has not started on n0: %+v", s)
 	}
 	checkError(t, s.Advance(1, 1), "node n0 (zone a) was told version 1 and is not known to run it")
 	checkError(t, s.Withdraw(1), "only going back")
 }
 
-// testViolation has a node run version 1, which it has only acknowledged.
+// testViolation makes a node report version 1, which it has acknowledged but which is not its target.
 func testViolation(t *testing.T, s *State) {
 	noError(t, s.Report("n1", 1, 1, "x"))
 	if !strings.Contains(s.HaltReason, "n1 runs version 1, which it was not told to") {
-		t.Errorf("halted: %q", s.HaltReason)
+		t.Errorf("halt reason %q", s.HaltReason)
 	}
 	checkError(t, s.Advance(1, 1), "halted: node n1")
 	_, err := s.Rollback()
 	checkError(t, err, "version 0 is what each node was started with")
 }
 
-// A halted rollback cannot be withdrawn, as some nodes run the version that it replaces, but it can be proposed again.
+// A halted rollback cannot be withdrawn, because some nodes have the version that it replaces as their target. Another rollback
+// can replace it.
 func TestHaltedRollback(t *testing.T) {
 	s := New()
 	s.SetNode("n0", "a", 1, false, Timestamp{})
 	s.SetNode("n1", "a", 1, false, Timestamp{})
 	propose := func(hash string, replaces int64, stages ...float64) {
 		t.Helper()
-		noError(t, answer(s))
+		noError(t, reportAndAcknowledge(s))
 		_, err := s.Propose(hash, replaces, stages)
 		noError(t, err)
-		noError(t, answer(s))
+		noError(t, reportAndAcknowledge(s))
 	}
 	propose("x", 0, 1)
 	noError(t, s.Advance(1, 0))
@@ -323,9 +327,9 @@
 	checkError(t, s.Withdraw(3), "itself a way back")
 	again, err := s.Rollback()
 	noError(t, err)
-	noError(t, answer(s))
+	noError(t, reportAndAcknowledge(s))
 	noError(t, s.Advance(again.Number, 0))
 	if s.Committed.Number != 4 || s.Committed.Hash != "x" {
-		t.Errorf("in force: %+v", s.Committed)
+		t.Errorf("committed version: %+v", s.Committed)
 	}
 }
