--- a/internal/coordination/release/capacity.go
+++ b/internal/coordination/release/capacity.go
@@ -7,8 +7,9 @@
 	"umberbank/internal/registry/state"
 )
 
-// CheckCapacity returns an error with the figures if a tier's capacity, less the larger of what the plan may take out at once
-// and what is unavailable now, is below what is required of the tier. A tier without a requirement is not checked.
+// CheckCapacity returns an error with the figures if a release would leave a tier with less capacity than required. The remaining
+// capacity of a tier is its total capacity minus the larger of two amounts: what the plan may take out of service at the same
+// time, and what is unavailable now. Only tiers with a limit and a requirement are checked.
 func CheckCapacity(
 	p *Plan, required map[string]float64, units []*state.Instance, limits disruption.Limits, unavailable []disruption.UnavailableUnit,
 ) error {
--- a/internal/coordination/release/doc.go
+++ b/internal/coordination/release/doc.go
@@ -1,19 +1,20 @@
 // Package release changes the version that units run, stage by stage and within the disruption budget.
 //
-// An operator writes a [PlanFile]; [ParsePlan] picks its units and gives a [Plan], which is stored in the registry. A
-// controller asks a [Scheduler] at each poll which writes to send: permits for the units of the present stage, the
-// progress, a halt. Agents beside the units carry permits out.
+// An operator writes a [PlanFile]. [ParsePlan] selects its units and returns a [Plan], which is stored in the registry. At
+// each poll, a controller asks a [Scheduler] which writes to send: requests for permits for the units of the current stage,
+// the progress, or a halt. The agent of a unit carries out the unit's permits.
 //
-// Everything here is pure: what the registry holds goes in with the time, writes come out. All that must survive is in
-// the registry, so that the Scheduler of any controller continues from any step of another's.
+// The package does no I/O and reads no clock: its functions take the contents of the registry and the time, and return
+// writes. All state that must survive is in the registry, so the Scheduler of another controller can continue from any step.
 //
 // # Invariants
 //
-//   - A unit is entered in the progress before a permit is asked for it, so that a rollback knows every unit that may
+//   - A unit is recorded in the progress before a permit is requested for it, so that a rollback includes every unit that may
 //     have changed.
-//   - A stage starts when every unit of the one before runs its version, has no permit, is fully available or
-//     decommissioned, and has been so for the bake time.
-//   - A halted release asks for no permits, and the registry lets none of its permits begin.
+//   - A stage starts only after every step of the previous stage has been finished for the bake time. A step is finished when
+//     its unit has been decommissioned, or when the unit runs the step's version, has no permit and is fully available.
+//   - A halted release requests no permits, and the registry lets none of its permits begin.
 //
-// Fractions are between 0 and 1, capacities in the unit of the endpoint list, times in milliseconds where a name ends in MS.
+// Fractions are between 0 and 1. Capacities are in the unit of the endpoint list. Times are in milliseconds in fields whose
+// name ends in MS.
 package release
--- a/internal/coordination/release/plan.go
+++ b/internal/coordination/release/plan.go
@@ -7,13 +7,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// Plan is a release as the registry stores it: which units change, in which order.
+// Plan is a release as the registry stores it: the units that change, and their order.
 type Plan struct {
 	Name              string   `json:"name"`
-	RollsBack         string   `json:"undoes,omitempty"`  // the release that this one rolls back; empty: none
-	MaxConcurrent     int      `json:"at_once,omitempty"` // permits held at once; 0: as many as the budget grants
-	BakeMS            int64    `json:"bake_ms"`           // from when a stage is done until the next one starts
-	RecoveryTimeoutMS int64    `json:"back_within_ms"`    // from when a unit's permit has begun until the release halts
+	RollsBack         string   `json:"undoes,omitempty"`  // the release that this one rolls back; empty if none
+	MaxConcurrent     int      `json:"at_once,omitempty"` // maximum number of permits held at the same time; zero means 256
+	BakeMS            int64    `json:"bake_ms"`           // from the end of a stage until the next one starts
+	RecoveryTimeoutMS int64    `json:"back_within_ms"`    // how long a begun permit may last before the release halts
 	Stages            [][]Step `json:"stages"`
 }
 
@@ -24,17 +24,17 @@
 	ToVersion   string `json:"to"`
 }
 
-// Prefixes of the keys of a release's records. The name of the plan follows. See also [state.HaltKeyPrefix].
+// Prefixes of the keys of a release's records. Each is followed by the name of the plan. See also [state.HaltKeyPrefix].
 const (
 	PlanKeyPrefix     = "plan/"
 	ProgressKeyPrefix = "release/"
 )
 
-// Progress is how far a release has come.
+// Progress is the stored progress of a release. The zero value is that of a release that has not started.
 type Progress struct {
-	Stage     int      `json:"stage"` // number of stages that are done
+	Stage     int      `json:"stage"` // number of finished stages, which is the index of the current one
 	Done      bool     `json:"done,omitempty"`
-	Requested []string `json:"asked"` // units for which a permit was requested, in that order
+	Requested []string `json:"asked"` // units for which a permit was requested, in the order of the requests
 }
 
 // halt is the value of the record that halts a release.
@@ -42,19 +42,19 @@
 	Reason string `json:"why"`
 }
 
-// HaltOp returns the write that halts a release, unless it is halted already.
+// HaltOp returns the write that halts a release. The write fails if the release is already halted.
 func HaltOp(name, reason string) state.Op {
 	return state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + name, Value: encode(halt{reason}), IfModRevision: state.Absent}
 }
 
-// encode encodes a value of strings and numbers, which cannot fail.
+// encode encodes a value that contains only strings, numbers and booleans, which cannot fail.
 func encode(v any) json.RawMessage {
 	text, _ := json.Marshal(v)
 	return text
 }
 
-// RollbackPlan returns the plan that rolls a release back, within the same limits: every unit for which a permit was
-// requested, the latest first.
+// RollbackPlan returns the plan that rolls a release back under the same limits. Its single stage has every unit for which the
+// release requested a permit, the most recent first.
 func RollbackPlan(p *Plan, progress Progress) *Plan {
 	stepOf := map[string]Step{}
 	for _, stage := range p.Stages {
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -12,37 +12,37 @@
 	"umberbank/internal/stricttoml"
 )
 
-// PlanFile is a plan as an operator writes it, in TOML.
+// PlanFile is a release plan as an operator writes it, in TOML. Durations are in the format of [time.ParseDuration].
 type PlanFile struct {
 	Name             string             `toml:"name"`
-	Version          string             `toml:"version"`     // that the units are to run
-	MaxConcurrent    int                `toml:"at_once"`     // permits held at once; 0: as many as the budget grants
-	BakeTime         string             `toml:"bake"`        // from when a stage is done until the next one; empty: 2s
-	RecoveryTimeout  string             `toml:"back_within"` // a unit must be fully available again by then, or the release halts; empty: 60s
-	RequiredCapacity map[string]float64 `toml:"needs"`       // by tier: what the present load needs
+	Version          string             `toml:"version"`     // version that the units must run after the release
+	MaxConcurrent    int                `toml:"at_once"`     // maximum number of permits held at the same time; zero means 256
+	BakeTime         string             `toml:"bake"`        // from the end of a stage until the next one starts; empty means 2s
+	RecoveryTimeout  string             `toml:"back_within"` // how long a begun permit may last before a halt; empty means 60s
+	RequiredCapacity map[string]float64 `toml:"needs"`       // capacity that the current load needs, by tier
 	Stages           []PlanFileStage    `toml:"stage"`
 }
 
-// PlanFileStage is one stage of a PlanFile: a fraction of a tier, which includes the units of earlier stages, or units by
-// name.
+// PlanFileStage is one stage of a PlanFile. It selects either a fraction of a tier, which includes the units of earlier stages,
+// or the units that it names.
 type PlanFileStage struct {
 	Tier     string   `toml:"tier"`
-	Zones    []string `toml:"zones"` // none: all
-	Fraction float64  `toml:"share"`
-	Units    []string `toml:"units"`
+	Zones    []string `toml:"zones"` // zones of the tier to select from; empty means all
+	Fraction float64  `toml:"share"` // above 0 and at most 1
+	Units    []string `toml:"units"` // UIDs; if not empty, the other fields are ignored
 }
 
-// Defaults of a plan file.
+// Defaults of PlanFile.BakeTime and PlanFile.RecoveryTimeout.
 const (
 	defaultBakeTime        = 2 * time.Second
 	defaultRecoveryTimeout = time.Minute
 )
 
-// roundingSlack absorbs the error of a fraction times a number of units, so that 0.1 of 30 units is 3 and not 4.
+// roundingSlack absorbs the floating-point error of a fraction times a number of units, so that 0.1 of 30 units is 3 and not 4.
 const roundingSlack = 1e-9
 
-// ParsePlan reads a plan file and picks the units of each stage among those of the site, which must be in ascending order
-// of their UIDs. Errors are one line with the file, the key and the reason.
+// ParsePlan parses a plan file and selects the units of each stage. units are the units of the site, in ascending order of
+// their UIDs. An error is one line with the name of the file, the key and the reason.
 func ParsePlan(file string, text []byte, units []*state.Instance) (*Plan, *PlanFile, error) {
 	var f PlanFile
 	if err := stricttoml.Decode(file, text, &f); err != nil {
@@ -55,7 +55,7 @@
 	return p, &f, nil
 }
 
-// plan checks the file and picks the units of each stage.
+// plan validates the file and selects the units of each stage.
 func (f *PlanFile) plan(units []*state.Instance) (*Plan, error) {
 	if err := f.validate(); err != nil {
 		return nil, err
@@ -84,22 +84,22 @@
 	return p, nil
 }
 
-// validate checks what does not depend on the units of the site.
+// validate checks the keys whose validity does not depend on the units of the site.
 func (f *PlanFile) validate() error {
 	switch {
 	case f.Name == "" || strings.ContainsAny(f.Name, "/ \t\n"):
-		return fmt.Errorf("name: %q is empty, or has a space or slash in it", f.Name)
+		return fmt.Errorf("name: %q is empty or contains a space, a tab, a newline or a slash", f.Name)
 	case f.Version == "":
 		return errors.New("version: missing")
 	case f.MaxConcurrent < 0:
 		return fmt.Errorf("at_once: %d is negative", f.MaxConcurrent)
 	case len(f.Stages) == 0:
-		return errors.New("stage: there is none")
+		return errors.New("stage: missing, at least one is required")
 	}
 	return nil
 }
 
-// milliseconds reads a duration under a key of the file.
+// milliseconds parses the duration of a key and returns it in milliseconds, or fallback if the text is empty.
 func milliseconds(key, text string, fallback time.Duration) (int64, error) {
 	if text == "" {
 		return fallback.Milliseconds(), nil
@@ -111,7 +111,7 @@
 	return d.Milliseconds(), nil
 }
 
-// steps returns the steps of the units that do not run a version yet.
+// steps returns a step for each unit that does not run the version yet.
 func steps(units []*state.Instance, version string) []Step {
 	steps := []Step{}
 	for _, u := range units {
@@ -122,13 +122,13 @@
 	return steps
 }
 
-// unitPicker picks the units of one stage after the other. Every unit is picked at most once.
+// unitPicker selects the units of the stages, one stage after another. A unit is never selected for two stages.
 type unitPicker struct {
-	units  []*state.Instance // in the order of their UIDs
+	units  []*state.Instance // in ascending order of their UIDs
 	byUID  map[string]*state.Instance
 	tiers  map[string]bool
 	zones  map[string]bool
-	picked map[string]bool // by earlier stages
+	picked map[string]bool // UIDs that earlier stages selected
 }
 
 func newUnitPicker(units []*state.Instance) *unitPicker {
@@ -144,7 +144,7 @@
 	return p
 }
 
-// pick returns the units of a stage. Errors begin with the key that is wrong.
+// pick returns the units of a stage. An error starts with the invalid key.
 func (p *unitPicker) pick(stage *PlanFileStage) ([]*state.Instance, error) {
 	pick := p.pickFraction
 	if len(stage.Units) > 0 {
@@ -176,7 +176,8 @@
 	return units, nil
 }
 
-// pickFraction returns as many further units as make up a stage's fraction of its tier, evenly along the order of their UIDs.
+// pickFraction returns the units that complete a stage's fraction of its tier and zones, together with the units that earlier
+// stages selected. They are evenly spaced in the order of their UIDs. The number of units is rounded up.
 func (p *unitPicker) pickFraction(stage *PlanFileStage) ([]*state.Instance, error) {
 	if !p.tiers[stage.Tier] {
 		return nil, fmt.Errorf("tier: there is no tier %q", stage.Tier)
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -14,15 +14,15 @@
 	"umberbank/internal/registry/state"
 )
 
-// site is a registry's State on a clock of its own, with agents that follow permits at once and what leases would do.
+// site is the State of a registry with a simulated clock. Its methods simulate the agents of the units.
 type site struct {
 	*state.State
 	now time.Duration
 }
 
-func newSite(units int, whole float64) *site {
+func newSite(units int, total float64) *site {
 	s := &site{State: state.New()}
-	s.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &whole}}, InitialFraction: 0.5, WarmUpMS: 1}})
+	s.Apply(state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &total}}, InitialFraction: 0.5, WarmUpMS: 1}})
 	for i := range units {
 		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(fmt.Sprintf("s%02d", i), "v1", 0)})
 	}
@@ -37,26 +37,27 @@
 	return View{Units: s.Units(), Unavailable: s.Budget().UnavailableUnits(), Permits: s.Budget().Permits(), Records: s.Records("")}
 }
 
-// plan stores the plan of a plan file.
-func (s *site) plan(t rapid.TB, text string) *Plan {
+// storePlanFile parses a plan file and stores its plan.
+func (s *site) storePlanFile(t rapid.TB, text string) *Plan {
 	t.Helper()
 	p, _, err := ParsePlan("plan.toml", []byte(text), s.Units())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.store(p)
+	s.storePlan(p)
 	return p
 }
 
-func (s *site) store(p *Plan) {
+func (s *site) storePlan(p *Plan) {
 	value, _ := json.Marshal(p)
 	s.Apply(state.Op{Kind: state.OpPutRecord, Key: PlanKeyPrefix + p.Name, Value: value, IfModRevision: state.Absent})
 }
 
-// send applies what a scheduler wants written, the first so many writes, and returns how many there were.
-func (s *site) send(m *Scheduler, most int) int {
+// applyWrites applies at most the given number of a scheduler's next writes, up to the first that fails. It returns how many
+// writes the scheduler requested.
+func (s *site) applyWrites(m *Scheduler, limit int) int {
 	writes := m.NextWrites(s.view(), s.now)
-	for _, w := range writes[:min(most, len(writes))] {
+	for _, w := range writes[:min(limit, len(writes))] {
 		if a, _ := s.Apply(w.Op); a.Code != "" {
 			break
 		}
@@ -65,8 +66,9 @@
 	return len(writes)
 }
 
-// agent begins a unit's permit, or starts its next version.
-func (s *site) agent(uid string, starts bool) {
+// runAgent takes the next step of a unit's agent: it begins the permit, starts the target version if canStart is set, or sets the
+// started unit to serve.
+func (s *site) runAgent(uid string, canStart bool) {
 	p := s.Budget().Permit(uid)
 	if p == nil {
 		return
@@ -80,7 +82,7 @@
 	case e == nil:
 	case e.Version == p.TargetVersion && e.State == state.Draining:
 		s.Apply(state.Op{Kind: state.OpUpdate, UID: uid, Token: e.Token, State: state.Serving})
-	case starts && e.Version != p.TargetVersion:
+	case canStart && e.Version != p.TargetVersion:
 		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(uid, p.TargetVersion, e.StartTimeMS+1)})
 	}
 }
@@ -99,56 +101,56 @@
 	return slices.Compact(slices.Sorted(slices.Values(l)))
 }
 
-const inStages = "name = \"p\"\nversion = \"v2\"\nbake = \"1s\"\nback_within = \"1h\"\n[[stage]]\ntier = \"web\"\nshare = 0.2\n[[stage]]\ntier = \"web\"\nshare = 1.0\n"
+const twoStagePlanFile = "name = \"p\"\nversion = \"v2\"\nbake = \"1s\"\nback_within = \"1h\"\n[[stage]]\ntier = \"web\"\nshare = 0.2\n[[stage]]\ntier = \"web\"\nshare = 1.0\n"
 
-// Any number of controllers act in any order, die at any step and are replaced; agents begin, start and warm up at any time; an
-// operator may halt the release and roll it back. No limit is exceeded, nothing begins after the halt, and when all get their
-// turn every unit runs the new version, or after a rollback the old one.
+// Two controllers act in random order and are replaced at any step, while agents begin permits, start units and warm up. An
+// operator may halt the release and roll it back. No limit may be exceeded. In the end every unit must run the new version, or
+// the old one after a rollback.
 func TestAnyControllerContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(rapid.IntRange(3, 12).Draw(t, "units"), 0.4)
-		p := s.plan(t, inStages)
+		p := s.storePlanFile(t, twoStagePlanFile)
 		schedulers := []*Scheduler{{Holder: "a"}, {Holder: "b"}}
 		rolledBack := false
-		turn := func() {
+		step := func() {
 			uid := s.Units()[rapid.IntRange(0, len(s.Units())-1).Draw(t, "unit")].UID
 			i := rapid.IntRange(0, 1).Draw(t, "controller")
-			switch rapid.IntRange(0, 7).Draw(t, "what") {
+			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0, 1:
-				s.send(schedulers[i], rapid.IntRange(0, 5).Draw(t, "orders"))
+				s.applyWrites(schedulers[i], rapid.IntRange(0, 5).Draw(t, "writes"))
 			case 2:
 				schedulers[i] = &Scheduler{Holder: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "name"))}
 			case 3, 4:
-				s.agent(uid, true)
+				s.runAgent(uid, true)
 			case 5:
 				s.warmUp(uid)
 			case 6:
 				if pt := s.Budget().Permit(uid); pt != nil {
-					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // it expires, if it has not begun
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // expires if it has not begun
 				}
 			case 7:
-				if !rolledBack && rapid.IntRange(0, 9).Draw(t, "back") == 0 {
+				if !rolledBack && rapid.IntRange(0, 9).Draw(t, "roll back") == 0 {
 					rolledBack = true
-					s.Apply(HaltOp("p", "taken back"))
-					s.store(RollbackPlan(p, ProgressOf(s.view(), "p")))
+					s.Apply(HaltOp("p", "rolled back"))
+					s.storePlan(RollbackPlan(p, ProgressOf(s.view(), "p")))
 				}
 			}
 			s.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			if u := s.Budget().Usages()[0]; u.Unavailable > u.Allowed+1e-6 {
-				t.Fatalf("%+v", u)
+				t.Fatalf("limit exceeded: %+v", u)
 			}
 		}
-		for range rapid.IntRange(0, 80).Draw(t, "turns") {
-			turn()
+		for range rapid.IntRange(0, 80).Draw(t, "steps") {
+			step()
 		}
 		end := &Scheduler{Holder: "end"}
 		for i := 0; len(ActivePlans(s.view())) > 0 || len(s.Budget().Permits()) > 0; i++ {
 			if i > 1000 {
-				t.Fatalf("the release does not end: %+v", s.view())
+				t.Fatalf("the release has not ended after 1,000 rounds: %+v", s.view())
 			}
-			s.send(end, 1000)
+			s.applyWrites(end, 1000)
 			for _, u := range s.Units() {
-				s.agent(u.UID, true)
+				s.runAgent(u.UID, true)
 				s.warmUp(u.UID)
 				if pt := s.Budget().Permit(u.UID); pt != nil {
 					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: u.UID, Token: pt.Token})
@@ -161,40 +163,40 @@
 			want = "v1"
 		}
 		if v := s.versions(); len(v) != 1 || v[0] != want {
-			t.Fatalf("in the end units run %v, want %s", v, want)
+			t.Fatalf("units run %v, want %s", v, want)
 		}
 	})
 }
 
-// A unit that does not recover halts its release, and the rollback brings the unit back too, though its new version never
+// A unit that does not recover in time halts its release. The rollback must include the unit, although its new version never
 // served.
 func TestHaltsOnRecoveryTimeout(t *testing.T) {
 	s := newSite(5, 0.4)
-	p := s.plan(t, strings.Replace(inStages, "1h", "10s", 1))
+	p := s.storePlanFile(t, strings.Replace(twoStagePlanFile, "1h", "10s", 1))
 	m := &Scheduler{Holder: "a"}
-	s.send(m, 10)
-	s.agent("s00", false)
-	s.send(m, 10)
+	s.applyWrites(m, 10)
+	s.runAgent("s00", false)
+	s.applyWrites(m, 10)
 	e := s.Get("s00")
-	s.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: e.Token}) // its new version ends again and again
-	if s.now = 9 * time.Second; s.send(m, 10) > 0 && HaltReason(s.view(), "p") != "" {
-		t.Error("it halted before the timeout")
+	s.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: e.Token}) // its new version crashes repeatedly
+	if s.now = 9 * time.Second; s.applyWrites(m, 10) > 0 && HaltReason(s.view(), "p") != "" {
+		t.Error("the release halted before the timeout")
 	}
 	s.now = 11 * time.Second
-	if s.send(m, 10); !strings.Contains(HaltReason(s.view(), "p"), "s00 has not come back within 10000 ms") {
-		t.Fatalf("halt %q", HaltReason(s.view(), "p"))
+	if s.applyWrites(m, 10); !strings.Contains(HaltReason(s.view(), "p"), "s00 has not come back within 10000 ms") {
+		t.Fatalf("halt reason %q", HaltReason(s.view(), "p"))
 	}
-	s.store(RollbackPlan(p, ProgressOf(s.view(), "p")))
-	s.send(m, 10)
+	s.storePlan(RollbackPlan(p, ProgressOf(s.view(), "p")))
+	s.applyWrites(m, 10)
 	if pt := s.Budget().Permit("s00"); pt == nil || pt.TargetVersion != "v1" || !pt.Begun {
-		t.Fatalf("permit %+v", pt)
+		t.Fatalf("permit %+v, want a begun one to v1", pt)
 	}
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance("s00", "v1", 5)})
 	s.warmUp("s00")
 	for range 3 {
-		s.send(m, 10)
+		s.applyWrites(m, 10)
 	}
 	if len(ActivePlans(s.view())) > 0 || len(s.Budget().Permits()) > 0 || s.versions()[0] != "v1" {
-		t.Errorf("%+v", s.view())
+		t.Errorf("the rollback has not ended: %+v", s.view())
 	}
 }
--- a/internal/coordination/release/scheduler.go
+++ b/internal/coordination/release/scheduler.go
@@ -10,43 +10,44 @@
 	"umberbank/internal/registry/state"
 )
 
-// Write is a write that a [Scheduler] wants sent to the registry.
+// Write is a write to the registry that a [Scheduler] requests.
 type Write struct {
 	state.Op
-	Reason string // for the log; empty: not worth a line
+	Reason string // for the log; empty if the write is not logged
 }
 
-// Scheduler decides which writes carry the active releases on. It belongs to one controller and must not be used by
-// several goroutines at once. What it remembers is not stored: after a change of controllers, a stage bakes and a unit
-// recovers for longer, and nothing else changes. The zero value with a Holder is ready for use.
+// Scheduler decides which writes advance the active releases. It belongs to one controller and must not be used by several
+// goroutines at once. Its own state is not stored: after a change of controllers, bake times, recovery timeouts and the counts
+// of granted permits start at zero, which only delays the next stage or a halt. The zero value with a Holder is ready for use.
 type Scheduler struct {
-	Holder string // of the permits that it asks for
+	Holder string // of the permits that it requests
 
-	since   map[string]time.Duration // on the controller's clock: when a condition became true
-	permits map[string]int           // applied writes, by plan, unit and incarnation
+	trueSince map[string]time.Duration // when a condition became true, on the controller's clock
+	grants    map[string]int           // number of applied writes by permitKey
 }
 
 const (
-	// maxPermitsPerIncarnation is how many permits one incarnation of a unit is given before the release halts: the unit
-	// returns with the old version each time, or its agent does not begin.
+	// maxPermitsPerIncarnation bounds the permits that one incarnation of a unit is granted without running the new version. The
+	// release halts beyond it: the unit returns with the old version each time, or its agent does not begin the permits.
 	maxPermitsPerIncarnation = 20
-	// maxConcurrentPermits bounds the permits that a release holds at once where its plan does not.
+	// maxConcurrentPermits bounds the permits that a release holds at the same time if its plan sets no bound.
 	maxConcurrentPermits = 256
 )
 
-// WriteApplied records a write that the registry has applied: it counts the permits that each incarnation was granted.
-func (s *Scheduler) WriteApplied(w Write) { s.permits[permitKey(w.Plan, w.UID, w.Incarnation)]++ }
+// WriteApplied records that the registry has applied a write of NextWrites. The Scheduler counts the permits that were granted to
+// each incarnation of a unit.
+func (s *Scheduler) WriteApplied(w Write) { s.grants[permitKey(w.Plan, w.UID, w.Incarnation)]++ }
 
+// permitKey returns the key of an incarnation of a unit in Scheduler.grants.
 func permitKey(plan, unit string, incarnation int64) string {
 	return fmt.Sprintf("%s %s %d", plan, unit, incarnation)
 }
 
-// NextWrites returns the writes to send now, in order. now is the time on a monotonic clock of the controller. Every write
-// may be repeated, and sent beside those of another controller: the caller adds its fence, which lets only the leader's
-// through.
+// NextWrites returns the writes to send now, in order. now is the time on a monotonic clock of the controller. Every write may
+// be repeated. The caller must add its fence to each write, so that the registry applies only those of the leading controller.
 func (s *Scheduler) NextWrites(v View, now time.Duration) []Write {
-	if s.since == nil {
-		s.since, s.permits = map[string]time.Duration{}, map[string]int{}
+	if s.trueSince == nil {
+		s.trueSince, s.grants = map[string]time.Duration{}, map[string]int{}
 	}
 	var writes []Write
 	for _, p := range ActivePlans(v) {
@@ -55,30 +56,30 @@
 	return writes
 }
 
-// trueFor returns for how long a condition has been true at every call, as far as this Scheduler has seen.
+// trueFor returns for how long a condition has been true at every call of this Scheduler, or 0 if it is not true now.
 func (s *Scheduler) trueFor(condition string, isTrue bool, now time.Duration) time.Duration {
 	if !isTrue {
-		delete(s.since, condition)
+		delete(s.trueSince, condition)
 		return 0
 	}
-	since, known := s.since[condition]
+	since, known := s.trueSince[condition]
 	if !known {
-		s.since[condition], since = now, now
+		s.trueSince[condition], since = now, now
 	}
 	return now - since
 }
 
-// planEvaluation is the decision about one release at one time.
+// planEvaluation is the state of one release at one poll, from which its next writes are computed.
 type planEvaluation struct {
 	scheduler   *Scheduler
 	plan        *Plan
 	now         time.Duration
 	progress    Progress
-	modRevision int64 // of the progress record, or state.Absent
+	modRevision int64 // of the progress record; state.Absent if there is none
 	units       map[string]*state.Instance
 	unavailable map[string]disruption.UnavailableUnit
 	permits     map[string]*disruption.Permit // by unit
-	concurrent  int                           // permits of this plan
+	heldPermits int                           // number of permits of this plan
 }
 
 func newPlanEvaluation(s *Scheduler, p *Plan, v *View, now time.Duration) *planEvaluation {
@@ -99,17 +100,18 @@
 	for _, permit := range v.Permits {
 		r.permits[permit.Unit] = permit
 		if permit.Plan == p.Name {
-			r.concurrent++
+			r.heldPermits++
 		}
 	}
 	return r
 }
 
+// nextWritesOf returns the writes of one active release.
 func (s *Scheduler) nextWritesOf(p *Plan, v *View, now time.Duration) []Write {
 	r := newPlanEvaluation(s, p, v, now)
 	if r.progress.Stage >= len(p.Stages) {
 		r.progress.Done = true
-		return []Write{r.writeProgress("all stages stand")}
+		return []Write{r.writeProgress("all stages finished")}
 	}
 	requestable, unfinished, haltReason := r.unfinishedSteps()
 	if haltReason != "" {
@@ -123,8 +125,8 @@
 	return r.requestPermits(requestable)
 }
 
-// unfinishedSteps returns the steps of the present stage for which a permit can be requested now, and how many are not
-// finished. haltReason is not empty if a unit has not recovered in time.
+// unfinishedSteps returns the steps of the current stage for which a permit can be requested now, and the number of steps that
+// are not finished. haltReason is not empty if a unit has not recovered within the plan's timeout.
 func (r *planEvaluation) unfinishedSteps() (requestable []Step, unfinished int, haltReason string) {
 	for _, step := range r.plan.Stages[r.progress.Stage] {
 		permit := r.permits[step.Unit]
@@ -144,14 +146,14 @@
 	return requestable, unfinished, ""
 }
 
-// isFinished reports whether a step's unit is decommissioned, or fully available in its new version.
+// isFinished reports whether a step's unit is decommissioned, or runs its new version, has no permit and is fully available.
 func (r *planEvaluation) isFinished(step Step) bool {
 	u, permit := r.units[step.Unit], r.permits[step.Unit]
 	return u == nil || permit == nil && u.Version == step.ToVersion && r.unavailable[step.Unit].Fraction == 0
 }
 
-// canRequest reports whether a permit for an unfinished step can be requested: the unit has none, is reachable and runs
-// another version, or it is changing to the version that this plan rolls back.
+// canRequest reports whether a permit can be requested for an unfinished step. Either the unit has no permit, is reachable and
+// runs another version, or its permit has begun and belongs to the release that this plan rolls back.
 func (r *planEvaluation) canRequest(step Step) bool {
 	permit := r.permits[step.Unit]
 	if permit == nil {
@@ -160,42 +162,43 @@
 	return permit.Plan == r.plan.RollsBack && permit.Begun
 }
 
-// finishStage moves on to the next stage once the present one has been finished for the bake time.
+// finishStage returns the write that ends the current stage, once its steps have been finished for the bake time.
 func (r *planEvaluation) finishStage(finishedFor time.Duration) []Write {
 	if finishedFor < time.Duration(r.plan.BakeMS)*time.Millisecond {
 		return nil
 	}
 	r.progress.Stage++
 	r.progress.Done = r.progress.Stage == len(r.plan.Stages)
-	return []Write{r.writeProgress(fmt.Sprintf("stage %d stands", r.progress.Stage-1))}
+	return []Write{r.writeProgress(fmt.Sprintf("stage %d finished", r.progress.Stage-1))}
 }
 
-// requestPermits returns writes that ask for the permits of steps, as many as the plan allows to be held.
+// requestPermits returns the writes that request permits for steps, up to the number of permits that the plan may hold.
 func (r *planEvaluation) requestPermits(steps []Step) []Write {
 	var writes []Write
 	requested := slices.Clone(r.progress.Requested)
 	for _, step := range steps {
-		if r.concurrent >= cmp.Or(r.plan.MaxConcurrent, maxConcurrentPermits) {
+		if r.heldPermits >= cmp.Or(r.plan.MaxConcurrent, maxConcurrentPermits) {
 			break
 		}
 		u := r.units[step.Unit]
-		if r.scheduler.permits[permitKey(r.plan.Name, step.Unit, u.Token)] > maxPermitsPerIncarnation {
+		if r.scheduler.grants[permitKey(r.plan.Name, step.Unit, u.Token)] > maxPermitsPerIncarnation {
 			return r.halt(fmt.Sprintf("%s was given %d permits and still runs %q", step.Unit, maxPermitsPerIncarnation, u.Version))
 		}
-		r.concurrent++
+		r.heldPermits++
 		if !slices.Contains(requested, step.Unit) {
 			requested = append(requested, step.Unit)
 		}
 		writes = append(writes, r.requestPermit(step, u))
 	}
 	if len(requested) > len(r.progress.Requested) {
-		// Written before any permit is asked for: a rollback must know every unit that may have changed.
+		// The progress is written before any permit is requested: a rollback must include every unit that may have changed.
 		r.progress.Requested = requested
 		writes = append([]Write{r.writeProgress("")}, writes...)
 	}
 	return writes
 }
 
+// requestPermit returns the write that requests a permit for a step.
 func (r *planEvaluation) requestPermit(step Step, u *state.Instance) Write {
 	op := state.Op{
 		Kind: state.OpGrantPermit, UID: step.Unit, Incarnation: u.Token, Holder: r.scheduler.Holder,
@@ -204,12 +207,13 @@
 	return Write{Op: op, Reason: fmt.Sprintf("%s from %q to %q", step.Unit, step.FromVersion, step.ToVersion)}
 }
 
-// writeProgress stores the progress, unless another controller has stored one since.
+// writeProgress returns the write that stores the progress. It fails if another controller has stored a progress since.
 func (r *planEvaluation) writeProgress(reason string) Write {
 	op := state.Op{Kind: state.OpPutRecord, Key: ProgressKeyPrefix + r.plan.Name, Value: encode(r.progress), IfModRevision: r.modRevision}
 	return Write{Op: op, Reason: reason}
 }
 
+// halt returns the write that halts the release.
 func (r *planEvaluation) halt(reason string) []Write {
 	return []Write{{Op: HaltOp(r.plan.Name, reason), Reason: reason}}
 }
--- a/internal/coordination/release/view.go
+++ b/internal/coordination/release/view.go
@@ -8,7 +8,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// View is what a controller knows of the registry, as of one revision.
+// View is the part of the registry's state that a [Scheduler] needs, as of one revision.
 type View struct {
 	Units       []*state.Instance
 	Unavailable []disruption.UnavailableUnit
@@ -16,8 +16,8 @@
 	Records     []*state.Record
 }
 
-// record decodes the value of a record into value. It returns the record's modification revision, 0 if there is none, and
-// whether the value was decoded.
+// record decodes the record with the given key into value. It returns the record's modification revision, or zero if there is
+// no such record, and whether the value was decoded.
 func (v *View) record(key string, value any) (modRevision int64, decoded bool) {
 	for _, r := range v.Records {
 		if r.Key == key {
@@ -27,7 +27,8 @@
 	return 0, false
 }
 
-// ActivePlans returns the plans of the releases that are neither done nor halted, by name.
+// ActivePlans returns the plans of the releases that are neither done nor halted, in the order of v.Records, which is by
+// name. Plans that cannot be decoded are skipped.
 func ActivePlans(v View) []*Plan {
 	var plans []*Plan
 	for _, r := range v.Records {
@@ -44,7 +45,7 @@
 	return plans
 }
 
-// HaltReason returns why a release is halted; empty: it is not.
+// HaltReason returns why a release is halted, or an empty string if it is not.
 func HaltReason(v View, name string) string {
 	var h halt
 	if _, halted := v.record(state.HaltKeyPrefix+name, &h); !halted {
@@ -56,7 +57,7 @@
 	return h.Reason
 }
 
-// ProgressOf returns how far a release has come; the zero value if it has not started.
+// ProgressOf returns the progress of a release, or the zero value if it has not started.
 func ProgressOf(v View, name string) (p Progress) {
 	v.record(ProgressKeyPrefix+name, &p)
 	return p
