--- a/cmd/umberbank/fleet_faulttest.go
+++ b/cmd/umberbank/fleet_faulttest.go
@@ -50,9 +50,9 @@
 	s.Runs++
 	s.Faults += len(r.Faults)
 	s.Permits += r.Permits
-	s.Acts += r.Acts
+	s.Acts += r.AppliedWrites
 	s.OverBudget += r.OverBudget
-	s.ActsWithoutLease += r.ActsWithoutLease
+	s.ActsWithoutLease += r.WritesWithoutLease
 	s.BegunAfterHalt += r.BegunAfterHalt
 	s.MaxSettleS = max(s.MaxSettleS, r.SettleS)
 	if len(r.Violations) > 0 {
--- a/cmd/umberbank/fleet_faulttest_settings.go
+++ b/cmd/umberbank/fleet_faulttest_settings.go
@@ -53,15 +53,15 @@
 	s.Versions += r.Versions
 	s.Uncommitted += r.Uncommitted
 	s.MaxContents = max(s.MaxContents, r.MaxContents)
-	s.Decreased += r.Decreased
+	s.Decreased += r.VersionDecreases
 	s.ServedEarly += r.ServedEarly
 	s.OldIncarnations += r.OldIncarnations
 	s.WronglyOutOfSync += r.WronglyOutOfSync
 	s.OutOfSync += r.OutOfSync
-	s.LostZones += r.LostZones
-	s.ActsWithoutLease += r.ActsWithoutLease
-	s.MaxSpreadMS = max(s.MaxSpreadMS, r.SpreadMS)
-	s.MaxPauseMS = max(s.MaxPauseMS, r.LongestPauseMS)
+	s.LostZones += r.ZoneFaults
+	s.ActsWithoutLease += r.WritesWithoutLease
+	s.MaxSpreadMS = max(s.MaxSpreadMS, r.PropagationMS)
+	s.MaxPauseMS = max(s.MaxPauseMS, r.LongestCommitGapMS)
 	s.MaxSettleS = max(s.MaxSettleS, r.SettleS)
 	if r.KilledNode != "" {
 		s.KilledNodes++
@@ -87,7 +87,7 @@
 	const significantDigits = 3
 	latencies := hdrhistogram.New(1, 10*time.Minute.Milliseconds(), significantDigits)
 	for _, r := range results {
-		for _, ms := range r.InForceMS {
+		for _, ms := range r.CommitLatencyMS {
 			if err := latencies.RecordValue(int64(ms)); err != nil {
 				return latencyQuantiles{}, err
 			}
--- a/cmd/umberbank/fleet_faulttest_test.go
+++ b/cmd/umberbank/fleet_faulttest_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Violations) > 0 || r.Acts == 0 {
+	if len(r.Violations) > 0 || r.AppliedWrites == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -83,7 +83,7 @@
 		options faulttest.Options
 		found   func(*faulttest.Result) int // nil: nothing is to be found
 	}{
-		{modeActsWithoutLease, faulttest.Options{ExtraProcess: extraProcess(modeActsWithoutLease)}, func(r *faulttest.Result) int { return r.ActsWithoutLease }},
+		{modeActsWithoutLease, faulttest.Options{ExtraProcess: extraProcess(modeActsWithoutLease)}, func(r *faulttest.Result) int { return r.WritesWithoutLease }},
 		{modeDecommissionsDeadUnits, faulttest.Options{DeadUnits: deadUnits, ExtraProcess: extraProcess(modeDecommissionsDeadUnits)}, overBudget},
 		{modeDrainsWithoutPermit, faulttest.Options{ExtraProcess: extraProcess(modeDrainsWithoutPermit)}, overBudget},
 		{"nothing", faulttest.Options{DeadUnits: deadUnits}, nil},
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -223,7 +223,7 @@
 	if err != nil || result.Code != "" {
 		return
 	}
-	a.appendEvent(eventlog.Event{Kind: eventlog.UnitOut, Plan: p.Plan, Token: p.Token, Version: p.TargetVersion, SentAt: sentAt})
+	a.appendEvent(eventlog.Event{Kind: eventlog.PermitBegun, Plan: p.Plan, Token: p.Token, Version: p.TargetVersion, SentAt: sentAt})
 	a.changeVersion(ctx, p.TargetVersion)
 }
 
--- a/internal/coordination/agent/agent_test.go
+++ b/internal/coordination/agent/agent_test.go
@@ -136,7 +136,7 @@
 		if err := f.end(); err != nil {
 			t.Error(err)
 		}
-		want := []eventlog.Kind{eventlog.UnitStarted, eventlog.UnitOut, eventlog.UnitStopped, eventlog.UnitStarted, eventlog.UnitStopped}
+		want := []eventlog.Kind{eventlog.UnitStarted, eventlog.PermitBegun, eventlog.UnitStopped, eventlog.UnitStarted, eventlog.UnitStopped}
 		if !slices.Equal(f.kinds(), want) {
 			t.Errorf("events: %v, want %v", f.kinds(), want)
 		}
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -118,7 +118,7 @@
 	if result.Token == r.Pending.Number {
 		reason = "in force"
 	}
-	c.appendEvent(eventlog.Event{Kind: eventlog.Acted, Version: version, Token: c.token, SentAt: sentAt, Reason: reason})
+	c.appendEvent(eventlog.Event{Kind: eventlog.WriteApplied, Version: version, Token: c.token, SentAt: sentAt, Reason: reason})
 	c.Log.Info("started rollout stage", "controller", c.Name, "version", r.Pending.Number, "stage", r.StartedStages)
 }
 
@@ -138,7 +138,7 @@
 			return
 		}
 		c.scheduler.WriteApplied(w)
-		c.appendEvent(eventlog.Event{Kind: eventlog.Acted, Unit: w.UID, Plan: w.Plan, Token: c.token, SentAt: sentAt, Reason: w.Reason})
+		c.appendEvent(eventlog.Event{Kind: eventlog.WriteApplied, Unit: w.UID, Plan: w.Plan, Token: c.token, SentAt: sentAt, Reason: w.Reason})
 		if w.Reason != "" {
 			c.Log.Info("release write applied", "controller", c.Name, "kind", w.Kind, "reason", w.Reason)
 		}
--- a/internal/coordination/eventlog/eventlog.go
+++ b/internal/coordination/eventlog/eventlog.go
@@ -20,9 +20,9 @@
 const (
 	UnitStarted    Kind = "up"   // by an agent: its unit serves, and is about to register
 	UnitStopped    Kind = "down" // by an agent: its unit does not serve any more, or will not shortly
-	UnitOut        Kind = "out"  // by an agent: a permit has begun, and its unit is about to be taken out of service
+	PermitBegun    Kind = "out"  // by an agent: a permit has begun, and its unit is about to be taken out of service
 	StageRequested Kind = "asks" // by a controller: it is about to start a stage of a rollout
-	Acted          Kind = "act"  // by a controller: the registry has applied its write
+	WriteApplied   Kind = "act"  // by a controller: the registry has applied its write
 )
 
 // Event is one line of a log.
--- a/internal/coordination/faulttest/check_test.go
+++ b/internal/coordination/faulttest/check_test.go
@@ -46,7 +46,7 @@
 			r.events = c.events
 			var res Result
 			r.checkReleases(&res)
-			if res.OverBudget != c.over || res.ActsWithoutLease != c.two || res.BegunAfterHalt != c.late || len(res.Violations) != c.over+c.two+c.late {
+			if res.OverBudget != c.over || res.WritesWithoutLease != c.two || res.BegunAfterHalt != c.late || len(res.Violations) != c.over+c.two+c.late {
 				t.Errorf("%+v", res)
 			}
 		})
@@ -128,7 +128,7 @@
 			r.events = slices.Clone(c.events)
 			var res SettingsResult
 			r.checkSettings(&res, zones)
-			if res.Uncommitted != c.uncommitted || res.Decreased != c.back || (res.MaxContents > 2) != (c.n > 0) || res.ServedEarly != c.early || res.OldIncarnations != c.old ||
+			if res.Uncommitted != c.uncommitted || res.VersionDecreases != c.back || (res.MaxContents > 2) != (c.n > 0) || res.ServedEarly != c.early || res.OldIncarnations != c.old ||
 				res.WronglyOutOfSync != c.out || len(res.Violations) != c.uncommitted+c.back+c.n+c.early+c.old+c.out {
 				t.Errorf("%+v", res)
 			}
--- a/internal/coordination/faulttest/faulttest.go
+++ b/internal/coordination/faulttest/faulttest.go
@@ -32,16 +32,16 @@
 
 // Result is what came of a run.
 type Result struct {
-	Seed             uint64   `json:"seed"`
-	Permits          int      `json:"permits"`     // that agents or operators made use of
-	OverBudget       int      `json:"over_budget"` // units taken out beyond a limit
-	ActsWithoutLease int      `json:"two_actors"`  // acts of a controller that did not lead
-	BegunAfterHalt   int      `json:"late_begins"` // permits that began over a second after a halt
-	Acts             int      `json:"acts"`        // of controllers
-	Outcome          string   `json:"outcome"`     // of the release: done, or taken back
-	SettleS          float64  `json:"settle_s"`    // from the end of the faults until all units ran what they should, in seconds
-	Faults           []string `json:"faults"`
-	Violations       []string `json:"broken"` // descriptions of violations
+	Seed               uint64   `json:"seed"`
+	Permits            int      `json:"permits"`     // that agents or operators made use of
+	OverBudget         int      `json:"over_budget"` // units taken out beyond a limit
+	WritesWithoutLease int      `json:"two_actors"`  // acts of a controller that did not lead
+	BegunAfterHalt     int      `json:"late_begins"` // permits that began over a second after a halt
+	AppliedWrites      int      `json:"acts"`        // of controllers
+	Outcome            string   `json:"outcome"`     // of the release: done, or taken back
+	SettleS            float64  `json:"settle_s"`    // from the end of the faults until all units ran what they should, in seconds
+	Faults             []string `json:"faults"`
+	Violations         []string `json:"broken"` // descriptions of violations
 }
 
 // The site of a run. The limits allow three of twelve servers, two of a zone, and one of four nodes to be unavailable.
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -69,7 +69,7 @@
 
 func (c *releaseCheck) event(e eventlog.Event) {
 	switch e.Kind {
-	case eventlog.UnitStarted, eventlog.UnitOut, processKilled, serverDrained, serverUndrained:
+	case eventlog.UnitStarted, eventlog.PermitBegun, processKilled, serverDrained, serverUndrained:
 		if u := c.units[e.Unit]; u != nil { // else another process was killed
 			c.unitEvent(e, u)
 		}
@@ -84,9 +84,9 @@
 		}
 	case releaseResumed:
 		delete(c.haltedAt, e.Plan)
-	case eventlog.Acted:
-		c.result.Acts++
-		checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.ActsWithoutLease, "%s", violation) })
+	case eventlog.WriteApplied:
+		c.result.AppliedWrites++
+		checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
 	}
 }
 
@@ -100,7 +100,7 @@
 		u.takenOut, u.killedAt = false, 0
 	case processKilled:
 		u.killedAt = e.At
-	case eventlog.UnitOut:
+	case eventlog.PermitBegun:
 		u.takenOut = true
 		c.result.Permits++
 		if haltedAt, halted := c.haltedAt[e.Plan]; halted && e.SentAt > haltedAt+haltTimeout {
--- a/internal/coordination/faulttest/settings.go
+++ b/internal/coordination/faulttest/settings.go
@@ -21,20 +21,20 @@
 	Versions         int     `json:"versions"`             // that some node ran
 	Uncommitted      int     `json:"versions_uncommitted"` // that a node ran before a controller had started it, or without a quorum
 	MaxContents      int     `json:"versions_at_once_max"` // contents that ran at once among nodes in sync
-	Decreased        int     `json:"went_back"`            // nodes that ran a lower version than before
+	VersionDecreases int     `json:"went_back"`            // nodes that ran a lower version than before
 	ServedEarly      int     `json:"served_early"`         // processes that served before they were in sync, or with less than was in force
 	OldIncarnations  int     `json:"old_starts"`           // processes that counted as in sync by the incarnation of an earlier one
 	WronglyOutOfSync int     `json:"called_dead"`          // nodes that were called out of sync while no fault affected them
 	OutOfSync        int     `json:"out_of_touch"`         // times that a node noticed that it was out of sync
-	LostZones        int     `json:"zones_lost"`           // faults that affected a whole zone
-	SpreadMS         float64 `json:"spread_ms"`            // of the last version: from its last stage until all nodes ran it, in milliseconds
-	// InForceMS is, for each version that came into force while faults went on, how long that took since it was proposed,
+	ZoneFaults       int     `json:"zones_lost"`           // faults that affected a whole zone
+	PropagationMS    float64 `json:"spread_ms"`            // of the last version: from its last stage until all nodes ran it, in milliseconds
+	// CommitLatencyMS is, for each version that came into force while faults went on, how long that took since it was proposed,
 	// in milliseconds.
-	InForceMS []float64 `json:"in_force_ms"`
-	// LongestPauseMS is the longest time between two versions that came into force, or from the first proposal to one, while
+	CommitLatencyMS []float64 `json:"in_force_ms"`
+	// LongestCommitGapMS is the longest time between two versions that came into force, or from the first proposal to one, while
 	// faults went on, in milliseconds. It includes what operators halted, withdrew or never proposed.
-	LongestPauseMS float64 `json:"pause_ms"`
-	KilledNode     string  `json:"dead"` // the node that was killed for good
+	LongestCommitGapMS float64 `json:"pause_ms"`
+	KilledNode         string  `json:"dead"` // the node that was killed for good
 }
 
 // settingsContent returns settings of a node. attempts marks them, so that their content can be told from others.
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	faultsEnded := time.Now()
-	result.KilledNode, result.LostZones = s.killedNode, s.lostZones
+	result.KilledNode, result.ZoneFaults = s.killedNode, s.zoneFaults
 	if err := s.settleSettings(ctx, nodes); err != nil {
 		result.Violations = append(result.Violations, "after the faults: "+err.Error())
 	}
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -105,7 +105,7 @@
 		if c.progressAt == 0 {
 			c.progressAt = e.At
 		}
-	case eventlog.Acted:
+	case eventlog.WriteApplied:
 		c.acted(e)
 	}
 }
@@ -136,7 +136,7 @@
 		n.running, n.startedAt, n.required = true, e.At, c.inForce
 	}
 	if version < n.highest {
-		c.add(&c.result.Decreased, "%s runs version %d after %d", e.Process, version, n.highest)
+		c.add(&c.result.VersionDecreases, "%s runs version %d after %d", e.Process, version, n.highest)
 	}
 	n.version, n.highest, n.content = version, version, e.Reason
 	if _, requested := c.startRequested[e.Version]; !requested {
@@ -149,7 +149,7 @@
 	}
 	c.checkContents(i)
 	if strings.HasPrefix(lastHash, e.Reason) {
-		c.result.SpreadMS = (e.At - c.startRequested[e.Version]).Seconds() * 1000
+		c.result.PropagationMS = (e.At - c.startRequested[e.Version]).Seconds() * 1000
 	}
 }
 
@@ -188,8 +188,8 @@
 
 // acted checks an act of a controller, and notes which version is in force.
 func (c *settingsCheck) acted(e eventlog.Event) {
-	c.result.Acts++
-	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.ActsWithoutLease, "%s", violation) })
+	c.result.AppliedWrites++
+	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
 	version, _ := strconv.Atoi(e.Version) // digits, by the controller
 	if e.Reason != "in force" || version <= c.inForce {
 		return
@@ -197,9 +197,9 @@
 	c.inForce = version
 	if c.faulty {
 		if proposedAt, known := c.proposedAt[e.Version]; known {
-			c.result.InForceMS = append(c.result.InForceMS, (e.At-proposedAt).Seconds()*1000)
+			c.result.CommitLatencyMS = append(c.result.CommitLatencyMS, (e.At-proposedAt).Seconds()*1000)
 		}
-		c.result.LongestPauseMS = max(c.result.LongestPauseMS, (e.At-c.progressAt).Seconds()*1000)
+		c.result.LongestCommitGapMS = max(c.result.LongestCommitGapMS, (e.At-c.progressAt).Seconds()*1000)
 	}
 	c.progressAt = e.At
 }
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -67,7 +67,7 @@
 	zone := s.random.IntN(3)
 	kind := zoneFaultKinds[s.random.IntN(len(zoneFaultKinds))]
 	s.noteFault(fmt.Sprintf("%s %s", kind, string("abc"[zone])), duration)
-	s.lostZones++
+	s.zoneFaults++
 	f := s.newZoneFault(kind, zone)
 	if kind == zonePartitioned {
 		s.record.addNow(registryFaultBegan, "")
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -44,7 +44,7 @@
 	undo        sync.WaitGroup // the goroutines that end faults and drains
 
 	killedNode string // the node that was killed for good; empty: none
-	lostZones  int
+	zoneFaults int
 }
 
 // newSite returns a site of which nothing runs yet.
