--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -1,12 +1,13 @@
-// Package agent runs the process of one unit beside it: it starts the process, holds the unit's lease in the registry for
-// as long as the process runs, and changes the unit's version when a permit says so.
+// Package agent supervises the process of one unit. It starts the process, holds the unit's lease in the registry for as
+// long as the process runs, and replaces the process when a permit asks for another version.
 //
-// An agent stores nothing that matters but the version: permits and releases are in the registry, so that an agent that is
-// killed at any point is followed by another that goes on. It begins a permit with a write before it touches the process:
-// an agent that is partitioned, late, or whose release was halted meanwhile changes nothing.
+// The only state that an agent stores is the unit's version. Permits and releases are in the registry, so that a new agent
+// can continue after the old one was killed at any point. An agent begins a permit with a write to the registry before it
+// stops the process. The write fails if the agent is partitioned, if the permit has ended, or if the release was halted. The
+// process then keeps running.
 //
-// An [Agent] runs in the goroutine that calls [Agent.Run]; beside it, one goroutine renews the lease and one waits for the
-// process. They end when the lease or the process ends.
+// An [Agent] runs in the goroutine that calls [Agent.Run], with one more goroutine that renews the lease and one that waits
+// for the process to exit. They end when the lease or the process ends.
 package agent
 
 import (
@@ -25,29 +26,29 @@
 	"umberbank/internal/registry/state"
 )
 
-// Agent is the agent of one unit. Its exported fields must be set before Run and not change after.
+// Agent supervises one unit. The exported fields must be set before Run and not be changed after.
 type Agent struct {
-	Registry    []string       // endpoints, host:port
-	Instance    state.Instance // of the unit; Run sets its start time, state and TTL, and after a change its version
-	TTL         time.Duration  // of its lease
-	Command     []string       // of its process, with {version} for the version; empty: no process, the agent only holds the lease
-	ReadyURL    string         // answers 200 once the process serves; empty: it serves if it has run for half a second
-	DrainTime   time.Duration  // from when nodes are notified that the unit drains until its process is stopped
-	StopTimeout time.Duration  // from then until the process is killed
-	VersionFile string         // keeps the version over restarts of the agent; empty: Instance.Version at each start
-	Events      *eventlog.Log  // nil: none
+	Registry    []string       // addresses of the replicas, host:port
+	Instance    state.Instance // of the unit; Run sets the start time, state and TTL, and the version after each change
+	TTL         time.Duration  // of the unit's lease
+	Command     []string       // starts the process, {version} is replaced; empty if the agent only holds the lease
+	ReadyURL    string         // returns status 200 once the process is ready; if empty, the process is ready after 500 ms
+	DrainTime   time.Duration  // from the start of draining until the process is stopped
+	StopTimeout time.Duration  // from SIGTERM until the process is killed
+	VersionFile string         // keeps the version across restarts of the agent; empty to start with Instance.Version each time
+	Events      *eventlog.Log  // nil if events are not to be recorded
 	Log         *slog.Logger
-	Clock       func() time.Time // nil: the system's
-	Dial        client.DialFunc  // nil: the system's
+	Clock       func() time.Time // defaults to time.Now
+	Dial        client.DialFunc  // defaults to that of [client.Options]
 
 	registry       registry
 	newLeaseHolder func() leaseHolder
 	holder         leaseHolder        // of the unit's lease
-	stopLease      context.CancelFunc // stops its renewal; nil: the unit is not registered
-	process        *process           // nil: it does not run
+	stopLease      context.CancelFunc // stops the renewal of the lease, nil if the unit is not registered
+	process        *process           // nil if the process is not running
 }
 
-// registry is what an agent needs of the registry; [client.Client] implements it.
+// registry is the part of the registry's client that an agent uses. [client.Client] implements it.
 type registry interface {
 	PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
 	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
@@ -55,7 +56,7 @@
 	NextStartTime(ctx context.Context, uid string, clock time.Time) (float64, error)
 }
 
-// leaseHolder registers the unit and renews its lease; [client.LeaseHolder] implements it.
+// leaseHolder registers the unit and renews its lease. [client.LeaseHolder] implements it.
 type leaseHolder interface {
 	Register(ctx context.Context, instances ...*state.Instance) error
 	Token(uid string) int64
@@ -63,15 +64,15 @@
 }
 
 const (
-	readyTimeout      = 10 * time.Second       // for the process to serve, and for the unit to be registered
-	restartDelay      = time.Second            // after a start that failed
-	pollWait          = time.Second            // the longest that a poll of the registry waits for a change
-	deregisterTimeout = time.Second            // for the write at the end
+	readyTimeout      = 10 * time.Second       // of waiting for the process to be ready, and of registering the unit
+	restartDelay      = time.Second            // after a failed start
+	pollWait          = time.Second            // longest time that a poll of the registry waits for a change
+	deregisterTimeout = time.Second            // of the write that removes the unit at shutdown
 	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
 )
 
-// Run keeps the unit running until ctx ends, and then removes it from the registry and stops its process. It returns
-// client.ErrFenced when another agent has registered the same unit.
+// Run keeps the unit running until ctx ends. It then removes the unit from the registry and stops the process. It returns
+// [client.ErrFenced] if another agent has registered the same unit.
 func (a *Agent) Run(ctx context.Context) error {
 	registry, err := client.New(client.Options{Endpoints: a.Registry, MaxBackoff: maxBackoff, Dial: a.Dial})
 	if err != nil {
@@ -80,7 +81,7 @@
 	return a.run(ctx, registry, func() leaseHolder { return client.NewLeaseHolder(registry) })
 }
 
-// run is Run with a registry.
+// run implements Run with the given registry and lease holder.
 func (a *Agent) run(ctx context.Context, r registry, newLeaseHolder func() leaseHolder) error {
 	a.registry, a.newLeaseHolder = r, newLeaseHolder
 	if err := a.prepare(); err != nil {
@@ -93,7 +94,7 @@
 	return a.deregister(ctx)
 }
 
-// prepare fills in defaults and reads the stored version.
+// prepare sets defaults and reads the stored version.
 func (a *Agent) prepare() error {
 	if a.Clock == nil {
 		a.Clock = time.Now
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// serve runs the unit and follows its permits until ctx ends or another agent has registered the unit.
+// serve keeps the unit running and carries out its permits until ctx ends or another agent has registered the unit.
 func (a *Agent) serve(ctx context.Context) error {
 	var revision int64
 	for ctx.Err() == nil {
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// ensureServing starts the process if it does not run, and registers the unit if it is not registered.
+// ensureServing starts the process if it is not running and registers the unit if it is not registered. It returns
+// [client.ErrFenced] if another agent has registered the unit.
 func (a *Agent) ensureServing(ctx context.Context) error {
 	if a.process != nil && a.process.hasExited() {
 		a.Log.Warn("unit process exited", "unit", a.Instance.UID, "error", a.process.err)
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// startProcess starts the unit's process and waits until it serves.
+// startProcess starts the unit's process and waits until it is ready.
 func (a *Agent) startProcess(ctx context.Context) error {
 	p, err := startProcess(a.Command, a.Instance.Version)
 	if err != nil {
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// register registers the unit's process, and renews its lease from then on.
+// register registers the unit and starts to renew its lease.
 func (a *Agent) register(ctx context.Context) error {
 	if a.Instance.StartTimeMS == 0 {
 		startTime, err := a.registry.NextStartTime(ctx, a.Instance.UID, a.Clock())
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// deregister removes the unit from the registry if it is registered.
+// deregister removes the unit from the registry. It does nothing if the unit is not registered.
 func (a *Agent) deregister(ctx context.Context) error {
 	if a.stopLease == nil {
 		return nil
@@ -208,8 +210,8 @@
 	return err
 }
 
-// followPermit changes the unit's version if a permit says so, or sets the unit to serve again if the change was rolled
-// back before the unit was touched. A write that fails is tried again after the next poll.
+// followPermit changes the unit's version to the permit's target version. If the change was rolled back before the process
+// was stopped, it returns the unit to service instead. A write that fails is retried after the next poll.
 func (a *Agent) followPermit(ctx context.Context, p *disruption.Permit, instance *state.Instance) {
 	if a.isRolledBack(p, instance) {
 		_, _ = a.registry.WriteOne(ctx, state.Op{Kind: state.OpUpdate, UID: p.Unit, Token: a.holder.Token(p.Unit), State: state.Serving})
@@ -223,18 +225,20 @@
 	if err != nil || result.Code != "" {
 		return
 	}
-	a.appendEvent(eventlog.Event{Kind: eventlog.PermitBegun, Plan: p.Plan, Token: p.Token, Version: p.TargetVersion, SentAt: sentAt})
+	a.appendEvent(eventlog.Event{Kind: eventlog.PermitBegun, Plan: p.Plan, Token: p.Token, Version: p.TargetVersion,
+		SentAt: sentAt})
 	a.changeVersion(ctx, p.TargetVersion)
 }
 
-// isRolledBack reports whether the permit's change was rolled back before the unit was touched: it drains for a change to
-// the version that it still runs.
+// isRolledBack reports whether the permit's change was rolled back before the process was stopped: the unit is draining for
+// a change to the version that it already runs.
 func (a *Agent) isRolledBack(p *disruption.Permit, instance *state.Instance) bool {
 	return p.TargetVersion == a.Instance.Version && p.Begun && instance.State == state.Draining &&
 		instance.StartTimeMS == a.Instance.StartTimeMS && a.stopLease != nil
 }
 
-// changeVersion stops the unit once nodes have had time to drain it, and stores its next version.
+// changeVersion waits for the drain time, stops the unit and stores its next version. The process of that version is started
+// by the next call of ensureServing.
 func (a *Agent) changeVersion(ctx context.Context, version string) {
 	a.Log.Info("changing version", "unit", a.Instance.UID, "from", a.Instance.Version, "to", version)
 	if a.process != nil {
@@ -250,7 +254,7 @@
 	}
 }
 
-// stopUnit stops renewing the unit's lease and stops its process.
+// stopUnit stops the renewal of the unit's lease and the process.
 func (a *Agent) stopUnit() {
 	if a.stopLease != nil {
 		a.stopLease()
@@ -271,7 +275,7 @@
 	}
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/coordination/agent/agent_test.go
+++ b/internal/coordination/agent/agent_test.go
@@ -22,17 +22,18 @@
 
 const unitUID = "s1"
 
-// fixture is an agent that is the unit itself, on a registry in memory. Every test runs in a bubble with its own time.
+// fixture is an agent without a process, on an in-memory registry. Every test runs in a synctest bubble, which has its own
+// clock.
 type fixture struct {
 	t        *testing.T
 	registry *fakeregistry.Registry
 	agent    *Agent
-	events   string // the event log's file
+	events   string // path of the event log
 	stop     context.CancelFunc
 	result   chan error // of Agent.run
 }
 
-// start starts an agent whose unit runs v1.
+// start starts the agent of a unit that runs v1.
 func start(t *testing.T) *fixture {
 	t.Helper()
 	dir := t.TempDir()
@@ -58,7 +59,7 @@
 	return f
 }
 
-// write applies a write that must be applied, and lets the agent follow.
+// write applies op and fails the test if the registry rejects it.
 func (f *fixture) write(op state.Op) state.Result {
 	f.t.Helper()
 	result, err := f.registry.WriteOne(f.t.Context(), op)
@@ -68,13 +69,13 @@
 	return result
 }
 
-// instance returns the unit as it is registered; nil: it is not.
+// instance returns the unit's registered instance, nil if the unit is not registered.
 func (f *fixture) instance() (e *state.Instance) {
 	f.registry.Read(func(s *state.State) { e = s.Get(unitUID) })
 	return e
 }
 
-// end stops the agent and returns what its run returned.
+// end stops the agent and returns the error of its run.
 func (f *fixture) end() error {
 	f.stop()
 	return <-f.result
@@ -102,13 +103,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
 		if e := f.instance(); e == nil || e.State != state.Serving || e.Version != "v1" || e.TTLMS != 1000 || e.StartTimeMS == 0 {
-			t.Errorf("registered: %+v", e)
+			t.Errorf("registered instance: %+v, want v1 serving with a TTL of 1000 ms and a start time", e)
 		}
 		if err := f.end(); err != nil {
 			t.Error(err)
 		}
 		if e := f.instance(); e != nil {
-			t.Errorf("still registered: %+v", e)
+			t.Errorf("instance after the agent has ended: %+v, want none", e)
 		}
 		if want := []eventlog.Kind{eventlog.UnitStarted, eventlog.UnitStopped}; !slices.Equal(f.kinds(), want) {
 			t.Errorf("events: %v, want %v", f.kinds(), want)
@@ -123,15 +124,15 @@
 		f.write(state.Op{Kind: state.OpGrantPermit, UID: unitUID, Incarnation: before.Token, Holder: "c0", Plan: "p", TargetVersion: "v2"})
 		synctest.Wait()
 		if e := f.instance(); e.State != state.Draining || e.Version != "v1" {
-			t.Errorf("while it drains: %+v", e)
+			t.Errorf("instance during the drain time: %+v, want v1 draining", e)
 		}
 		time.Sleep(f.agent.DrainTime)
 		synctest.Wait()
 		if e := f.instance(); e.State != state.Serving || e.Version != "v2" || e.Token <= before.Token || e.StartTimeMS <= before.StartTimeMS {
-			t.Errorf("after the change: %+v, before %+v", e, before)
+			t.Errorf("instance after the change: %+v, want a later incarnation that serves v2; before: %+v", e, before)
 		}
 		if version, err := os.ReadFile(f.agent.VersionFile); err != nil || string(version) != "v2" {
-			t.Errorf("the stored version is %q, %v", version, err)
+			t.Errorf("stored version is %q (error %v), want v2", version, err)
 		}
 		if err := f.end(); err != nil {
 			t.Error(err)
@@ -143,7 +144,8 @@
 	})
 }
 
-// A permit of a halted release does not begin, and the unit stays as it is.
+// TestDoesNotChangeVersionOfHaltedRelease checks that a permit of a halted release does not begin and the unit keeps serving
+// its version.
 func TestDoesNotChangeVersionOfHaltedRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
@@ -152,7 +154,7 @@
 		time.Sleep(10 * f.agent.DrainTime)
 		synctest.Wait()
 		if e := f.instance(); e.State != state.Serving || e.Version != "v1" {
-			t.Errorf("%+v", e)
+			t.Errorf("instance: %+v, want v1 serving", e)
 		}
 		if err := f.end(); err != nil {
 			t.Error(err)
@@ -160,8 +162,8 @@
 	})
 }
 
-// A unit that drains for a permit to the version that it runs serves again: the release was rolled back before the unit was
-// touched.
+// TestServesAgainAfterRollback checks that a unit returns to service if it drains for a change to the version that it already
+// runs. This happens when a release is rolled back before the agent has stopped the process.
 func TestServesAgainAfterRollback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
@@ -169,7 +171,7 @@
 		f.write(state.Op{Kind: state.OpBeginPermit, UID: unitUID, Token: permit.Token})
 		synctest.Wait()
 		if e := f.instance(); e.State != state.Serving || e.Version != "v1" {
-			t.Errorf("%+v", e)
+			t.Errorf("instance: %+v, want v1 serving", e)
 		}
 		if err := f.end(); err != nil {
 			t.Error(err)
@@ -184,12 +186,13 @@
 		another.StartTimeMS++
 		f.write(state.Op{Kind: state.OpRegister, Instance: &another})
 		if err := <-f.result; !errors.Is(err, client.ErrFenced) {
-			t.Errorf("the agent ended with %v", err)
+			t.Errorf("agent ended with error %v, want ErrFenced", err)
 		}
 	})
 }
 
-// While the registry is unreachable the unit keeps running, and it follows permits once the registry is reachable again.
+// TestRegistryUnreachable checks that the unit keeps running while the registry is unreachable, and that the agent carries out
+// permits once the registry is reachable again.
 func TestRegistryUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
@@ -199,13 +202,13 @@
 		f.registry.SetUnreachable(false)
 		synctest.Wait()
 		if e := f.instance(); e.Token != before || e.Version != "v1" {
-			t.Errorf("after the partition: %+v", e)
+			t.Errorf("instance after the partition: %+v, want the same incarnation of v1", e)
 		}
 		f.write(state.Op{Kind: state.OpGrantPermit, UID: unitUID, Incarnation: before, Holder: "c0", TargetVersion: "v2"})
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if e := f.instance(); e.State != state.Serving || e.Version != "v2" {
-			t.Errorf("%+v", e)
+			t.Errorf("instance after the permit: %+v, want v2 serving", e)
 		}
 		if err := f.end(); err != nil {
 			t.Error(err)
@@ -213,7 +216,7 @@
 	})
 }
 
-// A stored version takes precedence over the one that the agent was started with.
+// TestStoredVersion checks that a stored version takes precedence over the version that the agent was started with.
 func TestStoredVersion(t *testing.T) {
 	a := &Agent{Instance: state.Instance{Version: "v1"}, VersionFile: filepath.Join(t.TempDir(), "version")}
 	for _, c := range []struct{ stored, want string }{{"", "v1"}, {"v7", "v7"}} {
@@ -221,7 +224,7 @@
 			t.Fatal(err)
 		}
 		if err := a.prepare(); err != nil || a.Instance.Version != c.want {
-			t.Errorf("stored %q: %q, %v", c.stored, a.Instance.Version, err)
+			t.Errorf("version with %q stored is %q (error %v)", c.stored, a.Instance.Version, err)
 		}
 	}
 }
--- a/internal/coordination/agent/process.go
+++ b/internal/coordination/agent/process.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// process is the process of a unit. Its methods must not be called concurrently.
+// process is the process of a unit. It is not safe for concurrent use.
 type process struct {
-	cmd    *exec.Cmd  // nil: the process has exited, or there is none
-	exited chan error // receives the result of cmd.Wait; nil: there is no process
-	err    error      // that result, once it was received
+	cmd    *exec.Cmd  // nil if the process has exited or the unit has no process
+	exited chan error // receives the result of cmd.Wait, nil if the unit has no process
+	err    error      // the result of cmd.Wait, set when it has been received from exited
 }
 
 const (
@@ -23,7 +23,8 @@
 	readyPollInterval = 50 * time.Millisecond
 )
 
-// startProcess starts a command, in which {version} stands for the version. The process is killed if the agent dies.
+// startProcess starts command, with each {version} in it replaced by version. The kernel kills the process if the agent
+// dies. If command is empty, nothing is started, and the returned process counts as ready.
 func startProcess(command []string, version string) (*process, error) {
 	if len(command) == 0 {
 		return &process{}, nil
@@ -43,7 +44,7 @@
 	return p, nil
 }
 
-// hasExited reports whether the process has exited by itself.
+// hasExited reports whether the process has exited without having been stopped.
 func (p *process) hasExited() bool {
 	select {
 	case err := <-p.exited:
@@ -56,7 +57,8 @@
 
 func (p *process) setExited(err error) { p.cmd, p.err = nil, err }
 
-// waitReady waits until the process serves: until url answers 200, or without a url for a fixed time.
+// waitReady waits until url returns status 200. If url is empty, it waits until the process has run for
+// assumedReadyAfter.
 func (p *process) waitReady(ctx context.Context, url string) error {
 	switch {
 	case p.cmd == nil:
@@ -74,29 +76,29 @@
 		select {
 		case err := <-p.exited:
 			p.setExited(err)
-			return fmt.Errorf("the process ended before it served: %s", exitStatus(err))
+			return fmt.Errorf("process exited before it was ready: %s", exitStatus(err))
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not answer 200: %w", url, ctx.Err())
+			return fmt.Errorf("%s has not returned status 200: %w", url, ctx.Err())
 		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// waitRunning waits until the process has run for a while.
+// waitRunning waits until the process has run for assumedReadyAfter.
 func (p *process) waitRunning() error {
 	select {
 	case err := <-p.exited:
 		p.setExited(err)
-		return fmt.Errorf("the process ended at once: %s", exitStatus(err))
+		return fmt.Errorf("process exited right after its start: %s", exitStatus(err))
 	case <-time.After(assumedReadyAfter):
 		return nil
 	}
 }
 
-// exitStatus words the result of waiting for a process, which is nil if it has exited with status 0.
+// exitStatus formats the result of cmd.Wait, which is nil if the process has exited with status 0.
 func exitStatus(err error) string { return fmt.Sprint(err) }
 
-// isReady reports whether url answers 200. The error says that url is malformed.
+// isReady reports whether url returns status 200. It returns an error only if url is malformed.
 func isReady(ctx context.Context, url string) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -104,23 +106,23 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return false, nil // not yet
+		return false, nil // the process does not listen yet
 	}
 	_ = resp.Body.Close()
 	return resp.StatusCode == http.StatusOK, nil
 }
 
-// stop asks the process to exit, and kills it if it has not within the timeout.
+// stop sends SIGTERM to the process, and kills it if it has not exited within timeout.
 func (p *process) stop(timeout time.Duration) {
 	if p.cmd == nil {
 		return
 	}
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // a process that has exited needs none
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
 	select {
 	case err := <-p.exited:
 		p.setExited(err)
 	case <-time.After(timeout):
-		_ = p.cmd.Process.Kill() // fails only if it has exited
+		_ = p.cmd.Process.Kill() // fails only if the process has exited
 		p.setExited(<-p.exited)
 	}
 }
--- a/internal/coordination/agent/process_test.go
+++ b/internal/coordination/agent/process_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-func TestProcessExitsBeforeItServes(t *testing.T) {
+func TestProcessExitsBeforeReady(t *testing.T) {
 	for name, c := range map[string]struct {
 		command []string
 		url     string
 		want    string
 	}{
-		"without a URL": {[]string{"/bin/sh", "-c", "exit 3"}, "", "the process ended at once: exit status 3"},
-		"with a URL":    {[]string{"/bin/sh", "-c", "exit 0"}, "http://127.0.0.1:1/", "the process ended before it served: <nil>"},
+		"without a URL": {[]string{"/bin/sh", "-c", "exit 3"}, "", "process exited right after its start: exit status 3"},
+		"with a URL":    {[]string{"/bin/sh", "-c", "exit 0"}, "http://127.0.0.1:1/", "process exited before it was ready: <nil>"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, err := startProcess(c.command, "v1")
@@ -24,14 +24,14 @@
 				t.Fatal(err)
 			}
 			if err := p.waitReady(t.Context(), c.url); err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("got error %v, want %s", err, c.want)
 			}
-			p.stop(0) // which has nothing to do
+			p.stop(0) // does nothing, since the process has exited
 		})
 	}
 }
 
-func TestProcessServes(t *testing.T) {
+func TestProcessStartAndStop(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	p, err := startProcess([]string{"/bin/sh", "-c", "exec sleep 60 # {version}"}, "v1")
@@ -42,18 +42,18 @@
 		t.Error(err)
 	}
 	if p.hasExited() {
-		t.Error("the process has exited")
+		t.Error("process has exited")
 	}
 	if args := p.cmd.Args; !strings.HasSuffix(args[len(args)-1], "# v1") {
-		t.Errorf("arguments: %q", args)
+		t.Errorf("arguments are %q, want {version} replaced by v1", args)
 	}
 	p.stop(time.Minute)
 	if p.cmd != nil || p.err == nil || p.err.Error() != "signal: terminated" {
-		t.Errorf("after the stop: %v", p.err)
+		t.Errorf("exit status after stop is %v, want signal: terminated", p.err)
 	}
 }
 
-// A process that does not serve in time is given up.
+// TestProcessNotReady checks that waitReady returns an error when the context ends before the process is ready.
 func TestProcessNotReady(t *testing.T) {
 	p, err := startProcess([]string{"sleep", "60"}, "v1")
 	if err != nil {
@@ -62,22 +62,22 @@
 	defer p.stop(time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := p.waitReady(ctx, "http://127.0.0.1:1/"); err == nil || !strings.Contains(err.Error(), "does not answer 200: context canceled") {
+	if err := p.waitReady(ctx, "http://127.0.0.1:1/"); err == nil || !strings.Contains(err.Error(), "has not returned status 200: context canceled") {
 		t.Error(err)
 	}
 }
 
-// A process that ignores the request to exit is killed after the timeout.
+// TestProcessIsKilled checks that a process that ignores SIGTERM is killed after the timeout.
 func TestProcessIsKilled(t *testing.T) {
 	p, err := startProcess([]string{"/bin/sh", "-c", "trap '' TERM; while :; do sleep 1; done"}, "v1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.waitRunning(); err != nil { // until the trap is set
+	if err := p.waitRunning(); err != nil { // long enough for the shell to set the trap
 		t.Fatal(err)
 	}
 	p.stop(10 * time.Millisecond)
 	if p.err == nil || p.err.Error() != "signal: killed" {
-		t.Errorf("after the stop: %v", p.err)
+		t.Errorf("exit status after stop is %v, want signal: killed", p.err)
 	}
 }
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -1,8 +1,9 @@
-// Package controller carries releases and rollouts of settings on. Any number of controllers may run; the one that holds
-// the leader's lease in the registry acts.
+// Package controller drives releases and rollouts of settings. Any number of controllers may run at the same time. Only the
+// leader, the one that holds the leader lease in the registry, drives them.
 //
-// A controller stores nothing: what it must know is in the registry, so that another goes on after it was killed at any
-// point. Every write is fenced by the lease: one that arrives after the lease has ended is not applied.
+// A controller keeps no state of its own on disk. All state is in the registry, so that another controller can take over at
+// any point. Every write is fenced by the leader lease: the registry does not apply one that arrives after the lease has
+// ended.
 //
 // A [Controller] runs in the goroutine that calls [Controller.Run].
 package controller
@@ -23,40 +24,40 @@
 	"umberbank/internal/registry/state"
 )
 
-// LeaderUID is the UID of the instance that the leading controller registers and holds.
+// LeaderUID is the UID of the instance that the leader registers. The lease of this instance is the leader lease.
 const LeaderUID = "controller"
 
-// ReadView reads everything that the registry tells of budgets, releases and versions, units included, as of a time after
-// the call.
-func ReadView(ctx context.Context, w *client.Client) (*state.CoordinationView, error) {
+// ReadView reads the registry's complete view of budgets, releases and rollouts, including the units. The read is
+// consistent: it includes every write that was committed before the call.
+func ReadView(ctx context.Context, c *client.Client) (*state.CoordinationView, error) {
 	query := url.Values{"consistent": {"1"}, "units": {"1"}, "lead": {LeaderUID}}
 	var v state.CoordinationView
-	return &v, w.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &v)
+	return &v, c.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &v)
 }
 
-// Controller is one controller. Its exported fields must be set before Run and not change after.
+// Controller is one of the controllers of a registry. The exported fields must be set before Run and not be changed after.
 type Controller struct {
-	Registry []string // endpoints, host:port
+	Registry []string // addresses of the replicas, host:port
 	Name     string
-	TTL      time.Duration // of the leader's lease
-	Events   *eventlog.Log // nil: none
+	TTL      time.Duration // of the leader lease
+	Events   *eventlog.Log // nil if events are not to be recorded
 	Log      *slog.Logger
 
 	registry  registry
-	token     int64     // of the leader's lease; 0: this controller does not lead
-	renewedAt time.Time // when the last renewal that succeeded was sent
+	token     int64     // of the leader lease, 0 if this controller is not the leader
+	renewedAt time.Time // when the last successful renewal was sent
 	scheduler release.Scheduler
 	bakeTimer rollout.BakeTimer
 }
 
 const (
-	pollInterval      = 200 * time.Millisecond // while nothing changes
+	pollInterval      = 200 * time.Millisecond // longest time that a poll waits for a change
 	renewalsPerTTL    = 3
-	deregisterTimeout = time.Second            // for the write at the end
+	deregisterTimeout = time.Second            // of the write that releases the leader lease at shutdown
 	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
 )
 
-// registry is what a controller needs of the registry; [client.Client] implements it.
+// registry is the part of the registry's client that a controller uses. [client.Client] implements it.
 type registry interface {
 	PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error)
 	Write(ctx context.Context, ops ...state.Op) ([]state.Result, error)
@@ -64,7 +65,8 @@
 	Call(ctx context.Context, method, path string, body, response any) error
 }
 
-// Run acts, while it leads, until ctx ends, and then gives the lease up. The error says that the endpoints are malformed.
+// Run takes part in the leader election until ctx ends, and drives releases and rollouts while this controller is the
+// leader. It then releases the leader lease. Run returns an error only if c.Registry is invalid.
 func (c *Controller) Run(ctx context.Context) error {
 	registry, err := client.New(client.Options{Endpoints: c.Registry, MaxBackoff: maxBackoff})
 	if err != nil {
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// run is Run with a registry.
+// run implements Run with the given registry.
 func (c *Controller) run(ctx context.Context, r registry) {
 	c.registry = r
 	c.scheduler.Holder = c.Name
@@ -89,26 +91,26 @@
 		revision = view.Revision
 		c.holdLease(ctx, view)
 		if c.token != 0 {
-			c.act(ctx, view, time.Since(startedAt))
+			c.advance(ctx, view, time.Since(startedAt))
 		}
 	}
 	c.releaseLease(ctx)
 }
 
-// act sends the writes that carry the rollout and the releases on. now is the time since the controller has started.
-func (c *Controller) act(ctx context.Context, view *state.CoordinationView, now time.Duration) {
+// advance sends the writes that are due for the rollout and the releases. now is the time since the controller started.
+func (c *Controller) advance(ctx context.Context, view *state.CoordinationView, now time.Duration) {
 	if c.bakeTimer.StageDue(view.Rollout, now) {
 		c.startStage(ctx, view.Rollout)
 	}
 	releases := release.View{Units: view.Units, Unavailable: view.Unavailable, Permits: view.Permits, Records: view.Records}
-	c.send(ctx, c.scheduler.NextWrites(releases, now))
+	c.sendReleaseWrites(ctx, c.scheduler.NextWrites(releases, now))
 }
 
-// startStage starts the next stage of the pending version.
+// startStage requests the next stage of the pending version.
 func (c *Controller) startStage(ctx context.Context, r *rollout.State) {
 	version := strconv.FormatInt(r.Pending.Number, 10)
 	sentAt := eventlog.Now()
-	// Before the write: the controller may be killed before it has the result.
+	// The event precedes the write, because the controller may be killed before it receives the result.
 	c.appendEvent(eventlog.Event{Kind: eventlog.StageRequested, Version: version, Token: c.token})
 	result, err := c.registry.WriteOne(ctx, state.Op{Kind: state.OpAdvance, Number: r.Pending.Number, Stage: r.StartedStages, Fence: c.fence()})
 	if err != nil || result.Code != "" {
@@ -122,8 +124,9 @@
 	c.Log.Info("started rollout stage", "controller", c.Name, "version", r.Pending.Number, "stage", r.StartedStages)
 }
 
-// send sends the writes of a release in order. After the first that is not applied, the rest waits for the next poll.
-func (c *Controller) send(ctx context.Context, writes []release.Write) {
+// sendReleaseWrites sends writes of releases in order, up to the first that is not applied. The scheduler issues the
+// remaining ones again after the next poll.
+func (c *Controller) sendReleaseWrites(ctx context.Context, writes []release.Write) {
 	for _, w := range writes {
 		w.Fence = c.fence()
 		sentAt := eventlog.Now()
@@ -138,14 +141,15 @@
 			return
 		}
 		c.scheduler.WriteApplied(w)
-		c.appendEvent(eventlog.Event{Kind: eventlog.WriteApplied, Unit: w.UID, Plan: w.Plan, Token: c.token, SentAt: sentAt, Reason: w.Reason})
+		c.appendEvent(eventlog.Event{Kind: eventlog.WriteApplied, Unit: w.UID, Plan: w.Plan, Token: c.token,
+			SentAt: sentAt, Reason: w.Reason})
 		if w.Reason != "" {
 			c.Log.Info("release write applied", "controller", c.Name, "kind", w.Kind, "reason", w.Reason)
 		}
 	}
 }
 
-// fence makes a write conditional on this controller's lease.
+// fence returns the condition that this controller still holds the leader lease.
 func (c *Controller) fence() *state.Fence { return &state.Fence{UID: LeaderUID, Token: c.token} }
 
 func (c *Controller) appendEvent(e eventlog.Event) {
--- a/internal/coordination/controller/controller_test.go
+++ b/internal/coordination/controller/controller_test.go
@@ -16,13 +16,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// fixture is a registry in memory with controllers. Every test runs in a bubble with its own time.
+// fixture is an in-memory registry with controllers. Every test runs in a synctest bubble, which has its own clock.
 type fixture struct {
 	t        *testing.T
 	registry *fakeregistry.Registry
 }
 
-// start starts a controller, and returns a function that stops it and waits for its end.
+// start starts a controller. The returned function stops it and waits until it has ended.
 func (f *fixture) start(name string) (stop func()) {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	ended := make(chan struct{})
@@ -38,7 +38,7 @@
 	}
 }
 
-// write applies a write that must be applied.
+// write applies op and fails the test if the registry rejects it.
 func (f *fixture) write(op state.Op) state.Result {
 	f.t.Helper()
 	result, err := f.registry.WriteOne(f.t.Context(), op)
@@ -48,7 +48,7 @@
 	return result
 }
 
-// leader returns the name of the leading controller, and the token of its lease.
+// leader returns the name of the leader and the token of its lease, or zero values if there is no leader.
 func (f *fixture) leader() (name string, token int64) {
 	f.registry.Read(func(s *state.State) {
 		if e := s.Get(LeaderUID); e != nil {
@@ -58,7 +58,7 @@
 	return name, token
 }
 
-// poll lets controllers poll the registry a few times.
+// poll waits until the controllers have polled the registry a few times.
 func (f *fixture) poll() {
 	time.Sleep(3 * pollInterval)
 	synctest.Wait()
@@ -72,38 +72,38 @@
 		f.poll()
 		name, token := f.leader()
 		if name != "first" {
-			t.Errorf("%q leads", name)
+			t.Errorf("leader is %q, want first", name)
 		}
 		stopFirst()
 		f.poll()
 		if next, nextToken := f.leader(); next != "second" || nextToken <= token {
-			t.Errorf("%q leads with the lease %d, after %d", next, nextToken, token)
+			t.Errorf("leader is %q with token %d, want second with a token above %d", next, nextToken, token)
 		}
 		stopSecond()
 		if name, _ := f.leader(); name != "" {
-			t.Errorf("%q has ended and leads", name)
+			t.Errorf("leader is %q after all controllers have stopped", name)
 		}
 	})
 }
 
-// A controller whose lease has ended asks for another.
-func TestLeaseEnds(t *testing.T) {
+// TestReacquiresExpiredLease checks that a controller whose lease has expired acquires a new one.
+func TestReacquiresExpiredLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{t, fakeregistry.New()}
 		stop := f.start("c0")
 		_, token := f.leader()
 		f.write(state.Op{Kind: state.OpExpire, UID: LeaderUID, Token: token})
 		f.poll()
-		time.Sleep(time.Second) // until the next renewal, which finds the lease ended
+		time.Sleep(time.Second) // until the next renewal, which discovers that the lease has expired
 		f.poll()
 		if name, next := f.leader(); name != "c0" || next <= token {
-			t.Errorf("%q leads with the lease %d, after %d", name, next, token)
+			t.Errorf("leader is %q with token %d, want c0 with a token above %d", name, next, token)
 		}
 		stop()
 	})
 }
 
-// addNodes registers nodes that run version 0, one in each of three zones.
+// addNodes registers three nodes that run version 0, each in a zone of its own, and returns their tokens by UID.
 func (f *fixture) addNodes() (tokens map[string]int64) {
 	f.t.Helper()
 	tokens = map[string]int64{}
@@ -133,21 +133,21 @@
 			return stage, committed
 		}
 		if got, _ := stage(); got != 0 {
-			t.Errorf("stage %d starts without a quorum", got)
+			t.Errorf("%d stages have started without a quorum, want 0", got)
 		}
 		for uid, token := range tokens {
 			f.write(state.Op{Kind: state.OpAcknowledge, UID: uid, Token: token, Number: number, Hash: hash})
 		}
 		if got, _ := stage(); got != 1 {
-			t.Errorf("%d stages have started with a quorum", got)
+			t.Errorf("%d stages have started with a quorum, want 1", got)
 		}
 		f.write(state.Op{Kind: state.OpReport, UID: "n0", Token: tokens["n0"], Number: number, Hash: hash})
 		if got, committed := stage(); got != 1 || committed != 0 {
-			t.Errorf("stage %d, version %d is committed before the bake time", got, committed)
+			t.Errorf("before the bake time has elapsed: %d stages started, version %d committed, want 1 and 0", got, committed)
 		}
 		time.Sleep(bakeTime)
 		if _, committed := stage(); committed != number {
-			t.Errorf("version %d is committed after the bake time", committed)
+			t.Errorf("version %d is committed after the bake time, want the proposed one", committed)
 		}
 	})
 }
@@ -175,10 +175,10 @@
 		f.registry.Read(func(s *state.State) {
 			permits := s.Budget().Permits()
 			if len(permits) != 1 || permits[0].Unit != "s0" || permits[0].Holder != "c0" || permits[0].TargetVersion != "v2" {
-				t.Errorf("permits within a limit of one unit: %+v", permits)
+				t.Errorf("permits with a limit of one unavailable unit: %+v, want one for s0 to v2 held by c0", permits)
 			}
 			if s.Record(release.ProgressKeyPrefix+plan.Name) == nil {
-				t.Error("no progress is stored")
+				t.Error("the release has no progress record")
 			}
 		})
 	})
--- a/internal/coordination/controller/lease.go
+++ b/internal/coordination/controller/lease.go
@@ -9,7 +9,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// holdLease renews the leader's lease when it is due, or asks for it when nobody holds it.
+// holdLease renews the leader lease when a renewal is due, and tries to acquire the lease when it is free.
 func (c *Controller) holdLease(ctx context.Context, view *state.CoordinationView) {
 	sentAt := time.Now()
 	switch {
@@ -23,7 +23,7 @@
 	}
 }
 
-// acquireLease asks for the lease.
+// acquireLease tries to acquire the leader lease. It fails if another controller has registered first.
 func (c *Controller) acquireLease(ctx context.Context) {
 	instance := &state.Instance{
 		UID: LeaderUID, Endpoint: c.Name, State: state.Serving, Role: state.RoleController, TTLMS: c.TTL.Milliseconds(),
@@ -35,7 +35,8 @@
 	}
 }
 
-// renewLease renews the lease, or notes that it is lost. It reports whether the registry answered.
+// renewLease renews the leader lease and reports whether the registry responded. If the response says that the lease has
+// ended, this controller stops being the leader.
 func (c *Controller) renewLease(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.TTL)
 	defer cancel()
@@ -53,7 +54,7 @@
 	c.token = 0
 }
 
-// releaseLease gives the lease up if this controller holds it. If that fails, the lease ends by itself.
+// releaseLease releases the leader lease if this controller holds it. If the write fails, the lease expires after its TTL.
 func (c *Controller) releaseLease(ctx context.Context) {
 	if c.token == 0 {
 		return
--- a/internal/coordination/eventlog/eventlog.go
+++ b/internal/coordination/eventlog/eventlog.go
@@ -1,6 +1,8 @@
-// Package eventlog writes what agents and controllers do to a file, a line of JSON per event, for an outside check that
-// the rules on disruption budgets and leases hold. Times are on the machine's monotonic clock, which all its processes
-// share, so that the logs of several processes can be merged. A [Log] may be used by several goroutines at once.
+// Package eventlog records the actions of agents and controllers in a file, as one line of JSON per event. Package
+// faulttest reads these files to check the rules on disruption budgets and leases.
+//
+// Timestamps come from the machine's monotonic clock. All processes of a machine share it, so that the logs of several
+// processes can be merged. A [Log] is safe for concurrent use.
 package eventlog
 
 import (
@@ -13,48 +15,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind is what has happened.
+// Kind is the type of an event, as written to the log.
 type Kind string
 
 // Kinds of events.
 const (
-	UnitStarted    Kind = "up"   // by an agent: its unit serves, and is about to register
-	UnitStopped    Kind = "down" // by an agent: its unit does not serve any more, or will not shortly
-	PermitBegun    Kind = "out"  // by an agent: a permit has begun, and its unit is about to be taken out of service
-	StageRequested Kind = "asks" // by a controller: it is about to start a stage of a rollout
-	WriteApplied   Kind = "act"  // by a controller: the registry has applied its write
+	UnitStarted    Kind = "up"   // an agent's unit serves and is about to be registered
+	UnitStopped    Kind = "down" // an agent's unit has stopped serving or is about to be stopped
+	PermitBegun    Kind = "out"  // a permit has begun, and the agent is about to take its unit out of service
+	StageRequested Kind = "asks" // a controller is about to request the next stage of a rollout
+	WriteApplied   Kind = "act"  // the registry has applied a write of a controller
 )
 
 // Event is one line of a log.
 type Event struct {
-	At            time.Duration `json:"at_ns"` // see [Now]
+	At            time.Duration `json:"at_ns"` // on the clock of [Now]; zero when passed to Append means now
 	Process       string        `json:"who"`
 	Kind          Kind          `json:"what"`
 	Unit          string        `json:"unit,omitempty"`
 	Version       string        `json:"version,omitempty"`
 	Plan          string        `json:"plan,omitempty"`
-	Token         int64         `json:"token,omitempty"`   // of the permit, or of the controller's lease
-	SentAt        time.Duration `json:"sent_ns,omitempty"` // when the write that led to the event was sent
+	Token         int64         `json:"token,omitempty"`   // of the permit or of the controller's lease
+	SentAt        time.Duration `json:"sent_ns,omitempty"` // when the write that caused the event was sent
 	Reason        string        `json:"why,omitempty"`
-	MaxRenewalGap time.Duration `json:"span_ns,omitempty"` // the longest time between two renewals of a lease, where it matters
+	MaxRenewalGap time.Duration `json:"span_ns,omitempty"` // longest time between two renewals of the lease, zero if not recorded
 }
 
 // Now returns the time on the machine's monotonic clock.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // every Linux has this clock
+		panic(err) // every Linux kernel has this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Log appends events to a file. A nil Log drops them.
+// Log appends events to a file. A nil *Log discards them.
 type Log struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// Open opens a file to append to, and creates it if there is none.
+// Open opens the file at path for appending and creates it if it does not exist.
 func Open(path string) (*Log, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -63,7 +65,7 @@
 	return &Log{file: f}, nil
 }
 
-// Append writes an event. If its time is 0, it happens now. Errors name the file.
+// Append writes an event. It sets e.At to the current time if it is zero. Write errors include the file's name.
 func (l *Log) Append(e Event) error {
 	if l == nil {
 		return nil
--- a/internal/coordination/eventlog/golden_test.go
+++ b/internal/coordination/eventlog/golden_test.go
@@ -8,7 +8,7 @@
 	"umberbank/internal/golden"
 )
 
-// The file was written by the build of revision f63bdca.
+// TestGoldenEvent guards the format of event logs: the golden file was written by the build of revision f63bdca.
 func TestGoldenEvent(t *testing.T) {
 	e := golden.RoundTripFull[Event](t, "testdata/event-full.json")
 	path := filepath.Join(t.TempDir(), "events")
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if want := string(golden.Read(t, "testdata/event-full.json")) + "\n"; string(text) != want {
-		t.Errorf("the line of the log is %q, want %q", text, want)
+		t.Errorf("log line is %q, want %q", text, want)
 	}
 }
--- a/internal/coordination/fakeregistry/fakeregistry.go
+++ b/internal/coordination/fakeregistry/fakeregistry.go
@@ -1,6 +1,6 @@
-// Package fakeregistry is a registry of one replica in memory, for tests of what uses the registry's client: the same
-// state, without a network, a log or leases that end by themselves. Time comes from package time, so that it can run in a
-// bubble of testing/synctest.
+// Package fakeregistry provides an in-memory registry with one replica, for tests of code that uses the registry's client.
+// It applies writes to the real registry state, but has no network and no Raft log, and leases do not expire. It takes the
+// time from package time, so that it can run in a testing/synctest bubble.
 package fakeregistry
 
 import (
@@ -16,14 +16,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// ErrUnreachable is the error of every call while the registry is unreachable.
-var ErrUnreachable = errors.New("the registry is unreachable")
+// ErrUnreachable is returned by every call while the registry is unreachable; see [Registry.SetUnreachable].
+var ErrUnreachable = errors.New("registry is unreachable")
 
-// Registry is a registry in memory. It may be used by several goroutines at once.
+// Registry is an in-memory registry. It is safe for concurrent use.
 type Registry struct {
 	mu          sync.Mutex
 	state       *state.State
-	changed     chan struct{} // closed at the next write
+	changed     chan struct{} // closed at the next write or change of unreachable
 	unreachable bool
 }
 
@@ -32,7 +32,7 @@
 	return &Registry{state: state.New(), changed: make(chan struct{})}
 }
 
-// SetUnreachable makes every call fail, or lets them succeed again.
+// SetUnreachable sets whether calls fail with [ErrUnreachable].
 func (r *Registry) SetUnreachable(unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,20 +40,20 @@
 	r.notify()
 }
 
-// Read calls f with the state, which f must neither change nor keep.
+// Read calls f with the state. f must not modify the state or retain it after it returns.
 func (r *Registry) Read(f func(*state.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
 }
 
-// notify wakes everybody who waits for a change. r.mu is held.
+// notify wakes all goroutines that wait for a change. The caller must hold r.mu.
 func (r *Registry) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Write applies writes, as client.Client does.
+// Write applies ops in order and returns one result for each, as client.Client does.
 func (r *Registry) Write(_ context.Context, ops ...state.Op) ([]state.Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,8 +78,8 @@
 	return results[0], nil
 }
 
-// PollCoordination returns a view later than the revision after, or the present one once wait is over, as client.Client does. While
-// the registry is unreachable, it fails once wait is over.
+// PollCoordination returns the view as soon as its revision is greater than after, and the current view when wait has
+// elapsed, as client.Client does. If the registry is unreachable at that time, it returns [ErrUnreachable].
 func (r *Registry) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -98,7 +98,7 @@
 	}
 }
 
-// view returns a copy of the view that query asks for, and a channel that is closed at the next write.
+// view returns a copy of the view that query selects, and a channel that is closed at the next change.
 func (r *Registry) view(query url.Values) (*state.CoordinationView, chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,8 +117,8 @@
 	return &copied, r.changed, json.Unmarshal(text, &copied)
 }
 
-// NextStartTime returns the clock's time in Unix milliseconds, or one more than the unit's last start time if that is later,
-// as client.Client does.
+// NextStartTime returns clock in Unix milliseconds, or the unit's last start time plus one if that is later, as
+// client.Client does.
 func (r *Registry) NextStartTime(_ context.Context, uid string, clock time.Time) (float64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +132,7 @@
 	return startTime, nil
 }
 
-// Call serves a call of the API that renews leases, and no other.
+// Call implements the API request that renews leases. It returns an error for any other method or path.
 func (r *Registry) Call(_ context.Context, method, path string, body, response any) error {
 	if method != http.MethodPost || path != api.PathRenew {
 		return errors.New("not supported: " + method + " " + path)
@@ -155,7 +155,7 @@
 	return convert(api.RenewResponse{Unknown: unknown}, response)
 }
 
-// convert puts the JSON of one value into another.
+// convert copies from into the value that to points to, through its JSON form.
 func convert(from, to any) error {
 	text, err := json.Marshal(from)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return json.Unmarshal(text, to)
 }
 
-// LeaseHolder holds the lease of one unit, as client.LeaseHolder does, and never renews it.
+// LeaseHolder holds the lease of one unit, as client.LeaseHolder does, but does not renew it.
 type LeaseHolder struct {
 	Registry *Registry
 
@@ -172,7 +172,7 @@
 	token int64
 }
 
-// Register registers one instance.
+// Register registers the first of instances and ignores the others.
 func (h *LeaseHolder) Register(ctx context.Context, instances ...*state.Instance) error {
 	result, err := h.Registry.WriteOne(ctx, state.Op{Kind: state.OpRegister, Instance: instances[0]})
 	if err != nil {
@@ -184,7 +184,7 @@
 	return result.Err()
 }
 
-// Token returns the token with which the unit is registered, 0 if another process has registered it since.
+// Token returns the token of the unit's registration, or 0 if another process has registered the unit since.
 func (h *LeaseHolder) Token(uid string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -199,5 +199,5 @@
 	return h.token
 }
 
-// Run waits until ctx ends.
+// Run blocks until ctx ends. It renews nothing.
 func (h *LeaseHolder) Run(ctx context.Context, _ time.Duration) { <-ctx.Done() }
