--- a/internal/coordination/faulttest/faults.go
+++ b/internal/coordination/faulttest/faults.go
@@ -14,14 +14,14 @@
 
 // Kinds of faults.
 const (
-	faultKill        = "kill"    // of a unit or a controller
-	faultStop        = "stop"    // by a signal
-	faultCut         = "cut"     // its links, both ways
-	faultOneWay      = "one-way" // its links towards the registry
+	faultKill        = "kill"    // kills an agent, node or controller
+	faultStop        = "stop"    // stops one with SIGSTOP
+	faultCut         = "cut"     // stalls its links in both directions
+	faultOneWay      = "one-way" // stalls its links towards the registry
 	faultReplicaKill = "replica-kill"
 	faultReplicaStop = "replica-stop"
-	faultSlowDisk    = "slow-disk" // of a replica
-	faultRestore     = "restore"   // of a backup
+	faultSlowDisk    = "slow-disk" // delays the syncs of a replica's log
+	faultRestore     = "restore"   // takes a backup and restores it later
 )
 
 var faultKinds = []string{faultKill, faultStop, faultCut, faultOneWay, faultReplicaKill, faultReplicaStop, faultSlowDisk, faultRestore}
@@ -31,8 +31,8 @@
 	return kind == faultReplicaKill || kind == faultReplicaStop || kind == faultSlowDisk
 }
 
-// injectFault lets a random fault affect a process, a replica or the registry for a while. The order of the random draws
-// is fixed, so that a seed gives the same faults.
+// injectFault injects a random fault into a process, a replica or the registry, and schedules its end. The order of the
+// random draws is fixed, so that a seed always gives the same faults.
 func (s *site) injectFault() error {
 	duration := time.Duration(200+s.random.IntN(1500)) * time.Millisecond
 	p := s.controllers[s.random.IntN(len(s.controllers))]
@@ -40,7 +40,7 @@
 	if isUnit {
 		p = s.units[s.random.IntN(len(s.units))]
 		if s.random.IntN(3) == 0 {
-			duration += 3 * time.Second // long enough for everybody to notice
+			duration += 3 * time.Second // long enough for the lease to end and others to react
 		}
 	}
 	replica := s.random.IntN(s.cluster.Len())
@@ -51,7 +51,7 @@
 	} else if p.killed {
 		return nil
 	}
-	s.noteFault(fmt.Sprintf("%s %s", kind, name), duration)
+	s.recordFault(fmt.Sprintf("%s %s", kind, name), duration)
 	switch kind {
 	case faultReplicaKill, faultReplicaStop, faultSlowDisk, faultRestore:
 		return s.registryFault(kind, replica, duration)
@@ -59,25 +59,25 @@
 	return s.processFault(kind, p, duration)
 }
 
-// noteFault enters a fault in the result.
-func (s *site) noteFault(description string, duration time.Duration) {
+// recordFault adds a fault to the result and logs it.
+func (s *site) recordFault(description string, duration time.Duration) {
 	s.result.Faults = append(s.result.Faults, fmt.Sprintf("%s %v", description, duration))
 	s.opt.Log("%s for %v", description, duration)
 }
 
-// after calls undo once a time has passed. The run waits for that.
-func (s *site) after(d time.Duration, undo func()) {
-	s.undo.Go(func() {
+// runAfter calls undo after d. The run waits for it through background.
+func (s *site) runAfter(d time.Duration, undo func()) {
+	s.background.Go(func() {
 		time.Sleep(d)
 		undo()
 	})
 }
 
-// processFault lets a fault affect a unit or a controller.
+// processFault injects a fault into an agent, a node or a controller, and schedules its end after duration.
 func (s *site) processFault(kind string, p *siteProcess, duration time.Duration) error {
-	end := func(undo func()) {
+	scheduleEnd := func(undo func()) {
 		s.record.addNow(faultBegan, p.name)
-		s.after(duration, func() {
+		s.runAfter(duration, func() {
 			undo()
 			s.record.addNow(faultEnded, p.name)
 		})
@@ -85,79 +85,81 @@
 	switch kind {
 	case faultKill:
 		p.killed = true
-		s.killNow(p)
-		end(func() { restart(p) })
+		s.killAndRecord(p)
+		scheduleEnd(func() { restart(p) })
 	case faultStop:
 		p.Signal(syscall.SIGSTOP)
-		end(func() { p.Signal(syscall.SIGCONT) })
+		scheduleEnd(func() { p.Signal(syscall.SIGCONT) })
 	case faultCut, faultOneWay:
-		silence := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: kind == faultCut}
+		stall := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: kind == faultCut}
 		for _, l := range p.links {
-			if err := l.Add(silence); err != nil {
+			if err := l.Add(stall); err != nil {
 				return err
 			}
 		}
-		end(func() { removeImpairment(p.links, silence) })
+		scheduleEnd(func() { removeImpairment(p.links, stall) })
 	}
 	return nil
 }
 
-// restart starts a process that a fault has killed. One that cannot start shows in what follows.
+// restart starts a process that a fault has killed. It ignores the error: a process that is not running makes the run fail to
+// settle.
 func restart(p *siteProcess) { _ = p.Start() }
 
-// removeImpairment ends a stall of links. What they held arrives then; see package relay.
+// removeImpairment ends a stall of links, which then deliver the bytes that they have held; see package relay.
 func removeImpairment(links []*relay.Relay, impairment *relay.Impairment) {
 	for _, l := range links {
-		_ = l.Remove(impairment) // it only ends a stall, which cannot fail
+		_ = l.Remove(impairment) // the end of a stall cannot fail
 	}
 }
 
-// registryFault lets a fault affect a replica, or has a backup restored.
+// registryFault injects a fault into a replica, or restores a backup, and schedules its end after duration.
 func (s *site) registryFault(kind string, replica int, duration time.Duration) error {
 	apply := func(do, undo func()) {
 		s.record.addNow(registryFaultBegan, "")
 		do()
-		s.after(duration, func() {
+		s.runAfter(duration, func() {
 			undo()
 			s.record.addNow(registryFaultEnded, "")
 		})
 	}
 	switch kind {
 	case faultReplicaKill:
-		apply(func() { s.cluster.Kill(replica) }, func() { _ = s.cluster.Start(replica) }) // a failure shows in what follows
+		apply(func() { s.cluster.Kill(replica) }, func() { _ = s.cluster.Start(replica) }) // see restart about a failure
 	case faultReplicaStop:
 		apply(func() { s.cluster.Signal(replica, syscall.SIGSTOP) }, func() { s.cluster.Signal(replica, syscall.SIGCONT) })
 	case faultSlowDisk:
 		if err := s.cluster.SetSyncDelay(replica, time.Duration(50+s.random.IntN(300))*time.Millisecond); err != nil {
 			return err
 		}
-		apply(func() {}, func() { _ = s.cluster.SetSyncDelay(replica, 0) }) // likewise
+		apply(func() {}, func() { _ = s.cluster.SetSyncDelay(replica, 0) }) // a failure only leaves the disk slow
 	case faultRestore:
 		apply(func() { s.restoreBackup(duration / 2) }, func() {})
 	}
 	return nil
 }
 
-// restoreBackup takes a backup and restores it after a delay. Either may fail while other faults last.
+// restoreBackup takes a backup and restores it after delay, in the background. Either request may fail because of other
+// faults.
 func (s *site) restoreBackup(delay time.Duration) {
-	s.undo.Go(func() {
+	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 		defer cancel()
-		w, err := client.New(client.Options{Endpoints: s.cluster.Addresses()})
+		c, err := client.New(client.Options{Endpoints: s.cluster.Addresses()})
 		if err != nil {
 			return
 		}
 		var backup json.RawMessage
-		if w.Call(ctx, "GET", api.PathBackup, nil, &backup) != nil {
+		if c.Call(ctx, "GET", api.PathBackup, nil, &backup) != nil {
 			return
 		}
 		time.Sleep(delay)
-		_ = w.Call(ctx, "POST", api.PathRestore, backup, &struct{}{})
+		_ = c.Call(ctx, "POST", api.PathRestore, backup, &struct{}{})
 	})
 }
 
-// killNow kills a process, and records it.
-func (s *site) killNow(p *siteProcess) {
+// killAndRecord records that p is killed, and kills it.
+func (s *site) killAndRecord(p *siteProcess) {
 	s.record.addNow(processKilled, p.name)
 	p.Kill()
 }
--- a/internal/coordination/faulttest/faulttest.go
+++ b/internal/coordination/faulttest/faulttest.go
@@ -1,10 +1,12 @@
-// Package faulttest runs releases, drains and rollouts of settings on real processes while it injects faults, and checks
-// what the processes did: a registry of three replicas, units with their agents or nodes, controllers, and operators at
-// the command line. Every process reaches every replica over a relay of its own, so that any of them can be partitioned.
+// Package faulttest runs releases, drains and rollouts of settings on real processes while it injects faults, and checks the
+// actions of the processes. A run consists of a registry of three replicas, agents or nodes, controllers, and operators at the
+// command line. Every agent, node and controller reaches each replica over a relay of its own, so that any of them can be
+// partitioned.
 //
-// The check reads the event logs that the processes have written, and knows the faults from the run itself; it asks no
-// registry. [Run] is for releases and drains, [RunSettings] for versions of settings. Each call has a site of its own, so
-// that several may run at once.
+// The check reads the event logs of the processes and the faults that the run has recorded. It does not query the registry.
+//
+// [Run] tests releases and drains, [RunSettings] tests rollouts of settings. Each call starts processes of its own, so that
+// several calls may run at once.
 package faulttest
 
 import (
@@ -13,38 +15,40 @@
 	"time"
 )
 
-// Options say what a run does.
+// Options configures a run.
 type Options struct {
 	Seed     uint64
-	Duration time.Duration // for which operators act and faults are injected; 0: 6 s
-	Program  []string      // the command of umberbank; empty: this program
-	NoFaults bool          // no faults
+	Duration time.Duration // of the operators' commands and the faults, defaults to 6 s
+	Program  []string      // the command that runs umberbank, defaults to the running executable
+	NoFaults bool          // disables the injection of faults
 	Log      func(format string, args ...any)
-	// ExtraProcess returns the command of one more process, such as one that breaks a rule. It gets the registry's addresses and
-	// the folder of the event logs. nil: none.
-	ExtraProcess func(at []string, dir string) []string
-	// NodeCommand is the command in place of the first node of a run with settings, in the same environment; empty: a node.
+	// ExtraProcess returns the command of one more process, such as one that violates a rule. Its arguments are the addresses of
+	// the replicas and the directory of the event logs. No process is added if ExtraProcess is nil.
+	ExtraProcess func(addresses []string, dir string) []string
+	// NodeCommand replaces the command of the first node in RunSettings, in the same environment. If it is nil, the first node
+	// runs Program as the others do.
 	NodeCommand []string
-	// RestartNode: in a run with settings the first node is killed once the first version is in force, and started again.
+	// RestartNode makes RunSettings kill the first node once the first version is committed, and start it again.
 	RestartNode bool
-	DeadUnits   []string // units that are killed before the release and stay so
+	DeadUnits   []string // units that Run kills before the release and does not start again until the faults are over
 }
 
-// Result is what came of a run.
+// Result describes a run: counts of what was checked, the injected faults, and the violations.
 type Result struct {
 	Seed               uint64   `json:"seed"`
-	Permits            int      `json:"permits"`     // that agents or operators made use of
-	OverBudget         int      `json:"over_budget"` // units taken out beyond a limit
-	WritesWithoutLease int      `json:"two_actors"`  // acts of a controller that did not lead
-	BegunAfterHalt     int      `json:"late_begins"` // permits that began over a second after a halt
+	Permits            int      `json:"permits"`     // used by agents or operators
+	OverBudget         int      `json:"over_budget"` // times that taking a unit out of service exceeded a limit
+	WritesWithoutLease int      `json:"two_actors"`  // writes applied for a controller that was not the leader
+	BegunAfterHalt     int      `json:"late_begins"` // permits that began more than a second after a halt
 	AppliedWrites      int      `json:"acts"`        // of controllers
-	Outcome            string   `json:"outcome"`     // of the release: done, or taken back
-	SettleS            float64  `json:"settle_s"`    // from the end of the faults until all units ran what they should, in seconds
+	Outcome            string   `json:"outcome"`     // of the release: "done", or "taken back" after a rollback
+	SettleS            float64  `json:"settle_s"`    // from the end of the faults until all units ran their versions, in seconds
 	Faults             []string `json:"faults"`
-	Violations         []string `json:"broken"` // descriptions of violations
+	Violations         []string `json:"broken"` // descriptions, at most 20 of those that the check found
 }
 
-// The site of a run. The limits allow three of twelve servers, two of a zone, and one of four nodes to be unavailable.
+// The units, limits and release plan of a run. The limits allow three of twelve servers, two servers of a zone, and one of
+// four nodes to be unavailable.
 const (
 	serverCount = 12
 	nodeCount   = 4
@@ -80,19 +84,19 @@
 	planName = "next"
 	warmUp   = 600 * time.Millisecond
 	leaseTTL = 600 * time.Millisecond
-	// tierLimit is the limit of both tiers in limitsFile.
+	// tierLimit is the limit of both tiers in limitsFile, as a fraction of their units.
 	tierLimit = 0.25
 )
 
-// zoneLimits are the limits of zones in limitsFile, by tier.
+// zoneLimits holds the limits per zone in limitsFile by tier, as fractions of the zone's units.
 var zoneLimits = map[string]float64{"web": 0.34, "front": 1}
 
-// unit is a unit of the site of a run with releases.
+// unit is one of the units that Run starts.
 type unit struct {
 	id, tier, zone string
 }
 
-// units returns all of them.
+// units returns all units that Run starts.
 func units() (units []unit) {
 	for i := range serverCount {
 		units = append(units, unit{fmt.Sprintf("s%02d", i), "web", string("ab"[i%2])})
@@ -108,11 +112,12 @@
 	defaultDuration  = 6 * time.Second
 	startTimeout     = 30 * time.Second
 	settleTimeout    = 60 * time.Second
-	violatingTimeout = 2 * time.Second // to settle, where a process breaks a rule and the site may never settle
+	violatingTimeout = 2 * time.Second // replaces settleTimeout if a process violates rules, which may prevent settling
 	commandTimeout   = 3 * time.Second // of an operator's command
 )
 
-// Run runs a release and drains once, and checks what came of it. The error says why it could not.
+// Run runs one release and drains while it injects faults, and checks the actions of the processes. Violations are reported
+// in the Result. The error is non-nil if the run could not be carried out.
 func Run(ctx context.Context, opt Options) (*Result, error) {
 	s, err := newSite(opt, &Result{Seed: opt.Seed})
 	if err != nil {
@@ -128,10 +133,10 @@
 	}
 	faultsEnded := time.Now()
 	if err := s.settleRelease(ctx, rolledBack); err != nil {
-		s.result.Violations = append(s.result.Violations, "after the faults: "+err.Error())
+		s.result.Violations = append(s.result.Violations, "after the end of the faults: "+err.Error())
 	}
 	s.result.SettleS = time.Since(faultsEnded).Seconds()
-	if err := s.stopAndRead(); err != nil {
+	if err := s.stopAndReadLogs(); err != nil {
 		return nil, err
 	}
 	s.record.checkReleases(s.result)
--- a/internal/coordination/faulttest/record.go
+++ b/internal/coordination/faulttest/record.go
@@ -13,14 +13,14 @@
 	"umberbank/internal/coordination/eventlog"
 )
 
-// Kinds of events that a run itself records, beside those of package eventlog.
+// Kinds of events that the run itself records, in addition to those of package eventlog.
 const (
-	faultBegan         eventlog.Kind = "fault" // a fault affects the process Unit
+	faultBegan         eventlog.Kind = "fault" // a fault begins to affect the process named by Unit
 	faultEnded         eventlog.Kind = "fault over"
 	processKilled      eventlog.Kind = "killed"
-	registryFaultBegan eventlog.Kind = "registry" // a fault affects the registry
+	registryFaultBegan eventlog.Kind = "registry" // a fault begins to affect the registry
 	registryFaultEnded eventlog.Kind = "registry over"
-	faultsOver         eventlog.Kind = "healed" // no fault begins after this
+	faultsOver         eventlog.Kind = "healed" // all faults have ended, and no other begins
 
 	releaseHalted   eventlog.Kind = "halt"
 	releaseResumed  eventlog.Kind = "resume"
@@ -31,16 +31,16 @@
 	versionRejected eventlog.Kind = "turned down"
 )
 
-// Kinds of events that are read from the logs of nodes.
+// Kinds of events that are read from the logs of nodes. The values are the words of nodeLogLine.
 const (
-	nodeRuns      eventlog.Kind = "runs"
-	nodeCouldRun  eventlog.Kind = "could run" // it has acknowledged a version
-	nodeInSync    eventlog.Kind = "in touch"
-	nodeOutOfSync eventlog.Kind = "out of touch"
-	nodeServes    eventlog.Kind = "serves"
+	nodeRuns         eventlog.Kind = "runs"
+	nodeAcknowledged eventlog.Kind = "could run" // the node has acknowledged a version
+	nodeInSync       eventlog.Kind = "in touch"
+	nodeOutOfSync    eventlog.Kind = "out of touch"
+	nodeServes       eventlog.Kind = "serves"
 )
 
-// record holds the events of a run: what processes say of themselves, and the faults that the run has injected.
+// record holds the events of a run: those that the processes have logged, and those that the run itself has recorded.
 type record struct {
 	mu     sync.Mutex
 	events []eventlog.Event
@@ -54,17 +54,18 @@
 	r.events = append(r.events, e)
 }
 
-// addNow adds an event that happens now.
+// addNow adds an event with the current time.
 func (r *record) addNow(kind eventlog.Kind, unit string) {
 	r.add(eventlog.Event{At: eventlog.Now(), Kind: kind, Unit: unit})
 }
 
-// sort brings the events into the order of time, those of the same time into the order in which they were added.
+// sort sorts the events by time. Events with the same time stay in the order in which they were added.
 func (r *record) sort() {
 	slices.SortStableFunc(r.events, func(a, b eventlog.Event) int { return cmp.Compare(a.At, b.At) })
 }
 
-// readLogs adds the events of the logs that match a pattern. A line that a kill has cut short is skipped.
+// readLogs adds the events of the logs whose paths match pattern. It skips a line that is incomplete because the process was
+// killed.
 func (r *record) readLogs(pattern string) error {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
@@ -93,13 +94,13 @@
 	return nil
 }
 
-// violations collects what a check has found.
+// violations collects the violations that a check has found.
 type violations struct{ result *Result }
 
-// maxViolations is how many violations a result describes; all are counted.
+// maxViolations is the maximum number of descriptions in a result. All violations are counted.
 const maxViolations = 20
 
-// add counts a violation, and describes it if there are not too many.
+// add increments count, and adds a description if the result has fewer than maxViolations.
 func (v violations) add(count *int, format string, args ...any) {
 	*count++
 	if len(v.result.Violations) < maxViolations {
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// noticedAfter is how long after a process has died every new decision takes that into account, if no fault has
-	// affected the registry for as long: its lease ends, the leader waits for others to end too, and permits granted
-	// before have begun or expired.
-	noticedAfter = 4 * time.Second
-	// haltTimeout is how soon after a halt no permit of the release begins any more.
+	// failureDetectionTime is the time after which every new decision takes the death of a process into account, if no fault
+	// has affected the registry for that time. It covers the end of the process's lease, the time for which the leader waits
+	// for other leases to end, and the time until permits granted earlier have begun or expired.
+	failureDetectionTime = 4 * time.Second
+	// haltTimeout is the time after a halt from which no permit of the release may begin.
 	haltTimeout = time.Second
-	// initialDeficit is the fraction of its capacity that a unit lacks when it starts, by the limits.
+	// initialDeficit is the fraction of a unit's capacity that counts as unavailable at its start: 1 - cold_from in limitsFile.
 	initialDeficit = 0.6
-	// sumSlack absorbs the rounding of sums of fractions.
-	sumSlack = 1e-6
+	// roundingTolerance allows for rounding in sums of fractions.
+	roundingTolerance = 1e-6
 )
 
-// checkedUnit is what the check knows of one unit at a time.
+// checkedUnit is the state of one unit as the check derives it from the events.
 type checkedUnit struct {
 	unit
-	takenOut  bool          // it was taken out of service, and has not started since
+	takenOut  bool          // a permit has taken it out of service, and it has not started since
 	drained   bool          // an operator has drained it
-	killedAt  time.Duration // 0: it was not killed since it started
-	startedAt time.Duration // its last start, if a permit led to it; 0: none did
+	killedAt  time.Duration // zero if it was not killed since its last start
+	startedAt time.Duration // of its last start, zero if that did not follow from a permit
 }
 
-// unavailableFraction is the fraction of its capacity that is unavailable at a time, as far as every decision must know.
-func (u *checkedUnit) unavailableFraction(at, registryOK time.Duration, disturbances int) float64 {
+// unavailableFraction returns the fraction of the unit's capacity that every decision at the given time must count as
+// unavailable. registryHealthySince and registryFaults are those of releaseCheck.
+func (u *checkedUnit) unavailableFraction(at, registryHealthySince time.Duration, registryFaults int) float64 {
 	warmingFor := at - u.startedAt
 	switch {
 	case u.takenOut || u.drained:
 		return 1
-	case u.killedAt > 0 && disturbances == 0 && at-max(u.killedAt, registryOK) > noticedAfter:
+	case u.killedAt > 0 && registryFaults == 0 && at-max(u.killedAt, registryHealthySince) > failureDetectionTime:
 		return 1
 	case u.startedAt > 0 && warmingFor < warmUp:
 		return initialDeficit * (1 - float64(warmingFor)/float64(warmUp))
@@ -44,18 +45,18 @@
 	return 0
 }
 
-// releaseCheck walks through the events of a run with releases and drains.
+// releaseCheck checks the events of a run with releases and drains in order of time.
 type releaseCheck struct {
 	result *Result
 	violations
-	units        map[string]*checkedUnit
-	haltedAt     map[string]time.Duration // by plan
-	registryOK   time.Duration            // since when no fault affects the registry
-	disturbances int                      // faults that affect the registry
-	leader       eventlog.Event           // the act with the highest token
+	units                map[string]*checkedUnit
+	haltedAt             map[string]time.Duration // by plan
+	registryHealthySince time.Duration            // when the last fault that affected the registry ended
+	registryFaults       int                      // number of faults that affect the registry now
+	leader               eventlog.Event           // the first write with the highest token so far
 }
 
-// checkReleases checks what units and controllers did.
+// checkReleases checks the actions of agents, operators and controllers, and adds the violations to result.
 func (r *record) checkReleases(result *Result) {
 	r.sort()
 	c := &releaseCheck{result: result, violations: violations{result}, units: map[string]*checkedUnit{}, haltedAt: map[string]time.Duration{}}
@@ -63,21 +64,21 @@
 		c.units[u.id] = &checkedUnit{unit: u}
 	}
 	for _, e := range r.events {
-		c.event(e)
+		c.handleEvent(e)
 	}
 }
 
-func (c *releaseCheck) event(e eventlog.Event) {
+func (c *releaseCheck) handleEvent(e eventlog.Event) {
 	switch e.Kind {
 	case eventlog.UnitStarted, eventlog.PermitBegun, processKilled, serverDrained, serverUndrained:
-		if u := c.units[e.Unit]; u != nil { // else another process was killed
-			c.unitEvent(e, u)
+		if u := c.units[e.Unit]; u != nil { // nil if a controller was killed
+			c.handleUnitEvent(e, u)
 		}
 	case registryFaultBegan:
-		c.disturbances++
+		c.registryFaults++
 	case registryFaultEnded:
-		c.disturbances--
-		c.registryOK = e.At
+		c.registryFaults--
+		c.registryHealthySince = e.At
 	case releaseHalted:
 		if _, halted := c.haltedAt[e.Plan]; !halted {
 			c.haltedAt[e.Plan] = e.At
@@ -90,12 +91,12 @@
 	}
 }
 
-func (c *releaseCheck) unitEvent(e eventlog.Event, u *checkedUnit) {
+func (c *releaseCheck) handleUnitEvent(e eventlog.Event, u *checkedUnit) {
 	switch e.Kind {
 	case eventlog.UnitStarted:
-		u.startedAt = 0 // a start that no permit led to is known later
+		u.startedAt = 0 // decisions need not take a start without a permit into account yet
 		if u.takenOut {
-			u.startedAt = e.At // its permit lasts until it has warmed up
+			u.startedAt = e.At // the permit counts until the unit has warmed up
 		}
 		u.takenOut, u.killedAt = false, 0
 	case processKilled:
@@ -104,7 +105,7 @@
 		u.takenOut = true
 		c.result.Permits++
 		if haltedAt, halted := c.haltedAt[e.Plan]; halted && e.SentAt > haltedAt+haltTimeout {
-			c.add(&c.result.BegunAfterHalt, "%s began %v after %s was halted", e.Unit, e.SentAt-haltedAt, e.Plan)
+			c.add(&c.result.BegunAfterHalt, "%s began a permit %v after release %s was halted", e.Unit, e.SentAt-haltedAt, e.Plan)
 		}
 		c.checkLimits(e, u)
 	case serverDrained:
@@ -116,20 +117,21 @@
 	}
 }
 
-// checkLeader checks an act of a controller against the one with the highest token before: once a controller with a higher
-// token has acted, no write of one with a lower token may be sent and applied.
+// checkLeader checks a write of a controller against leader, the first write with the highest token so far, and updates
+// leader. Once a write with a higher token was applied, a write with a lower token that is sent later must not be applied.
 func checkLeader(leader *eventlog.Event, e eventlog.Event, violation func(string)) {
 	if e.Token == 0 {
-		violation(e.Process + " acted without the lease")
+		violation(e.Process + " made a write without the leader lease")
 	} else if e.Token < leader.Token && e.SentAt > leader.At {
-		violation(fmt.Sprintf("%s acted with the lease %d after %s had with %d", e.Process, e.Token, leader.Process, leader.Token))
+		violation(fmt.Sprintf("%s made a write with lease token %d after %s had made one with token %d",
+			e.Process, e.Token, leader.Process, leader.Token))
 	}
 	if e.Token > leader.Token {
 		*leader = e
 	}
 }
 
-// checkLimits checks that the tier and the zone of a unit that was just taken out are within their limits.
+// checkLimits checks the limits of the tier and the zone of a unit that was just taken out of service.
 func (c *releaseCheck) checkLimits(e eventlog.Event, taken *checkedUnit) {
 	c.checkLimit(e, "tier "+taken.tier, tierLimit, func(u *checkedUnit) bool { return u.tier == taken.tier })
 	c.checkLimit(e, "zone "+taken.zone+" of "+taken.tier, zoneLimits[taken.tier], func(u *checkedUnit) bool {
@@ -137,24 +139,24 @@
 	})
 }
 
-// checkLimit checks the units of one scope. limit is the fraction of them that may be unavailable.
+// checkLimit checks the limit of one scope. limit is the fraction of the units in the scope that may be unavailable.
 func (c *releaseCheck) checkLimit(e eventlog.Event, scope string, limit float64, inScope func(*checkedUnit) bool) {
 	var all, unavailable float64
-	var who []string
+	var unavailableUnits []string
 	for _, u := range c.units {
 		if !inScope(u) {
 			continue
 		}
 		all++
-		fraction := u.unavailableFraction(e.At, c.registryOK, c.disturbances)
+		fraction := u.unavailableFraction(e.At, c.registryHealthySince, c.registryFaults)
 		unavailable += fraction
 		if fraction > 0 {
-			who = append(who, fmt.Sprintf("%s %.2f", u.id, fraction))
+			unavailableUnits = append(unavailableUnits, fmt.Sprintf("%s %.2f", u.id, fraction))
 		}
 	}
-	if unavailable > limit*all+sumSlack {
-		slices.Sort(who)
-		c.add(&c.result.OverBudget, "%s was taken out, and of %s %.2f of %.0f were out (%v) where %.2f may be",
-			e.Unit, scope, unavailable, all, who, limit*all)
+	if unavailable > limit*all+roundingTolerance {
+		slices.Sort(unavailableUnits)
+		c.add(&c.result.OverBudget, "%s was taken out of service: %s has %.2f of %.0f units unavailable (%v), limit %.2f",
+			e.Unit, scope, unavailable, all, unavailableUnits, limit*all)
 	}
 }
--- a/internal/coordination/faulttest/releases.go
+++ b/internal/coordination/faulttest/releases.go
@@ -12,7 +12,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// startUnits starts all processes, and waits until every unit is registered and warm.
+// startUnits starts all processes, and waits until every unit is registered and has warmed up.
 func (s *site) startUnits(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -24,11 +24,11 @@
 			return err
 		}
 	}
-	if out, err := s.operate(ctx, "budget", filepath.Join(s.dir, "limits.toml")); err != nil {
+	if out, err := s.runFleetCommand(ctx, "budget", filepath.Join(s.dir, "limits.toml")); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	for i, u := range units() {
-		p, err := s.start(u.id, "agent", s.agentArgs(i, u))
+		p, err := s.startFleetCommand(u.id, "agent", s.agentArgs(i, u))
 		if err != nil {
 			return err
 		}
@@ -37,12 +37,12 @@
 	if err := s.startControllers(); err != nil {
 		return err
 	}
-	return s.await(ctx, "all units are to be registered and warm", func(v *state.CoordinationView) bool {
+	return s.await(ctx, "all units to be registered and warmed up", func(v *state.CoordinationView) bool {
 		return len(v.Units) == serverCount+nodeCount && len(v.Unavailable) == 0 && v.Leader != nil
 	})
 }
 
-// agentArgs are the arguments of the agent of the unit with this index. Its clock is off by up to an hour.
+// agentArgs returns the arguments of the agent of unit u, which has index i. The agent's clock is wrong by up to an hour.
 func (s *site) agentArgs(i int, u unit) []string {
 	skew := time.Duration(s.random.IntN(7200)-3600) * time.Second
 	args := []string{
@@ -55,11 +55,11 @@
 	return args
 }
 
-// runRelease has operators release, drain, halt and roll back, while faults are injected. It reports whether the release
-// was rolled back. When it returns, all faults are over.
+// runRelease runs operators that release, drain, halt and roll back while faults are injected. It reports whether the release
+// was rolled back. When it returns without an error, all faults have ended.
 func (s *site) runRelease(ctx context.Context) (rolledBack bool, err error) {
 	s.killDeadUnits()
-	if out, err := s.operate(ctx, "release", filepath.Join(s.dir, "plan.toml")); err != nil {
+	if out, err := s.runFleetCommand(ctx, "release", filepath.Join(s.dir, "plan.toml")); err != nil {
 		return false, fmt.Errorf("%w: %s", err, out)
 	}
 	stopExtra, err := s.startExtraProcess()
@@ -75,49 +75,49 @@
 				return operator.rolledBack, err
 			}
 		}
-		operator.act(ctx)
-		if err := s.pause(ctx, 100, 500); err != nil {
+		operator.runRandomCommand(ctx)
+		if err := s.sleepRandom(ctx, 100, 500); err != nil {
 			return operator.rolledBack, err
 		}
 	}
-	s.undo.Wait()
+	s.background.Wait()
 	return operator.rolledBack, nil
 }
 
-// killDeadUnits kills the units that are to be dead, and waits until everybody has noticed.
+// killDeadUnits kills the units of Options.DeadUnits, and waits until every decision takes their death into account.
 func (s *site) killDeadUnits() {
 	for _, p := range s.units {
 		if slices.Contains(s.opt.DeadUnits, p.name) {
-			s.killNow(p)
+			s.killAndRecord(p)
 		}
 	}
 	if len(s.opt.DeadUnits) > 0 {
-		time.Sleep(noticedAfter)
+		time.Sleep(failureDetectionTime)
 	}
 }
 
-// releaseOperator is an operator who acts at random. A command that fails is settled at the end of the run.
+// releaseOperator is an operator who runs random commands. settleRelease makes up for commands that failed.
 type releaseOperator struct {
 	site               *site
 	halted, rolledBack bool
 }
 
-func (o *releaseOperator) act(ctx context.Context) {
+func (o *releaseOperator) runRandomCommand(ctx context.Context) {
 	s := o.site
 	switch n := s.random.IntN(10); {
 	case n < 3:
 		s.drainTwoZones(ctx)
 	case n == 3 && !o.rolledBack:
 		o.halted = true
-		if _, err := s.operate(ctx, "halt", planName); err == nil {
+		if _, err := s.runFleetCommand(ctx, "halt", planName); err == nil {
 			s.recordRelease(releaseHalted)
 		}
 	case n == 4 && o.halted && !o.rolledBack:
 		s.recordRelease(releaseResumed)
-		s.attempt(ctx, "resume", planName)
+		s.tryFleetCommand(ctx, "resume", planName)
 	case n == 5 && !o.rolledBack:
 		o.rolledBack = true
-		s.attempt(ctx, "rollback", planName)
+		s.tryFleetCommand(ctx, "rollback", planName)
 	}
 }
 
@@ -125,24 +125,25 @@
 	s.record.add(eventlog.Event{At: eventlog.Now(), Kind: kind, Plan: planName})
 }
 
-// drainTwoZones has two operators drain a server each, in two zones at once, and let them serve again a while later.
+// drainTwoZones runs two operators at once, one in each zone. Each of them drains a server and undrains it after a random
+// time.
 func (s *site) drainTwoZones(ctx context.Context) {
 	pair := s.random.IntN(serverCount / 2)
 	drainedFor := time.Duration(300+s.random.IntN(1500)) * time.Millisecond
 	for zone := range 2 {
 		id := units()[2*pair+zone].id
-		s.undo.Go(func() {
-			if _, err := s.operate(ctx, "drain", id, "--holder", "zone "+string("ab"[zone])); err == nil {
+		s.background.Go(func() {
+			if _, err := s.runFleetCommand(ctx, "drain", id, "--holder", "zone "+string("ab"[zone])); err == nil {
 				s.record.addNow(serverDrained, id)
 			}
 			time.Sleep(drainedFor)
 			s.record.addNow(serverUndrained, id)
-			s.attempt(ctx, "undrain", id) // a failure is settled at the end of the run
+			s.tryFleetCommand(ctx, "undrain", id) // settleRelease makes up for a failure
 		})
 	}
 }
 
-// settleRelease ends all faults, and waits until every unit runs what it should and nobody holds a permit.
+// settleRelease ends all faults, and waits until every unit runs the version that it should and no permit is held.
 func (s *site) settleRelease(ctx context.Context, rolledBack bool) error {
 	if err := s.healAll(); err != nil {
 		return err
@@ -156,16 +157,16 @@
 	s.result.Outcome = "done"
 	if rolledBack {
 		version, s.result.Outcome = "v1", "taken back"
-		s.attempt(ctx, "rollback", planName) // in case the first one failed
+		s.tryFleetCommand(ctx, "rollback", planName) // in case the first one failed
 	} else {
 		s.recordRelease(releaseResumed)
-		s.attempt(ctx, "resume", planName)
+		s.tryFleetCommand(ctx, "resume", planName)
 	}
 	for _, u := range units()[:serverCount] {
-		s.undo.Go(func() { s.attempt(ctx, "undrain", u.id) })
+		s.background.Go(func() { s.tryFleetCommand(ctx, "undrain", u.id) })
 	}
-	s.undo.Wait()
-	return s.await(ctx, "all units are to run "+version, func(v *state.CoordinationView) bool {
+	s.background.Wait()
+	return s.await(ctx, "all units to run "+version, func(v *state.CoordinationView) bool {
 		for _, u := range v.Units {
 			if u.Version != version {
 				return false
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// noticeTimeout is how soon a node that was unreachable says so itself, once it is reachable again.
-	noticeTimeout = 5 * time.Second
-	// safeRenewalGap is the longest time between renewals with which a lease cannot end: its TTL, less the interval of the
-	// leader's checks and some reserve. On a busy machine a node or the leader may stall for longer.
+	// outOfSyncReportTimeout is the time within which a node that was unreachable logs that it is out of sync, once it is
+	// reachable again.
+	outOfSyncReportTimeout = 5 * time.Second
+	// safeRenewalGap is the longest time between two renewals for which a lease cannot end: its TTL less 150 ms, which cover
+	// the interval of the leader's checks and a margin. On a busy machine a node or the leader may stall for longer.
 	safeRenewalGap = leaseTTL - 150*time.Millisecond
 )
 
-// checkedNode is what the check knows of one node at a time.
+// checkedNode is the state of one node as the check derives it from the events.
 type checkedNode struct {
-	startedAt    time.Duration // its process
-	running      bool
-	version      int    // that its process runs
-	highest      int    // that any process of it has run
-	content      string // of version
-	inSync       bool   // as it says itself in this process, and no fault has affected it since
-	wasInSync    bool   // it has said so in this process
-	incarnation  int64  // with which it said so last
-	earlier      int64  // the highest incarnation with which an earlier process said so
-	required     int    // the version in force when its process started, or when it noticed that it was out of sync
-	faults       int    // that affect it
-	healthySince time.Duration
+	startedAt          time.Duration // start of the present process
+	running            bool
+	version            int    // that the present process runs
+	highestVersion     int    // that any of its processes has run
+	content            string // of version
+	inSync             bool   // the present process has logged that it is in sync, and no fault has affected it since
+	wasInSync          bool   // the present process has logged that it is in sync
+	incarnation        int64  // of the last time that the node logged that it is in sync
+	earlierIncarnation int64  // the highest incarnation with which an earlier process logged that it is in sync
+	requiredVersion    int    // the one committed when the process started, or when it logged that it was out of sync
+	faults             int    // number of faults that affect the node now
+	healthySince       time.Duration
 }
 
-// settingsCheck walks through the events of a run with versions of settings.
+// settingsCheck checks the events of a run with versions of settings in order of time.
 type settingsCheck struct {
 	events []eventlog.Event
 	result *SettingsResult
@@ -42,19 +43,19 @@
 	zones map[string]string // by node
 	nodes map[string]*checkedNode
 
-	startRequested map[string]time.Duration   // by version: when a controller last asked to start a stage of it
-	acknowledged   map[string]map[string]bool // by version: the nodes that could run it
-	hasRun         map[string]bool            // versions that some node has run
-	proposedAt     map[string]time.Duration   // by version
-	inForce        int                        // the highest version that a controller knew to be in force
-	progressAt     time.Duration              // when a version last came into force, or the first one was proposed
-	faulty         bool                       // faults have begun and are not over for good
-	leader         eventlog.Event             // the act with the highest token
-	registryOK     time.Duration              // since when no fault affects the registry
-	disturbances   int                        // faults that affect the registry
+	startRequested       map[string]time.Duration   // when a controller last requested a stage, by version
+	acknowledged         map[string]map[string]bool // the nodes that have acknowledged a version, by version
+	hasRun               map[string]bool            // versions that at least one node has run
+	proposedAt           map[string]time.Duration   // by version
+	committed            int                        // the highest version that a controller has logged as committed
+	lastCommitAt         time.Duration              // of the last commit, or of the first proposal before any commit
+	faultsOngoing        bool                       // the first fault has begun, and the run has not ended all faults
+	leader               eventlog.Event             // the first write with the highest token so far
+	registryHealthySince time.Duration              // when the last fault that affected the registry ended
+	registryFaults       int                        // number of faults that affect the registry now
 }
 
-// checkSettings checks what nodes ran.
+// checkSettings checks the versions that nodes ran, and adds the violations to result. zones maps nodes to their zones.
 func (r *record) checkSettings(result *SettingsResult, zones map[string]string) {
 	r.sort()
 	c := &settingsCheck{
@@ -66,81 +67,83 @@
 		c.nodes[node] = &checkedNode{}
 	}
 	for i := range r.events {
-		c.event(i)
+		c.handleEvent(i)
 	}
 }
 
-// event checks the event with this index.
-func (c *settingsCheck) event(i int) {
+// handleEvent checks the event at index i.
+func (c *settingsCheck) handleEvent(i int) {
 	e := c.events[i]
 	n := c.nodes[cmp.Or(e.Unit, e.Process)]
 	switch e.Kind {
 	case eventlog.StageRequested:
 		c.startRequested[e.Version] = e.At
-	case nodeCouldRun:
+	case nodeAcknowledged:
 		if c.acknowledged[e.Version] == nil {
 			c.acknowledged[e.Version] = map[string]bool{}
 		}
 		c.acknowledged[e.Version][e.Process] = true
 	case faultBegan, faultEnded, processKilled:
-		c.fault(e, n)
+		c.handleFault(e, n)
 	case registryFaultBegan:
-		c.faulty = true
-		c.disturbances++
+		c.faultsOngoing = true
+		c.registryFaults++
 	case registryFaultEnded:
-		c.disturbances--
-		c.registryOK = e.At
+		c.registryFaults--
+		c.registryHealthySince = e.At
 	case faultsOver:
-		c.faulty = false
+		c.faultsOngoing = false
 	case nodeRuns:
-		c.runs(i, n)
+		c.handleRuns(i, n)
 	case nodeInSync:
-		c.inSync(i, n)
+		c.handleInSync(i, n)
 	case nodeOutOfSync:
-		c.outOfSync(e, n)
+		c.handleOutOfSync(e, n)
 	case nodeServes:
-		c.serves(e, n)
+		c.handleServes(e, n)
 	case versionProposed:
 		c.proposedAt[e.Version] = e.At
-		if c.progressAt == 0 {
-			c.progressAt = e.At
+		if c.lastCommitAt == 0 {
+			c.lastCommitAt = e.At
 		}
 	case eventlog.WriteApplied:
-		c.acted(e)
+		c.handleWriteApplied(e)
 	}
 }
 
-// fault notes a fault of a node. n is nil if it affects another process.
-func (c *settingsCheck) fault(e eventlog.Event, n *checkedNode) {
-	c.faulty = c.faulty || e.Kind == faultBegan
+// handleFault records the begin or end of a fault, or a kill. n is nil if the process is not a node.
+func (c *settingsCheck) handleFault(e eventlog.Event, n *checkedNode) {
+	c.faultsOngoing = c.faultsOngoing || e.Kind == faultBegan
 	if n == nil {
 		return
 	}
 	switch e.Kind {
 	case faultBegan:
 		n.faults++
-		n.inSync = false // as far as is known from outside
+		n.inSync = false // the fault may have ended its lease
 	case faultEnded:
 		n.faults--
 		n.healthySince = e.At
 	case processKilled:
-		*n = checkedNode{highest: n.highest, earlier: max(n.earlier, n.incarnation), faults: n.faults, healthySince: n.healthySince}
+		*n = checkedNode{highestVersion: n.highestVersion, earlierIncarnation: max(n.earlierIncarnation, n.incarnation),
+			faults: n.faults, healthySince: n.healthySince}
 	}
 }
 
-// runs checks that a node runs a version that a controller has started and a quorum could run, and none lower than before.
-func (c *settingsCheck) runs(i int, n *checkedNode) {
+// handleRuns checks that the version that a node runs was started by a controller, was acknowledged by a quorum and is not
+// lower than an earlier version of the node.
+func (c *settingsCheck) handleRuns(i int, n *checkedNode) {
 	e := c.events[i]
-	version, _ := strconv.Atoi(e.Version) // digits, by the pattern of the logs
+	version, _ := strconv.Atoi(e.Version) // nodeLogLine matches only digits
 	if !n.running {
-		n.running, n.startedAt, n.required = true, e.At, c.inForce
+		n.running, n.startedAt, n.requiredVersion = true, e.At, c.committed
 	}
-	if version < n.highest {
-		c.add(&c.result.VersionDecreases, "%s runs version %d after %d", e.Process, version, n.highest)
+	if version < n.highestVersion {
+		c.add(&c.result.VersionDecreases, "%s runs version %d after version %d", e.Process, version, n.highestVersion)
 	}
-	n.version, n.highest, n.content = version, version, e.Reason
+	n.version, n.highestVersion, n.content = version, version, e.Reason
 	if _, requested := c.startRequested[e.Version]; !requested {
-		c.add(&c.result.Uncommitted, "%s runs version %s, which no controller had started", e.Process, e.Version)
+		c.add(&c.result.Uncommitted, "%s runs version %s, of which no controller has started a stage", e.Process, e.Version)
 	}
 	if !c.hasRun[e.Version] && version > 0 {
 		c.hasRun[e.Version] = true
@@ -153,58 +156,61 @@
 	}
 }
 
-// inSync checks that a node counts as in sync by its present incarnation, with what is in force.
-func (c *settingsCheck) inSync(i int, n *checkedNode) {
+// handleInSync checks that a node is in sync with the incarnation of its present process, and with at least the required
+// version.
+func (c *settingsCheck) handleInSync(i int, n *checkedNode) {
 	e := c.events[i]
-	if e.Token <= n.earlier {
-		c.add(&c.result.OldIncarnations, "%s counts as in sync by the incarnation %d of an earlier process", e.Process, e.Token)
+	if e.Token <= n.earlierIncarnation {
+		c.add(&c.result.OldIncarnations, "%s is in sync with incarnation %d of an earlier process", e.Process, e.Token)
 	}
-	if n.version < n.required {
-		c.add(&c.result.ServedEarly, "%s counts as in sync with version %d, and %d was in force before", e.Process, n.version, n.required)
+	if n.version < n.requiredVersion {
+		c.add(&c.result.ServedEarly, "%s is in sync with version %d, but version %d was committed before",
+			e.Process, n.version, n.requiredVersion)
 	}
 	n.inSync, n.wasInSync, n.incarnation = n.faults == 0, true, e.Token
 	c.checkContents(i)
 }
 
-// outOfSync checks that a node was called out of sync only where a fault may have led to it.
-func (c *settingsCheck) outOfSync(e eventlog.Event, n *checkedNode) {
+// handleOutOfSync checks that a node that logs that it was out of sync was affected by a fault that explains it.
+func (c *settingsCheck) handleOutOfSync(e eventlog.Event, n *checkedNode) {
 	c.result.OutOfSync++
-	nodeOK := n.faults == 0 && e.At-max(n.healthySince, n.startedAt) > noticedAfter
-	registryOK := c.disturbances == 0 && e.At-c.registryOK > noticedAfter
+	nodeOK := n.faults == 0 && e.At-max(n.healthySince, n.startedAt) > failureDetectionTime
+	registryOK := c.registryFaults == 0 && e.At-c.registryHealthySince > failureDetectionTime
 	if e.MaxRenewalGap < safeRenewalGap && nodeOK && registryOK {
-		c.add(&c.result.WronglyOutOfSync, "%s was called out of sync while no fault affected it", e.Process)
+		c.add(&c.result.WronglyOutOfSync, "%s was out of sync while no fault affected it", e.Process)
 	}
-	n.inSync, n.required = false, c.inForce
+	n.inSync, n.requiredVersion = false, c.committed
 }
 
-// serves checks that a node serves only once it was in sync, with what is in force.
-func (c *settingsCheck) serves(e eventlog.Event, n *checkedNode) {
+// handleServes checks that a node serves only after it was in sync, and with at least the required version.
+func (c *settingsCheck) handleServes(e eventlog.Event, n *checkedNode) {
 	if !n.wasInSync {
 		c.add(&c.result.ServedEarly, "%s serves before it is in sync, with version %d", e.Process, n.version)
-	} else if n.version < n.required {
-		c.add(&c.result.ServedEarly, "%s serves with version %d, and %d was in force before", e.Process, n.version, n.required)
+	} else if n.version < n.requiredVersion {
+		c.add(&c.result.ServedEarly, "%s serves with version %d, but version %d was committed before",
+			e.Process, n.version, n.requiredVersion)
 	}
 }
 
-// acted checks an act of a controller, and notes which version is in force.
-func (c *settingsCheck) acted(e eventlog.Event) {
+// handleWriteApplied checks a write of a controller, and records the version that the write has committed, if any.
+func (c *settingsCheck) handleWriteApplied(e eventlog.Event) {
 	c.result.AppliedWrites++
 	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
-	version, _ := strconv.Atoi(e.Version) // digits, by the controller
-	if e.Reason != "in force" || version <= c.inForce {
+	version, _ := strconv.Atoi(e.Version) // controllers write only digits
+	if e.Reason != "in force" || version <= c.committed {
 		return
 	}
-	c.inForce = version
-	if c.faulty {
+	c.committed = version
+	if c.faultsOngoing {
 		if proposedAt, known := c.proposedAt[e.Version]; known {
 			c.result.CommitLatencyMS = append(c.result.CommitLatencyMS, (e.At-proposedAt).Seconds()*1000)
 		}
-		c.result.LongestCommitGapMS = max(c.result.LongestCommitGapMS, (e.At-c.progressAt).Seconds()*1000)
+		c.result.LongestCommitGapMS = max(c.result.LongestCommitGapMS, (e.At-c.lastCommitAt).Seconds()*1000)
 	}
-	c.progressAt = e.At
+	c.lastCommitAt = e.At
 }
 
-// checkContents checks, as of the event with this index, that the nodes in sync run at most two contents.
+// checkContents checks that the nodes in sync run at most two contents after the event at index i.
 func (c *settingsCheck) checkContents(i int) {
 	nodesByContent := map[string][]string{}
 	for node, n := range c.nodes {
@@ -214,23 +220,23 @@
 	}
 	if len(nodesByContent) > 2 {
 		for content, nodes := range nodesByContent {
-			if nodes = slices.DeleteFunc(nodes, func(node string) bool { return c.noticesOutOfSync(node, i) }); len(nodes) == 0 {
+			if nodes = slices.DeleteFunc(nodes, func(node string) bool { return c.reportsOutOfSync(node, i) }); len(nodes) == 0 {
 				delete(nodesByContent, content)
 			}
 		}
 	}
 	if len(nodesByContent) > 2 {
 		e := c.events[i]
-		c.add(new(int), "%d contents run at once among nodes in sync, as %s runs version %s: %v",
+		c.add(new(int), "nodes in sync run %d contents at once when %s runs version %s: %v",
 			len(nodesByContent), e.Process, e.Version, nodesByContent)
 	}
 	c.result.MaxContents = max(c.result.MaxContents, len(nodesByContent))
 }
 
-// noticesOutOfSync reports whether a node notices soon after the event with this index that it was out of sync; it may have
-// been for a while then.
-func (c *settingsCheck) noticesOutOfSync(node string, i int) bool {
-	deadline := c.events[i].At + noticeTimeout
+// reportsOutOfSync reports whether a node logs that it is out of sync within outOfSyncReportTimeout after the event at
+// index i, and before it logs that it is in sync. Such a node may have been out of sync already at the event.
+func (c *settingsCheck) reportsOutOfSync(node string, i int) bool {
+	deadline := c.events[i].At + outOfSyncReportTimeout
 	for _, e := range c.events[i:] {
 		if e.At > deadline {
 			break
@@ -242,14 +248,15 @@
 	return false
 }
 
-// checkQuorum checks that a version that e is the first to run was acknowledged by more than half of all nodes and of each
-// zone. A zone whose nodes were all affected by faults may have been lost, and is exempt.
+// checkQuorum checks that the version of e, which runs for the first time, was acknowledged by more than half of all nodes
+// and more than half of the nodes of each zone. A zone whose nodes were all affected by faults may have been lost and is
+// exempt.
 func (c *settingsCheck) checkQuorum(e eventlog.Event) {
 	const allNodes = ""
 	nodes, acknowledged, healthy := map[string]int{}, map[string]int{}, map[string]bool{}
 	for node, zone := range c.zones {
 		n := c.nodes[node]
-		healthy[zone] = healthy[zone] || n.faults == 0 && e.At-n.healthySince > noticedAfter
+		healthy[zone] = healthy[zone] || n.faults == 0 && e.At-n.healthySince > failureDetectionTime
 		for _, scope := range []string{zone, allNodes} {
 			nodes[scope]++
 			if c.acknowledged[e.Version][node] {
@@ -261,10 +268,10 @@
 		switch {
 		case 2*acknowledged[scope] > nodes[scope]:
 		case scope == allNodes:
-			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes could run",
+			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes have acknowledged",
 				e.Process, e.Version, acknowledged[scope], nodes[scope])
 		case healthy[scope]:
-			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s could run",
+			c.add(&c.result.Uncommitted, "%s runs version %s, which %d of %d nodes of zone %s have acknowledged",
 				e.Process, e.Version, acknowledged[scope], nodes[scope], scope)
 		}
 	}
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -10,11 +10,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// minNodesToKill is how many nodes there must be for one to be killed for good: three zones that keep a quorum without it.
+// minNodesToKill is the smallest number of nodes at which killPermanently kills one: each of the three zones then keeps its
+// quorum with one node less.
 const minNodesToKill = 9
 
-// killForGood kills one node that no fault has killed. It is not started again, and nobody decommissions it.
-func (s *site) killForGood() {
+// killPermanently kills one node that no fault has killed, unless it has done so before. The node is neither started again nor
+// decommissioned.
+func (s *site) killPermanently() {
 	candidates := slices.DeleteFunc(slices.Clone(s.units), func(p *siteProcess) bool { return p.killed })
 	if s.killedNode != "" || len(s.units) < minNodesToKill || len(candidates) == 0 {
 		return
@@ -24,19 +26,19 @@
 	s.result.Faults = append(s.result.Faults, "kill "+p.name+" for good")
 	s.opt.Log("kill %s for good", p.name)
 	s.record.addNow(faultBegan, p.name)
-	s.killNow(p)
+	s.killAndRecord(p)
 }
 
-// restartNode kills a node once the first version is in force, and starts it again.
+// restartNode kills a node once the first version is committed, and starts it again.
 func (s *site) restartNode(ctx context.Context, p *siteProcess) error {
-	err := s.await(ctx, "the first version is to be in force", func(v *state.CoordinationView) bool {
+	err := s.await(ctx, "the first version to be committed", func(v *state.CoordinationView) bool {
 		return v.Rollout != nil && v.Rollout.Committed.Number > 0
 	})
 	if err != nil {
 		return err
 	}
 	s.record.addNow(faultBegan, p.name)
-	s.killNow(p)
+	s.killAndRecord(p)
 	if err := p.Start(); err != nil {
 		return err
 	}
@@ -44,29 +46,29 @@
 	return nil
 }
 
-// Kinds of faults that affect a whole zone.
+// Kinds of faults of a whole zone.
 const (
-	zoneCut         = "zone-cut"  // its nodes reach no replica
-	zoneKill        = "zone-kill" // its nodes are killed
-	zonePartitioned = "apart"     // its nodes, a replica and a controller reach each other and nobody else
+	zoneCut         = "zone-cut"  // partitions its nodes from all replicas
+	zoneKill        = "zone-kill" // kills its nodes
+	zonePartitioned = "apart"     // partitions its nodes, one replica and one controller from the rest
 )
 
 var zoneFaultKinds = []string{zoneCut, zoneKill, zonePartitioned}
 
-// zoneFault is a fault of a whole zone: what it silences and kills.
+// zoneFault is a fault of a whole zone, with the links that it stalls and the processes that it kills.
 type zoneFault struct {
 	kind   string
 	nodes  []*siteProcess // of the zone
-	links  []*relay.Relay // that are silent
+	links  []*relay.Relay // that are stalled
 	killed []*siteProcess
 }
 
-// injectZoneFault lets a fault affect a random zone, for long enough that it is lost.
+// injectZoneFault injects a fault into a random zone that lasts long enough for the zone to be lost.
 func (s *site) injectZoneFault() error {
 	duration := time.Duration(2500+s.random.IntN(2500)) * time.Millisecond
 	zone := s.random.IntN(3)
 	kind := zoneFaultKinds[s.random.IntN(len(zoneFaultKinds))]
-	s.noteFault(fmt.Sprintf("%s %s", kind, string("abc"[zone])), duration)
+	s.recordFault(fmt.Sprintf("%s %s", kind, string("abc"[zone])), duration)
 	s.zoneFaults++
 	f := s.newZoneFault(kind, zone)
 	if kind == zonePartitioned {
@@ -76,21 +78,21 @@
 		s.record.addNow(faultBegan, p.name)
 	}
 	for _, p := range f.killed {
-		s.killNow(p)
+		s.killAndRecord(p)
 	}
-	silence := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
+	stall := &relay.Impairment{Stall: true, ToTarget: true, FromTarget: true}
 	for _, l := range f.links {
-		if err := l.Add(silence); err != nil {
+		if err := l.Add(stall); err != nil {
 			return err
 		}
 	}
-	s.after(duration, func() { s.endZoneFault(f, silence) })
+	s.runAfter(duration, func() { s.endZoneFault(f, stall) })
 	return nil
 }
 
-// endZoneFault lets everybody reach each other again, and starts what was killed.
-func (s *site) endZoneFault(f *zoneFault, silence *relay.Impairment) {
-	removeImpairment(f.links, silence)
+// endZoneFault ends the stall of the links, and starts the processes that were killed.
+func (s *site) endZoneFault(f *zoneFault, stall *relay.Impairment) {
+	removeImpairment(f.links, stall)
 	for _, p := range f.killed {
 		restart(p)
 	}
@@ -102,7 +104,8 @@
 	}
 }
 
-// newZoneFault says what a fault affects. Zone, replica and controller of a region have the same index.
+// newZoneFault returns a fault of the given kind without injecting it. The replica and the controller in a zone have the
+// zone's index.
 func (s *site) newZoneFault(kind string, zone int) *zoneFault {
 	f := &zoneFault{kind: kind}
 	for i, p := range s.units {
@@ -116,12 +119,12 @@
 		f.addNode(p, zone, p.name == s.killedNode)
 	}
 	if kind == zonePartitioned {
-		s.separateRegion(f, zone)
+		s.addCrossZoneLinks(f, zone)
 	}
 	return f
 }
 
-// addNode adds a node of the zone.
+// addNode adds a node of the zone to the fault. isDead says that the node was killed by killPermanently.
 func (f *zoneFault) addNode(p *siteProcess, zone int, isDead bool) {
 	switch {
 	case isDead:
@@ -139,8 +142,8 @@
 	}
 }
 
-// separateRegion adds the links of controllers and replicas between the region and the rest.
-func (s *site) separateRegion(f *zoneFault, zone int) {
+// addCrossZoneLinks adds the links of controllers and replicas that connect the zone with the rest.
+func (s *site) addCrossZoneLinks(f *zoneFault, zone int) {
 	for i, c := range s.controllers {
 		for replica, l := range c.links {
 			if (i == zone) != (replica == zone) {
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -21,19 +21,19 @@
 	"umberbank/internal/registry/state"
 )
 
-// siteProcess is a process of the site, with its links to the replicas.
+// siteProcess is an agent, node or controller of the site, with its links to the replicas.
 type siteProcess struct {
 	process.Process
 	name  string
 	links []*relay.Relay // by replica
-	// killed: a fault has killed it, and may have started it again since. No further fault affects it.
+	// killed is set once a fault has killed the process. No further fault affects it, even after it was started again.
 	killed bool
 }
 
-// site is everything that runs.
+// site holds the processes of a run, its files and its results.
 type site struct {
 	opt         Options
-	dir         string // for all files
+	dir         string // of all files
 	cluster     *cluster.Cluster
 	launcher    *process.Launcher
 	units       []*siteProcess
@@ -41,13 +41,13 @@
 	random      *rand.Rand
 	result      *Result
 	record      *record
-	undo        sync.WaitGroup // the goroutines that end faults and drains
+	background  sync.WaitGroup // goroutines that end faults, restore backups, and drain and undrain servers
 
-	killedNode string // the node that was killed for good; empty: none
+	killedNode string // the node that was killed and is not started again, empty if there is none
 	zoneFaults int
 }
 
-// newSite returns a site of which nothing runs yet.
+// newSite returns a site without processes.
 func newSite(opt Options, result *Result) (*site, error) {
 	if opt.Duration == 0 {
 		opt.Duration = defaultDuration
@@ -68,9 +68,9 @@
 	}, nil
 }
 
-// close ends everything and removes the files.
+// close ends all processes and relays, and removes the files.
 func (s *site) close() {
-	s.undo.Wait()
+	s.background.Wait()
 	s.launcher.Close()
 	for _, p := range s.processes() {
 		for _, l := range p.links {
@@ -85,18 +85,18 @@
 	}
 }
 
-// stopAndRead ends the processes and reads what they have logged.
-func (s *site) stopAndRead() error {
+// stopAndReadLogs ends the processes and reads their event logs.
+func (s *site) stopAndReadLogs() error {
 	s.launcher.Close()
 	return s.record.readLogs(filepath.Join(s.dir, "*.events"))
 }
 
-// processes returns the units and the controllers.
+// processes returns the agents or nodes, and the controllers.
 func (s *site) processes() []*siteProcess {
 	return append(s.units, s.controllers...)
 }
 
-// startRegistry starts the replicas, and creates the folder for all files.
+// startRegistry creates the directory of all files and starts the replicas.
 func (s *site) startRegistry(ctx context.Context) (err error) {
 	if s.dir, err = os.MkdirTemp("", "umberbank-fleet-"); err != nil {
 		return err
@@ -112,11 +112,11 @@
 	return s.cluster.AwaitReady(ctx)
 }
 
-// startControllers starts three of them.
+// startControllers starts three controllers.
 func (s *site) startControllers() error {
 	for i := range 3 {
 		name := fmt.Sprint("c", i)
-		p, err := s.start(name, "controller", []string{"--name", name, "--ttl", "1s"})
+		p, err := s.startFleetCommand(name, "controller", []string{"--name", name, "--ttl", "1s"})
 		if err != nil {
 			return err
 		}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// command returns a command line of the program.
+// command returns a command line of umberbank with the given arguments.
 func (s *site) command(args ...string) []string {
 	return append(s.opt.Program[:len(s.opt.Program):len(s.opt.Program)], args...)
 }
@@ -134,20 +134,20 @@
 	return &siteProcess{name: name, Process: process.Process{Launcher: s.launcher, LogPath: filepath.Join(s.dir, name+".log")}}
 }
 
-// start starts a fleet command of the program with links of its own.
-func (s *site) start(name, command string, args []string) (*siteProcess, error) {
+// startFleetCommand starts a process that runs a fleet command of umberbank, with links of its own.
+func (s *site) startFleetCommand(name, command string, args []string) (*siteProcess, error) {
 	p := s.newProcess(name)
-	at, err := s.link(p)
+	addresses, err := s.createLinks(p)
 	if err != nil {
 		return nil, err
 	}
-	common := s.command("fleet", command, "--endpoints", strings.Join(at, ","), "--event-log", filepath.Join(s.dir, name+".events"))
+	common := s.command("fleet", command, "--endpoints", strings.Join(addresses, ","), "--event-log", filepath.Join(s.dir, name+".events"))
 	p.SetCommand(append(common, args...))
 	return p, p.Start()
 }
 
-// link gives a process its own relay to each replica, and returns the relays' addresses.
-func (s *site) link(p *siteProcess) (addresses []string, err error) {
+// createLinks creates a relay from p to each replica, and returns the relays' addresses.
+func (s *site) createLinks(p *siteProcess) (addresses []string, err error) {
 	for _, to := range s.cluster.Addresses() {
 		l, err := relay.Listen("127.0.0.1", to)
 		if err != nil {
@@ -159,7 +159,7 @@
 	return addresses, nil
 }
 
-// startExtraProcess starts the process of Options.ExtraProcess, and returns a function that ends it.
+// startExtraProcess starts the process of Options.ExtraProcess, if any. The returned function kills it.
 func (s *site) startExtraProcess() (stop func(), err error) {
 	if s.opt.ExtraProcess == nil {
 		return func() {}, nil
@@ -172,8 +172,8 @@
 	return func() { p.Kill() }, nil
 }
 
-// operate runs a fleet command as an operator would, and returns what it prints.
-func (s *site) operate(ctx context.Context, args ...string) (string, error) {
+// runFleetCommand runs a fleet command as an operator does, and returns its output.
+func (s *site) runFleetCommand(ctx context.Context, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout+time.Second)
 	defer cancel()
 	all := append(append(s.command("fleet"), args...), "--endpoints", strings.Join(s.cluster.Addresses(), ","), "--timeout", commandTimeout.String())
@@ -184,34 +184,35 @@
 	return strings.TrimSpace(out.String()), err
 }
 
-// attempt is operate for a command that faults may let fail. What it left undone is settled at the end of the run.
-func (s *site) attempt(ctx context.Context, args ...string) {
-	_, _ = s.operate(ctx, args...)
+// tryFleetCommand runs a fleet command and ignores its error, since faults may make it fail. settleRelease and settleSettings
+// make up for commands that failed.
+func (s *site) tryFleetCommand(ctx context.Context, args ...string) {
+	_, _ = s.runFleetCommand(ctx, args...)
 }
 
-// await waits until the registry's view fulfils a condition. The error has its description and the last view.
+// await waits until the registry's view fulfils a condition. The error includes description and the last view.
 func (s *site) await(ctx context.Context, description string, fulfilled func(*state.CoordinationView) bool) error {
-	w, err := client.New(client.Options{Endpoints: s.cluster.Addresses(), MaxBackoff: 100 * time.Millisecond})
+	c, err := client.New(client.Options{Endpoints: s.cluster.Addresses(), MaxBackoff: 100 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	var last *state.CoordinationView
 	for {
-		if view, err := controller.ReadView(ctx, w); err == nil {
+		if view, err := controller.ReadView(ctx, c); err == nil {
 			if last = view; fulfilled(view) {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			text, _ := json.Marshal(last) // a nil view says so itself
-			return fmt.Errorf("%s: %s", description, text)
+			text, _ := json.Marshal(last) // null if no view was read
+			return fmt.Errorf("stopped waiting for %s; last view: %s", description, text)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// healAll ends all faults, and starts every process again but the one that was killed for good.
+// healAll ends all faults and starts every process that is not running, except killedNode.
 func (s *site) healAll() error {
 	s.cluster.ResumeAll()
 	for _, p := range s.processes() {
@@ -225,8 +226,9 @@
 	return nil
 }
 
-// pause waits for a random time of at least shortest, in milliseconds, and less than spread more, or until ctx ends.
-func (s *site) pause(ctx context.Context, shortest, spread int) error {
+// sleepRandom waits for a random time of at least shortest and less than shortest+spread, in milliseconds. It returns early
+// with an error if ctx ends.
+func (s *site) sleepRandom(ctx context.Context, shortest, spread int) error {
 	select {
 	case <-time.After(time.Duration(shortest+s.random.IntN(spread)) * time.Millisecond):
 		return nil
