--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -254,7 +254,7 @@
 	}
 }
 
-// stopUnit stops the renewal of the unit's lease and the process.
+// stopUnit stops renewing the unit's lease and stops its process.
 func (a *Agent) stopUnit() {
 	if a.stopLease != nil {
 		a.stopLease()
--- a/internal/coordination/faulttest/faults.go
+++ b/internal/coordination/faulttest/faults.go
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// restart starts a process that a fault has killed. It ignores the error: a process that is not running makes the run fail to
-// settle.
+// restart starts a process that a fault has killed. It ignores the error, since healAll starts processes that are not running
+// and returns its error.
 func restart(p *siteProcess) { _ = p.Start() }
 
 // removeImpairment ends a stall of links, which then deliver the bytes that they have held; see package relay.
@@ -125,7 +125,7 @@
 	}
 	switch kind {
 	case faultReplicaKill:
-		apply(func() { s.cluster.Kill(replica) }, func() { _ = s.cluster.Start(replica) }) // see restart about a failure
+		apply(func() { s.cluster.Kill(replica) }, func() { _ = s.cluster.Start(replica) }) // healAll retries the start
 	case faultReplicaStop:
 		apply(func() { s.cluster.Signal(replica, syscall.SIGSTOP) }, func() { s.cluster.Signal(replica, syscall.SIGCONT) })
 	case faultSlowDisk:
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -26,7 +26,7 @@
 	process.Process
 	name  string
 	links []*relay.Relay // by replica
-	// killed is set once a fault has killed the process. No further fault affects it, even after it was started again.
+	// killed is set once a fault has killed the process. No fault kills it again, and injectFault skips it from then on.
 	killed bool
 }
 
