--- a/internal/registry/state/doc.go
+++ b/internal/registry/state/doc.go
@@ -1,27 +1,27 @@
-// Package state is the replicated state of the registry: the instances of a site, what may be out of service at once, the
-// records of releases, and the rollout of settings.
+// Package state is the replicated state machine of the registry. It holds the instances of a site, their disruption budgets
+// and permits, the records of releases, and the rollout of the nodes' settings.
 //
-// [State] is a state machine without I/O or clock. A replica applies the committed log to it, one [Op] after the other;
-// the same log gives the same State on every replica and after every replay. Leases and time are the leader's business:
-// what follows from them arrives as an Op.
+// [State] does no I/O and reads no clock. A replica applies the committed log to it, one [Op] after the other, and the same
+// log produces the same State on every replica and after every replay. The leader keeps leases and time, and proposes their
+// effects as Ops.
 //
 // A State must not be used by several goroutines at once while one of them applies writes. The pointers and maps that its
-// methods return belong to it: callers must not change them, and may read what is not an [Instance] only until the next
-// write. An Instance never changes once it is in a State; a change puts another in its place.
+// methods return belong to the State: callers must not change them, and may read anything but an [Instance] only until the
+// next write. An Instance is immutable once it is in a State; a change replaces it by another.
 //
 // # Invariants
 //
-//   - Revisions increase by one with each write that changes something, and with no other. The high bits of a revision are
-//     its epoch, which only a restored backup increases; see [Epoch].
-//   - The token of an instance is the revision of its registration. A later process of the same unit gets a higher one,
-//     and from then on writes with the token before are fenced.
-//   - A write with an ID is applied once; a repeat gets the first result. The last 65,536 IDs are remembered.
+//   - Each write that changes something increases the revision by one; no other write changes it. The high bits of a
+//     revision are its epoch, which only the restore of a backup increases; see [Epoch].
+//   - The token of an instance is the revision of its registration. A later process of the same unit gets a higher token,
+//     and from then on writes with the earlier token are fenced.
+//   - A write with an ID is applied once; a repeated write gets the first result. The last 65,536 IDs are kept.
 //   - A write with a [Fence] is applied only while the named instance has the given token.
-//   - While a permit has begun, its unit is draining until it has restarted.
+//   - A unit whose permit has begun is draining until it has restarted.
 //
-// # Stored and sent forms
+// # Encodings
 //
 // Op, [Result], Instance, [Record], [CoordinationView] and the snapshot are stored in the log and its snapshots, or are
-// bodies of the registry's API. Their JSON names, the kinds of writes and the codes of results are fixed; golden files
-// under testdata hold them.
+// bodies of the registry's API. Their JSON names, the kinds of writes and the codes of results are fixed. Golden files
+// under testdata pin them.
 package state
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -8,19 +8,18 @@
 	"umberbank/internal/golden"
 )
 
-// The files under testdata were written by the build of revision f63bdca: ops.jsonl is a sequence of log entries'
-// writes with every kind of write in it, answers.jsonl what each came to, snapshot.json the State after them, and
-// agreed*.json what the API tells of that State.
+// The files under testdata were written by the build of revision f63bdca. ops.jsonl is a sequence of writes of every kind,
+// answers.jsonl has the result of each, snapshot.json is the State after them, and agreed*.json are views of that State.
 
 func replayGolden(t *testing.T) *State {
 	t.Helper()
 	s := New()
-	answers := golden.Lines(t, "testdata/answers.jsonl")
+	results := golden.Lines(t, "testdata/answers.jsonl")
 	for i, line := range golden.Lines(t, "testdata/ops.jsonl") {
 		op := golden.Decode[Op](t, line)
 		golden.Encodes(t, op, line)
-		answer, _ := s.Apply(op)
-		golden.Encodes(t, answer, answers[i])
+		result, _ := s.Apply(op)
+		golden.Encodes(t, result, results[i])
 	}
 	return s
 }
@@ -32,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if want := golden.Read(t, "testdata/snapshot.json"); !bytes.Equal(snapshot, want) {
-		t.Errorf("the snapshot after all writes differs\n got %s\nwant %s", snapshot, want)
+		t.Errorf("snapshot after all writes differs\n got %s\nwant %s", snapshot, want)
 	}
 }
 
@@ -47,10 +46,10 @@
 		OpPropose: "propose", OpAcknowledge: "ack", OpReport: "report", OpAdvance: "commit", OpWithdraw: "withdraw", OpRollback: "go-back", OpHalt: "halt",
 	} {
 		if kind != want {
-			t.Errorf("the kind %q was %q", kind, want)
+			t.Errorf("kind is %q, want %q", kind, want)
 		}
 		if !seen[want] {
-			t.Errorf("the golden writes have no %q", want)
+			t.Errorf("ops.jsonl has no write of kind %q", want)
 		}
 	}
 }
@@ -61,12 +60,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := s.Snapshot()
+	reencoded, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(text, again) {
-		t.Errorf("the snapshot encodes differently\n got %s\nwant %s", again, text)
+	if !bytes.Equal(text, reencoded) {
+		t.Errorf("loaded snapshot encodes differently\n got %s\nwant %s", reencoded, text)
 	}
 	if s.Get("s0").State != Draining || s.Get("s6").Suspect != true || s.Get("controller").Role != RoleController {
 		t.Errorf("instances: %+v, %+v, %+v", s.Get("s0"), s.Get("s6"), s.Get("controller"))
@@ -81,25 +80,25 @@
 		t.Errorf("permit: %+v", p)
 	}
 	if s.Unreachable("s5") == nil || s.Unreachable("n2") == nil || s.Unreachable("s3") != nil {
-		t.Error("the units that nobody hears from are not those of the snapshot")
+		t.Error("unreachable units are not those of the snapshot")
 	}
 	if s.Record(HaltKeyPrefix+"web-v2") == nil || s.Record("plan/web-v2") == nil || s.Record("release/web-v2") == nil || s.Record("note") == nil {
 		t.Errorf("records: %v", s.Records(""))
 	}
-	b := s.Rollout()
-	if b.Committed.Number != 1 || b.Pending == nil || b.Pending.Number != 4 || b.HaltReason == "" || b.HighestNumber != 4 || len(b.Nodes) != 6 {
-		t.Errorf("versions of settings: %+v", b)
+	r := s.Rollout()
+	if r.Committed.Number != 1 || r.Pending == nil || r.Pending.Number != 4 || r.HaltReason == "" || r.HighestNumber != 4 || len(r.Nodes) != 6 {
+		t.Errorf("rollout: %+v", r)
 	}
-	if _, lost := b.LostZones["c"]; !lost || !b.Nodes["n2"].Unreachable || !b.Nodes["n5"].Syncing || b.Nodes["n4"].RejectReason == "" || b.Nodes["n3"].Violation == "" {
-		t.Errorf("nodes: lost %v, %+v", b.LostZones, b.Nodes)
+	if _, lost := r.LostZones["c"]; !lost || !r.Nodes["n2"].Unreachable || !r.Nodes["n5"].Syncing || r.Nodes["n4"].RejectReason == "" || r.Nodes["n3"].Violation == "" {
+		t.Errorf("lost zones %v, nodes %+v", r.LostZones, r.Nodes)
 	}
 	for _, number := range []int64{1, 3, 4} {
 		if s.Settings(number) == nil {
-			t.Errorf("the content of version %d is not there", number)
+			t.Errorf("content of version %d is missing", number)
 		}
 	}
 	if len(s.replies.results) == 0 || len(s.ejections.byNode) == 0 {
-		t.Error("answers to repeats, or what nodes keep out, are not there")
+		t.Error("results for repeated writes, or ejections, are missing")
 	}
 }
 
@@ -119,26 +118,26 @@
 		t.Fatal(err)
 	}
 	if want := golden.Read(t, "testdata/restored.json"); !bytes.Equal(text, want) {
-		t.Errorf("the restored State differs\n got %s\nwant %s", text, want)
+		t.Errorf("restored State differs\n got %s\nwant %s", text, want)
 	}
 }
 
-func TestGoldenAgreed(t *testing.T) {
+func TestGoldenCoordinationView(t *testing.T) {
 	s := replayGolden(t)
-	for file, answer := range map[string]CoordinationView{
+	for file, view := range map[string]CoordinationView{
 		"agreed.json":       s.CoordinationView(false, ""),
 		"agreed-units.json": s.CoordinationView(true, "controller"),
 		"agreed-unit.json":  s.UnitView("s1"),
 		"agreed-node.json":  s.NodeView("n0", map[int64]bool{1: true}),
 	} {
 		t.Run(file, func(t *testing.T) {
-			golden.Encodes(t, answer, golden.Read(t, "testdata/"+file))
+			golden.Encodes(t, view, golden.Read(t, "testdata/"+file))
 			golden.RoundTrip[CoordinationView](t, "testdata/"+file)
 		})
 	}
 }
 
-func TestGoldenForms(t *testing.T) {
+func TestGoldenEncodings(t *testing.T) {
 	golden.RoundTripFull[Op](t, "testdata/op-full.json")
 	golden.RoundTripFull[Result](t, "testdata/answer-full.json")
 	golden.RoundTripFull[Record](t, "testdata/record-full.json")
--- a/internal/registry/state/helpers_test.go
+++ b/internal/registry/state/helpers_test.go
@@ -7,22 +7,22 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-func half() *disruption.Limits {
+func halfLimits() *disruption.Limits {
 	v := 0.5
 	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialFraction: 0.4, WarmUpMS: 1000}
 }
 
-// site is a State with limits and so many units of capacity 1, s0 and on, all warmed up.
-func site(units int) *State {
+// newStateWithUnits returns a State with limits and warmed-up units s0, s1, ... of capacity 1.
+func newStateWithUnits(units int) *State {
 	s := New()
-	s.Apply(Op{Kind: OpSetLimits, Limits: half()})
+	s.Apply(Op{Kind: OpSetLimits, Limits: halfLimits()})
 	for i := range units {
 		s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", State: Serving, Tier: "web", Capacity: 1, Version: "v1"}})
 	}
 	return s
 }
 
-// clone is a State loaded from another's snapshot.
+// clone returns a State loaded from a snapshot of s.
 func (s *State) clone(t *testing.T) *State {
 	t.Helper()
 	text, err := s.Snapshot()
@@ -36,15 +36,16 @@
 	return c
 }
 
-// fleet is a State with nodes that have reported what they run: n0, n2 in zone a, n1, n3 in zone b, and so on.
-func fleet(t *testing.T, nodes int) *State {
+// newStateWithNodes returns a State with nodes n0, n1, ... that have reported the version that they run. Nodes with even
+// numbers are in zone a, the others in zone b.
+func newStateWithNodes(t *testing.T, nodes int) *State {
 	t.Helper()
 	s := New()
 	for i := range nodes {
 		instance := Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Zone: string("ab"[i%2]), Capacity: 1, StartTimeMS: 1}
-		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &instance})
-		if a, _ = s.Apply(Op{Kind: OpReport, UID: instance.UID, Token: a.Token}); a.Code != "" {
-			t.Fatal(a)
+		result, _ := s.Apply(Op{Kind: OpRegister, Instance: &instance})
+		if result, _ = s.Apply(Op{Kind: OpReport, UID: instance.UID, Token: result.Token}); result.Code != "" {
+			t.Fatal(result)
 		}
 	}
 	return s
--- a/internal/registry/state/instances.go
+++ b/internal/registry/state/instances.go
@@ -1,7 +1,7 @@
 package state
 
-// register puts an instance in place. A process that started later than the one in place takes over with a new token; one
-// that started earlier is fenced.
+// register adds or replaces an instance. A process that started later than the registered one replaces it and gets a new
+// token; a process that started earlier is fenced.
 func (s *State) register(op Op) (Result, *Instance) {
 	if op.Instance == nil || op.Instance.Validate() != nil {
 		return Result{Code: CodeInvalid}, nil
@@ -14,20 +14,20 @@
 	if old != nil {
 		return s.registerAgain(old, instance, op.IfModRevision)
 	}
-	if lost := s.unreachable[instance.UID]; lost != nil && lost.StartTimeMS == instance.StartTimeMS {
-		instance.Token, instance.WarmUpDeficit = lost.Token, lost.WarmUpDeficit // the same process is reachable again
+	if before := s.unreachable[instance.UID]; before != nil && before.StartTimeMS == instance.StartTimeMS {
+		instance.Token, instance.WarmUpDeficit = before.Token, before.WarmUpDeficit // the same process is reachable again
 		return Result{Token: instance.Token}, s.put(instance)
 	}
 	return s.registerProcess(instance)
 }
 
-// registerProcess puts an instance in place with a new token.
+// registerProcess stores an instance with a new token.
 func (s *State) registerProcess(instance Instance) (Result, *Instance) {
 	instance.Token, instance.WarmUpDeficit = s.revision+1, s.initialWarmUpDeficit(&instance)
 	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// registerAgain registers an instance in the place of old.
+// registerAgain registers an instance whose UID is already registered by old.
 func (s *State) registerAgain(old *Instance, instance Instance, ifModRevision int64) (Result, *Instance) {
 	if ifModRevision == Absent {
 		return Result{Code: CodeConflict}, nil
@@ -45,7 +45,7 @@
 	return s.registerProcess(instance)
 }
 
-// change changes or removes an instance that is there.
+// change updates or removes a registered instance.
 func (s *State) change(op Op) (Result, *Instance) {
 	old := s.instances[op.UID]
 	switch {
@@ -79,7 +79,7 @@
 	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// update sets in the instance what an OpUpdate of old sets.
+// update applies an OpUpdate of old to instance, which is a copy of old. The failure is the zero Result on success.
 func (s *State) update(old, instance *Instance, op Op) (failure Result) {
 	if plan, changing := s.changingRelease(old); changing && op.State == Serving {
 		return Result{Code: CodeConflict, Reason: "release " + plan + " is changing it"}
@@ -96,7 +96,7 @@
 	return Result{}
 }
 
-// put puts an instance in place under the next revision.
+// put stores an instance at the next revision.
 func (s *State) put(instance Instance) *Instance {
 	s.revision++
 	instance.ModRevision = s.revision
@@ -110,8 +110,8 @@
 	return &instance
 }
 
-// remove removes an instance under the next revision, and returns it with the state Deleted. Unless it is decommissioned,
-// a unit counts as unreachable from then on; while no limits are set only nodes do.
+// remove removes an instance at the next revision and returns it with the state Deleted. A unit that is not decommissioned
+// counts as unreachable from then on; while no limits are set, this applies only to nodes.
 func (s *State) remove(instance Instance, decommissioned bool) *Instance {
 	s.revision++
 	instance.ModRevision = s.revision
--- a/internal/registry/state/op.go
+++ b/internal/registry/state/op.go
@@ -6,49 +6,49 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-// OpKind says what a write does.
+// OpKind is the kind of a write.
 type OpKind string
 
-// Kinds of writes about instances and replicas.
+// Kinds of writes that concern instances and replicas.
 const (
-	OpRegister  OpKind = "register" // by an instance's process, which gets a token
-	OpUpdate    OpKind = "update"   // by the holder of the token, or by an operator without one
+	OpRegister  OpKind = "register" // by the process of an instance; the result has its token
+	OpUpdate    OpKind = "update"   // by the holder of the token, or by an operator without a token
 	OpRemove    OpKind = "remove"
-	OpExpire    OpKind = "expire"  // by the leader: a lease has ended
-	OpSuspect   OpKind = "suspect" // by the leader: a lease has ended, which is not believed
+	OpExpire    OpKind = "expire"  // by the leader: a lease has expired and the instance is removed
+	OpSuspect   OpKind = "suspect" // by the leader: a lease has expired and the instance stays as a suspect
 	OpTrust     OpKind = "trust"   // by the leader: a suspect has renewed its lease
-	OpWarmUp    OpKind = "warm"    // by the leader: how much capacity an instance still lacks
-	OpSetMember OpKind = "member"  // the API address of a replica
+	OpWarmUp    OpKind = "warm"    // by the leader: the fraction of its capacity that an instance still lacks
+	OpSetMember OpKind = "member"  // sets the API address of a replica
 	OpNoop      OpKind = "nothing" // changes nothing
 )
 
-// Kinds of writes about disruption budgets. UID names the unit.
+// Kinds of writes that concern disruption budgets and records. UID names the unit.
 const (
 	OpSetLimits     OpKind = "limits"
-	OpGrantPermit   OpKind = "permit" // for one incarnation of a unit
-	OpBeginPermit   OpKind = "begin"  // the unit is taken out of service from now on; a server drains with it
-	OpReturnPermit  OpKind = "return" // a permit that has not begun
-	OpDecommission  OpKind = "gone"   // a unit that will not come back
-	OpReportEjected OpKind = "avoid"  // by a node: the servers that it has ejected; no node of this build sends it
+	OpGrantPermit   OpKind = "permit" // to take one incarnation of a unit out of service
+	OpBeginPermit   OpKind = "begin"  // the unit is taken out of service; a server drains from then on
+	OpReturnPermit  OpKind = "return" // gives back a permit that has not begun
+	OpDecommission  OpKind = "gone"   // removes a unit that will not return
+	OpReportEjected OpKind = "avoid"  // by a node: the servers that it has ejected; nodes of this version do not send it
 	OpPutRecord     OpKind = "put"    // an empty value deletes the record
 )
 
-// Kinds of writes about versions of the nodes' settings.
+// Kinds of writes that concern versions of the nodes' settings.
 const (
 	OpPropose     OpKind = "propose"
-	OpAcknowledge OpKind = "ack"      // by a node: it can run the proposed version, or why not
+	OpAcknowledge OpKind = "ack"      // by a node: it can run the proposed version, or the reason why not
 	OpReport      OpKind = "report"   // by a node: the version that it runs
-	OpAdvance     OpKind = "commit"   // starts the next stage, and commits with the last; the result's token is the version in force
-	OpWithdraw    OpKind = "withdraw" // the proposed version, before any stage has started
+	OpAdvance     OpKind = "commit"   // starts the next stage; the last one commits; the result's token is the committed version
+	OpWithdraw    OpKind = "withdraw" // withdraws the proposed version before any stage has started
 	OpRollback    OpKind = "go-back"  // proposes the committed content as a new version
-	OpHalt        OpKind = "halt"     // the pending version
+	OpHalt        OpKind = "halt"     // halts the pending version
 )
 
-// Absent as Op.IfModRevision requires that there is no such instance or record.
+// Absent is the Op.IfModRevision of a write that requires that the instance or record does not exist.
 const Absent = -1
 
-// Fence makes a write conditional on an instance holding its lease with a token, so that a controller whose lease has
-// ended writes in vain.
+// Fence makes a write conditional on an instance being registered with a token, so that the writes of a controller whose
+// lease has expired are rejected.
 type Fence struct {
 	UID   string `json:"uid"`
 	Token int64  `json:"token"`
@@ -57,15 +57,17 @@
 // Op is one write, as clients send it and as the log stores it. Which fields a write uses depends on its kind.
 type Op struct {
 	Kind          OpKind    `json:"kind"`
-	ID            string    `json:"id,omitempty"` // chosen by the client; a repeat changes nothing and gets the same result
+	ID            string    `json:"id,omitempty"` // chosen by the client; a repeated write only gets the first result
 	Instance      *Instance `json:"entry,omitempty"`
 	UID           string    `json:"uid,omitempty"`
-	Token         int64     `json:"token,omitempty"`   // of the instance, the permit or the node; 0: an operator's write
-	IfModRevision int64     `json:"if_mod,omitempty"`  // the write needs this modification revision; 0: any; or Absent
-	Fence         *Fence    `json:"fence,omitempty"`   // nil: not conditional
-	WallTimeMS    int64     `json:"wall_ms,omitempty"` // when the leader wrote of leases, by its clock, for display only, in Unix milliseconds; 0: unknown
+	Token         int64     `json:"token,omitempty"`  // of the instance, the permit or the node; zero for a write of an operator
+	IfModRevision int64     `json:"if_mod,omitempty"` // required modification revision, or Absent; zero allows any
+	Fence         *Fence    `json:"fence,omitempty"`  // nil if the write is unconditional
+	// WallTimeMS is when the leader found a lease expired, by its clock in Unix milliseconds. It is for display only, and
+	// zero if unknown.
+	WallTimeMS int64 `json:"wall_ms,omitempty"`
 
-	// OpUpdate. What is absent stays as it is.
+	// OpUpdate. Absent fields stay unchanged.
 	State    string   `json:"state,omitempty"`
 	Capacity *float64 `json:"capacity,omitempty"`
 
@@ -75,15 +77,15 @@
 	// Disruption budgets and records.
 	Limits        *disruption.Limits `json:"limits,omitempty"`
 	Incarnation   int64              `json:"start,omitempty"`  // token of the unit's process
-	Holder        string             `json:"holder,omitempty"` // of the permit; for OpHalt the reason
+	Holder        string             `json:"holder,omitempty"` // of the permit; the reason for OpHalt
 	Plan          string             `json:"plan,omitempty"`
 	TargetVersion string             `json:"to,omitempty"`
-	ReplacesPlan  string             `json:"over,omitempty"` // the plan whose begun permit this one replaces
+	ReplacesPlan  string             `json:"over,omitempty"` // plan whose begun permit this one replaces
 	WarmUpDeficit *float64           `json:"cold,omitempty"`
 	Ejected       []string           `json:"avoids,omitempty"` // UIDs of servers
 	Key           string             `json:"key,omitempty"`
 
-	// Versions of settings. Token is the node's, Value the content.
+	// Versions of settings. Token is that of the node, Value is the content.
 	Number       int64           `json:"number,omitempty"`
 	Hash         string          `json:"hash,omitempty"`
 	Replaces     int64           `json:"replaces,omitempty"`
@@ -91,11 +93,11 @@
 	Stage        int             `json:"stage,omitempty"`
 	BakeMS       int64           `json:"bake_ms,omitempty"`
 	RejectReason string          `json:"refused,omitempty"`
-	Value        json.RawMessage `json:"value,omitempty"` // also of a record
+	Value        json.RawMessage `json:"value,omitempty"` // also the value of a record
 }
 
-// maxValue bounds the value of a record and the content of a version, in bytes.
+// maxValue is the maximum length in bytes of the value of a record and of the content of a version.
 const maxValue = 1 << 20
 
-// hasValidValue reports whether the value is JSON and not too long. An empty value is not JSON.
+// hasValidValue reports whether the value is valid JSON and not too long. An empty value is not valid JSON.
 func (op *Op) hasValidValue() bool { return len(op.Value) <= maxValue && json.Valid(op.Value) }
--- a/internal/registry/state/permits.go
+++ b/internal/registry/state/permits.go
@@ -9,7 +9,7 @@
 // Budget returns the disruption budget. The caller must not change it.
 func (s *State) Budget() *disruption.Budget { return s.budget }
 
-// Limits returns the limits in force; nil: none were set.
+// Limits returns the limits in force, or nil if none were set.
 func (s *State) Limits() *disruption.Limits { return s.limits }
 
 func (s *State) setLimits(op Op) Result {
@@ -22,8 +22,8 @@
 	return Result{}
 }
 
-// grantPermit grants a permit; its token is the revision of the write. A repeat for the same holder gets the token that it
-// has.
+// grantPermit grants a permit whose token is the revision of the write. A repeated write for the same holder gets the token
+// of the existing permit.
 func (s *State) grantPermit(op Op) Result {
 	before := s.budget.Permit(op.UID)
 	p, err := s.budget.Grant(disruption.Permit{
@@ -39,7 +39,7 @@
 }
 
 // beginPermit lets the holder of a permit take its unit out of service; a server drains from then on. A permit that has
-// begun may begin again, also while its release is halted: the first result may have been lost.
+// begun can begin again, even while its release is halted, because the first result may have been lost.
 func (s *State) beginPermit(op Op) (Result, *Instance) {
 	p := s.budget.Permit(op.UID)
 	hadBegun := p != nil && p.Begun
@@ -73,7 +73,7 @@
 	return Result{}
 }
 
-// decommission removes a unit that will not come back, whether it is reachable or not.
+// decommission removes a unit that will not return, whether it is reachable or not.
 func (s *State) decommission(op Op) (Result, *Instance) {
 	if s.instances[op.UID] != nil {
 		return s.change(Op{Kind: OpRemove, UID: op.UID})
@@ -86,14 +86,14 @@
 	return Result{}, nil
 }
 
-// mustDrain reports whether a registering server belongs to a process that was taken out of service by a permit.
+// mustDrain reports whether a server that registers is a process that a permit has taken out of service.
 func (s *State) mustDrain(instance *Instance) bool {
 	p := s.budget.Permit(instance.UID)
 	return p != nil && p.Begun && p.StartTimeMS == instance.StartTimeMS && instance.Role == ""
 }
 
-// changingRelease returns the plan of the release that is changing a unit to another version, if any. Until the unit runs
-// that version or the release is rolled back, it cannot be set to serve.
+// changingRelease returns the plan of the release that is changing a unit to another version, if any. The unit cannot be set
+// to Serving until it runs that version or the release is rolled back.
 func (s *State) changingRelease(instance *Instance) (plan string, changing bool) {
 	p := s.budget.Permit(instance.UID)
 	if p == nil || !p.Begun || p.TargetVersion == "" || p.TargetVersion == instance.Version {
--- a/internal/registry/state/records.go
+++ b/internal/registry/state/records.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Record is a JSON value under a key. Releases are kept as records.
+// Record is a JSON value stored under a key. Releases are stored as records.
 type Record struct {
 	Key         string          `json:"key"`
 	ModRevision int64           `json:"mod"` // revision of its last change
 	Value       json.RawMessage `json:"value"`
 }
 
-// HaltKeyPrefix begins the key of the record that halts a release; the name of its plan follows. While the record is
-// there, no permit of the release begins.
+// HaltKeyPrefix is the prefix of the key of a record that halts a release. The name of the release's plan follows it. While
+// the record exists, no permit of the release can begin.
 const HaltKeyPrefix = "halt/"
 
-// Record returns the record under a key, or nil.
+// Record returns the record under a key, or nil if there is none.
 func (s *State) Record(key string) *Record { return s.records[key] }
 
-// Records returns the records whose keys have a prefix, by ascending key.
+// Records returns the records whose keys have a prefix, in ascending order of their keys.
 func (s *State) Records(prefix string) []*Record {
 	records := []*Record{}
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
--- a/internal/registry/state/records_test.go
+++ b/internal/registry/state/records_test.go
@@ -16,6 +16,6 @@
 		keys = append(keys, r.Key)
 	}
 	if strings.Join(keys, " ") != "a/1 a/2" {
-		t.Errorf("%v", keys)
+		t.Errorf("keys %v, want a/1 and a/2", keys)
 	}
 }
--- a/internal/registry/state/replies.go
+++ b/internal/registry/state/replies.go
@@ -1,12 +1,12 @@
 package state
 
-// maxReplies is how many results are remembered for repeated writes.
+// maxReplies is the number of results that are kept for repeated writes.
 const maxReplies = 1 << 16
 
-// replies remembers the results of the last writes that had an ID.
+// replies holds the results of the latest writes with an ID, which are returned to repeated writes.
 type replies struct {
-	results map[string]Result // by the writes' IDs
-	order   []string          // of the IDs, the oldest first
+	results map[string]Result // by the ID of the write
+	order   []string          // IDs, the oldest first
 }
 
 func newReplies() replies { return replies{results: map[string]Result{}} }
@@ -16,7 +16,7 @@
 	return result, found
 }
 
-// add remembers a result, and forgets the oldest if there are too many.
+// add stores a result, and drops the oldest one if there are more than maxReplies.
 func (r *replies) add(id string, result Result) {
 	r.results[id] = result
 	r.order = append(r.order, id)
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -8,8 +8,8 @@
 )
 
 // RestoreBackup returns the State that replaces running when a backup is restored. It has the instances of the backup, in
-// an epoch later than both, so that no revision is given twice and watchers take the whole list anew. What a restore
-// cannot undo stays as it is running: the replicas, the elected controller, the nodes' versions, and what is out of
+// an epoch later than both, so that no revision is used twice and watchers fetch the full list again. What a restore cannot
+// undo is taken from running: the replicas, the elected controller, the versions of the nodes, and the units that are out of
 // service.
 func RestoreBackup(backup, running *State) *State {
 	epoch := max(Epoch(backup.revision), Epoch(running.revision)) + 1
@@ -27,15 +27,15 @@
 		}
 	}
 	coordination.Permits = s.mergePermits(coordination.Permits, running)
-	// Where both have a record, the later one in this list wins, the running State's. A halt that was lifted since the
-	// backup applies again.
+	// The running State's records come last and override those of the backup under the same key. A halt that was lifted
+	// since the backup applies again.
 	coordination.Records = append(coordination.Records, running.Records("")...)
 	s.loadCoordination(coordination)
 	return s
 }
 
-// preserveController replaces the backup's elected controller by the present one: with the backup's, a controller that has
-// lost its lease since could write again.
+// preserveController replaces the elected controller of the backup by the current one. Otherwise a controller that has lost
+// its lease since the backup could write again.
 func (s *State) preserveController(running *State) {
 	maps.DeleteFunc(s.instances, func(_ string, instance *Instance) bool { return instance.Role == RoleController })
 	for uid, instance := range running.instances {
@@ -45,13 +45,13 @@
 	}
 }
 
-// mergePermits returns the permits of the running State, and those of the backup whose units the running State does not
-// know. Servers that the running permits have taken out of service drain.
-func (s *State) mergePermits(ofBackup []*disruption.Permit, running *State) []*disruption.Permit {
-	permits := slices.DeleteFunc(ofBackup, func(p *disruption.Permit) bool { return running.unit(p.Unit) != nil })
+// mergePermits returns the permits of the running State, and those of the backup whose units are not in the running State.
+// Servers that permits of the running State have taken out of service are set to Draining.
+func (s *State) mergePermits(backupPermits []*disruption.Permit, running *State) []*disruption.Permit {
+	permits := slices.DeleteFunc(backupPermits, func(p *disruption.Permit) bool { return running.unit(p.Unit) != nil })
 	for _, p := range running.budget.Permits() {
 		kept := *p
-		kept.SeenUnavailable = false // not yet in the new epoch
+		kept.SeenUnavailable = false // the unit has not been seen unavailable in the new epoch
 		permits = append(permits, &kept)
 		if instance := s.instances[p.Unit]; instance != nil && p.Begun && p.StartTimeMS >= instance.StartTimeMS && instance.Role == "" {
 			draining := *instance
--- a/internal/registry/state/result.go
+++ b/internal/registry/state/result.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Code says why a write was not applied; empty: it was.
+// Code is the reason why a write was not applied. It is empty if the write was applied.
 type Code string
 
-// Result is what came of a write.
+// Result is the outcome of a write.
 type Result struct {
 	Revision int64  `json:"rev"` // of the State after the write
 	Token    int64  `json:"token,omitempty"`
@@ -15,21 +15,21 @@
 
 // Codes of results.
 const (
-	CodeFenced   Code = "fenced"    // another process holds the instance, or the fence's instance
-	CodeConflict Code = "conflict"  // the instance or record has another modification revision
-	CodeNotFound Code = "not-found" // there is no such instance or record
+	CodeFenced   Code = "fenced"    // the token of the write or of its fence is not the current one
+	CodeConflict Code = "conflict"  // another modification revision, or a release is changing the unit
+	CodeNotFound Code = "not-found" // the instance or record does not exist
 	CodeInvalid  Code = "bad"       // the write is malformed
 
-	CodeOverBudget Code = "over-budget" // the reason has the figures
+	CodeOverBudget Code = "over-budget" // the permit would exceed a limit; the reason has the figures
 	CodeHalted     Code = "halted"      // the permit's release is halted
 	CodeNoPermit   Code = "no-permit"
-	CodeNotReady   Code = "not-yet" // a write about versions; the reason says what is missing
+	CodeNotReady   Code = "not-yet" // a version or a node does not allow the write; the reason says why
 )
 
 // Error is the error of a write that was not applied.
 type Error struct {
 	Code   Code
-	Reason string // empty: the code says it all
+	Reason string // empty if the code has no details
 }
 
 // Error returns the code, and the reason if there is one.
--- a/internal/registry/state/settings.go
+++ b/internal/registry/state/settings.go
@@ -12,17 +12,17 @@
 // Rollout returns the rollout of the nodes' settings. The caller must not change it.
 func (s *State) Rollout() *rollout.State { return s.rollout }
 
-// Settings returns the content of a version; nil: it is not kept.
+// Settings returns the content of a version, or nil if it is not kept.
 func (s *State) Settings(number int64) json.RawMessage { return s.settings[number] }
 
-// ContentHash returns the hash that identifies the content of a version. It covers the text as it is, spaces included.
+// ContentHash returns the hash that identifies the content of a version. It covers the exact text, white space included.
 func ContentHash(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// applyRollout applies a write about versions of the nodes' settings. The token of the result is the number of the
-// proposed version, or for OpAdvance of the committed one.
+// applyRollout applies a write that concerns versions of the nodes' settings. The token of the result is the number of the
+// proposed version, or for OpAdvance that of the committed one.
 func (s *State) applyRollout(op Op) Result {
 	if op.Kind == OpPropose && !op.hasValidValue() {
 		return Result{Code: CodeInvalid}
--- a/internal/registry/state/snapshot.go
+++ b/internal/registry/state/snapshot.go
@@ -20,7 +20,7 @@
 	coordinationSnapshot
 }
 
-// coordinationSnapshot is the part of a snapshot that is not the list of instances.
+// coordinationSnapshot is the part of a snapshot that concerns budgets, releases and versions of settings.
 type coordinationSnapshot struct {
 	Limits      *disruption.Limits        `json:"limits,omitempty"`
 	Permits     []*disruption.Permit      `json:"permits,omitempty"`
@@ -54,7 +54,7 @@
 	return stored
 }
 
-// Load decodes what [State.Snapshot] encoded. The error says what is wrong with the text.
+// Load decodes a State that [State.Snapshot] has encoded. The error says why the text is invalid.
 func Load(text []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// loadCoordination puts the rest of a snapshot in place once the instances are. The order matters: units count with the
-// rollout and the nodes in place, and permits are restored beside their units.
+// loadCoordination loads the rest of a snapshot after the instances. The order matters: units are counted once the rollout
+// and the nodes are loaded, and permits are restored after their units.
 func (s *State) loadCoordination(stored coordinationSnapshot) {
 	if stored.Limits != nil {
 		s.limits = stored.Limits
@@ -98,12 +98,12 @@
 	for _, p := range stored.Permits {
 		s.budget.Restore(*p)
 		if instance := s.unit(p.Unit); instance != nil {
-			s.updateUnit(instance) // which ends a permit that a later process of the unit has outlived
+			s.updateUnit(instance) // ends the permit if the unit has restarted since and is available
 		}
 	}
 }
 
-// loadUnits makes all units known to the budget and the rollout.
+// loadUnits adds all units to the budget and the rollout.
 func (s *State) loadUnits(stored coordinationSnapshot) {
 	for _, instance := range stored.Unreachable {
 		if s.instances[instance.UID] == nil {
--- a/internal/registry/state/snapshot_test.go
+++ b/internal/registry/state/snapshot_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever was written, a State loaded from its snapshot continues like the one that was stored: it gives the same results to
-// the same writes, though its sums were added up in another order. And restoring a backup ends no permit that has begun.
+// After any sequence of writes, a State loaded from a snapshot gives the same results to further writes as the State that was
+// stored, although its sums were added up in another order. Restoring a backup ends no permit that has begun.
 func TestSnapshotContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := site(5)
-		op := func(s *State) Op {
+		s := newStateWithUnits(5)
+		drawOp := func(s *State) Op {
 			uid := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "unit"))
 			instance := s.Get(uid)
 			if instance == nil {
@@ -25,19 +25,19 @@
 			if p := s.Budget().Permit(uid); p != nil {
 				permit = p.Token
 			}
-			cold := instance.WarmUpDeficit / 2
-			again := *instance
-			again.StartTimeMS++
+			deficit := instance.WarmUpDeficit / 2
+			restarted := *instance
+			restarted.StartTimeMS++
 			return rapid.SampledFrom([]Op{
-				{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &again}, {Kind: OpGrantPermit, UID: uid, Incarnation: instance.Token, Holder: "me", Plan: "p"},
+				{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &restarted}, {Kind: OpGrantPermit, UID: uid, Incarnation: instance.Token, Holder: "me", Plan: "p"},
 				{Kind: OpGrantPermit, UID: uid, Incarnation: instance.Token, Holder: "me", Plan: "p-back", ReplacesPlan: "p"},
 				{Kind: OpBeginPermit, UID: uid, Token: permit}, {Kind: OpReturnPermit, UID: uid, Token: permit}, {Kind: OpExpire, UID: uid, Token: instance.Token},
-				{Kind: OpWarmUp, UID: uid, Token: instance.Token, WarmUpDeficit: &cold}, {Kind: OpDecommission, UID: uid}, {Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid},
+				{Kind: OpWarmUp, UID: uid, Token: instance.Token, WarmUpDeficit: &deficit}, {Kind: OpDecommission, UID: uid}, {Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid},
 				{Kind: OpUpdate, UID: uid, State: Draining}, {Kind: OpUpdate, UID: uid, State: Serving},
 			}).Draw(t, "op")
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "before") {
-			s.Apply(op(s))
+			s.Apply(drawOp(s))
 		}
 		text, err := s.Snapshot()
 		if err != nil {
@@ -48,11 +48,11 @@
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "after") {
-			o := op(s)
-			a, _ := s.Apply(o)
-			b, _ := loaded.Apply(o)
-			if a != b {
-				t.Fatalf("%+v: %+v, and loaded from its snapshot %+v", o, a, b)
+			op := drawOp(s)
+			want, _ := s.Apply(op)
+			got, _ := loaded.Apply(op)
+			if want != got {
+				t.Fatalf("%+v: stored State %+v, loaded State %+v", op, want, got)
 			}
 		}
 		if d := cmp.Diff(s.Budget().Usages(), loaded.Budget().Usages()) + cmp.Diff(s.Budget().UnavailableUnits(), loaded.Budget().UnavailableUnits()); d != "" {
@@ -69,70 +69,71 @@
 				instance = restored.Unreachable(p.Unit)
 			}
 			if instance == nil || instance.StartTimeMS > p.StartTimeMS {
-				continue // declared gone, or back again
+				continue // decommissioned or restarted
 			}
 			if restored.Budget().Permit(p.Unit) == nil {
-				t.Fatalf("the permit %+v was lost", p)
+				t.Fatalf("permit %+v was lost", p)
 			}
 			if restored.Unreachable(p.Unit) == nil && p.Begun && instance.State != Draining {
-				t.Fatalf("%+v serves, though its permit has begun", instance)
+				t.Fatalf("%+v is not draining although its permit has begun", instance)
 			}
 		}
 	})
 }
 
-// Restoring a backup does not bring the controller back that led when it was taken, and its fence does not hold, whoever leads
-// now.
+// Restoring a backup does not bring back the controller that was elected when the backup was taken. Its fence does not hold,
+// whether or not another controller is elected now.
 func TestRestoreBackupKeepsController(t *testing.T) {
-	lead := func(s *State, boot float64) *Fence {
-		a, _ := s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: "controller", Endpoint: "c", State: Serving, Role: RoleController, StartTimeMS: boot, TTLMS: 1000}})
-		return &Fence{"controller", a.Token}
+	elect := func(s *State, startTimeMS float64) *Fence {
+		result, _ := s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: "controller", Endpoint: "c", State: Serving, Role: RoleController, StartTimeMS: startTimeMS, TTLMS: 1000}})
+		return &Fence{"controller", result.Token}
 	}
 	s := New()
-	old := lead(s, 1)
+	old := elect(s, 1)
 	text, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Apply(Op{Kind: OpExpire, UID: "controller", Token: old.Token})
-	for _, name := range []string{"nobody", "another"} {
-		t.Run(name+" leads", func(t *testing.T) {
+	for _, name := range []string{"no controller", "another controller"} {
+		t.Run(name+" is elected", func(t *testing.T) {
 			running := s.clone(t)
-			var now *Fence
-			if name == "another" {
-				now = lead(running, 2)
+			var current *Fence
+			if name == "another controller" {
+				current = elect(running, 2)
 			}
 			backup, err := Load(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := RestoreBackup(backup, running)
-			if a, _ := r.Apply(Op{Kind: OpNoop, Fence: old}); a.Code != CodeFenced {
-				t.Errorf("the one before acts: %+v", a)
+			restored := RestoreBackup(backup, running)
+			if result, _ := restored.Apply(Op{Kind: OpNoop, Fence: old}); result.Code != CodeFenced {
+				t.Errorf("write of the previous controller is not fenced: %+v", result)
 			}
-			if now == nil {
+			if current == nil {
 				return
 			}
-			if a, _ := r.Apply(Op{Kind: OpNoop, Fence: now}); a.Code != "" {
-				t.Errorf("the present one does not: %+v", a)
+			if result, _ := restored.Apply(Op{Kind: OpNoop, Fence: current}); result.Code != "" {
+				t.Errorf("write of the current controller: %+v", result)
 			}
 		})
 	}
 }
 
-// Whatever happened to nodes, a State loaded from its snapshot knows the same of them, and continues the same.
+// After any sequence of writes that concern nodes and versions, a State loaded from a snapshot has the same rollout as the State
+// that was stored, and gives the same results to further writes.
 func TestSnapshotOfRollout(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := fleet(t, 4)
-		op := func(s *State) Op {
+		s := newStateWithNodes(t, 4)
+		drawOp := func(s *State) Op {
 			uid := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(rt, "node"))
 			instance := s.Get(uid)
 			if instance == nil {
 				instance = s.Unreachable(uid)
 			}
-			again, n, v := *instance, s.Rollout().Nodes[uid], s.Rollout().Pending
-			again.StartTimeMS++
-			ops := []Op{{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &again}, {Kind: OpExpire, UID: uid, Token: instance.Token, WallTimeMS: 5}, {Kind: OpExpire, UID: uid, Token: instance.Token},
+			restarted, n, v := *instance, s.Rollout().Nodes[uid], s.Rollout().Pending
+			restarted.StartTimeMS++
+			ops := []Op{{Kind: OpRegister, Instance: instance}, {Kind: OpRegister, Instance: &restarted}, {Kind: OpExpire, UID: uid, Token: instance.Token, WallTimeMS: 5}, {Kind: OpExpire, UID: uid, Token: instance.Token},
 				{Kind: OpSuspect, UID: uid}, {Kind: OpTrust, UID: uid}, {Kind: OpReport, UID: uid, Token: instance.Token, Number: n.TargetVersion, Hash: s.Rollout().Hashes[n.TargetVersion]},
 				{Kind: OpPropose, Value: json.RawMessage(fmt.Sprint(s.Rollout().HighestNumber)), Replaces: s.Rollout().Committed.Number, Stages: []float64{0.4, 1}}, {Kind: OpRollback}}
 			if v != nil {
@@ -141,7 +142,7 @@
 			return rapid.SampledFrom(ops).Draw(rt, "op")
 		}
 		for range rapid.IntRange(0, 60).Draw(rt, "before") {
-			s.Apply(op(s))
+			s.Apply(drawOp(s))
 		}
 		text, err := s.Snapshot()
 		if err != nil {
@@ -155,17 +156,17 @@
 			if d := cmp.Diff(s.Rollout(), loaded.Rollout(), cmpopts.EquateEmpty()); d != "" {
 				rt.Fatal(d)
 			}
-			o := op(s)
-			a, _ := s.Apply(o)
-			if b, _ := loaded.Apply(o); a != b {
-				rt.Fatalf("%+v: %+v, and loaded from its snapshot %+v", o, a, b)
+			op := drawOp(s)
+			want, _ := s.Apply(op)
+			if got, _ := loaded.Apply(op); want != got {
+				rt.Fatalf("%+v: stored State %+v, loaded State %+v", op, want, got)
 			}
 		}
 		// Restoring a backup changes no target version, and brings no node in sync.
 		restored := RestoreBackup(loaded, s)
 		for uid, n := range s.Rollout().Nodes {
 			if r := restored.Rollout().Nodes[uid]; r == nil || r.TargetVersion != n.TargetVersion || r.InSync() && !n.InSync() {
-				rt.Fatalf("%s: %+v, restored %+v", uid, n, r)
+				rt.Fatalf("%s: %+v before the restore, %+v after it", uid, n, r)
 			}
 		}
 	})
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -10,27 +10,28 @@
 	"umberbank/internal/coordination/rollout"
 )
 
-// State is the state of the registry as of one revision.
+// State is the state of the registry at one revision. Use [New] or [Load] to create one.
 type State struct {
 	revision  int64
 	instances map[string]*Instance // by UID
-	members   map[string]string    // the replicas' API addresses by their IDs
+	members   map[string]string    // API addresses of the replicas by ID
 	replies   replies
-	writeTime int64 // of the write that is being applied, in Unix ms by the leader's clock; 0: unknown
+	// writeTimeMS is the WallTimeMS of the write that is being applied.
+	writeTimeMS int64
 
-	limits *disruption.Limits // nil: none were set, and no unit counts as unreachable but nodes
+	limits *disruption.Limits // nil if none were set; only nodes count as unreachable then
 	budget *disruption.Budget
-	// unreachable are the units whose lease has ended or that have left, and that are not decommissioned, by UID.
+	// unreachable holds by UID the units whose lease has expired or that have left, and that are not decommissioned.
 	unreachable map[string]*Instance
 	ejections   ejections
-	tierNodes   map[string]int // how many nodes send to a tier, by tier
+	tierNodes   map[string]int // number of nodes that send requests to a tier, by tier
 	records     map[string]*Record
 
 	rollout  *rollout.State
 	settings map[int64]json.RawMessage // contents of versions by number
 }
 
-// epochShift is the number of a revision's low bits, which count within an epoch.
+// epochShift is the number of low bits of a revision, which count the writes within an epoch.
 const epochShift = 40
 
 // New returns an empty State of the first epoch.
@@ -45,16 +46,16 @@
 // Revision returns the revision of the State.
 func (s *State) Revision() int64 { return s.revision }
 
-// Epoch returns the epoch of a revision. Only a restored backup increases it.
+// Epoch returns the epoch of a revision. Only the restore of a backup increases it.
 func Epoch(revision int64) int64 { return revision >> epochShift }
 
 // Len returns the number of instances.
 func (s *State) Len() int { return len(s.instances) }
 
-// Get returns an instance, or nil.
+// Get returns an instance, or nil if it is not registered.
 func (s *State) Get(uid string) *Instance { return s.instances[uid] }
 
-// Instances returns all instances by ascending UID.
+// Instances returns all instances in ascending order of their UIDs.
 func (s *State) Instances() []*Instance { return sortedByUID(slices.Collect(maps.Values(s.instances))) }
 
 func sortedByUID(instances []*Instance) []*Instance {
@@ -62,18 +63,18 @@
 	return instances
 }
 
-// Members returns the API addresses of the replicas by their IDs.
+// Members returns a copy of the API addresses of the replicas by ID.
 func (s *State) Members() map[string]string { return maps.Clone(s.members) }
 
-// Apply applies one write. changed is the instance that it has put in place, or that it has removed with the state
-// Deleted; nil: none.
+// Apply applies one write. changed is the instance that the write has stored, or with the state Deleted the one that it has
+// removed. It is nil if no instance has changed.
 func (s *State) Apply(op Op) (result Result, changed *Instance) {
 	if op.ID != "" {
 		if first, done := s.replies.get(op.ID); done {
 			return first, nil
 		}
 	}
-	s.writeTime = op.WallTimeMS
+	s.writeTimeMS = op.WallTimeMS
 	result, changed = s.apply(op)
 	result.Revision = s.revision
 	if op.ID != "" {
@@ -82,7 +83,7 @@
 	return result, changed
 }
 
-// apply is Apply for a write that is not a repeat. It leaves the result's revision to its caller.
+// apply applies a write that is not a repeat. The caller sets the revision of the result.
 func (s *State) apply(op Op) (Result, *Instance) {
 	if s.isFenced(op.Fence) {
 		return Result{Code: CodeFenced}, nil
@@ -117,7 +118,7 @@
 	return Result{Code: CodeInvalid}, nil
 }
 
-// isFenced reports whether a write's fence does not hold.
+// isFenced reports whether a write is rejected because the instance of its fence does not have the fence's token.
 func (s *State) isFenced(f *Fence) bool {
 	if f == nil {
 		return false
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -8,21 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-func server(uid string, boot float64) *Instance {
-	return &Instance{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, StartTimeMS: boot}
+func server(uid string, startTimeMS float64) *Instance {
+	return &Instance{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, StartTimeMS: startTimeMS}
 }
 
-// A process that was replaced cannot overwrite its successor, whatever comes in which order.
+// A replaced process cannot overwrite its successor with any kind of write.
 func TestFencing(t *testing.T) {
 	s := New()
 	first, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
 	again, changed := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
 	if again.Token != first.Token || changed != nil {
-		t.Errorf("the same process again: %+v, %+v", again, changed)
+		t.Errorf("registered the same process again: %+v, changed %+v", again, changed)
 	}
 	next, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 2)})
 	if next.Token <= first.Token {
-		t.Errorf("token %d after %d", next.Token, first.Token)
+		t.Errorf("token of the next process is %d, want more than %d", next.Token, first.Token)
 	}
 	for _, op := range []Op{
 		{Kind: OpRegister, Instance: server("a", 1)},
@@ -30,36 +30,36 @@
 		{Kind: OpRemove, UID: "a", Token: first.Token},
 		{Kind: OpExpire, UID: "a", Token: first.Token},
 	} {
-		if a, changed := s.Apply(op); a.Code != CodeFenced || changed != nil {
-			t.Errorf("%s by the one before: %+v", op.Kind, a)
+		if result, changed := s.Apply(op); result.Code != CodeFenced || changed != nil {
+			t.Errorf("%s by the replaced process: %+v", op.Kind, result)
 		}
 	}
-	if a, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", Token: next.Token, State: Draining}); a.Code != "" || s.Get("a").State != Draining {
-		t.Errorf("by the successor: %+v", a)
+	if result, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", Token: next.Token, State: Draining}); result.Code != "" || s.Get("a").State != Draining {
+		t.Errorf("update by the successor: %+v", result)
 	}
 }
 
-// A write with a modification revision is applied only to that revision.
+// A write with a modification revision is applied only if the instance still has that revision.
 func TestIfModRevision(t *testing.T) {
 	s := New()
-	a, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
-	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: a.Revision, State: Draining}); b.Code != "" {
-		t.Errorf("on its revision: %+v", b)
+	registered, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
+	if result, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: registered.Revision, State: Draining}); result.Code != "" {
+		t.Errorf("update at the current revision: %+v", result)
 	}
-	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: a.Revision, State: Serving}); b.Code != CodeConflict || s.Get("a").State != Draining {
-		t.Errorf("on an older one: %+v", b)
+	if result, _ := s.Apply(Op{Kind: OpUpdate, UID: "a", IfModRevision: registered.Revision, State: Serving}); result.Code != CodeConflict || s.Get("a").State != Draining {
+		t.Errorf("update at an older revision: %+v", result)
 	}
-	if b, _ := s.Apply(Op{Kind: OpUpdate, UID: "none", State: Serving}); b.Code != CodeNotFound {
-		t.Errorf("of nothing: %+v", b)
+	if result, _ := s.Apply(Op{Kind: OpUpdate, UID: "none", State: Serving}); result.Code != CodeNotFound {
+		t.Errorf("update of an unknown instance: %+v", result)
 	}
-	for _, bad := range []Op{{Kind: "dance"}, {Kind: OpRegister}, {Kind: OpRegister, Instance: &Instance{UID: "x"}}, {Kind: OpUpdate, UID: "a", State: Deleted}} {
-		if b, changed := s.Apply(bad); b.Code != CodeInvalid || changed != nil {
-			t.Errorf("%+v: %+v", bad, b)
+	for _, invalid := range []Op{{Kind: "unknown"}, {Kind: OpRegister}, {Kind: OpRegister, Instance: &Instance{UID: "x"}}, {Kind: OpUpdate, UID: "a", State: Deleted}} {
+		if result, changed := s.Apply(invalid); result.Code != CodeInvalid || changed != nil {
+			t.Errorf("%+v: %+v", invalid, result)
 		}
 	}
 }
 
-func anyOp(t *rapid.T) Op {
+func drawOp(t *rapid.T) Op {
 	uid := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "uid"))
 	op := Op{UID: uid, ID: fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "id"))}
 	op.Kind = rapid.SampledFrom([]OpKind{OpRegister, OpUpdate, OpRemove, OpExpire, OpSuspect, OpTrust, OpSetMember, OpNoop}).Draw(t, "kind")
@@ -74,28 +74,28 @@
 	return op
 }
 
-// Revisions increase by one with each change and by none without; a repeat changes nothing and gets the same result; two
-// States with the same writes are the same; and a State loaded from a snapshot continues like the one that was stored.
+// The revision increases by one with each change and with nothing else. A repeated write changes nothing and gets the first
+// result. Two States that applied the same writes are equal, even if one of them was loaded from a snapshot in between.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		results := map[string]Result{}
 		for range rapid.IntRange(0, 60).Draw(t, "writes") {
-			op, before := anyOp(t), a.Revision()
+			op, before := drawOp(t), a.Revision()
 			got, changed := a.Apply(op)
-			twin, _ := b.Apply(op)
-			if !reflect.DeepEqual(got, twin) {
-				t.Fatalf("%+v: %+v and %+v", op, got, twin)
+			other, _ := b.Apply(op)
+			if !reflect.DeepEqual(got, other) {
+				t.Fatalf("%+v: %+v, and %+v in the other State", op, got, other)
 			}
-			if was, repeat := results[op.ID]; repeat && (was != got || changed != nil) {
-				t.Fatalf("the repeat %+v got %+v, before %+v", op, got, was)
+			if first, repeated := results[op.ID]; repeated && (first != got || changed != nil) {
+				t.Fatalf("repeated write %+v got %+v, want %+v", op, got, first)
 			}
 			results[op.ID] = got
 			if step := a.Revision() - before; step != 0 && changed == nil || step != 1 && changed != nil {
-				t.Fatalf("%+v moved the revision by %d", op, step)
+				t.Fatalf("%+v increased the revision by %d", op, step)
 			}
 			if changed != nil && (changed.ModRevision != a.Revision() || changed.State != Deleted && a.Get(changed.UID) != changed) {
-				t.Fatalf("%+v put %+v at revision %d", op, changed, a.Revision())
+				t.Fatalf("%+v stored %+v at revision %d", op, changed, a.Revision())
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				text, err := b.Snapshot()
@@ -108,11 +108,11 @@
 			}
 		}
 		if !reflect.DeepEqual(a.Instances(), b.Instances()) || a.Revision() != b.Revision() || !reflect.DeepEqual(a.Members(), b.Members()) {
-			t.Fatalf("the States differ: %+v, %+v", a, b)
+			t.Fatalf("States differ: %+v, %+v", a, b)
 		}
 		r := RestoreBackup(a, b)
 		if Epoch(r.Revision()) <= Epoch(b.Revision()) || r.Revision() <= b.Revision() || !reflect.DeepEqual(r.Instances(), a.Instances()) {
-			t.Fatalf("restored at %d after %d", r.Revision(), b.Revision())
+			t.Fatalf("restored at revision %d after %d", r.Revision(), b.Revision())
 		}
 	})
 }
--- a/internal/registry/state/units.go
+++ b/internal/registry/state/units.go
@@ -9,7 +9,7 @@
 	"umberbank/internal/coordination/rollout"
 )
 
-// Reasons of unavailable units, beside disruption.ReasonUnreachable.
+// Reasons why units are unavailable, in addition to disruption.ReasonUnreachable.
 const (
 	reasonSuspect  = "suspect"
 	reasonDraining = "draining"
@@ -17,7 +17,8 @@
 	reasonWarmUp   = "cold"
 )
 
-// Units returns the instances that count in a disruption budget, unreachable ones included, by ascending UID.
+// Units returns the instances that are counted in a disruption budget, including unreachable ones, in ascending order of
+// their UIDs.
 func (s *State) Units() []*Instance {
 	units := []*Instance{}
 	for _, from := range []map[string]*Instance{s.instances, s.unreachable} {
@@ -30,21 +31,21 @@
 	return sortedByUID(units)
 }
 
-// Unreachable returns a unit that counts as unreachable, or nil.
+// Unreachable returns the unit with a UID if it counts as unreachable, or nil.
 func (s *State) Unreachable(uid string) *Instance { return s.unreachable[uid] }
 
-// unit returns a unit whether it is reachable or not, or nil.
+// unit returns the reachable or unreachable unit with a UID, or nil.
 func (s *State) unit(uid string) *Instance { return cmp.Or(s.instances[uid], s.unreachable[uid]) }
 
-// updateUnit tells the budget, and for a node the rollout, how a unit is now.
+// updateUnit updates a unit in the budget, and a node also in the rollout.
 func (s *State) updateUnit(instance *Instance) {
 	if !instance.isUnit() {
 		return
 	}
 	if instance.Role == RoleNode {
-		// A suspect is unreachable here: for the rollout it is enough that the lease has ended, believed or not.
+		// For the rollout a node is unreachable once its lease has expired, even if it stays as a suspect.
 		unreachable := instance.Suspect || s.unreachable[instance.UID] != nil
-		s.rollout.SetNode(instance.UID, instance.Zone, instance.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTime})
+		s.rollout.SetNode(instance.UID, instance.Zone, instance.Token, unreachable, rollout.Timestamp{Revision: s.revision, UnixMS: s.writeTimeMS})
 	}
 	fraction, reason := s.unavailability(instance)
 	s.budget.SetUnit(disruption.Unit{
@@ -71,14 +72,14 @@
 	return 0, ""
 }
 
-// forgetUnit drops a unit that will not come back.
+// forgetUnit removes a unit that will not return.
 func (s *State) forgetUnit(uid string) {
 	delete(s.unreachable, uid)
 	s.budget.Decommission(uid)
 	s.rollout.Decommission(uid)
 }
 
-// initialWarmUpDeficit is the fraction of its capacity that an instance lacks when its process starts.
+// initialWarmUpDeficit returns the fraction of its capacity that an instance lacks when its process starts.
 func (s *State) initialWarmUpDeficit(instance *Instance) float64 {
 	if s.limits == nil || s.limits.WarmUpMS == 0 || instance.StartTimeMS == 0 {
 		return 0
@@ -86,8 +87,8 @@
 	return 1 - s.limits.InitialFraction
 }
 
-// nodeChanged keeps up with a node that was put in place of old (nil: none), or removed: how many nodes send to a tier, and
-// which servers a process has ejected.
+// nodeChanged updates the number of nodes of a tier and the ejections after a node was stored or removed. old is the instance
+// that it replaces, or nil. A new process of a node starts without ejections.
 func (s *State) nodeChanged(old, instance *Instance) {
 	if instance.Role != RoleNode {
 		return
@@ -99,7 +100,8 @@
 	}
 }
 
-// countNode adds n to the number of nodes that send to a node's tier. What most of them eject may change with it.
+// countNode adds n to the number of nodes that send to a node's tier, and updates the ejected servers, because the majority
+// of the nodes may have changed.
 func (s *State) countNode(instance *Instance, n int) {
 	if instance == nil || instance.Role != RoleNode || instance.State == Deleted {
 		return
@@ -115,18 +117,18 @@
 // ejections are the servers that nodes have ejected as outliers. A server is unavailable while more than half of the nodes
 // that send to its tier have ejected it.
 type ejections struct {
-	byNode   map[string][]string // UIDs of servers, ascending and without repetition, by the node's UID
-	byServer map[string]int      // how many nodes have ejected a server
+	byNode   map[string][]string // UIDs of servers, ascending and without duplicates, by the UID of the node
+	byServer map[string]int      // number of nodes that have ejected a server, by the UID of the server
 }
 
 func newEjections() ejections {
 	return ejections{byNode: map[string][]string{}, byServer: map[string]int{}}
 }
 
-// count returns how many nodes have ejected a server.
+// count returns the number of nodes that have ejected a server.
 func (e *ejections) count(server string) int { return e.byServer[server] }
 
-// set replaces what a node has ejected, and returns the servers that it had or has ejected.
+// set replaces the servers that a node has ejected. It returns those that the node had ejected before or has ejected now.
 func (e *ejections) set(node string, servers []string) (affected []string) {
 	before := e.byNode[node]
 	for _, uid := range before {
@@ -169,5 +171,5 @@
 	return Result{}
 }
 
-// sortedUIDs returns the keys of a map of instances in ascending order.
+// sortedUIDs returns the UIDs of a map of instances in ascending order.
 func sortedUIDs(instances map[string]*Instance) []string { return slices.Sorted(maps.Keys(instances)) }
--- a/internal/registry/state/units_test.go
+++ b/internal/registry/state/units_test.go
@@ -7,31 +7,31 @@
 
 // A server is unavailable while most of the nodes that send to its tier have ejected it.
 func TestServerEjectedByMajority(t *testing.T) {
-	s := site(2)
+	s := newStateWithUnits(2)
 	for i := range 3 {
 		s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: fmt.Sprint("n", i), Endpoint: "x:1", State: Serving, Role: RoleNode, Tier: "front", Kind: "web", Capacity: 1}})
 	}
 	eject := func(i int, servers ...string) {
 		uid := fmt.Sprint("n", i)
-		if a, _ := s.Apply(Op{Kind: OpReportEjected, UID: uid, Token: s.Get(uid).Token, Ejected: servers}); a.Code != "" {
-			t.Errorf("%+v", a)
+		if result, _ := s.Apply(Op{Kind: OpReportEjected, UID: uid, Token: s.Get(uid).Token, Ejected: servers}); result.Code != "" {
+			t.Errorf("report of ejected servers: %+v", result)
 		}
 	}
-	is := func(want bool, when string) {
+	checkEjected := func(want bool, when string) {
 		t.Helper()
 		if o := s.Budget().UnavailableUnits(); (len(o) == 1 && o[0].Unit == "s1" && o[0].Reason == "avoided") != want {
-			t.Errorf("%s: %+v", when, o)
+			t.Errorf("%s: unavailable units %+v", when, o)
 		}
 	}
 	eject(0, "s1", "s1")
-	is(false, "one of three")
+	checkEjected(false, "ejected by one of three nodes")
 	eject(1, "s1")
-	is(true, "two of three")
+	checkEjected(true, "ejected by two of three nodes")
 	eject(0)
-	is(false, "one again")
+	checkEjected(false, "ejected by one of three nodes again")
 	eject(2, "s1")
 	s.Apply(Op{Kind: OpRemove, UID: "n2", Token: 0})
-	is(false, "one of two, as the third has gone")
+	checkEjected(false, "ejected by one of two nodes after n2 was removed")
 	s.Apply(Op{Kind: OpRemove, UID: "n0", Token: 0})
-	is(true, "the one that is left")
+	checkEjected(true, "ejected by the only node")
 }
--- a/internal/registry/state/view.go
+++ b/internal/registry/state/view.go
@@ -7,8 +7,8 @@
 	"umberbank/internal/coordination/rollout"
 )
 
-// CoordinationView is what the registry's API tells of budgets, releases and versions as of one revision: all of it, or
-// what concerns one unit or node. It refers to the State and must be encoded before the next write.
+// CoordinationView is the registry API's view of budgets, releases and versions of settings at one revision, either of
+// everything or of one unit or node. It shares data with the State and must be encoded before the next write.
 type CoordinationView struct {
 	Revision     int64                        `json:"rev"`
 	Limits       *disruption.Limits           `json:"limits,omitempty"`
@@ -16,28 +16,28 @@
 	Unavailable  []disruption.UnavailableUnit `json:"outs,omitempty"`
 	Permits      []*disruption.Permit         `json:"permits"`
 	Records      []*Record                    `json:"records"`
-	Units        []*Instance                  `json:"units,omitempty"` // unreachable ones included
-	Leader       *Instance                    `json:"lead,omitempty"`  // the elected controller, if the caller has named its UID
-	Rollout      *rollout.State               `json:"book,omitempty"`  // nil: no node takes part
+	Units        []*Instance                  `json:"units,omitempty"` // including unreachable ones
+	Leader       *Instance                    `json:"lead,omitempty"`  // the elected controller; nil unless the caller names it
+	Rollout      *rollout.State               `json:"book,omitempty"`  // nil if it has no nodes
 	NodeSettings *NodeSettings                `json:"config,omitempty"`
 }
 
-// NodeSettings is what one node needs to know of the versions of its settings.
+// NodeSettings is the part of the rollout of settings that concerns one node.
 type NodeSettings struct {
 	Node    *rollout.Node   `json:"node"`
 	Target  VersionContent  `json:"told"`              // the version to run
-	Pending *VersionContent `json:"pending,omitempty"` // the version to check and acknowledge; nil: none
+	Pending *VersionContent `json:"pending,omitempty"` // the version to check and acknowledge; nil if there is none
 }
 
-// VersionContent is a version with its settings, which are nil where the node has them already.
+// VersionContent is a version with its settings. Settings is nil if the node already has them.
 type VersionContent struct {
 	Number   int64           `json:"number"`
 	Hash     string          `json:"hash"`
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// CoordinationView returns the view of everything, with the units only if they are asked for, and with the leader if
-// leaderUID names an instance.
+// CoordinationView returns the view of everything. It has the units only if units is set, and the leader if leaderUID names
+// an instance.
 func (s *State) CoordinationView(units bool, leaderUID string) CoordinationView {
 	v := CoordinationView{
 		Revision: s.revision, Limits: s.limits, Usages: s.budget.Usages(), Unavailable: s.budget.UnavailableUnits(),
@@ -64,8 +64,8 @@
 	return v
 }
 
-// NodeView returns the UnitView of a node with its settings. has are the numbers of the versions whose content the node
-// has.
+// NodeView returns the UnitView of a node with its settings. has contains the numbers of the versions whose content the node
+// already has.
 func (s *State) NodeView(uid string, has map[int64]bool) CoordinationView {
 	v := s.UnitView(uid)
 	node := s.rollout.Nodes[uid]
