--- a/internal/registry/replica/api.go
+++ b/internal/registry/replica/api.go
@@ -9,12 +9,12 @@
 	"umberbank/internal/registry/api"
 )
 
-// maxRequestBytes is the longest body of a call.
+// maxRequestBytes is the maximum length of a request body.
 const maxRequestBytes = 64 << 20
 
-var errRequestTooLong = errors.New("the request is too long")
+var errRequestTooLong = errors.New("request body is longer than 64 MiB")
 
-// handler serves the API.
+// handler returns the handler of the API.
 func (r *Replica) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathInstances, r.handleInstances)
@@ -29,33 +29,34 @@
 	return mux
 }
 
-// invalidRequestError is the caller's fault.
+// invalidRequestError is an error that the request itself has caused. reply sends it with status 400.
 type invalidRequestError struct{ err error }
 
-// Error is the text of the underlying error.
+// Error returns the text of the underlying error.
 func (e invalidRequestError) Error() string { return e.err.Error() }
 
 // Unwrap returns the underlying error.
 func (e invalidRequestError) Unwrap() error { return e.err }
 
-// emptyResponse is the body of an answer that has nothing to say.
+// emptyResponse is the body of a response without content.
 type emptyResponse struct{}
 
-// reply answers with JSON, or with an error: 400 for a bad request, 503 for one that may succeed if it is repeated.
+// reply writes v as JSON. If err is not nil, it writes an api.Error instead, with status 400 for an invalid request and 503
+// for a request that may succeed if it is repeated.
 func reply(w http.ResponseWriter, v any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		status := http.StatusServiceUnavailable
-		if bad := (invalidRequestError{}); errors.As(err, &bad) {
+		if invalidRequest := (invalidRequestError{}); errors.As(err, &invalidRequest) {
 			status = http.StatusBadRequest
 		}
 		w.WriteHeader(status)
 		v = api.Error{Error: err.Error()}
 	}
-	json.NewEncoder(w).Encode(v) //nolint:errcheck // a caller that has disconnected needs no answer
+	json.NewEncoder(w).Encode(v) //nolint:errcheck // a client that has disconnected needs no response
 }
 
-// readBody reads the body of a call.
+// readBody reads the body of a request. It returns errRequestTooLong if the body exceeds maxRequestBytes.
 func readBody(body io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(body, maxRequestBytes+1))
 	if err == nil && len(text) > maxRequestBytes {
--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// minRevisionTimeout is how long a call with at_least waits for the revision.
+	// minRevisionTimeout is how long a request with at_least waits for the revision.
 	minRevisionTimeout = 5 * time.Second
-	// maxPollWait and defaultPollWaitMS are how long a call with after waits for a change.
+	// maxPollWait and defaultPollWaitMS are the maximum and default times that a request with after waits for a change.
 	maxPollWait       = 10 * time.Second
 	defaultPollWaitMS = "1000"
-	// maxCoordinationStaleness is how stale a coordination view may be that a replica returns.
+	// maxCoordinationStaleness is the maximum staleness at which a replica returns a coordination view.
 	maxCoordinationStaleness = 2 * time.Second
-	// neverContacted is the staleness of a replica that has not heard from any leader.
+	// neverContacted is the staleness of a replica that has had no contact with any leader.
 	neverContacted = 24 * time.Hour
 )
 
@@ -34,7 +34,7 @@
 	errInvalidPollNumber = errors.New("after, wait_ms: no number")
 )
 
-// staleness is how long ago this replica heard from the leader; 0 on the leader itself.
+// staleness returns the time since this replica last had contact with the leader. It is zero on the leader itself.
 func (r *Replica) staleness() time.Duration {
 	if r.raft.State() == raft.Leader {
 		return 0
@@ -70,7 +70,7 @@
 	reply(w, status, nil)
 }
 
-// countSuspects is how many instances have an expired lease that is not believed.
+// countSuspects returns the number of instances that stay as suspects although their leases have expired.
 func countSuspects(s *state.State) int {
 	n := 0
 	for _, e := range s.Instances() {
@@ -86,20 +86,20 @@
 	reply(w, json.RawMessage(text), err)
 }
 
-// handleInstances returns the full list, or a watch with follow=1 from since=REV on. at_least=REV waits until the replica
-// has that revision; consistent=1 reads what was committed when the call came. Else the list may be as stale as its header
-// says.
-func (r *Replica) handleInstances(w http.ResponseWriter, q *http.Request) {
-	query := q.URL.Query()
-	since, minRevision, err := instancesParameters(query)
+// handleInstances returns the full list, or with follow=1 a watch that starts at since=REV. at_least=REV waits until the
+// replica has that revision. consistent=1 returns what was committed when the request arrived; without it the list may be as
+// stale as the staleness header says.
+func (r *Replica) handleInstances(w http.ResponseWriter, req *http.Request) {
+	query := req.URL.Query()
+	since, minRevision, err := parseRevisions(query)
 	if err != nil {
 		reply(w, nil, invalidRequestError{err})
 		return
 	}
-	if query.Get("consistent") != "" && !r.ensureConsistent(w, q) {
+	if query.Get("consistent") != "" && !r.ensureConsistent(w, req) {
 		return
 	}
-	if minRevision > 0 && !r.waitForRevision(q, minRevision, minRevisionTimeout) {
+	if minRevision > 0 && !r.waitForRevision(req, minRevision, minRevisionTimeout) {
 		reply(w, nil, errBehind)
 		return
 	}
@@ -118,8 +118,8 @@
 	w.Write(text)
 }
 
-// instancesParameters are the revisions of a call; 0 where it names none.
-func instancesParameters(query url.Values) (since, minRevision int64, err error) {
+// parseRevisions returns the revisions in a query. A revision that is not given is zero.
+func parseRevisions(query url.Values) (since, minRevision int64, err error) {
 	for _, p := range []struct {
 		name string
 		to   *int64
@@ -135,12 +135,13 @@
 	return since, minRevision, nil
 }
 
-// handleCoordination returns the coordination view. after=REV waits until there is a later revision, or wait_ms are over;
-// unit=UID returns that unit and its permit alone, node=UID what settings that node is to run, without the contents of
-// versions that it has (has=N,M); units=1 returns all units, lead=UID that controller; consistent=1 is as for instances.
-func (r *Replica) handleCoordination(w http.ResponseWriter, q *http.Request) {
-	query := q.URL.Query()
-	if query.Get("consistent") != "" && !r.ensureConsistent(w, q) {
+// handleCoordination returns the coordination view. after=REV waits for a later revision, for wait_ms at most. unit=UID
+// returns only that unit and its permit. node=UID returns the settings that the node should run, without the contents of the
+// versions that it already has (has=N,M). units=1 adds all units, and lead=UID adds that controller. consistent=1 has the
+// same meaning as in handleInstances.
+func (r *Replica) handleCoordination(w http.ResponseWriter, req *http.Request) {
+	query := req.URL.Query()
+	if query.Get("consistent") != "" && !r.ensureConsistent(w, req) {
 		return
 	}
 	if text := query.Get("after"); text != "" {
@@ -150,7 +151,7 @@
 			reply(w, nil, invalidRequestError{errInvalidPollNumber})
 			return
 		}
-		r.waitForRevision(q, after+1, min(time.Duration(ms)*time.Millisecond, maxPollWait))
+		r.waitForRevision(req, after+1, min(time.Duration(ms)*time.Millisecond, maxPollWait))
 	}
 	if r.staleness() > maxCoordinationStaleness {
 		reply(w, nil, errLeaderLost)
@@ -161,11 +162,11 @@
 	reply(w, json.RawMessage(text), err)
 }
 
-// encodeCoordination encodes the part of the coordination view that a call is for. That is done under the state's lock, as
-// much of it changes in place.
+// encodeCoordination encodes the part of the coordination view that a query selects. It encodes under the lock of the state,
+// because much of the view changes in place.
 func (r *Replica) encodeCoordination(query url.Values) (text []byte, revision int64, err error) {
 	unit, node := query.Get("unit"), query.Get("node")
-	known := knownVersions(query.Get("has"))
+	known := parseVersionNumbers(query.Get("has"))
 	r.fsm.read(func(s *state.State) {
 		var view state.CoordinationView
 		switch {
@@ -182,8 +183,8 @@
 	return text, revision, err
 }
 
-// knownVersions are the numbers of versions whose contents a node has.
-func knownVersions(list string) map[int64]bool {
+// parseVersionNumbers parses a comma-separated list of version numbers. It ignores what is not a number.
+func parseVersionNumbers(list string) map[int64]bool {
 	known := map[int64]bool{}
 	for text := range strings.SplitSeq(list, ",") {
 		if n, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -193,11 +194,11 @@
 	return known
 }
 
-// ensureConsistent waits until this replica has all that was committed when the call came; false: the call was answered,
-// by the leader or with an error.
-func (r *Replica) ensureConsistent(w http.ResponseWriter, q *http.Request) bool {
+// ensureConsistent waits until this replica has everything that was committed when the request arrived. It returns false if
+// the response has been sent, either that of the leader or an error.
+func (r *Replica) ensureConsistent(w http.ResponseWriter, req *http.Request) bool {
 	if r.raft.State() != raft.Leader {
-		r.forwardToLeader(w, q, nil)
+		r.forwardToLeader(w, req, nil)
 		return false
 	}
 	if err := r.catchUp(); err != nil {
@@ -207,8 +208,8 @@
 	return true
 }
 
-// waitForRevision waits until this replica has a revision; false: that took too long, or the caller disconnected.
-func (r *Replica) waitForRevision(q *http.Request, revision int64, timeout time.Duration) bool {
+// waitForRevision waits until this replica has a revision. It returns false after the timeout, or if the client disconnects.
+func (r *Replica) waitForRevision(req *http.Request, revision int64, timeout time.Duration) bool {
 	expired := time.After(timeout)
 	for {
 		current, next := r.fsm.events.current()
@@ -219,7 +220,7 @@
 		case <-next:
 		case <-expired:
 			return false
-		case <-q.Context().Done():
+		case <-req.Context().Done():
 			return false
 		}
 	}
--- a/internal/registry/replica/api_write.go
+++ b/internal/registry/replica/api_write.go
@@ -12,7 +12,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// maxOpsPerWrite is how many writes one call may have.
+// maxOpsPerWrite is the maximum number of ops in one write request.
 const maxOpsPerWrite = 10_000
 
 var (
@@ -20,7 +20,7 @@
 	errNoPeer  = errors.New("want add (id, raft, address) or remove (id)")
 )
 
-// handleWrite carries writes out, in their order.
+// handleWrite applies the ops of a request in their order.
 func (r *Replica) handleWrite(_ context.Context, body []byte) (any, error) {
 	var c api.WriteRequest
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -42,7 +42,6 @@
 	return emptyResponse{}, err
 }
 
-// handleRenew renews leases.
 func (r *Replica) handleRenew(ctx context.Context, body []byte) (any, error) {
 	var c api.RenewRequest
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -52,7 +51,7 @@
 	return api.RenewResponse{Unknown: unknown}, err
 }
 
-// membersRequest is the body of a call that changes the members.
+// membersRequest is the body of a request to add or remove a replica.
 type membersRequest struct {
 	Add    *Peer  `json:"add"`
 	Remove string `json:"remove"`
@@ -74,7 +73,7 @@
 }
 
 func (r *Replica) addMember(p *Peer) error {
-	if err := r.raft.AddVoter(raft.ServerID(p.ID), raft.ServerAddress(p.RaftAddress), 0, callTimeout).Error(); err != nil {
+	if err := r.raft.AddVoter(raft.ServerID(p.ID), raft.ServerAddress(p.RaftAddress), 0, requestTimeout).Error(); err != nil {
 		return err
 	}
 	_, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: p.ID, Address: p.ClientAddress}}})
@@ -85,22 +84,23 @@
 	if _, err := r.write(command{Ops: []state.Op{{Kind: state.OpSetMember, UID: id}}}); err != nil {
 		return err
 	}
-	return r.raft.RemoveServer(raft.ServerID(id), 0, callTimeout).Error()
+	return r.raft.RemoveServer(raft.ServerID(id), 0, requestTimeout).Error()
 }
 
-// onLeader carries a call out if this replica leads, and else forwards it to the leader.
+// onLeader returns a handler that calls do with the body of the request if this replica leads, and otherwise forwards the
+// request to the leader.
 func (r *Replica) onLeader(do func(ctx context.Context, body []byte) (any, error)) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		body, err := readBody(q.Body)
+	return func(w http.ResponseWriter, req *http.Request) {
+		body, err := readBody(req.Body)
 		if err != nil {
 			reply(w, nil, invalidRequestError{err})
 			return
 		}
 		if r.raft.State() != raft.Leader {
-			r.forwardToLeader(w, q, body)
+			r.forwardToLeader(w, req, body)
 			return
 		}
-		v, err := do(q.Context(), body)
+		v, err := do(req.Context(), body)
 		reply(w, v, err)
 	}
 }
--- a/internal/registry/replica/broadcaster.go
+++ b/internal/registry/replica/broadcaster.go
@@ -8,29 +8,30 @@
 	"umberbank/internal/registry/state"
 )
 
-// Bounds of what a broadcaster keeps for watches to resume from.
+// Bounds of the history that a broadcaster keeps for watches to resume from.
 const (
 	maxHistoryInstances = 20_000 // changed instances
-	maxEventsBehind     = 64     // a watch that is further behind gets one event with the latest state of what it missed
+	maxEventsBehind     = 64     // a watch that is further behind gets one event with the latest states
 )
 
-// eventBatch is a change, or several that were applied together, encoded once for all watches.
+// eventBatch is a change, or several changes that were applied together, encoded once for all watches.
 type eventBatch struct {
-	from, to int64 // revisions that it leads from and to
+	from, to int64 // revisions before and after the changes
 	frame    []byte
 	changed  []*state.Instance
 }
 
-// broadcaster hands changes to any number of watches. Each holds only its revision; nothing is kept for it, so a slow one
-// costs nothing and delays nobody. Its methods may be called from any goroutine, publish and reset from one at a time.
+// broadcaster distributes changes to any number of watches. A watch holds only its revision and the broadcaster keeps nothing
+// per watch, so a slow watch costs nothing and does not delay others. Its methods may be called from any goroutine, but publish
+// and reset from only one at a time.
 type broadcaster struct {
 	mu       checkedsync.Mutex
 	revision int64
-	batches  []eventBatch  // the newest last, without gaps
-	history  int           // changed instances in batches
+	batches  []eventBatch  // oldest first, without gaps
+	history  int           // number of changed instances in batches
 	next     chan struct{} // closed at the next revision
 
-	fullList         []byte // encoded, of fullListRevision
+	fullList         []byte // encoded full list at fullListRevision; nil until the first request
 	fullListRevision int64
 }
 
@@ -38,7 +39,7 @@
 	return &broadcaster{revision: revision, next: make(chan struct{})}
 }
 
-// publish adds a change that leads to a revision.
+// publish adds the changes that lead to a revision.
 func (b *broadcaster) publish(revision int64, changed []*state.Instance) error {
 	text, err := encodeEvent(api.WatchEvent{Revision: revision, Instances: changed})
 	if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// reset forgets all changes: watches must take the full list.
+// reset drops all changes, so that watches must fetch the full list.
 func (b *broadcaster) reset(revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +66,7 @@
 	b.advance(revision)
 }
 
-// advance wakes all watches at a new revision. b.mu is held.
+// advance sets a new revision and wakes all watches. b.mu must be held.
 func (b *broadcaster) advance(revision int64) {
 	b.revision = revision
 	close(b.next)
@@ -79,15 +80,15 @@
 	return b.revision, b.next
 }
 
-// missedEvents is what a watch at some revision has not been sent.
+// missedEvents is what has not been sent yet to a watch at some revision.
 type missedEvents struct {
-	frames   [][]byte        // in their order
-	revision int64           // that they lead to
-	fullList bool            // the watch must take the full list instead
+	frames   [][]byte        // in order
+	revision int64           // after the frames
+	fullList bool            // the watch must get the full list instead
 	next     <-chan struct{} // closed at the next revision
 }
 
-// eventsSince returns what a watch that holds a revision has missed.
+// eventsSince returns what a watch at a revision has missed.
 func (b *broadcaster) eventsSince(revision int64) (missedEvents, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,8 +112,8 @@
 	return missed, nil
 }
 
-// batchFrom is the index of the batch that leads on from a revision; -1 if it fell out of the history, or the revision is
-// of another epoch. b.mu is held.
+// batchFrom returns the index of the first batch that starts at a revision. It returns -1 if the history no longer has that
+// batch, or if the revision is of another epoch. b.mu must be held.
 func (b *broadcaster) batchFrom(revision int64) int {
 	found := -1
 	for i := len(b.batches) - 1; i >= 0 && b.batches[i].from >= revision; i-- {
@@ -123,7 +124,8 @@
 	return found
 }
 
-// instancesSince returns the instances that have changed since a revision; ok is false if not all are known.
+// instancesSince returns the instances that have changed since a revision. ok is false if the history does not have all of
+// them.
 func (b *broadcaster) instancesSince(since int64) (revision int64, next <-chan struct{}, changed []*state.Instance, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -139,8 +141,8 @@
 	return b.revision, b.next, changed, ok
 }
 
-// encodedList returns the encoded full list and its revision. It is encoded once for each revision that is asked for; list
-// returns the instances and their revision.
+// encodedList returns the encoded full list and its revision. It caches the list, so that it is encoded only once for each
+// requested revision. list returns the instances and their revision.
 func (b *broadcaster) encodedList(list func() (int64, []*state.Instance)) ([]byte, int64, error) {
 	b.mu.Lock()
 	text, revision, now := b.fullList, b.fullListRevision, b.revision
@@ -161,9 +163,9 @@
 	return text, revision, nil
 }
 
-// encodeEvent encodes an event as a line. Instances with a role are no servers and stay out of it.
+// encodeEvent encodes an event as a line of JSON. It omits instances with a role, which are not servers.
 func encodeEvent(e api.WatchEvent) ([]byte, error) {
-	servers := []*state.Instance{} // encoded as [], which readers tell from a missing list
+	servers := []*state.Instance{} // not nil, so that it is encoded as [], which readers distinguish from a missing list
 	for _, instance := range e.Instances {
 		if instance.Role == "" {
 			servers = append(servers, instance)
@@ -174,7 +176,7 @@
 	return append(text, '\n'), err
 }
 
-// mergeBatches encodes the latest state of all that several batches have changed as one event.
+// mergeBatches encodes one event with the latest state of each instance that the batches have changed.
 func mergeBatches(revision int64, batches []eventBatch) ([]byte, error) {
 	index := map[string]int{}
 	var latest []*state.Instance
--- a/internal/registry/replica/broadcaster_test.go
+++ b/internal/registry/replica/broadcaster_test.go
@@ -17,8 +17,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// Whatever revision a watch holds, and however many events it missed, it comes to what the state holds: by the events since,
-// by one event with the latest of each entry, or by the full list.
+// A watch catches up with the state from any revision, however many events it has missed: by the events since then, by one
+// event with the latest state of each instance, or by the full list.
 func TestBroadcaster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
@@ -61,11 +61,11 @@
 			}
 			r.rev = missed.revision
 			if r.rev != s.Revision() || len(r.held) != s.Len() {
-				t.Fatalf("holds %d entries at %d, the state %d at %d", len(r.held), r.rev, s.Len(), s.Revision())
+				t.Fatalf("reader has %d instances at revision %d, state has %d at %d", len(r.held), r.rev, s.Len(), s.Revision())
 			}
 			for uid, e := range r.held {
 				if !reflect.DeepEqual(e, s.Get(uid)) {
-					t.Fatalf("%s differs", uid)
+					t.Fatalf("%s of the reader differs from the state", uid)
 				}
 			}
 		}
@@ -95,7 +95,8 @@
 	})
 }
 
-// What a change costs a replica, from the log to the event that all watches send: it does not grow with the list.
+// BenchmarkChange measures the cost of a change on a replica, from the log entry to the event that all watches send. The cost
+// should not grow with the list.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -105,8 +106,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if a := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult); a.err != nil || a.results[0].Code != "" {
-					b.Fatalf("%+v", a)
+				if result := f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult); result.err != nil || result.results[0].Code != "" {
+					b.Fatalf("%+v", result)
 				}
 			}
 			for i := range n {
--- a/internal/registry/replica/compat_test.go
+++ b/internal/registry/replica/compat_test.go
@@ -24,19 +24,19 @@
 	"umberbank/internal/registry/golden"
 )
 
-// step is one call of the registry's API. In path and body "@7" stands for the seventh revision of the first epoch,
+// apiRequest is a request to the registry's API. In path and body "@7" stands for the seventh revision of the first epoch,
 // HASH1 and HASH2 for the hashes of the two versions of settings, and RAFT and ADDRESS for the replica's own addresses.
-type step struct{ method, path, body string }
+type apiRequest struct{ method, path, body string }
 
-// Settings of two versions, as nodes get them.
+// Settings of two versions, in the form that nodes get.
 const (
 	settings1 = `{"lanes":[{"name":"read"}]}`
 	settings2 = `{"lanes":[{"name":"read"},{"name":"write"}]}`
 )
 
-// history builds a registry with servers, a controller, nodes, limits, permits, a halted release, a version of settings
-// in force, one under way, and a server that cannot be reached. Each line is one call; what it answers is pinned too.
-var history = []step{
+// setupRequests build a registry with servers, a controller, nodes, limits, permits, a halted release, a committed version of
+// settings, a pending one, and an unreachable server. The response to each request is pinned too.
+var setupRequests = []apiRequest{
 	{"POST", "/registry/write", `{"ops":[` +
 		`{"kind":"register","id":"w1","entry":{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1,"boot_ms":1,"tier":"web","region":"north","version":"v1","ttl_ms":3600000}},` +
 		`{"kind":"register","id":"w2","entry":{"uid":"s1","endpoint":"10.0.0.2:3000","az":"a","model":"m5","pod_group":2,"state":"SERVING","capacity_hint":1,"boot_ms":1,"tier":"web","region":"north","version":"v1","ttl_ms":3600000}},` +
@@ -50,7 +50,7 @@
 	{"POST", "/registry/write", `{"ops":[{"kind":"permit","id":"w11","uid":"s1","start":@2,"holder":"c0","plan":"q","to":"v2"}]}`},
 	{"POST", "/registry/write", `{"ops":[{"kind":"put","id":"w12","key":"plan/q","value":{"name":"q","bake_ms":0,"back_within_ms":1000,"stages":[[{"unit":"s1","from":"v1","to":"v2"}]]}},` +
 		`{"kind":"put","id":"w13","key":"release/q","value":{"stage":0,"asked":["s1"]}},{"kind":"put","id":"w14","key":"halt/q","value":{"why":"by staff"},"if_mod":-1}]}`},
-	// From here on the entries are in the log alone where a snapshot was taken before.
+	// In a data directory whose snapshot was taken before this point, the entries from here on are only in the log.
 	{"POST", "/registry/write", `{"ops":[{"kind":"report","id":"w15","uid":"n0","token":@5},{"kind":"report","id":"w16","uid":"n1","token":@6}]}`},
 	{"POST", "/registry/write", `{"ops":[{"kind":"propose","id":"w17","value":` + settings1 + `,"stages":[1]},` +
 		`{"kind":"ack","id":"w18","uid":"n0","token":@5,"number":1,"hash":"HASH1"},{"kind":"ack","id":"w19","uid":"n1","token":@6,"number":1,"hash":"HASH1"},` +
@@ -62,9 +62,9 @@
 		`{"kind":"suspect","id":"w27","uid":"s3","token":@8,"wall_ms":1764720000000},{"kind":"update","id":"w28","uid":"s1","token":@2,"capacity":2}]}`},
 }
 
-// refusals are writes that change nothing, by fault.
-var refusals = []step{
-	{"POST", "/registry/write", `{"ops":[{"kind":"update","id":"w1","uid":"s0","state":"DRAINING"}]}`}, // a repeated id gets the first answer
+// rejectedWrites are writes that change nothing, one or more for each fault.
+var rejectedWrites = []apiRequest{
+	{"POST", "/registry/write", `{"ops":[{"kind":"update","id":"w1","uid":"s0","state":"DRAINING"}]}`}, // a repeated ID gets the first result
 	{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","token":5,"state":"DRAINING"}]}`},
 	{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","if_mod":@1,"capacity":3}]}`},
 	{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","state":"SERVING"}]}`},
@@ -77,8 +77,8 @@
 	{"POST", "/registry/write", `{"ops":[{"kind":"put","key":"halt/q","value":{},"if_mod":-1}]}`},
 }
 
-// reads are calls that show all that a registry holds.
-var reads = []step{
+// readRequests read everything that a registry holds.
+var readRequests = []apiRequest{
 	{"GET", "/registry/instances", ""},
 	{"GET", "/registry/instances?at_least=@5", ""},
 	{"GET", "/registry/instances?consistent=1", ""},
@@ -93,8 +93,8 @@
 	{"GET", "/registry/backup", ""},
 }
 
-// badCalls are calls that are the caller's fault, and those that renew leases or change members.
-var badCalls = []step{
+// otherRequests renew leases, change the members, or are invalid.
+var otherRequests = []apiRequest{
 	{"POST", "/registry/renew", `{"leases":[{"uid":"s0","token":@1},{"uid":"s0","token":5},{"uid":"none","token":1}]}`},
 	{"POST", "/registry/renew", `{"leases":[{"uid":"s0","token":@1}]}`},
 	{"POST", "/registry/renew", `{`},
@@ -123,8 +123,8 @@
 
 var revisionPlaceholder = regexp.MustCompile(`@(\d+)`)
 
-// played replaces the placeholders of a step.
-func played(r *Replica, raftAddress, text string) string {
+// expandPlaceholders replaces the placeholders of an apiRequest.
+func expandPlaceholders(r *Replica, raftAddress, text string) string {
 	text = revisionPlaceholder.ReplaceAllStringFunc(text, func(m string) string {
 		n, err := strconv.ParseInt(m[1:], 10, 64)
 		if err != nil {
@@ -135,11 +135,11 @@
 	return strings.NewReplacer("HASH1", hashOf(settings1), "HASH2", hashOf(settings2), "RAFT", raftAddress, "ADDRESS", r.Addr()).Replace(text)
 }
 
-// termPattern finds raft's term in a status.
+// termPattern matches the term of raft in a status.
 var termPattern = regexp.MustCompile(`"term":"\d+"`)
 
-// play makes the calls in order and writes down what is sent and answered, with volatile values replaced.
-func play(t *testing.T, r *Replica, steps ...step) []byte {
+// transcript sends requests in order and returns a record of requests and responses, with volatile values replaced.
+func transcript(t *testing.T, r *Replica, requests ...apiRequest) []byte {
 	t.Helper()
 	_, id := r.raft.LeaderWithID()
 	raftAddress := ""
@@ -149,9 +149,9 @@
 		}
 	}
 	var out bytes.Buffer
-	for _, s := range steps {
-		ctx, cancel := context.WithTimeout(t.Context(), limit)
-		req, err := http.NewRequestWithContext(ctx, s.method, "http://"+r.Addr()+played(r, raftAddress, s.path), strings.NewReader(played(r, raftAddress, s.body)))
+	for _, request := range requests {
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+		req, err := http.NewRequestWithContext(ctx, request.method, "http://"+r.Addr()+expandPlaceholders(r, raftAddress, request.path), strings.NewReader(expandPlaceholders(r, raftAddress, request.body)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,7 +165,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, ">> %s %s\n%s\n<< %d\n", s.method, s.path, s.body, resp.StatusCode)
+		fmt.Fprintf(&out, ">> %s %s\n%s\n<< %d\n", request.method, request.path, request.body, resp.StatusCode)
 		writeHeaders(&out, resp.Header)
 		text := strings.NewReplacer(r.Addr(), "ADDRESS", raftAddress, "RAFT").Replace(string(body))
 		fmt.Fprintf(&out, "%s\n", strings.TrimSuffix(termPattern.ReplaceAllString(text, `"term":"TERM"`), "\n"))
@@ -173,7 +173,7 @@
 	return out.Bytes()
 }
 
-// writeHeaders writes headers in order, less those that differ from call to call.
+// writeHeaders writes headers in sorted order, without those that differ between responses.
 func writeHeaders(out *bytes.Buffer, h http.Header) {
 	var lines []string
 	for name, values := range h {
@@ -190,16 +190,16 @@
 	}
 }
 
-// Every path of the API keeps its bodies, headers, status codes and error texts.
+// All paths of the API keep their bodies, headers, status codes and error texts.
 func TestAPIGolden(t *testing.T) {
-	r := opened(t, t.TempDir())
-	golden.Check(t, "api.golden", slices.Concat(play(t, r, history...), play(t, r, refusals...), play(t, r, reads...), play(t, r, badCalls...)))
+	r := startLeader(t, t.TempDir())
+	golden.Check(t, "api.golden", slices.Concat(transcript(t, r, setupRequests...), transcript(t, r, rejectedWrites...), transcript(t, r, readRequests...), transcript(t, r, otherRequests...)))
 }
 
-// Entries of the log keep their form, which replicas of other versions read while a cluster is upgraded.
+// Log entries keep their encoding, because replicas of other versions read them during an upgrade of the cluster.
 func TestLogEntriesGolden(t *testing.T) {
-	r := opened(t, t.TempDir())
-	play(t, r, history...)
+	r := startLeader(t, t.TempDir())
+	transcript(t, r, setupRequests...)
 	var out bytes.Buffer
 	last, err := r.logStore.LastIndex()
 	if err != nil {
@@ -218,19 +218,19 @@
 	golden.Check(t, "log.golden", out.Bytes())
 }
 
-// A folder that an earlier version wrote, with a snapshot and a log that goes on from it, gives all that it held.
-func TestStoredFolder(t *testing.T) {
-	r := opened(t, golden.CopyDir(t, "folder"))
-	golden.Check(t, "folder.golden", play(t, r, reads...))
+// A data directory that an earlier version wrote, with a snapshot and later log entries, is read completely.
+func TestStoredDataDir(t *testing.T) {
+	r := startLeader(t, golden.CopyDir(t, "folder"))
+	golden.Check(t, "folder.golden", transcript(t, r, readRequests...))
 }
 
-// So does a backup, once it is restored.
+// A backup that an earlier version wrote is restored completely.
 func TestStoredBackup(t *testing.T) {
 	backup, err := os.ReadFile(filepath.Join("testdata", "backup.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := opened(t, t.TempDir())
+	r := startLeader(t, t.TempDir())
 	resp, err := http.Post("http://"+r.Addr()+"/registry/restore", "application/json", bytes.NewReader(backup))
 	if err != nil {
 		t.Fatal(err)
@@ -239,19 +239,20 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.Status)
 	}
-	golden.Check(t, "backup.golden", play(t, r, reads...))
+	golden.Check(t, "backup.golden", transcript(t, r, readRequests...))
 }
 
-// A watch keeps its bytes: the head of the answer, the whole list, a change, one without an entry, and a heartbeat.
+// The bytes of a watch stay the same: the head of the response, the full list, a change, an event without instances, and a
+// heartbeat.
 func TestWatchGolden(t *testing.T) {
-	r := opened(t, t.TempDir())
-	play(t, r, history[0])
+	r := startLeader(t, t.TempDir())
+	transcript(t, r, setupRequests[0])
 	conn, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(limit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(conn, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: r\r\n\r\n")
@@ -269,25 +270,25 @@
 	}
 	readUntil(`"mod":1099511627779`)
 	if !bytes.Contains(got.Bytes(), []byte(`"all":true`)) {
-		t.Fatalf("no whole list: %q", got.String())
+		t.Fatalf("no full list: %q", got.String())
 	}
-	play(t, r, step{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","state":"DRAINING"},{"kind":"remove","uid":"s1"}]}`})
+	transcript(t, r, apiRequest{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","state":"DRAINING"},{"kind":"remove","uid":"s1"}]}`})
 	readUntil(`"DELETED"`)
-	play(t, r, step{"POST", "/registry/write", `{"ops":[{"kind":"put","key":"k","value":1}]}`})
+	transcript(t, r, apiRequest{"POST", "/registry/write", `{"ops":[{"kind":"put","key":"k","value":1}]}`})
 	readUntil(`"targets":[]`)
 	const heartbeat = "1\r\n\n\r\n"
 	readUntil("\n" + heartbeat)
-	// Heartbeats come by the clock, between any two changes.
+	// Heartbeats are sent at intervals and may come between any two events, so all but one are removed.
 	golden.Check(t, "watch.golden", append(bytes.ReplaceAll(got.Bytes(), []byte("\n"+heartbeat), []byte("\n")), heartbeat...))
 }
 
-// A peer keeps the names of its fields in a call that changes the members.
+// The JSON names of a peer in a request that changes the members stay the same.
 func TestPeerJSON(t *testing.T) {
 	text, err := json.Marshal(Peer{ID: "r1", RaftAddress: "a:1", ClientAddress: "a:2", DialAddress: "a:3"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := `{"ID":"r1","Raft":"a:1","Address":"a:2","Via":"a:3"}`; string(text) != want {
-		t.Errorf("%s, want %s", text, want)
+		t.Errorf("got %s, want %s", text, want)
 	}
 }
--- a/internal/registry/replica/config.go
+++ b/internal/registry/replica/config.go
@@ -9,12 +9,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// Peer is a replica of a new cluster. Its JSON names are those of the call that changes the members.
+// Peer is a replica of the cluster. Its JSON names are those in a request to api.PathMembers.
 type Peer struct {
 	ID            string `toml:"id" json:"ID"`
-	RaftAddress   string `toml:"raft" json:"Raft"`       // host:port that the other replicas call
-	ClientAddress string `toml:"address" json:"Address"` // host:port that writers and watchers call
-	DialAddress   string `toml:"via" json:"Via"`         // where this replica calls the peer if not at RaftAddress
+	RaftAddress   string `toml:"raft" json:"Raft"`       // host:port where the other replicas connect
+	ClientAddress string `toml:"address" json:"Address"` // host:port where writers and watchers connect
+	DialAddress   string `toml:"via" json:"Via"`         // host:port where this replica dials the peer; empty for RaftAddress
 }
 
 // Config is the configuration of a replica.
@@ -23,18 +23,18 @@
 	DataDir       string
 	RaftAddress   string // host:port to listen on for the other replicas
 	ClientAddress string // host:port to listen on for writers and watchers
-	// Peers are the replicas that a new cluster begins with, this one included. Without any, the replica waits until a
-	// cluster adds it.
+	// Peers are the initial replicas of a new cluster, including this one. If empty, the replica waits until it is added to
+	// a cluster.
 	Peers []Peer
 	Guard ExpiryGuard
-	// Tick is the unit of raft's times; 0 is 100 ms. An election takes five to ten.
+	// Tick is the unit of the times of raft; zero means 100 ms. An election takes five to ten ticks.
 	Tick time.Duration
-	// SnapshotThreshold is after how many entries of the log a snapshot is taken; 0 is 8,192.
+	// SnapshotThreshold is the number of log entries after which a snapshot is taken; zero means 8,192.
 	SnapshotThreshold uint64
-	// SyncDelayFile is for tests with slow disks: each sync of the log first waits for the duration that the file holds.
-	// Without a file it does not wait.
+	// SyncDelayFile simulates a slow disk in tests: before each sync of the log the replica waits for the duration that the
+	// file contains. If empty, or if the file does not exist, there is no delay.
 	SyncDelayFile string
-	Logger        *slog.Logger // nil discards
+	Logger        *slog.Logger // nil discards all messages
 }
 
 const (
@@ -54,13 +54,13 @@
 	}
 }
 
-// ServerAddr returns the address to call a replica at. Raft asks for it before each connection, and takes the address that
-// it has itself after an error.
+// ServerAddr returns the address at which to connect to a replica. Raft calls it before each connection, and after an error
+// uses the address of its own configuration.
 func (c *Config) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	for _, p := range c.Peers {
 		if p.ID == string(id) {
 			return raft.ServerAddress(cmp.Or(p.DialAddress, p.RaftAddress)), nil
 		}
 	}
-	return "", fmt.Errorf("no other address of %s", id)
+	return "", fmt.Errorf("no address is configured for replica %s", id)
 }
--- a/internal/registry/replica/configfile.go
+++ b/internal/registry/replica/configfile.go
@@ -31,9 +31,9 @@
 	} `toml:"guard"`
 }
 
-// ReadConfig reads the configuration file of a replica. Without a path it returns the built-in configuration, which is a
-// registry of one replica. Keys that a file leaves out are as in the built-in one, except the peers. An error names the
-// file, the key and the reason.
+// ReadConfig reads the configuration file of a replica. If path is empty, it returns the built-in configuration, which is
+// that of a registry with one replica. Keys that a file omits have the values of the built-in configuration, except for the
+// peers. An error names the file, the key and the reason.
 func ReadConfig(path string) (Config, error) {
 	text, name := builtInConfig, "registry.toml (built in)"
 	if path != "" {
@@ -56,7 +56,7 @@
 	return f.config(name)
 }
 
-// config checks the file's values. name is for errors.
+// config validates the values and returns them as a Config. name is the name of the file in errors.
 func (f *configFile) config(name string) (Config, error) {
 	c := Config{
 		ID: f.ID, DataDir: f.DataDir, RaftAddress: f.RaftAddress, ClientAddress: f.ClientAddress,
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// invalid is the error of a key of a configuration file.
+// invalid returns the error for a key of a configuration file.
 func invalid(file, key, reason string, args ...any) error {
 	return &stricttoml.Error{File: file, Key: key, Reason: fmt.Sprintf(reason, args...)}
 }
--- a/internal/registry/replica/configfile_test.go
+++ b/internal/registry/replica/configfile_test.go
@@ -12,12 +12,12 @@
 	"umberbank/internal/registry/golden"
 )
 
-// goFieldPattern finds a field of a Go type in the error of a value of the wrong type; its name is no part of the form.
+// goFieldPattern matches the Go field in the error for a value of the wrong type. The name of the field may change.
 var goFieldPattern = regexp.MustCompile("struct field .* of type")
 
-// The configuration file keeps its keys, and what it says to bad values.
+// The configuration file keeps its keys and its errors for invalid values.
 func TestConfigKeysGolden(t *testing.T) {
-	const whole = `id = "r1"
+	const fullConfig = `id = "r1"
 dir = "data"
 raft = "10.0.0.1:7401"
 address = "10.0.0.1:7400"
@@ -58,18 +58,18 @@
 		t.Fatal(err)
 	}
 	writeConfig(&out, builtIn)
-	read(whole)
+	read(fullConfig)
 	read("id = \"r0\"\n")
 	for _, c := range [][2]string{{`id = "r1"` + "\ndir", `id = ""` + "\ndir"}, {`"data"`, `""`}, {`"10.0.0.1:7401"`, `"x"`}, {`"10.0.0.1:7400"`, `"x"`}, {`"50ms"`, `"5"`}, {`"50ms"`, `"-1s"`},
 		{"0.4", "0.0"}, {"0.4", "1.5"}, {"6", "0"}, {`"4s"`, `"4"`}, {`"16s"`, `""`}, {`id = "r2"`, `id = ""`}, {"[[peer]]\nid = \"r1\"", "[[peer]]\nid = \"r3\""},
 		{"tick", "tack"}, {"[guard]\nshare", "[guard]\nchair"}, {"via", "vai"}, {"least = 6", `least = "six"`}, {"[guard]", "[guard"}} {
 		fmt.Fprintf(&out, "%q -> %q: ", c[0], c[1])
-		read(strings.Replace(whole, c[0], c[1], 1))
+		read(strings.Replace(fullConfig, c[0], c[1], 1))
 	}
 	golden.Check(t, "config.golden", out.Bytes())
 }
 
-// writeConfig writes what a configuration says, value by value.
+// writeConfig writes the values of a configuration.
 func writeConfig(out *bytes.Buffer, c Config) {
 	fmt.Fprintf(out, "%s %s %s %s %v %d %q\n", c.ID, c.DataDir, c.RaftAddress, c.ClientAddress, c.Tick, c.SnapshotThreshold, c.SyncDelayFile)
 	fmt.Fprintf(out, "%v %d %v %v\n", c.Guard.MaxZoneFraction, c.Guard.MinExpired, c.Guard.Window, c.Guard.ConfirmAfter)
--- a/internal/registry/replica/datadir.go
+++ b/internal/registry/replica/datadir.go
@@ -7,15 +7,15 @@
 	"path/filepath"
 )
 
-// Files of a replica's data folder. Beside them raft keeps its snapshots in a folder of its own.
+// Files in the data directory of a replica. Raft keeps its snapshots in a subdirectory.
 const (
 	logFile = "log.db"
-	// logMarkerFile says that the folder's log was created.
+	// logMarkerFile exists once the log of the directory has been created.
 	logMarkerFile = "begun"
 )
 
-// checkLogPresent fails if the log of a data folder was created before and is gone. A replica that went on without it would
-// have forgotten whom it voted for and which entries it had acknowledged.
+// checkLogPresent returns an error if the log of a data directory was created before and is now missing or empty. A replica
+// that continued without it would have lost its votes and the entries that it had acknowledged.
 func checkLogPresent(dataDir string) error {
 	if _, err := os.Stat(filepath.Join(dataDir, logMarkerFile)); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -25,10 +25,10 @@
 	path := filepath.Join(dataDir, logFile)
 	info, err := os.Stat(path)
 	if err == nil && info.Size() == 0 {
-		err = errors.New("it is empty")
+		err = errors.New("file is empty")
 	}
 	if err != nil {
-		return fmt.Errorf("%s: the log was created before and is missing: take this replica out, empty its folder and add it again: %w", path, err)
+		return fmt.Errorf("%s: log was created before and is now missing or empty; remove this replica from the cluster, empty its data directory and add it again: %w", path, err)
 	}
 	return nil
 }
--- a/internal/registry/replica/datadir_test.go
+++ b/internal/registry/replica/datadir_test.go
@@ -15,21 +15,21 @@
 	"umberbank/internal/registry/state"
 )
 
-// What was acknowledged is there after a restart, from the log and from snapshots, and revisions go on from where they were.
+// Acknowledged writes survive a restart, from the log and from snapshots, and revisions continue from the last one.
 func TestRestart(t *testing.T) {
 	dir := t.TempDir()
 	last := int64(0)
 	for round := range 3 {
-		r, err := open(t, dir)
+		r, err := startReplica(t, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 60 {
-			a := write(t, r, register(60*round+i))
-			if a[0].Revision <= last {
-				t.Fatalf("revision %d after %d", a[0].Revision, last)
+			results := write(t, r, register(60*round+i))
+			if results[0].Revision <= last {
+				t.Fatalf("revision %d after %d", results[0].Revision, last)
 			}
-			last = a[0].Revision
+			last = results[0].Revision
 		}
 		if round == 1 {
 			if err := r.raft.Snapshot().Error(); err != nil {
@@ -39,7 +39,7 @@
 		n := 0
 		r.fsm.read(func(s *state.State) { n = s.Len() })
 		if n != 60*(round+1) {
-			t.Errorf("%d instances in round %d", n, round)
+			t.Errorf("got %d instances in round %d", n, round)
 		}
 		if err := r.Close(); err != nil {
 			t.Fatal(err)
@@ -51,11 +51,11 @@
 		return err
 	})
 	if err != nil || !found {
-		t.Errorf("no snapshot was made: %v", err)
+		t.Errorf("no snapshot was written: %v", err)
 	}
 }
 
-// copyDir copies a replica's folder.
+// copyDir returns a copy of a replica's data directory.
 func copyDir(t *testing.T, from string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "data")
@@ -65,7 +65,7 @@
 	return to
 }
 
-// snapshots are the states that a folder keeps, the newest last.
+// snapshots returns the paths of the snapshots in a data directory, the newest last.
 func snapshots(t *testing.T, dir string) (l []string) {
 	t.Helper()
 	err := filepath.WalkDir(filepath.Join(dir, "snapshots"), func(path string, d fs.DirEntry, err error) error {
@@ -80,11 +80,11 @@
 	return l
 }
 
-// What a crash or a bad disk may leave: a log that ends early, a snapshot with a byte flipped or cut short. A replica
-// alone either holds all that was answered or says that it cannot start; never less, and never something else.
+// A crash or a faulty disk may leave a truncated log, or a snapshot that is truncated or has a flipped byte. A single replica
+// then either has everything that was acknowledged or refuses to start. It never starts with less or with other data.
 func TestDamagedDataDir(t *testing.T) {
-	if os.Getenv("REPLICA_TEST_OPEN") != "" { // a process of its own: bbolt may end one that reads behind a file's end
-		r, err := open(t, os.Getenv("REPLICA_TEST_OPEN"))
+	if os.Getenv("REPLICA_TEST_OPEN") != "" { // in a child process, because bbolt may crash on a read past the end of a file
+		r, err := startReplica(t, os.Getenv("REPLICA_TEST_OPEN"))
 		if err != nil {
 			fmt.Println("REFUSED", err)
 			return
@@ -97,7 +97,7 @@
 		return
 	}
 	dir := t.TempDir()
-	r, err := open(t, dir)
+	r, err := startReplica(t, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,32 +128,32 @@
 			t.Fatal(err)
 		}
 	}
-	cut := func(path string, share float64) {
+	truncate := func(path string, fraction float64) {
 		st, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Truncate(path, int64(share*float64(st.Size()))); err != nil {
+		if err := os.Truncate(path, int64(fraction*float64(st.Size()))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for name, damage := range map[string]func(dir string){
-		"intact":              func(string) {},
-		"newest snapshot bad": func(d string) { l := snapshots(t, d); flip(l[len(l)-1]) },
-		"newest snapshot cut": func(d string) { l := snapshots(t, d); cut(l[len(l)-1], 0.5) },
-		"all snapshots bad": func(d string) {
+		"intact":                    func(string) {},
+		"newest snapshot corrupt":   func(d string) { l := snapshots(t, d); flip(l[len(l)-1]) },
+		"newest snapshot truncated": func(d string) { l := snapshots(t, d); truncate(l[len(l)-1], 0.5) },
+		"all snapshots corrupt": func(d string) {
 			for _, s := range snapshots(t, d) {
 				flip(s)
 			}
 		},
-		"log cut a little": func(d string) { cut(filepath.Join(d, "log.db"), 0.95) },
-		"log cut in half":  func(d string) { cut(filepath.Join(d, "log.db"), 0.5) },
+		"log truncated to 95%":  func(d string) { truncate(filepath.Join(d, "log.db"), 0.95) },
+		"log truncated to half": func(d string) { truncate(filepath.Join(d, "log.db"), 0.5) },
 		"log missing": func(d string) {
 			if err := os.Remove(filepath.Join(d, "log.db")); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"log empty": func(d string) { cut(filepath.Join(d, "log.db"), 0) },
+		"log empty": func(d string) { truncate(filepath.Join(d, "log.db"), 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := copyDir(t, dir)
@@ -168,7 +168,7 @@
 			holds := strings.Contains(string(out), want)
 			refused := strings.Contains(string(out), "REFUSED") || err != nil
 			if name == "intact" && !holds || !holds && !refused {
-				t.Errorf("want %s or a reason, got %v:\n%.1500s", want, err, out)
+				t.Errorf("want %s or an error at the start, got %v:\n%.1500s", want, err, out)
 			}
 		})
 	}
--- a/internal/registry/replica/forward.go
+++ b/internal/registry/replica/forward.go
@@ -9,17 +9,17 @@
 	"umberbank/internal/registry/state"
 )
 
-// forwardToLeader forwards a call to the leader, and its answer to the caller. A call that was forwarded before goes no
-// further.
-func (r *Replica) forwardToLeader(w http.ResponseWriter, q *http.Request, body []byte) {
+// forwardToLeader forwards a request to the leader, and the response to the client. It does not forward a request that
+// another replica has forwarded.
+func (r *Replica) forwardToLeader(w http.ResponseWriter, in *http.Request, body []byte) {
 	_, id := r.raft.LeaderWithID()
 	var address string
 	r.fsm.read(func(s *state.State) { address = s.Members()[string(id)] })
-	if address == "" || q.Header.Get(api.HeaderForwarded) != "" {
+	if address == "" || in.Header.Get(api.HeaderForwarded) != "" {
 		reply(w, nil, ErrNotLeader)
 		return
 	}
-	out, err := http.NewRequestWithContext(q.Context(), q.Method, "http://"+address+q.URL.RequestURI(), bytes.NewReader(body))
+	out, err := http.NewRequestWithContext(in.Context(), in.Method, "http://"+address+in.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		reply(w, nil, err)
 		return
@@ -37,5 +37,5 @@
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
-	io.Copy(w, resp.Body) //nolint:errcheck // a caller that has disconnected needs no answer
+	io.Copy(w, resp.Body) //nolint:errcheck // a client that has disconnected needs no response
 }
--- a/internal/registry/replica/forward_test.go
+++ b/internal/registry/replica/forward_test.go
@@ -17,8 +17,7 @@
 	"umberbank/internal/registry/golden"
 )
 
-// A replica that does not lead hands writes and consistent reads to the one that does, once, with its id in a header, and
-// passes the answer on; without a leader it says so.
+// A follower forwards writes and consistent reads to the leader once, with its ID in a header, and returns the response.
 func TestForwardGolden(t *testing.T) {
 	addresses := make([]string, 4)
 	for i := range addresses {
@@ -36,12 +35,12 @@
 		replicas = append(replicas, r)
 	}
 	var out bytes.Buffer
-	leader := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		text, err := httputil.DumpRequest(q, true)
+	leader := http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		text, err := httputil.DumpRequest(req, true)
 		if err != nil {
 			t.Error(err)
 		}
-		text = bytes.ReplaceAll(text, []byte(q.Host), []byte("HOST"))
+		text = bytes.ReplaceAll(text, []byte(req.Host), []byte("HOST"))
 		out.Write(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")))
 		out.WriteString("\n")
 		w.Header().Set("Content-Type", "application/json")
@@ -53,9 +52,10 @@
 	})
 	stub := httptest.NewServer(leader)
 	defer stub.Close()
-	// The leader's entry among the members is made to name the stub. A new leader writes its own, so wait for that first.
+	// The address of the leader among the members is replaced by that of the stub. A new leader writes its own address, so wait
+	// for that first.
 	var lead, other *Replica
-	waitFor(t, "a leader that has entered itself", func() bool {
+	waitFor(t, "a leader that has written its address", func() bool {
 		for i, r := range replicas {
 			if r.raft.State() == raft.Leader && memberAddress(t, replicas[1-i], r.cfg.ID) == r.Addr() {
 				lead, other = r, replicas[1-i]
@@ -64,19 +64,19 @@
 		}
 		return false
 	})
-	play(t, lead, step{"POST", "/registry/write", `{"ops":[{"kind":"member","uid":"` + lead.cfg.ID + `","address":"` + strings.TrimPrefix(stub.URL, "http://") + `"}]}`})
-	waitFor(t, "the follower to know the stub", func() bool {
+	transcript(t, lead, apiRequest{"POST", "/registry/write", `{"ops":[{"kind":"member","uid":"` + lead.cfg.ID + `","address":"` + strings.TrimPrefix(stub.URL, "http://") + `"}]}`})
+	waitFor(t, "the follower to have the address of the stub", func() bool {
 		return memberAddress(t, other, lead.cfg.ID) == strings.TrimPrefix(stub.URL, "http://")
 	})
-	answers := play(t, other,
-		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing","id":"x"}]}`},
-		step{"POST", "/registry/renew", `{"leases":[]}`},
-		step{"POST", "/registry/restore", `{}`},
-		step{"POST", "/registry/members", `{"remove":"r9"}`},
-		step{"GET", "/registry/instances?consistent=1", ""},
-		step{"GET", "/registry/agreed?consistent=1&units=1", ""})
-	out.Write(answers)
-	// One that was handed over already goes no further.
+	responses := transcript(t, other,
+		apiRequest{"POST", "/registry/write", `{"ops":[{"kind":"nothing","id":"x"}]}`},
+		apiRequest{"POST", "/registry/renew", `{"leases":[]}`},
+		apiRequest{"POST", "/registry/restore", `{}`},
+		apiRequest{"POST", "/registry/members", `{"remove":"r9"}`},
+		apiRequest{"GET", "/registry/instances?consistent=1", ""},
+		apiRequest{"GET", "/registry/agreed?consistent=1&units=1", ""})
+	out.Write(responses)
+	// A request that was already forwarded is not forwarded again.
 	req, err := http.NewRequest(http.MethodPost, "http://"+other.Addr()+"/registry/write", strings.NewReader(`{"ops":[{"kind":"nothing"}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -92,12 +92,12 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&out, "forwarded twice: %d %s", resp.StatusCode, body)
-	// The roles of the two are drawn by an election.
+	// Either replica can become the follower, so its ID is replaced.
 	text := strings.NewReplacer(`X-Registry-Forwarded: `+other.cfg.ID, "X-Registry-Forwarded: FOLLOWER").Replace(out.String())
 	golden.Check(t, "forward.golden", []byte(text))
 }
 
-// memberAddress is where a replica takes another's writers and readers to call.
+// memberAddress returns the client address of another replica according to r.
 func memberAddress(t *testing.T, r *Replica, id string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + r.Addr() + "/registry/status")
@@ -114,7 +114,7 @@
 	return status.Members[id]
 }
 
-// A replica without a leader refuses what needs one.
+// A replica without a leader rejects the requests that need one.
 func TestNoLeaderGolden(t *testing.T) {
 	r, err := New(Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: freeAddr(t), ClientAddress: freeAddr(t), Tick: 20 * time.Millisecond,
 		Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
@@ -122,13 +122,13 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	golden.Check(t, "noleader.golden", play(t, r,
-		step{"POST", "/registry/write", `{"ops":[{"kind":"nothing"}]}`},
-		step{"POST", "/registry/renew", `{"leases":[]}`},
-		step{"GET", "/registry/instances", ""},
-		step{"GET", "/registry/instances?consistent=1", ""},
-		step{"GET", "/registry/instances?at_least=@1", ""},
-		step{"GET", "/registry/agreed", ""},
-		step{"GET", "/registry/status", ""},
-		step{"GET", "/registry/backup", ""}))
+	golden.Check(t, "noleader.golden", transcript(t, r,
+		apiRequest{"POST", "/registry/write", `{"ops":[{"kind":"nothing"}]}`},
+		apiRequest{"POST", "/registry/renew", `{"leases":[]}`},
+		apiRequest{"GET", "/registry/instances", ""},
+		apiRequest{"GET", "/registry/instances?consistent=1", ""},
+		apiRequest{"GET", "/registry/instances?at_least=@1", ""},
+		apiRequest{"GET", "/registry/agreed", ""},
+		apiRequest{"GET", "/registry/status", ""},
+		apiRequest{"GET", "/registry/backup", ""}))
 }
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -11,19 +11,19 @@
 	"umberbank/internal/registry/state"
 )
 
-// command is the data of one entry of the log: writes that are applied together.
+// command is the data of one log entry: writes that are applied together.
 type command struct {
 	Ops     []state.Op      `json:"ops,omitempty"`
 	Restore json.RawMessage `json:"restore,omitempty"` // a backup that replaces the state
 }
 
-// commandResult is what Apply returns for a command.
+// commandResult is the result of applying a command.
 type commandResult struct {
 	results []state.Result
 	err     error
 }
 
-// fsm applies the log to the state and publishes what changes. Raft calls its exported methods from one goroutine.
+// fsm applies the log to the state and publishes the changes. Raft calls its exported methods from one goroutine.
 type fsm struct {
 	events    *broadcaster
 	onApplied func(state.OpKind, state.Code) // called for each write
@@ -37,23 +37,23 @@
 	return &fsm{state: s, events: newBroadcaster(s.Revision()), onApplied: func(state.OpKind, state.Code) {}}
 }
 
-// read calls view with the state, which it must not keep or change.
+// read calls view with the state under the read lock. view must not retain or change the state.
 func (f *fsm) read(view func(*state.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	view(f.state)
 }
 
-// list returns all instances and the revision that they are of.
+// list returns all instances and their revision.
 func (f *fsm) list() (revision int64, instances []*state.Instance) {
 	f.read(func(s *state.State) { revision, instances = s.Revision(), s.Instances() })
 	return revision, instances
 }
 
-// Apply applies one entry of the log.
+// Apply applies one log entry.
 func (f *fsm) Apply(entry *raft.Log) any { return f.ApplyBatch([]*raft.Log{entry})[0] }
 
-// ApplyBatch applies entries of the log that were committed together, and publishes one event for them.
+// ApplyBatch applies log entries that were committed together, and publishes one event for them.
 func (f *fsm) ApplyBatch(entries []*raft.Log) []any {
 	b := batch{results: make([]any, len(entries))}
 	f.mu.Lock()
@@ -69,26 +69,26 @@
 	switch {
 	case b.restored:
 		f.events.reset(revision)
-	case revision != before: // an event even if no instance changes, for watches to go on from its revision
+	case revision != before: // even if no instance has changed, so that watches reach its revision
 		if err := f.events.publish(revision, b.changed); err != nil {
-			f.events.reset(revision) // watches take the full list instead
+			f.events.reset(revision) // watches get the full list instead
 		}
 	}
 	return b.results
 }
 
-// batch is what entries of the log that are applied together lead to.
+// batch collects the effects of log entries that are applied together.
 type batch struct {
 	results  []any
 	changed  []*state.Instance
-	restored bool // the state was replaced; changed is what changed since
+	restored bool // the state was replaced; changed has only the later changes
 }
 
-// applyCommand applies one command. f.mu is held.
+// applyCommand applies one command. f.mu must be held.
 func (f *fsm) applyCommand(entry *raft.Log, b *batch) commandResult {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		return commandResult{err: fmt.Errorf("entry %d of the log: %w", entry.Index, err)}
+		return commandResult{err: fmt.Errorf("log entry %d: %w", entry.Index, err)}
 	}
 	if c.Restore != nil {
 		backup, err := state.Load(c.Restore)
@@ -100,9 +100,9 @@
 	}
 	var result commandResult
 	for _, op := range c.Ops {
-		answer, changed := f.state.Apply(op)
-		result.results = append(result.results, answer)
-		f.onApplied(op.Kind, answer.Code)
+		opResult, changed := f.state.Apply(op)
+		result.results = append(result.results, opResult)
+		f.onApplied(op.Kind, opResult.Code)
 		if changed != nil {
 			b.changed = append(b.changed, changed)
 		}
@@ -118,7 +118,7 @@
 	return snapshot(text), err
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by a snapshot and closes the reader.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(r)
@@ -136,17 +136,17 @@
 	return nil
 }
 
-// snapshot is an encoded state. Raft's store adds the checksum.
+// snapshot is an encoded state. The snapshot store of raft adds a checksum.
 type snapshot []byte
 
-// Persist writes the snapshot.
+// Persist writes the snapshot to the sink, which it closes or, after an error, cancels.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		sink.Cancel() //nolint:errcheck // the first error counts
+		sink.Cancel() //nolint:errcheck // the first error is returned
 		return err
 	}
 	return sink.Close()
 }
 
-// Release frees nothing: the snapshot is in memory.
+// Release does nothing, because the snapshot is in memory.
 func (s snapshot) Release() {}
--- a/internal/registry/replica/helpers_test.go
+++ b/internal/registry/replica/helpers_test.go
@@ -14,10 +14,10 @@
 	"umberbank/internal/registry/state"
 )
 
-// limit is how long anything may take that has to happen.
-const limit = 30 * time.Second
+// testTimeout bounds everything that a test waits for.
+const testTimeout = 30 * time.Second
 
-// freeAddr returns an address on loopback that nobody listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 220+rand.IntN(30), rand.IntN(250), 1+rand.IntN(250)))
@@ -28,47 +28,47 @@
 	return l.Addr().String()
 }
 
-// open starts a registry of one replica on a folder.
-func open(t *testing.T, dir string) (*Replica, error) {
+// startReplica starts a registry of one replica on a data directory.
+func startReplica(t *testing.T, dir string) (*Replica, error) {
 	t.Helper()
 	a, b := freeAddr(t), freeAddr(t)
 	return New(Config{ID: "r0", DataDir: dir, RaftAddress: a, ClientAddress: b, Peers: []Peer{{ID: "r0", RaftAddress: a, ClientAddress: b}}, Tick: 20 * time.Millisecond,
 		SnapshotThreshold: 40, Guard: ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 5, Window: time.Second, ConfirmAfter: time.Second}})
 }
 
-// write has writes carried out by a replica.
+// write sends ops to a replica and returns their results.
 func write(t *testing.T, r *Replica, ops ...state.Op) []state.Result {
 	t.Helper()
-	w, err := client.New(client.Options{Endpoints: []string{r.Addr()}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond})
+	c, err := client.New(client.Options{Endpoints: []string{r.Addr()}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	a, err := w.Write(ctx, ops...)
+	results, err := c.Write(ctx, ops...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return results
 }
 
-// register registers server number i.
+// register returns an op that registers server i.
 func register(i int) state.Op {
 	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", i), Endpoint: "10.0.0.1:3000", Zone: "zone-of-the-test", State: state.Serving}}
 }
 
-// opened returns a registry of one replica on a folder, once it leads and has written its own address, which is a new leader's
-// first write.
-func opened(t *testing.T, dir string) *Replica {
+// startLeader starts a registry of one replica on a data directory. It returns once the replica leads and has written its own
+// address, which is the first write of a new leader.
+func startLeader(t *testing.T, dir string) *Replica {
 	t.Helper()
-	r, err := open(t, dir)
+	r, err := startReplica(t, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.Close() })
-	waitFor(t, "the replica to lead and to enter its address", func() (entered bool) {
-		r.fsm.read(func(s *state.State) { entered = s.Members()[r.cfg.ID] == r.Addr() })
-		return entered && r.raft.State() == raft.Leader
+	waitFor(t, "the replica to lead and to write its address", func() (written bool) {
+		r.fsm.read(func(s *state.State) { written = s.Members()[r.cfg.ID] == r.Addr() })
+		return written && r.raft.State() == raft.Leader
 	})
 	return r
 }
@@ -76,9 +76,9 @@
 // waitFor polls until ok holds.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v for %s", limit, what)
+			t.Fatalf("waited %v for %s", testTimeout, what)
 		}
 	}
 }
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// apply applies writes as raft does: on one goroutine at a time, in the order of the log.
+// apply applies ops like raft, from one goroutine at a time and in the order of the log.
 func apply(f *fsm, order *modelcheck.Mutex, ops ...state.Op) []state.Result {
 	text, err := json.Marshal(command{Ops: ops})
 	if err != nil {
@@ -26,12 +26,12 @@
 	return f.Apply(&raft.Log{Type: raft.LogCommand, Data: text}).(commandResult).results
 }
 
-func enter(uid string) state.Op {
+func registerUnit(uid string) state.Op {
 	return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Tier: "web", Capacity: 1}}
 }
 
-// A writer publishes, or restores a backup, while readers follow. Each reader comes to the last revision, whatever it had
-// missed, and none waits through a change.
+// A writer publishes changes, or restores a backup, while a reader follows. The reader reaches the last revision whatever it has
+// missed, and is never left waiting after a change.
 func TestInterleaveBroadcaster(t *testing.T) {
 	follow := func(f *fsm, last func() int64, waitsForLater bool) {
 		since := int64(1) << 40
@@ -47,7 +47,7 @@
 			case len(missed.frames) > 0:
 				since = missed.revision
 			default:
-				if waitsForLater { // the planted fault
+				if waitsForLater { // the injected fault
 					_, missed.next = f.events.current()
 				}
 				modelcheck.Wait(missed.next)
@@ -62,7 +62,7 @@
 				want = int64(2)<<40 + 1
 			}
 			x.Go("writer", func() {
-				apply(f, order, enter("a"))
+				apply(f, order, registerUnit("a"))
 				if restore {
 					backup, _ := f.state.Snapshot()
 					order.Lock()
@@ -70,7 +70,7 @@
 					f.Apply(&raft.Log{Type: raft.LogCommand, Data: text})
 					order.Unlock()
 				}
-				apply(f, order, enter("b"))
+				apply(f, order, registerUnit("b"))
 			})
 			x.Go("reader", func() { follow(f, func() int64 { return want }, waitsForLater) })
 		}
@@ -80,43 +80,43 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "no thread can proceed: reader at wait for", body(false, true))
 }
 
-// A whole list and the revision that it is given at belong together, while entries come.
+// The full list always matches the revision that is returned with it, while instances are registered.
 func TestInterleaveFullList(t *testing.T) {
-	body := func(twice bool) func(x *modelcheck.Execution) {
+	body := func(readsTwice bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
-			x.Go("writer", func() { apply(f, order, enter("a")); apply(f, order, enter("b")) })
+			x.Go("writer", func() { apply(f, order, registerUnit("a")); apply(f, order, registerUnit("b")) })
 			for i := range 2 {
 				x.Go(fmt.Sprint("reader ", i), func() {
 					text, rev, err := f.events.encodedList(func() (rev int64, l []*state.Instance) {
 						f.read(func(s *state.State) { rev, l = s.Revision(), s.Instances() })
-						if twice { // the planted fault
+						if readsTwice { // the injected fault
 							f.read(func(s *state.State) { l = s.Instances() })
 						}
 						return rev, l
 					})
-					var m api.WatchEvent
-					if err != nil || json.Unmarshal(text, &m) != nil || int64(len(m.Instances)) != rev-1<<40 || m.Revision != rev {
-						modelcheck.Failf("%d entries at revision %d", len(m.Instances), rev-1<<40)
+					var event api.WatchEvent
+					if err != nil || json.Unmarshal(text, &event) != nil || int64(len(event.Instances)) != rev-1<<40 || event.Revision != rev {
+						modelcheck.Failf("%d instances at revision %d", len(event.Instances), rev-1<<40)
 					}
 				})
 			}
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false))
-	modelcheck.CheckFails(t, modelcheck.Options{}, "entries at revision", body(true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "instances at revision", body(true))
 }
 
-// An agent begins its permit and acts, while the permit expires, an operator halts the release, and somebody else requests
-// a permit for another unit, where one of two may be unavailable. Never do both act, and the agent never acts on a permit that
-// it began after the halt.
+// An agent begins its permit and takes its unit out of service, while the permit expires, an operator halts the release, and
+// another holder requests a permit for the other unit. Only one of the two units may be unavailable. The two holders never both
+// act, and the agent never acts on a permit that it has begun after the halt.
 func TestInterleavePermit(t *testing.T) {
 	body := func(readsOnly bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
 			half := 0.5
 			apply(f, order, state.Op{Kind: state.OpSetLimits, Limits: &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &half}}}})
-			apply(f, order, enter("a"), enter("b"))
+			apply(f, order, registerUnit("a"), registerUnit("b"))
 			permit := apply(f, order, state.Op{Kind: state.OpGrantPermit, UID: "a", Incarnation: f.state.Get("a").Token, Holder: "c", Plan: "p", TargetVersion: "v2"})[0]
 			acted := map[string]bool{}
 			act := func(uid string) {
@@ -124,7 +124,7 @@
 				acted[uid] = true
 			}
 			x.Go("agent", func() {
-				if readsOnly { // the planted fault: a read in place of the write
+				if readsOnly { // the injected fault: a read in place of the write
 					may := false
 					f.read(func(s *state.State) { may = s.Budget().Permit("a") != nil && s.Record(state.HaltKeyPrefix+"p") == nil })
 					if may {
@@ -148,30 +148,30 @@
 			})
 			x.Finally(func() {
 				if acted["a"] && acted["b"] {
-					modelcheck.Failf("both are out")
+					modelcheck.Failf("both units are out of service")
 				}
 			})
 		}
 	}
 	modelcheck.Check(t, modelcheck.Options{}, body(false))
-	modelcheck.CheckFails(t, modelcheck.Options{}, "both are out", body(true))
+	modelcheck.CheckFails(t, modelcheck.Options{}, "both units are out of service", body(true))
 }
 
-// Two nodes acknowledge a version, one restarts, an operator withdraws it, and a controller advances it. No node runs a
-// version that is not its target, no version becomes a target without both acknowledgments of incarnations that run, and a
-// withdrawn one is run by nobody.
+// Two nodes acknowledge a version, one of them restarts, an operator withdraws the version, and a controller advances it. No
+// node runs a version that is not its target, no version becomes a target before both current incarnations have acknowledged
+// it, and no node runs a withdrawn version.
 func TestInterleaveRollout(t *testing.T) {
-	node := func(uid string, boot float64) state.Op {
-		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: boot}}
+	node := func(uid string, startTimeMS float64) state.Op {
+		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: startTimeMS}}
 	}
-	body := func(eager bool) func(x *modelcheck.Execution) {
+	body := func(ignoresTarget bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
-			starts := map[string]int64{}
+			tokens := map[string]int64{}
 			for i, a := range apply(f, order, node("n0", 1), node("n1", 1)) {
-				starts[fmt.Sprint("n", i)] = a.Token
+				tokens[fmt.Sprint("n", i)] = a.Token
 			}
-			for uid, token := range starts {
+			for uid, token := range tokens {
 				apply(f, order, state.Op{Kind: state.OpReport, UID: uid, Token: token})
 			}
 			v := apply(f, order, state.Op{Kind: state.OpPropose, Value: json.RawMessage(`{}`), Stages: []float64{1}})[0].Token
@@ -179,13 +179,13 @@
 			withdrawn, runs := false, map[string]bool{}
 			for _, uid := range []string{"n0", "n1"} {
 				x.Go(uid, func() {
-					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: uid, Token: starts[uid], Number: v, Hash: hash})
+					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: uid, Token: tokens[uid], Number: v, Hash: hash})
 					target := int64(0)
 					f.read(func(s *state.State) { target = s.Rollout().Nodes[uid].TargetVersion })
-					if target == v || eager { // the planted fault: it runs what it has acknowledged
+					if target == v || ignoresTarget { // the injected fault: it runs the version that it has acknowledged
 						modelcheck.Step(&runs, "run")
 						if withdrawn {
-							modelcheck.Failf("%s runs what was withdrawn", uid)
+							modelcheck.Failf("%s runs the withdrawn version", uid)
 						}
 						runs[uid] = true
 					}
@@ -204,17 +204,17 @@
 				}
 				f.read(func(s *state.State) {
 					if s.Rollout().Committed.Number != v {
-						modelcheck.Failf("advanced, and not committed")
+						modelcheck.Failf("version was advanced but not committed")
 					}
 				})
 			})
 			x.Finally(func() {
 				b := f.state.Rollout()
 				if b.Committed.Number == v && withdrawn {
-					modelcheck.Failf("it is committed and withdrawn")
+					modelcheck.Failf("version is both committed and withdrawn")
 				}
 				if b.Committed.Number != v && len(runs) > 0 {
-					modelcheck.Failf("%v run what is no target", runs)
+					modelcheck.Failf("%v run a version that is not their target", runs)
 				}
 			})
 		}
@@ -224,35 +224,35 @@
 }
 
 // Version 1 is committed. The leader writes that n2's lease has expired, n2 returns as the same incarnation or as a new one and
-// syncs, and operators and controllers commit one more version and propose a third, in every order. Whoever is in sync when
-// that one is proposed runs what was committed. Where n2 is one of three in its zone it delays nothing; where it is alone
-// there, what waits for it goes on in the end, by its acknowledgment or as its zone is lost.
+// syncs, and operators and controllers commit version 2 and propose version 3, in every order. A node that is in sync when
+// version 3 is proposed runs version 2. If n2 is one of three nodes in its zone, it delays nothing. If it is the only one, a
+// version that waits for it proceeds in the end, because n2 acknowledges it or because its zone is lost.
 func TestInterleaveReachability(t *testing.T) {
-	node := func(uid, zone string, boot float64) state.Op {
-		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: boot}}
+	node := func(uid, zone string, startTimeMS float64) state.Op {
+		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: startTimeMS}}
 	}
 	content := func(n int64) json.RawMessage { return json.RawMessage(fmt.Sprint(n)) }
 	propose := func(n int64) state.Op {
 		return state.Op{Kind: state.OpPropose, Value: content(n), Replaces: n - 1, Stages: []float64{1}}
 	}
-	body := func(zone string, boot float64, early bool) func(x *modelcheck.Execution) {
+	body := func(zone string, startTimeMS float64, reportsEarly bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
 			f, order := newFSM(), &modelcheck.Mutex{}
-			starts, runs := map[string]int64{}, map[string]int64{}
-			say := func(kind state.OpKind, n int64, uids ...string) (l []state.Op) {
+			tokens, runs := map[string]int64{}, map[string]int64{}
+			nodeOps := func(kind state.OpKind, n int64, uids ...string) (l []state.Op) {
 				for _, uid := range uids {
-					l = append(l, state.Op{Kind: kind, UID: uid, Token: starts[uid], Number: n, Hash: state.ContentHash(content(n))})
+					l = append(l, state.Op{Kind: kind, UID: uid, Token: tokens[uid], Number: n, Hash: state.ContentHash(content(n))})
 				}
 				return l
 			}
 			others := []string{"n0", "n1"}
 			all := append(others[:2:2], "n2")
 			for i, a := range apply(f, order, node("n0", "a", 1), node("n1", "a", 1), node("n2", zone, 1)) {
-				starts[all[i]] = a.Token
+				tokens[all[i]] = a.Token
 			}
-			apply(f, order, say(state.OpReport, 0, all...)...)
-			apply(f, order, append([]state.Op{propose(1)}, say(state.OpAcknowledge, 1, all...)...)...)
-			apply(f, order, append([]state.Op{{Kind: state.OpAdvance, Number: 1}}, say(state.OpReport, 1, all...)...)...)
+			apply(f, order, nodeOps(state.OpReport, 0, all...)...)
+			apply(f, order, append([]state.Op{propose(1)}, nodeOps(state.OpAcknowledge, 1, all...)...)...)
+			apply(f, order, append([]state.Op{{Kind: state.OpAdvance, Number: 1}}, nodeOps(state.OpReport, 1, all...)...)...)
 			for _, uid := range all {
 				runs[uid] = 1
 			}
@@ -260,36 +260,36 @@
 				modelcheck.Step(&runs, "run")
 				runs[uid] = n
 			}
-			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.OpExpire, UID: "n2", Token: starts["n2"]}) })
+			x.Go("leader", func() { apply(f, order, state.Op{Kind: state.OpExpire, UID: "n2", Token: tokens["n2"]}) })
 			x.Go("n2", func() {
-				start := apply(f, order, node("n2", zone, boot))[0].Token
+				token := apply(f, order, node("n2", zone, startTimeMS))[0].Token
 				target := int64(0)
 				f.read(func(s *state.State) { target = s.Rollout().Nodes["n2"].TargetVersion })
-				report := state.Op{Kind: state.OpReport, UID: "n2", Token: start, Number: target, Hash: state.ContentHash(content(target))}
-				if early { // the planted fault: it says that it runs what it is about to take
+				report := state.Op{Kind: state.OpReport, UID: "n2", Token: token, Number: target, Hash: state.ContentHash(content(target))}
+				if reportsEarly { // the injected fault: it reports a version before it runs it
 					apply(f, order, report)
 				}
 				run("n2", target)
 				apply(f, order, report)
 			})
 			x.Go("operator and controller", func() {
-				ops := append([]state.Op{propose(2)}, say(state.OpAcknowledge, 2, others...)...)
+				ops := append([]state.Op{propose(2)}, nodeOps(state.OpAcknowledge, 2, others...)...)
 				for _, a := range apply(f, order, ops...) {
 					if a.Code != "" {
-						modelcheck.Failf("n0 and n1 are held up: %+v", a)
+						modelcheck.Failf("n0 and n1 are blocked: %+v", a)
 					}
 				}
 				if a := apply(f, order, state.Op{Kind: state.OpAdvance, Number: 2})[0]; a.Code != "" {
 					if zone == "a" {
-						modelcheck.Failf("held up: %+v", a)
+						modelcheck.Failf("version 2 is blocked: %+v", a)
 					}
-					return // it waits for the zone's quorum
+					return // version 2 waits for the quorum of the zone
 				}
 				run("n0", 2)
 				run("n1", 2)
-				apply(f, order, say(state.OpReport, 2, others...)...)
-				// One step, in which nothing is between what the book says and what nodes run.
-				modelcheck.Step(&runs, "look")
+				apply(f, order, nodeOps(state.OpReport, 2, others...)...)
+				// A single step, so that nothing happens between reading the rollout and reading what the nodes run.
+				modelcheck.Step(&runs, "check")
 				if a := apply(f, order, propose(3))[0]; a.Code == "" {
 					f.read(func(s *state.State) {
 						for uid, n := range s.Rollout().Nodes {
@@ -304,20 +304,20 @@
 				b := f.state.Rollout()
 				n := b.Nodes["n2"]
 				if n.TargetVersion < b.Committed.Number || n.InSync() && n.RunningVersion < 1 {
-					modelcheck.Failf("in force %d: %+v", b.Committed.Number, n)
+					modelcheck.Failf("committed version %d, node %+v", b.Committed.Number, n)
 				}
 				if v := b.Pending; v != nil && v.Number == 2 {
 					apply(f, order, state.Op{Kind: state.OpAcknowledge, UID: "n2", Token: n.Incarnation, Number: 2, Hash: v.Hash})
 					if a := apply(f, order, state.Op{Kind: state.OpAdvance, Number: 2})[0]; a.Code != "" {
-						modelcheck.Failf("held up in the end: %+v", a)
+						modelcheck.Failf("version 2 is blocked in the end: %+v", a)
 					}
 				}
 			})
 		}
 	}
 	for _, zone := range []string{"a", "b"} {
-		for _, boot := range []float64{1, 2} { // the same start, or a fresh one
-			modelcheck.Check(t, modelcheck.Options{}, body(zone, boot, false))
+		for _, startTimeMS := range []float64{1, 2} { // the same process, or a new one
+			modelcheck.Check(t, modelcheck.Options{}, body(zone, startTimeMS, false))
 		}
 	}
 	modelcheck.CheckFails(t, modelcheck.Options{}, "is in sync and runs version 1", body("a", 1, true))
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -12,32 +12,32 @@
 	"umberbank/internal/registry/state"
 )
 
-// leaderCheckInterval is how often the leader looks at its leases, and every replica at its disk.
+// leaderCheckInterval is how often the leader checks its leases, and every replica its disk.
 const leaderCheckInterval = 100 * time.Millisecond
 
-// leaderLoop is the state of the goroutine that keeps the leases while this replica leads. It alone touches them.
+// leaderLoop is the state of the goroutine that keeps the leases while this replica leads. No other goroutine accesses them.
 type leaderLoop struct {
 	*Replica
-	started      time.Time // origin of the clock of leases
+	started      time.Time // origin of the lease clock
 	lastCheck    time.Time
-	lastTransfer time.Time // when this replica last gave up leadership for its disk
+	lastTransfer time.Time // when this replica last transferred leadership because of its disk
 
-	leases   *leaseTable     // nil: this replica does not lead
-	revision int64           // up to which leases holds all changes
+	leases   *leaseTable     // nil while this replica does not lead
+	revision int64           // of the state that leases reflects
 	changed  <-chan struct{} // closed at the next change
 }
 
-// runLeaderLoop runs until raft has shut down or this replica fails.
+// runLeaderLoop returns when raft has shut down or this replica has failed.
 func (r *Replica) runLeaderLoop() {
 	defer close(r.leaderDone)
 	now := time.Now()
 	l := &leaderLoop{Replica: r, started: now, lastCheck: now}
-	leads := r.raft.LeaderCh()
+	leadership := r.raft.LeaderCh()
 	ticker := time.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case leading, open := <-leads:
+		case leading, open := <-leadership:
 			if !open {
 				return
 			}
@@ -60,14 +60,14 @@
 	}
 }
 
-// now is the time on the clock of leases.
+// now returns the time on the lease clock.
 func (l *leaderLoop) now() time.Duration { return time.Since(l.started) }
 
-// becomeLeader makes a new leader's leases, once it has all that was committed before it.
+// becomeLeader creates the leases of a new leader after everything that was committed before has been applied.
 func (l *leaderLoop) becomeLeader() {
 	now := l.now()
-	if l.raft.Barrier(callTimeout).Error() != nil {
-		return // it leads no more
+	if l.raft.Barrier(requestTimeout).Error() != nil {
+		return // this replica no longer leads
 	}
 	var instances []*state.Instance
 	var address string
@@ -96,25 +96,26 @@
 	l.revision, l.changed = revision, changed
 }
 
-// checkDisk looks at the sync under way; false: it hangs, and this replica has failed.
+// checkDisk checks the sync in progress. It returns false if the sync hangs, which makes this replica fail.
 func (l *leaderLoop) checkDisk() bool {
 	if gap := time.Since(l.lastCheck); gap > suspendedAfter {
 		l.logStore.syncs.discount(gap)
 	}
 	l.lastCheck = time.Now()
 	if d := l.logStore.syncs.pending(); d > hungSyncTicks*l.cfg.Tick {
-		l.fail(fmt.Errorf("%s: a sync has not ended for %v", l.cfg.DataDir, d.Round(time.Millisecond)))
+		l.fail(fmt.Errorf("%s: log sync has taken %v and has not completed", l.cfg.DataDir, d.Round(time.Millisecond)))
 		return false
 	}
 	return true
 }
 
-// checkLeases transfers leadership if this replica's disk is slow, and proposes what leases and permits lead to.
+// checkLeases transfers leadership if the disk of this replica is slow, and proposes the writes that leases and permits
+// require.
 func (l *leaderLoop) checkLeases() {
-	if l.logStore.syncs.slowInARow() >= slowSyncsToTransfer && time.Since(l.lastTransfer) > transferCooldownTicks*l.cfg.Tick {
+	if l.logStore.syncs.consecutiveSlow() >= slowSyncsToTransfer && time.Since(l.lastTransfer) > transferCooldownTicks*l.cfg.Tick {
 		l.lastTransfer = time.Now()
-		l.cfg.Logger.Warn("this replica's disk is slow: transferring leadership")
-		l.raft.LeadershipTransfer() // its end shows at LeaderCh; if nobody can take over, this replica goes on
+		l.cfg.Logger.Warn("disk is slow, transferring leadership")
+		l.raft.LeadershipTransfer() // LeaderCh reports the change; if no replica can take over, this one keeps leading
 	}
 	now := l.now()
 	waiting := l.waitingPermits()
@@ -147,8 +148,8 @@
 	return waiting
 }
 
-// propose writes without waiting for the outcome, which the next check sees. Ends of leases carry the wall clock, for
-// people to read.
+// propose proposes writes without waiting for the outcome, which the next check observes. Expiries of leases carry the wall
+// clock time for display.
 func (l *leaderLoop) propose(ops []state.Op) {
 	for i := range ops {
 		if k := ops[i].Kind; k == state.OpExpire || k == state.OpSuspect {
@@ -157,13 +158,13 @@
 	}
 	text, err := json.Marshal(command{Ops: ops})
 	if err != nil {
-		l.cfg.Logger.Error("encoding a write of the leader failed", "error", err)
+		l.cfg.Logger.Error("cannot encode a write of the leader", "error", err)
 		return
 	}
-	l.raft.Apply(text, callTimeout)
+	l.raft.Apply(text, requestTimeout)
 }
 
-// renewLeases renews leases as of the last check.
+// renewLeases renews leases as of the time of the last check.
 func (l *leaderLoop) renewLeases(renewals []api.Lease) renewReply {
 	if l.leases == nil {
 		return renewReply{err: ErrNotLeader}
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -8,23 +8,24 @@
 	"umberbank/internal/registry/state"
 )
 
-// suspendedAfter is how long the leader may go without a check before it assumes that its own process was suspended.
+// suspendedAfter is the time without a check after which the leader assumes that its own process was suspended.
 const suspendedAfter = time.Second
 
-// lease is what the leader knows of the lease of one instance. Times are on the leader's clock.
+// lease is the leader's record of the lease of one instance. Times are on the lease clock.
 type lease struct {
 	token           int64
 	zone            string
 	ttl             time.Duration
 	expires         time.Duration
-	expiredAt       time.Duration // of the check that found it expired; 0: it has not
-	suspect         bool          // the state has the instance as a suspect
-	exemptFromGuard bool          // its expiry is believed whatever else expires
+	expiredAt       time.Duration // time of the check that found it expired; zero if it has not expired
+	suspect         bool          // the instance is a suspect in the state
+	exemptFromGuard bool          // its expiry is acted on even during a mass expiry
 }
 
-// leaseTable has all leases, the warm-up of units and the permits that have not begun. It is kept by the leader alone, in
-// memory and on a clock that only it reads: the time since it was started. A new leader gives every lease its whole time
-// anew, as it cannot know what was renewed. Its methods return writes to propose, and are for one goroutine.
+// leaseTable holds all leases, the warm-ups of units and the permits that have not begun. Only the leader has one, in memory
+// and on a clock of its own, which is the time since the replica was started. A new leader starts every lease with its full
+// duration, because it cannot know which leases were renewed. The methods return writes to propose. They must be called from
+// one goroutine.
 type leaseTable struct {
 	guard     ExpiryGuard
 	byUID     map[string]*lease
@@ -33,7 +34,7 @@
 	warmUpTime time.Duration // from a unit's start until it is warm
 	warmUps    map[string]*warmUp
 
-	permitTimeout time.Duration // a permit has to begin within
+	permitTimeout time.Duration // time within which a permit must begin
 	permits       map[string]waitingPermit
 }
 
@@ -51,7 +52,8 @@
 	return t
 }
 
-// track follows an instance as the state has it: a new registration gets a new lease, a deleted instance none.
+// track updates the lease of an instance from the state. A new registration gets a new lease; that of a deleted instance is
+// dropped.
 func (t *leaseTable) track(e *state.Instance, now time.Duration) {
 	t.trackWarmUp(e, now)
 	if e.State == state.Deleted || e.TTLMS == 0 {
@@ -73,7 +75,7 @@
 	}
 }
 
-// renew gives a lease its whole time again; false: there is none with this token.
+// renew restarts the full duration of a lease. It returns false if there is no lease with this token.
 func (t *leaseTable) renew(uid string, token int64, now time.Duration) bool {
 	l := t.byUID[uid]
 	if l == nil || l.token != token {
@@ -83,18 +85,19 @@
 	return true
 }
 
-// check returns the writes that leases and warm-up lead to at a time, in the order of uids.
+// check returns the writes that leases and warm-ups require at a time, in the order of UIDs.
 func (t *leaseTable) check(now time.Duration) []state.Op {
 	t.discountSuspension(now)
 	t.lastCheck = now
-	ops, expired, zones := t.collect(now)
+	ops, expired, zones := t.scanLeases(now)
 	ops = append(ops, t.resolveExpired(expired, zones, now)...)
 	ops = append(ops, t.warmUpSteps(now)...)
 	slices.SortFunc(ops, func(a, b state.Op) int { return cmp.Compare(a.UID, b.UID) })
 	return ops
 }
 
-// discountSuspension gives back the time in which this process was suspended: nobody could renew, and who tried is not known.
+// discountSuspension extends leases and warm-ups by the time for which this process was suspended. No lease could be renewed
+// in that time, and it is unknown which instances tried to.
 func (t *leaseTable) discountSuspension(now time.Duration) {
 	gap := now - t.lastCheck
 	if gap <= suspendedAfter {
@@ -108,8 +111,8 @@
 	}
 }
 
-// collect returns the writes that need no judgement, the uids of leases that have expired, and the count of leases by zone.
-func (t *leaseTable) collect(now time.Duration) (ops []state.Op, expired []string, zones map[string]*zoneLeases) {
+// scanLeases returns the writes that do not depend on the guard, the UIDs of expired leases, and the counts of leases by zone.
+func (t *leaseTable) scanLeases(now time.Duration) (ops []state.Op, expired []string, zones map[string]*zoneLeases) {
 	zones = map[string]*zoneLeases{}
 	for uid, l := range t.byUID {
 		if l.exemptFromGuard {
@@ -141,7 +144,7 @@
 	return ops, expired, zones
 }
 
-// resolveExpired returns what becomes of expired leases, by the guard.
+// resolveExpired returns the writes for expired leases, as the guard decides.
 func (t *leaseTable) resolveExpired(expired []string, zones map[string]*zoneLeases, now time.Duration) (ops []state.Op) {
 	massExpiry := t.guard.zonesWithMassExpiry(zones)
 	for _, uid := range expired {
--- a/internal/registry/replica/leases_test.go
+++ b/internal/registry/replica/leases_test.go
@@ -9,13 +9,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// leaseSimulation drives the leases of servers named s0, s1, ... on a state of their own.
+// leaseSimulation runs the leases of servers s0, s1, ... with a state of its own.
 type leaseSimulation struct {
 	state  *state.State
 	leases *leaseTable
 }
 
-// newLeaseSimulation registers one server in each zone of the list, with a lease of one second.
+// newLeaseSimulation registers one server for each element of zones, with a lease of one second.
 func newLeaseSimulation(guard ExpiryGuard, zones []string) *leaseSimulation {
 	s := state.New()
 	for i, zone := range zones {
@@ -24,7 +24,7 @@
 	return &leaseSimulation{s, newLeaseTable(guard, s.Instances(), 0)}
 }
 
-// check applies what the leases lead to at a time.
+// check applies the writes that the leases require at a time.
 func (s *leaseSimulation) check(now time.Duration) {
 	for _, op := range s.leases.check(now) {
 		if _, changed := s.state.Apply(op); changed != nil {
@@ -33,16 +33,16 @@
 	}
 }
 
-// What expired leases lead to: few go, a zone that is lost alone goes later, and what expires everywhere is suspected until
-// it renews.
+// Instances are removed soon if few leases expire, and later if those of a single zone expire. If leases expire in several zones
+// or in the only one, the instances stay as suspects until they renew.
 func TestExpiryGuard(t *testing.T) {
 	guard := ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 3, Window: 2 * time.Second, ConfirmAfter: 10 * time.Second}
 	for name, c := range map[string]struct {
-		zones    []string // one server in each zone of the list
+		zones    []string // the zone of each server
 		stops    func(i int, zone string) bool
-		gone     int // in the end
-		early    int // that are gone 4 s after they stopped
-		suspects int // in the end
+		gone     int // removed in the end
+		early    int // removed by 4 s after the renewals stopped
+		suspects int // that remain in the end
 	}{
 		"none":           {slices.Repeat([]string{"a", "b", "c"}, 10), func(int, string) bool { return false }, 0, 0, 0},
 		"two":            {slices.Repeat([]string{"a", "b", "c"}, 10), func(i int, _ string) bool { return i < 2 }, 2, 2, 0},
@@ -64,15 +64,15 @@
 					}
 				}
 				s.check(now)
-				if now == 10*time.Second { // they stopped at 5 s, and their leases expired at 6
+				if now == 10*time.Second { // renewals stopped at 5 s, and the leases expired at 6 s
 					early = len(c.zones) - s.state.Len()
 				}
 			}
 			gone, suspects := len(c.zones)-s.state.Len(), countSuspects(s.state)
 			if gone != c.gone || early != c.early || suspects != c.suspects {
-				t.Errorf("%d gone and %d of them early, %d suspects; want %d, %d, %d", gone, early, suspects, c.gone, c.early, c.suspects)
+				t.Errorf("%d removed, %d of them early, %d suspects; want %d, %d, %d", gone, early, suspects, c.gone, c.early, c.suspects)
 			}
-			// It was the way to the registry: they renew, and are trusted again.
+			// Servers that were only cut off from the registry renew and are no longer suspects.
 			for now := 40 * time.Second; now < 42*time.Second; now += 100 * time.Millisecond {
 				for _, e := range s.state.Instances() {
 					s.leases.renew(e.UID, e.Token, now)
@@ -88,15 +88,15 @@
 	}
 }
 
-// A leader that was suspended expires no lease for it. Its wall clock plays no part.
+// A suspension of the leader does not let leases expire. The wall clock has no effect.
 func TestSuspendedLeader(t *testing.T) {
 	s := state.New()
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
 	l := newLeaseTable(ExpiryGuard{MaxZoneFraction: 0.3, MinExpired: 3, Window: time.Second, ConfirmAfter: time.Second}, s.Instances(), 0)
 	if ops := l.check(10 * time.Second); len(ops) > 0 {
-		t.Errorf("after a stall of 10 s: %+v", ops)
+		t.Errorf("writes after a suspension of 10 s: %+v", ops)
 	}
 	if !l.renew("a", s.Get("a").Token, 10*time.Second) || l.renew("a", 1, 10*time.Second) || l.renew("b", 1, 10*time.Second) {
-		t.Error("a lease is renewed by its token alone")
+		t.Error("lease not renewed with its token, or renewed with another token or UID")
 	}
 }
--- a/internal/registry/replica/logstore_test.go
+++ b/internal/registry/replica/logstore_test.go
@@ -11,11 +11,11 @@
 	"umberbank/internal/registry/state"
 )
 
-// A byte that is flipped in the log never becomes part of the state: the replica names the entry and does not start, or
-// the byte did not matter.
+// A byte that is flipped in the log never becomes part of the state. Either the replica reports the corrupt entry and does not
+// start, or the byte is in an unused page.
 func TestCorruptLogEntry(t *testing.T) {
 	dir := t.TempDir()
-	r, err := open(t, dir)
+	r, err := startReplica(t, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,20 +35,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	named := 0
-	for at := bytes.Index(text, []byte("zone-of-the-test")); at >= 0 && named < 10; {
+	detected := 0
+	for at := bytes.Index(text, []byte("zone-of-the-test")); at >= 0 && detected < 10; {
 		corrupt := bytes.Clone(text)
 		corrupt[at] ^= 1
 		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r, err := open(t, dir)
+		r, err := startReplica(t, dir)
 		switch {
 		case errors.Is(err, ErrCorruptEntry):
-			named++
+			detected++
 		case err != nil:
 			t.Fatalf("byte %d: %v", at, err)
-		default: // a page that is free: nothing may have changed
+		default: // the byte is in an unused page, so the state must be unchanged
 			write(t, r, state.Op{Kind: state.OpNoop})
 			if got := instancesOf(r); !reflect.DeepEqual(got, want) {
 				t.Errorf("byte %d: the state differs", at)
@@ -61,7 +61,7 @@
 		}
 		at += 1 + next
 	}
-	if named == 0 {
-		t.Error("no flipped byte was named")
+	if detected == 0 {
+		t.Error("no flipped byte was detected")
 	}
 }
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -10,22 +10,22 @@
 	"umberbank/internal/registry/state"
 )
 
-// Buckets of write latencies: doubled from the first one.
+// Buckets of write latencies. Each is twice as long as the one before.
 const (
 	firstWriteBucket = 0.0005 // seconds
 	writeBuckets     = 14
 )
 
-// metrics are a replica's metrics, in a registry of their own, as several replicas may run in one process.
+// metrics holds the metrics of a replica. They have a registry of their own because several replicas may run in one process.
 type metrics struct {
 	registry     *prometheus.Registry
-	writes       *prometheus.CounterVec // applied, by kind and fault
-	fullLists    prometheus.Counter     // that watches began with or fell back to
-	events       prometheus.Counter     // sent to watches
-	writeSeconds prometheus.Histogram   // from a write's call to its answer, on the leader
+	writes       *prometheus.CounterVec // writes applied, by kind and fault
+	fullLists    prometheus.Counter     // full lists sent to watches, at their start or in place of events
+	events       prometheus.Counter     // events and full lists sent to watches
+	writeSeconds prometheus.Histogram   // from proposing a write to its result, on the leader
 }
 
-// newMetrics returns the metrics of a replica. Gauges are read when they are collected.
+// newMetrics returns the metrics of a replica. The values of gauges are read when the metrics are collected.
 func newMetrics(r *Replica) *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
@@ -79,7 +79,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// countWrite counts a write. A kind that is not known makes no label of its own.
+// countWrite counts a write. Kinds that are not listed here share one label, so that clients cannot create labels.
 func (m *metrics) countWrite(kind state.OpKind, code state.Code) {
 	switch kind {
 	case state.OpRegister, state.OpUpdate, state.OpRemove, state.OpExpire, state.OpSuspect, state.OpTrust, state.OpSetMember, state.OpNoop:
--- a/internal/registry/replica/metrics_test.go
+++ b/internal/registry/replica/metrics_test.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// readMetrics returns what a replica exposes.
+// readMetrics returns the metrics that a replica exposes.
 func readMetrics(t *testing.T, r *Replica) string {
 	t.Helper()
 	resp, err := http.Get("http://" + r.Addr() + "/metrics")
@@ -26,9 +26,9 @@
 	return string(text)
 }
 
-// Metrics tell what has happened, and a write of an unknown kind makes no label of its own.
+// Metrics count what has happened, and a write of an unknown kind gets no label of its own.
 func TestMetrics(t *testing.T) {
-	r, err := open(t, t.TempDir())
+	r, err := startReplica(t, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,16 +44,16 @@
 		"registry_write_seconds_count",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in:\n%s", want, text)
+			t.Errorf("metrics lack %q:\n%s", want, text)
 		}
 	}
 }
 
 // Metrics keep their names, types, labels and buckets.
 func TestMetricsGolden(t *testing.T) {
-	r := opened(t, t.TempDir())
-	play(t, r, history...)
-	play(t, r, refusals...)
+	r := startLeader(t, t.TempDir())
+	transcript(t, r, setupRequests...)
+	transcript(t, r, rejectedWrites...)
 	var out bytes.Buffer
 	for line := range strings.Lines(readMetrics(t, r)) {
 		if !strings.HasPrefix(line, "#") {
--- a/internal/registry/replica/permits.go
+++ b/internal/registry/replica/permits.go
@@ -7,16 +7,17 @@
 	"umberbank/internal/registry/state"
 )
 
-// defaultPermitTimeout is how long a permit has to begin where the limits do not say.
+// defaultPermitTimeout is the time within which a permit must begin if the limits do not set it.
 const defaultPermitTimeout = 2 * time.Second
 
 // waitingPermit is a permit that has not begun.
 type waitingPermit struct {
 	token int64
-	since time.Duration // when this leader first knew of it
+	since time.Duration // when this leader first observed it
 }
 
-// expirePermits returns the writes that end permits which have not begun in time. waiting are all that have not begun.
+// expirePermits returns the writes that return permits which have not begun in time. waiting has all permits that have not
+// begun.
 func (t *leaseTable) expirePermits(waiting []*disruption.Permit, now time.Duration) (ops []state.Op) {
 	known := map[string]waitingPermit{}
 	for _, p := range waiting {
--- a/internal/registry/replica/raft.go
+++ b/internal/registry/replica/raft.go
@@ -16,19 +16,19 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Raft's settings, those of time in ticks.
+// Settings of raft. Times are in ticks.
 const (
 	heartbeatTicks        = 5
 	electionTicks         = 5
 	leaderLeaseTicks      = 4
 	transportTimeoutTicks = 20
 	snapshotCheckTicks    = 50
-	commitsPerTick        = 10 // at most, where there is nothing to batch
+	commitsPerTick        = 10 // maximum when there is nothing to batch
 	connectionsPerPeer    = 3
 	retainedSnapshots     = 2
 )
 
-// openTransport listens for the other replicas.
+// openTransport starts to listen for the other replicas.
 func (r *Replica) openTransport(logger hclog.Logger) error {
 	advertised, err := net.ResolveTCPAddr("tcp", r.cfg.RaftAddress)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return err
 }
 
-// openLogStore opens the log, creates it in a new folder, and reads all of it once.
+// openLogStore opens the log, which it creates in a new data directory, and verifies all entries.
 func (r *Replica) openLogStore() error {
 	if err := checkLogPresent(r.cfg.DataDir); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// readSyncDelay reads a duration from a file; 0 without one.
+// readSyncDelay reads a duration from a file. It returns zero if the file is missing or invalid.
 func readSyncDelay(path string) time.Duration {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return d
 }
 
-// startRaft starts raft on the log and the snapshots, and bootstraps a new cluster if there are peers.
+// startRaft starts raft on the log and the snapshots. If there are peers, it bootstraps the cluster unless it already exists.
 func (r *Replica) startRaft(logger hclog.Logger) error {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.DataDir, retainedSnapshots, logger)
 	if err != nil {
@@ -87,7 +87,7 @@
 	rc := r.raftConfig(logger)
 	if len(r.cfg.Peers) > 0 {
 		err := raft.BootstrapCluster(rc, r.logStore, r.store, snapshots, r.trans, bootstrapConfiguration(r.cfg.Peers))
-		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // the cluster exists
+		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // the cluster already exists
 			return err
 		}
 	}
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -14,16 +14,17 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// callTimeout bounds a write, a call that is forwarded to the leader, and the time that a caller has to send its headers.
-const callTimeout = 5 * time.Second
+// requestTimeout bounds a write, a request that is forwarded to the leader, and the time in which a client must send its
+// headers.
+const requestTimeout = 5 * time.Second
 
-// Replica is a running replica.
+// Replica is a running replica of the registry. [New] starts one, and Close must be called to stop it.
 type Replica struct {
 	cfg      Config
 	fsm      *fsm
 	raft     *raft.Raft
 	trans    *raft.NetworkTransport
-	store    *raftboltdb.BoltStore // raft's votes, and below logStore its log
+	store    *raftboltdb.BoltStore // the votes of raft, and its log below logStore
 	logStore *checksumStore
 	listener net.Listener // for clients
 	http     *http.Server
@@ -33,17 +34,17 @@
 	renewals chan renewRequest // to leaderLoop
 
 	serving    atomic.Bool
-	failed     chan error    // receives why this replica ends by itself
+	failed     chan error    // receives the reason when this replica fails
 	leaderDone chan struct{} // closed when leaderLoop has returned
 }
 
-// New starts a replica on the data that it finds. With peers and without data it bootstraps a cluster.
+// New starts a replica on the existing data of its directory. With peers and without data it bootstraps a cluster.
 func New(cfg Config) (*Replica, error) {
 	cfg.setDefaults()
 	r := &Replica{
 		cfg:        cfg,
 		fsm:        newFSM(),
-		forward:    &http.Client{Timeout: callTimeout},
+		forward:    &http.Client{Timeout: requestTimeout},
 		renewals:   make(chan renewRequest),
 		failed:     make(chan error, 1),
 		leaderDone: make(chan struct{}),
@@ -57,7 +58,7 @@
 	return r, nil
 }
 
-// start opens what the replica needs and begins to serve. After an error closeResources closes what is open.
+// start opens the resources of the replica and begins to serve. After an error closeResources must be called.
 func (r *Replica) start() error {
 	if err := os.MkdirAll(r.cfg.DataDir, 0o700); err != nil {
 		return err
@@ -77,13 +78,13 @@
 		return err
 	}
 	go r.runLeaderLoop()
-	r.http = &http.Server{Handler: r.handler(), ReadHeaderTimeout: callTimeout}
-	go r.http.Serve(r.listener) //nolint:errcheck // it ends with Close or fail
+	r.http = &http.Server{Handler: r.handler(), ReadHeaderTimeout: requestTimeout}
+	go r.http.Serve(r.listener) //nolint:errcheck // Serve returns after Close or fail
 	r.serving.Store(true)
 	return nil
 }
 
-// fail ends this replica: neither peers nor clients hear from it any more, and Failed receives the reason.
+// fail stops the communication of this replica with peers and clients, and sends the reason to Failed.
 func (r *Replica) fail(err error) {
 	select {
 	case r.failed <- err:
@@ -93,19 +94,19 @@
 	if !r.serving.Load() {
 		return
 	}
-	r.cfg.Logger.Error("replica cannot go on and stops", "error", err)
+	r.cfg.Logger.Error("replica failed and stops", "error", err)
 	r.trans.Close()
 	r.http.Close()
 	r.watches.close()
 }
 
-// Failed receives the reason why this replica cannot go on, if that happens. Close may then wait for a disk that hangs.
+// Failed returns a channel that receives the reason if this replica fails. Close may then block on a disk that hangs.
 func (r *Replica) Failed() <-chan error { return r.failed }
 
-// Addr is the host:port that clients call.
+// Addr returns the host:port where clients connect.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
-// Close stops the replica. Its data stays.
+// Close stops the replica. Its data remains in the data directory.
 func (r *Replica) Close() error {
 	r.http.Close()
 	r.watches.close()
@@ -127,11 +128,11 @@
 	}
 }
 
-// slogWriter hands raft's log lines to a slog.Logger.
+// slogWriter writes the log lines of raft to a slog.Logger.
 type slogWriter struct{ logger *slog.Logger }
 
-// Write logs one line.
+// Write logs one line as a warning.
 func (w slogWriter) Write(line []byte) (int, error) {
-	w.logger.Warn("message of the raft library", "line", strings.TrimSuffix(string(line), "\n"))
+	w.logger.Warn("message from the raft library", "line", strings.TrimSuffix(string(line), "\n"))
 	return len(line), nil
 }
--- a/internal/registry/replica/serve.go
+++ b/internal/registry/replica/serve.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// Serve runs a replica by the configuration file at path; see ReadConfig. It calls ready with the address that it serves
-// on, and returns when ctx ends, or with an error when the replica cannot go on.
+// Serve runs a replica with the configuration file at path; see [ReadConfig]. It calls ready with the address on which it
+// serves. It closes the replica and returns when ctx is done, or returns an error when the replica fails.
 func Serve(ctx context.Context, path string, logger *slog.Logger, ready func(address string)) error {
 	cfg, err := ReadConfig(path)
 	if err != nil {
--- a/internal/registry/replica/syncmonitor.go
+++ b/internal/registry/replica/syncmonitor.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// A leader whose disk is slow delays every write, while its heartbeats go on and no replica starts an election. In ticks:
+// Bounds of syncs, in ticks. A leader whose disk is slow delays every write, but its heartbeats continue, so no replica starts
+// an election.
 const (
-	slowSyncTicks         = 5   // a sync that takes longer is slow
-	hungSyncTicks         = 50  // one that takes longer hangs, and the replica ends
-	transferCooldownTicks = 300 // between two transfers of leadership, so that it does not pass from replica to replica where all disks are slow
+	slowSyncTicks = 5  // a sync that takes longer is slow
+	hungSyncTicks = 50 // a sync that takes longer hangs, and the replica stops
+	// transferCooldownTicks is the minimum time between two transfers of leadership. Without it, leadership would keep moving
+	// between replicas if all disks are slow.
+	transferCooldownTicks = 300
 )
 
-// slowSyncsToTransfer is after how many slow syncs in a row a leader transfers its leadership.
+// slowSyncsToTransfer is the number of consecutive slow syncs after which a leader transfers its leadership.
 const slowSyncsToTransfer = 2
 
-// syncMonitor measures the syncs of a log, of which one at a time is under way. Any goroutine may read it.
+// syncMonitor measures the syncs of a log, of which at most one is in progress. Any goroutine may read it.
 type syncMonitor struct {
 	base      time.Time     // origin of startedNS, on the monotonic clock
-	startedNS atomic.Int64  // start of the sync under way, in ns since base; 0: none is
-	slow      atomic.Int32  // slow syncs in a row
+	startedNS atomic.Int64  // start of the sync in progress, in ns since base; zero if there is none
+	slow      atomic.Int32  // consecutive slow syncs up to now
 	slowAfter time.Duration // a sync that takes longer is slow
 }
 
-// begin notes that a sync begins now.
+// begin records the start of a sync and returns its time.
 func (m *syncMonitor) begin() time.Time {
 	now := time.Now()
 	m.startedNS.Store(max(1, int64(now.Sub(m.base))))
 	return now
 }
 
-// end notes that no sync is under way.
+// end records that no sync is in progress.
 func (m *syncMonitor) end() { m.startedNS.Store(0) }
 
-// record counts a sync by its duration.
+// record counts a completed sync as slow or not.
 func (m *syncMonitor) record(took time.Duration) {
 	if took > m.slowAfter {
 		m.slow.Add(1)
@@ -42,21 +45,21 @@
 	}
 }
 
-// slowInARow is how many of the last syncs were slow.
-func (m *syncMonitor) slowInARow() int { return int(m.slow.Load()) }
+// consecutiveSlow returns the number of consecutive slow syncs up to now.
+func (m *syncMonitor) consecutiveSlow() int { return int(m.slow.Load()) }
 
-// pending is how long the sync under way has taken; 0 without one.
+// pending returns how long the sync in progress has taken, or zero if there is none.
 func (m *syncMonitor) pending() time.Duration {
-	began := m.startedNS.Load()
-	if began == 0 {
+	started := m.startedNS.Load()
+	if started == 0 {
 		return 0
 	}
-	return time.Since(m.base) - time.Duration(began)
+	return time.Since(m.base) - time.Duration(started)
 }
 
-// discount leaves a time in which this process was suspended out of the sync under way: the disk may be well.
+// discount excludes a time for which this process was suspended from the sync in progress, because the disk may be healthy.
 func (m *syncMonitor) discount(suspended time.Duration) {
-	if began := m.startedNS.Load(); began != 0 {
-		m.startedNS.CompareAndSwap(began, began+int64(suspended))
+	if started := m.startedNS.Load(); started != 0 {
+		m.startedNS.CompareAndSwap(started, started+int64(suspended))
 	}
 }
--- a/internal/registry/replica/syncmonitor_test.go
+++ b/internal/registry/replica/syncmonitor_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A sync is timed by the monotonic clock, less the time in which this process was suspended.
+// The duration of a sync is measured on the monotonic clock and excludes the time for which this process was suspended.
 func TestSyncMonitorDiscountsSuspension(t *testing.T) {
-	c := &syncMonitor{base: time.Now().Add(-time.Minute)}
-	if c.pending() != 0 {
-		t.Error("no sync is under way")
+	m := &syncMonitor{base: time.Now().Add(-time.Minute)}
+	if m.pending() != 0 {
+		t.Error("a sync is pending before one was started")
 	}
-	c.discount(time.Second)
-	c.startedNS.Store(int64(50 * time.Second)) // ten seconds ago
-	if d := c.pending(); d < 10*time.Second || d > 40*time.Second {
-		t.Errorf("it lasts %v", d)
+	m.discount(time.Second)
+	m.startedNS.Store(int64(50 * time.Second)) // ten seconds ago
+	if d := m.pending(); d < 10*time.Second || d > 40*time.Second {
+		t.Errorf("sync has been pending for %v, want 10 s to 40 s", d)
 	}
-	before := c.pending()
-	c.discount(9 * time.Second)
-	if d := c.pending(); d < before-9*time.Second || d > before {
-		t.Errorf("without 9 s of suspension it lasts %v, before %v", d, before)
+	before := m.pending()
+	m.discount(9 * time.Second)
+	if d := m.pending(); d < before-9*time.Second || d > before {
+		t.Errorf("sync has been pending for %v without 9 s of suspension, and for %v with them", d, before)
 	}
 }
--- a/internal/registry/replica/warmup.go
+++ b/internal/registry/replica/warmup.go
@@ -7,18 +7,18 @@
 	"umberbank/internal/registry/state"
 )
 
-// warmUpStepCount is in how many writes a unit warms up.
+// warmUpStepCount is the number of writes over which a unit warms up.
 const warmUpStepCount = 4
 
-// warmUp is a unit that has started and is not warm yet.
+// warmUp is the warm-up of a unit that has started.
 type warmUp struct {
 	token   int64
-	since   time.Duration // when this leader first knew of it
-	initial float64       // share of its capacity that it lacked then
-	current float64       // and lacks now, as the state has it
+	since   time.Duration // when this leader first observed it
+	initial float64       // fraction of its capacity that the unit lacked at since
+	current float64       // fraction that it lacks now according to the state
 }
 
-// trackWarmUp begins, or goes on with, the warm-up of an instance as the state has it.
+// trackWarmUp starts, updates or drops the warm-up of an instance from the state.
 func (t *leaseTable) trackWarmUp(e *state.Instance, now time.Duration) {
 	switch w := t.warmUps[e.UID]; {
 	case e.State == state.Deleted || e.WarmUpDeficit == 0:
@@ -30,7 +30,7 @@
 	}
 }
 
-// warmUpSteps returns the writes by which units warm up, step by step and evenly over the warm-up time.
+// warmUpSteps returns the writes that raise the capacity of units in equal steps over the warm-up time.
 func (t *leaseTable) warmUpSteps(now time.Duration) (ops []state.Op) {
 	for uid, w := range t.warmUps {
 		fraction := 1.0
--- a/internal/registry/replica/watch.go
+++ b/internal/registry/replica/watch.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	watchHeartbeat      = 2 * time.Second // an empty line tells the watcher that the watch lives
+	watchHeartbeat      = 2 * time.Second // interval of empty lines, which show the watcher that the watch is alive
 	watchWriteTimeout   = 10 * time.Second
-	watchLeaderlessTime = 5 * time.Second // a replica without a leader ends its watches after this
+	watchLeaderlessTime = 5 * time.Second // a replica ends its watches after this time without a leader
 )
 
-// watchHead begins a watch's answer, and watchHeartbeatFrame is a heartbeat in its framing.
+// watchHead is the head of the response to a watch, and watchHeartbeatFrame is a heartbeat as an HTTP chunk.
 const (
 	watchHead           = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 	watchHeartbeatFrame = "1\r\n\n\r\n"
 )
 
-// startWatch hands a watcher's connection to a goroutine of its own, which needs a fraction of the memory that a request of
-// net/http does while it lasts.
+// startWatch takes over a watcher's connection and serves it from a new goroutine, which needs a fraction of the memory that
+// a pending request of net/http needs.
 func (r *Replica) startWatch(w http.ResponseWriter, since int64) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -40,9 +40,10 @@
 	}()
 }
 
-// watch sends changes since a revision as they come, until either side ends; that the watcher has disconnected shows at a
-// write. A watcher that is ahead of this replica is sent nothing until the replica has caught up; one of another epoch
-// takes the full list. A replica that has lost its leader ends its watches, so that watchers go to one that has not.
+// watch sends the changes since a revision as they happen, until either side closes the connection. A failed write shows that
+// the watcher has disconnected. A watcher that is ahead of this replica is sent nothing until the replica has caught up; a
+// watcher of another epoch gets the full list. A replica that has lost its leader ends its watches, so that the watchers
+// connect to one that has a leader.
 func (r *Replica) watch(conn net.Conn, since int64) {
 	heartbeat := time.NewTicker(watchHeartbeat)
 	defer heartbeat.Stop()
@@ -80,7 +81,7 @@
 	}
 }
 
-// send writes to a watcher; false: that failed.
+// send writes a frame to a watcher and reports whether that succeeded.
 func send(conn net.Conn, frame []byte) bool {
 	if err := conn.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
 		return false
@@ -89,13 +90,13 @@
 	return err == nil
 }
 
-// fullListFrame is the full list in a watch's framing, and its revision.
+// fullListFrame returns the full list as an HTTP chunk, and its revision.
 func (r *Replica) fullListFrame() ([][]byte, int64, error) {
 	text, revision, err := r.fsm.events.encodedList(r.fsm.list)
 	return [][]byte{chunk(text)}, revision, err
 }
 
-// isAhead says whether a watcher holds a later revision of this epoch than the replica has.
+// isAhead reports whether a watcher's revision is later than that of this replica and of the same epoch.
 func (r *Replica) isAhead(revision int64) (ahead bool) {
 	r.fsm.read(func(s *state.State) {
 		ahead = revision > s.Revision() && state.Epoch(revision) == state.Epoch(s.Revision())
@@ -103,9 +104,9 @@
 	return ahead
 }
 
-// chunk frames a line as a chunk of HTTP.
+// chunk encodes a line as an HTTP chunk.
 func chunk(line []byte) []byte {
-	const framing = 16 // no less than the length in hex and two line ends
+	const framing = 16 // at least the size of the length in hex and two line ends
 	b := make([]byte, 0, len(line)+framing)
 	b = strconv.AppendInt(b, int64(len(line)), 16)
 	b = append(b, "\r\n"...)
@@ -113,14 +114,14 @@
 	return append(b, "\r\n"...)
 }
 
-// watchSet has the connections of open watches. Its zero value is empty.
+// watchSet holds the connections of open watches. Its zero value is an empty set.
 type watchSet struct {
 	mu     sync.Mutex
 	open   map[net.Conn]struct{}
 	closed bool
 }
 
-// add adds a watch; false: the replica takes no more.
+// add adds the connection of a watch. It returns false if the set is closed.
 func (s *watchSet) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,7 @@
 	return true
 }
 
-// remove closes a watch's connection and removes it.
+// remove closes the connection of a watch and removes it.
 func (s *watchSet) remove(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -148,7 +149,7 @@
 	return int64(len(s.open))
 }
 
-// close closes the connections of all watches. Their goroutines see it at the next event or heartbeat.
+// close closes the connections of all watches. Their goroutines return at the next event or heartbeat.
 func (s *watchSet) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/registry/replica/write.go
+++ b/internal/registry/replica/write.go
@@ -13,57 +13,57 @@
 	"umberbank/internal/registry/state"
 )
 
-// ErrNotLeader says that another replica leads, or none.
+// ErrNotLeader is returned when another replica leads, or when there is no leader.
 var ErrNotLeader = errors.New("not the leader")
 
-// renewRequest asks leaderLoop to renew leases. reply has room for the answer.
+// renewRequest asks leaderLoop to renew leases. reply must be buffered.
 type renewRequest struct {
 	leases []api.Lease
 	reply  chan<- renewReply
 }
 
-// renewReply has the uids whose leases the leader does not know by their tokens.
+// renewReply has the UIDs for which the leader has no lease with the given token.
 type renewReply struct {
 	unknown []string
 	err     error
 }
 
-// write has a command committed and returns its answers. ErrNotLeader: this replica does not lead.
+// write commits a command and returns its results. It returns ErrNotLeader if this replica does not lead.
 func (r *Replica) write(c command) ([]state.Result, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	future := r.raft.Apply(text, callTimeout)
+	start := time.Now()
+	future := r.raft.Apply(text, requestTimeout)
 	if err := future.Error(); err != nil {
 		if isNotLeader(err) {
 			return nil, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
 		return nil, err
 	}
-	r.metrics.writeSeconds.Observe(time.Since(began).Seconds())
+	r.metrics.writeSeconds.Observe(time.Since(start).Seconds())
 	result, ok := future.Response().(commandResult)
 	if !ok {
-		return nil, fmt.Errorf("the log gave %T for a write", future.Response())
+		return nil, fmt.Errorf("raft returned %T for a write, want commandResult", future.Response())
 	}
 	return result.results, result.err
 }
 
-// isNotLeader says whether raft turned a write down because this replica does not lead, or no longer.
+// isNotLeader reports whether raft rejected a write because this replica does not lead, or no longer leads.
 func isNotLeader(err error) bool {
 	return errors.Is(err, raft.ErrNotLeader) ||
 		errors.Is(err, raft.ErrLeadershipLost) ||
 		errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// renew renews leases and returns the uids of those that this replica does not know by their tokens.
+// renew renews leases and returns the UIDs for which this replica has no lease with the given token.
 func (r *Replica) renew(ctx context.Context, leases []api.Lease) ([]string, error) {
 	reply := make(chan renewReply, 1)
 	select {
 	case r.renewals <- renewRequest{leases, reply}:
-		answer := <-reply
-		return answer.unknown, answer.err
+		result := <-reply
+		return result.unknown, result.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-r.leaderDone:
@@ -71,9 +71,10 @@
 	}
 }
 
-// catchUp waits until this replica has all that was committed when it was called, which only the leader can tell.
+// catchUp waits until this replica has everything that was committed before the call. Only the leader can do this; on other
+// replicas it returns ErrNotLeader.
 func (r *Replica) catchUp() error {
-	if err := r.raft.Barrier(callTimeout).Error(); err != nil {
+	if err := r.raft.Barrier(requestTimeout).Error(); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotLeader, err)
 	}
 	return nil
