--- a/internal/registry/state/result.go
+++ b/internal/registry/state/result.go
@@ -20,7 +20,7 @@
 	CodeNotFound Code = "not-found" // the instance or record does not exist
 	CodeInvalid  Code = "bad"       // the write is malformed
 
-	CodeOverBudget Code = "over-budget" // the permit would exceed a limit; the reason has the figures
+	CodeOverBudget Code = "over-budget" // the permit is not granted; the reason has the figures
 	CodeHalted     Code = "halted"      // the permit's release is halted
 	CodeNoPermit   Code = "no-permit"
 	CodeNotReady   Code = "not-yet" // a version or a node does not allow the write; the reason says why
