--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// deadlineRecorder records the write deadline that an answer was given.
+// deadlineRecorder records the write deadline of a response.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -25,23 +25,25 @@
 	return nil
 }
 
-// A client that does not read its answer must not occupy its connection forever.
-func TestAnswersHaveADeadline(t *testing.T) {
+// A response is written with a deadline. Without one, a client that does not read its response would hold its connection
+// indefinitely.
+func TestResponseWriteDeadline(t *testing.T) {
 	before := time.Now()
 	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
-	write(w, answer{status: 200, body: []byte("hi")})
-	if w.deadline.Before(before) || w.deadline.After(time.Now().Add(answerTimeout)) {
-		t.Errorf("written at %v with the deadline %v", before, w.deadline)
+	writeBuffered(w, clientResponse{status: 200, body: []byte("hi")})
+	if w.deadline.Before(before) || w.deadline.After(time.Now().Add(responseWriteTimeout)) {
+		t.Errorf("response written at %v has the write deadline %v, want one within responseWriteTimeout", before, w.deadline)
 	}
 	if w.Code != 200 || w.Body.String() != "hi" {
-		t.Errorf("answer %d %q", w.Code, w.Body)
+		t.Errorf("got response %d %q, want 200 \"hi\"", w.Code, w.Body)
 	}
 }
 
-// A rejection is a 503 with Retry-After in decimal seconds, a failure a 502.
-func TestFinalAnswers(t *testing.T) {
+// A Reject produces a 503 with Retry-After in decimal seconds, a Fail a 502. Only the first of several final actions for a
+// request has an effect.
+func TestFinalResponses(t *testing.T) {
 	t.Parallel()
-	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
 			return []balancer.Action{balancer.Reject{ID: r.ID, RetryAfter: 250 * time.Millisecond},
@@ -53,18 +55,19 @@
 	}))
 	resp, _ := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "0.25" {
-		t.Errorf("refusal: %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("reject: got status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("failure: %d", resp.StatusCode)
+		t.Errorf("fail: got status %d", resp.StatusCode)
 	}
 }
 
-// If the balancer never answer a request, the client gets an answer before its deadline.
-func TestSilentDecisions(t *testing.T) {
+// If the balancer never completes a request, the node fails it before the client's deadline and reports a disconnect to
+// the balancer.
+func TestNoBalancerDecision(t *testing.T) {
 	t.Parallel()
 	disconnected := make(chan balancer.ClientDisconnected, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		if e, is := e.(balancer.ClientDisconnected); is {
 			disconnected <- e
 		}
@@ -73,16 +76,16 @@
 	r := newRequest(t, n, "GET", "/read/1", "")
 	r.Header.Set("X-Time-Left", "50m")
 	if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("got status %d", resp.StatusCode)
 	}
 	nodetest.Wait(t, disconnected)
 }
 
-// A client with next to no time left gets a final answer too, and no closed connection.
+// A client with almost no time left receives a final response, not a closed connection.
 func TestNoTimeLeft(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for range 20 {
 		for method, path := range map[string]string{"GET": "/read/1", "POST": "/order/1"} {
 			body := ""
@@ -92,20 +95,21 @@
 			r := newRequest(t, n, method, path, body)
 			r.Header.Set("X-Time-Left", "1u")
 			if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%s: answer %d", method, resp.StatusCode)
+				t.Errorf("%s: got status %d", method, resp.StatusCode)
 			}
 		}
 	}
 }
 
-// Attempts of a finished request, attempts over the limit and attempts to endpoints that are not listed are not sent.
-func TestSendsThatAreNotSent(t *testing.T) {
+// Attempts of a finished request, attempts over the limit and attempts to unlisted endpoints are not sent. The balancer
+// receives a NotSent outcome for each.
+func TestSuppressedSends(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	cfg := testConfig("127.0.0.1:1", serving("s", addr))
+	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	cfg.Settings.MaxAttempts = 2
 	outcomes := make(chan balancer.Outcome, 10)
-	n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			send := func(to string) balancer.Action { return balancer.Send{ID: e.ID, Endpoint: to} }
@@ -122,17 +126,17 @@
 	nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
 	for i := range 3 {
 		if o := nodetest.Wait(t, outcomes); o.Result != balancer.NotSent || o.Attempt != i {
-			t.Errorf("outcome %+v", o)
+			t.Errorf("got outcome %+v, want NotSent of each attempt in order", o)
 		}
 	}
 	nodetest.Do(t, newRequest(t, n, "POST", "/order/1", ""))
 	if len(got) > 0 {
-		t.Error("a void attempt reached the server")
+		t.Error("a suppressed attempt reached the server")
 	}
 }
 
-// The first success is the answer and marked RequestDone; the balancer still get the outcome of an attempt that ends
-// later.
+// The first successful attempt completes the request, and its outcome is marked RequestDone. The balancer still receives
+// the outcome of an attempt that ends later.
 func TestLateOutcome(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -144,8 +148,8 @@
 	})
 	fast, _ := nodetest.Stub(t, nodetest.OK, false)
 	outcomes := make(chan balancer.Outcome, 10)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("slow", slow), serving("fast", fast)),
-		decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("slow", slow), servingEntry("fast", fast)),
+		balancerFunc(func(e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
 				return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "slow"}, balancer.Send{ID: e.ID, Endpoint: "fast"}}
@@ -155,7 +159,7 @@
 			return nil
 		}))
 	if resp, body := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != http.StatusOK || body != "hi" {
-		t.Errorf("answer %d %q", resp.StatusCode, body)
+		t.Errorf("got response %d %q", resp.StatusCode, body)
 	}
 	if o := nodetest.Wait(t, outcomes); o.Endpoint != "fast" || o.Attempt != 1 || !o.RequestDone || o.Result != balancer.Success {
 		t.Errorf("first outcome %+v", o)
@@ -166,10 +170,10 @@
 	}
 }
 
-// An endless response head must not fill the memory: the attempt ends with its connection, long before its deadline.
-func TestEndlessHead(t *testing.T) {
+// An endless response head must not exhaust the memory. The attempt and its connection end long before the deadline.
+func TestEndlessResponseHead(t *testing.T) {
 	t.Parallel()
-	const most = 256 << 20
+	const maxBytes = 256 << 20
 	wrote := make(chan int, 1)
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
@@ -177,7 +181,7 @@
 		}
 		n, _ := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		line := "X-Pad: " + strings.Repeat("x", 8<<10) + "\r\n"
-		for n < most {
+		for n < maxBytes {
 			k, err := io.WriteString(c, line)
 			n += k
 			if err != nil {
@@ -186,11 +190,11 @@
 		}
 		wrote <- n
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("got status %d", resp.StatusCode)
 	}
-	if n := nodetest.Wait(t, wrote); n >= most {
-		t.Errorf("all of %d bytes were read", n)
+	if n := nodetest.Wait(t, wrote); n >= maxBytes {
+		t.Errorf("the node read all %d bytes of the head", n)
 	}
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -13,27 +13,27 @@
 	"umberbank/internal/node/upstream"
 )
 
-// attempt is one Send of the balancer. The loop owns it.
+// attempt is one Send action of the balancer. The loop owns it.
 type attempt struct {
 	request    *request
-	index      int    // among the attempts of the request
-	endpoint   string // its ID
-	sentAt     time.Duration
+	index      int           // position in request.attempts
+	endpoint   string        // the ID of the endpoint
+	sentAt     time.Duration // clock time
 	cancel     context.CancelCauseFunc
-	timer      *time.Timer // cancels it when its time is over
-	responding bool        // its response is being passed on, as the request's
+	timer      *time.Timer // cancels the attempt at its timeout; nil while there is none
+	responding bool        // the response of this attempt is being streamed to the client
 }
 
-// send starts an attempt. Every Send gets exactly one Outcome.
+// send starts an attempt. The balancer receives exactly one Outcome for each Send.
 func (l *loop) send(a balancer.Send) {
 	r := l.requests[a.ID]
 	if r == nil {
-		slog.Error("attempt of an unknown request", "request", a.ID)
+		slog.Error("balancer sent an attempt for an unknown request", "request", a.ID)
 		return
 	}
 	now := l.now()
 	timeout := r.deadline - now
-	if a.Timeout != 0 { // 0: until the deadline
+	if a.Timeout != 0 { // zero means until the deadline
 		timeout = min(timeout, a.Timeout)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -55,7 +55,7 @@
 	}()
 }
 
-// maySend reports whether the request of an attempt may be sent, with a timeout for the attempt.
+// maySend reports whether an attempt with the given timeout may be sent.
 func (l *loop) maySend(at *attempt, timeout time.Duration) bool {
 	r := at.request
 	if r.finished.Load() || r.disconnected.Load() {
@@ -67,7 +67,8 @@
 	return r.maxAttempts <= 0 || at.index < r.maxAttempts
 }
 
-// newCall returns the call of an attempt. deadline is the clock time at which its time is over, unless the request's time has not begun.
+// newCall returns the upstream call of an attempt. deadline is the clock time of its timeout. It is ignored for a streamed
+// body, whose deadline starts when its last byte is sent.
 func (l *loop) newCall(ctx context.Context, at *attempt, deadline time.Duration) upstream.Call {
 	r := at.request
 	call := upstream.Call{
@@ -81,7 +82,7 @@
 		}
 		return call
 	}
-	// Its time begins with its last byte; clientconn.Body limits how slowly that comes.
+	// The deadline starts at the last byte of the body; clientconn.Body limits how slowly the body may arrive.
 	call.StreamedBody = r.streamedBody
 	call.Conditions.Deadline = 0
 	call.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(r.timeLeft))
@@ -91,14 +92,14 @@
 	return call
 }
 
-// cancel ends an attempt that the balancer wants no more.
+// cancel ends an attempt that the balancer has cancelled.
 func (l *loop) cancel(a balancer.Cancel) {
 	if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 		r.attempts[a.Attempt].cancel(upstream.ErrCancelled)
 	}
 }
 
-// bodySent notes that the last byte of a long request was written: its time begins.
+// bodySent starts the deadline of a request with a streamed body whose last byte has been written to a server.
 func (l *loop) bodySent(at *attempt) {
 	r := at.request
 	at.timer = time.AfterFunc(r.timeLeft, func() { at.cancel(upstream.ErrTimedOut) })
@@ -111,7 +112,8 @@
 	l.handle(balancer.RequestBodySent{ID: r.id, Attempt: at.index, Deadline: r.deadline})
 }
 
-// responseStarted makes a response that begins the final answer of its request, unless there is one already.
+// responseStarted makes a streamed response the final response of its request. It discards the response if the request is
+// finished already.
 func (l *loop) responseStarted(at *attempt, response *upstream.Response) {
 	if !l.markFinished(at.request) {
 		at.cancel(upstream.ErrCancelled)
@@ -120,7 +122,7 @@
 	}
 	at.responding = true
 	at.stopTimer()
-	at.request.answer <- answer{status: http.StatusOK, contentType: response.ContentType, response: response}
+	at.request.response <- clientResponse{status: http.StatusOK, contentType: response.ContentType, streamed: response}
 	l.handle(balancer.ResponseStarted{ID: at.request.id, Attempt: at.index})
 }
 
@@ -131,7 +133,8 @@
 	}
 }
 
-// end notes that an attempt has ended and returns that as an event for the balancer. The first success is the request's answer.
+// end records the end of an attempt and returns the event for the balancer. The first successful attempt completes the
+// request.
 func (l *loop) end(at *attempt, result upstream.AttemptResult) balancer.Outcome {
 	r := at.request
 	at.stopTimer()
@@ -140,16 +143,16 @@
 	if at.responding {
 		l.metrics.InFlight.Add(-1)
 	}
-	if r.disconnected.Load() && l.markFinished(r) { // the loop is about to be notified; no retry may be sent meanwhile
+	if r.disconnected.Load() && l.markFinished(r) { // the loop has not handled the disconnect yet; no retry may be sent
 		l.metrics.InFlight.Add(-1)
 	}
 	if mayHaveRun(result.Result) && (r.firstSentAt == 0 || at.sentAt < r.firstSentAt) {
 		r.firstSentAt = at.sentAt
 	}
 	if result.Result == balancer.Success {
-		l.finish(r.id, answer{status: http.StatusOK, body: result.Body, contentType: result.ContentType})
+		l.finish(r.id, clientResponse{status: http.StatusOK, body: result.Body, contentType: result.ContentType})
 	}
-	l.forget(r)
+	l.removeIfDone(r)
 	return balancer.Outcome{
 		ID:           r.id,
 		Attempt:      at.index,
@@ -161,7 +164,7 @@
 	}
 }
 
-// mayHaveRun reports whether a server may have run an attempt that ended so.
+// mayHaveRun reports whether a server may have run an attempt with the given result.
 func mayHaveRun(result balancer.Result) bool {
 	switch result {
 	case balancer.Overloaded, balancer.Unreachable, balancer.NotSent:
--- a/internal/node/classes.go
+++ b/internal/node/classes.go
@@ -9,10 +9,11 @@
 	"umberbank/internal/node/header"
 )
 
-// errUnknownClass rejects a request that every server would fail, which would count against the servers' health.
+// errUnknownClass rejects a request for a class that is not configured. Every server would fail such a request, and the
+// failures would count against the health of the servers.
 var errUnknownClass = errors.New("not in the settings")
 
-// classes are the classes that requests may name now, by name. They are never changed: a reload swaps them whole.
+// classes maps names to the configured request classes. It is immutable: a reload replaces the whole map.
 type classes map[string]balancer.Class
 
 func newClasses(settings balancer.Settings) *classes {
@@ -23,14 +24,14 @@
 	return &c
 }
 
-// check says what is wrong with a request of a class, by its headers.
+// check returns an error if a request of the given class with headers h must be rejected.
 func (c *classes) check(class string, h http.Header) error {
 	settings, known := (*c)[class]
 	switch {
 	case !known:
 		return fmt.Errorf("the class %q: %w", class, errUnknownClass)
 	case settings.Effect == balancer.WithIdempotencyKey && h.Get(header.IdempotencyKey) == "":
-		// Without its key the servers would run every retry.
+		// Without a key, servers cannot detect retries and would run each of them.
 		return errors.New("Idempotency-Key is missing")
 	}
 	return nil
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -21,42 +21,42 @@
 	"umberbank/internal/node/upstream"
 )
 
-// A client that disconnects behind bytes that it sent ahead of its answer is seen to disconnect, though net/http reads one
-// of those bytes and then stops reading.
-func TestDisconnectBehindBytesAhead(t *testing.T) {
+// A disconnect is detected even if the client has sent further bytes before its response. net/http reads one of these
+// bytes and then stops reading, so it does not notice the disconnect by itself.
+func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	for _, request := range []string{head("GET", "/read/1", ""), head("POST", "/order/1", "Content-Length: 2\r\n") + "ab"} {
-		taken, disconnected := make(chan struct{}), make(chan struct{})
-		n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+		accepted, disconnected := make(chan struct{}), make(chan struct{})
+		n := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 			switch e.(type) {
 			case balancer.Request:
-				close(taken)
+				close(accepted)
 			case balancer.ClientDisconnected:
 				close(disconnected)
 			}
 			return nil
 		}))
 		conn := nodetest.Dial(t, n.Addr().String())
-		io.WriteString(conn, strings.Replace(request, "15000m", "90000m", 1)) // the node answers by itself only then
-		nodetest.Wait(t, taken)
+		io.WriteString(conn, strings.Replace(request, "15000m", "90000m", 1)) // the node does not fail the request before that
+		nodetest.Wait(t, accepted)
 		io.WriteString(conn, "\r\nGET")
 		conn.Close()
 		nodetest.Wait(t, disconnected)
 	}
 }
 
-// What a client sends ahead of its answer is its next request.
-func TestBytesAheadAreKept(t *testing.T) {
+// Bytes that a client sends before its response are kept as the beginning of its next request.
+func TestPipelinedBytesAreKept(t *testing.T) {
 	t.Parallel()
-	taken, answer := make(chan string, 2), make(chan struct{})
+	accepted, respond := make(chan string, 2), make(chan struct{})
 	n := newNodeFor(t, testConfig("127.0.0.1:1"))
-	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n.loop.balancer = balancerFunc(func(e balancer.Event) []balancer.Action {
 		if r, is := e.(balancer.Request); is {
-			taken <- r.ID
-			if len(taken) == 1 {
+			accepted <- r.ID
+			if len(accepted) == 1 {
 				go func() {
-					<-answer
-					n.loop.post(func() { n.loop.finish(r.ID, answer503) })
+					<-respond
+					n.loop.post(func() { n.loop.finish(r.ID, response503) })
 				}()
 				return nil
 			}
@@ -68,86 +68,86 @@
 	conn := nodetest.Dial(t, n.Addr().String())
 	next := head("GET", "/read/2", "")
 	io.WriteString(conn, head("GET", "/read/1", ""))
-	nodetest.Eventually(t, "the first request", func() bool { return len(taken) > 0 })
-	for i := range len(next) - 1 { // all but the last byte, one by one
+	nodetest.Eventually(t, "the first request is accepted", func() bool { return len(accepted) > 0 })
+	for i := range len(next) - 1 { // all but the last byte, one at a time
 		io.WriteString(conn, next[i:i+1])
 	}
-	close(answer)
+	close(respond)
 	r := bufio.NewReader(conn)
 	for i := range 2 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("answer %d: %+v, %v", i, resp, err)
+			t.Fatalf("response %d: got %+v, %v", i, resp, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		io.WriteString(conn, next[len(next)-1:])
 	}
 }
 
-// A client disconnects while the connection of its attempt is dialled: not a byte is written, though the loop is busy and
-// does not know yet.
-func TestDisconnectWhileDialling(t *testing.T) {
+// If the client disconnects while the connection for its attempt is dialed, the attempt is not sent, even if the loop is
+// blocked and has not handled the disconnect.
+func TestDisconnectWhileDialing(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := newNodeFor(t, testConfig("127.0.0.1:1", serving("s", addr)))
-	began, gate := make(chan struct{}, 1), make(chan struct{})
-	delayDials(n, began, gate)
+	n := newNodeFor(t, testConfig("127.0.0.1:1", servingEntry("s", addr)))
+	began, proceed := make(chan struct{}, 1), make(chan struct{})
+	delayDials(n, began, proceed)
 	runNode(t, n)
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, head("GET", "/read/1", ""))
 	nodetest.Wait(t, began)
-	release := holdLoop(t, n)
+	release := blockLoop(t, n)
 	conn.Close()
-	nodetest.Eventually(t, "its handler has ended", func() bool { return n.frontend.conns.Load() == 0 })
-	close(gate)
-	nodetest.Eventually(t, "the attempt has ended, its connection idle if it wrote nothing", func() bool {
+	nodetest.Eventually(t, "the request's handler has returned", func() bool { return n.frontend.conns.Load() == 0 })
+	close(proceed)
+	nodetest.Eventually(t, "the attempt has ended, and its connection is idle unless a request was sent", func() bool {
 		_, idle := n.loop.pool.Connections()
 		return idle == 1 || len(got) > 0
 	})
 	release()
-	nodetest.Eventually(t, "it is forgotten", func() bool { return callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 }) })
+	nodetest.Eventually(t, "the request is removed", func() bool { return callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 }) })
 	if len(got) > 0 {
-		t.Error("it was forwarded")
+		t.Error("the request was forwarded")
 	}
 }
 
-// A client disconnects behind the unread rest of its long body: no attempt begins, first or retry, though bytes stand
-// unread before its close.
-func TestDisconnectBehindALongBody(t *testing.T) {
+// If the client disconnects while part of its long body is unread, no attempt is sent, neither the first nor a retry. The
+// unread bytes precede the close on the connection, so reading alone does not detect it.
+func TestDisconnectWithUnreadBody(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
-		for first := range 2 { // the attempt that is to begin
-			begun := make(chan struct{}, 4)
+		for index := range 2 { // the attempt during whose dial the client disconnects
+			sent := make(chan struct{}, 4)
 			addr := nodetest.Listen(t, func(_ net.Conn, r *bufio.Reader) {
 				if _, err := r.ReadByte(); err == nil {
-					begun <- struct{}{}
+					sent <- struct{}{}
 				}
 			})
-			n := newNodeFor(t, testConfig("127.0.0.1:1", serving("away", "127.0.0.1:1"), serving("s", addr)))
+			n := newNodeFor(t, testConfig("127.0.0.1:1", servingEntry("unreachable", "127.0.0.1:1"), servingEntry("s", addr)))
 			outcomes := make(chan balancer.Outcome, 4)
-			n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
+			n.loop.balancer = balancerFunc(func(e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
-					return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: []string{"s", "away"}[first]}}
+					return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: []string{"s", "unreachable"}[index]}}
 				case balancer.Outcome:
-					if outcomes <- e; e.Attempt < first && !e.BodyConsumed {
+					if outcomes <- e; e.Attempt < index && !e.BodyConsumed {
 						return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 					}
 				}
 				return nil
 			})
-			began, gate := make(chan struct{}), make(chan struct{})
+			began, proceed := make(chan struct{}), make(chan struct{})
 			dial := n.loop.pool.Dial
-			n.loop.pool.Dial = func(ctx context.Context, to string, within time.Duration) (net.Conn, error) {
+			n.loop.pool.Dial = func(ctx context.Context, to string, timeout time.Duration) (net.Conn, error) {
 				if to != addr {
-					return nil, upstream.ErrNoCapacity // so the attempt before never ran
+					return nil, upstream.ErrNoCapacity // so that the first attempt never ran and can be retried
 				}
 				close(began)
-				<-gate
-				return dial(ctx, to, within)
+				<-proceed
+				return dial(ctx, to, timeout)
 			}
 			runNode(t, n)
 			conn, err := net.Dial("tcp", n.Addr().String())
@@ -157,15 +157,15 @@
 			const length = bodybudget.MaxBufferedBytes + 20_000
 			io.WriteString(conn, head("POST", "/order/1", "Content-Length: "+strconv.Itoa(length)+"\r\n")+nodetest.Text(length))
 			nodetest.Wait(t, began)
-			leave(conn.(*net.TCPConn))
-			close(gate)
-			for range first + 1 {
+			disconnect(conn.(*net.TCPConn))
+			close(proceed)
+			for range index + 1 {
 				nodetest.Wait(t, outcomes)
 			}
-			if len(begun) > 0 {
-				t.Errorf("%s: attempt %d was begun", name, first)
+			if len(sent) > 0 {
+				t.Errorf("%s: attempt %d was sent", name, index)
 			}
-			nodetest.Eventually(t, name+": its place is free and it is forgotten", func() bool {
+			nodetest.Eventually(t, name+": the connection is released and the request removed", func() bool {
 				return n.frontend.conns.Load() == 0 && callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 })
 			})
 			conn.Close()
@@ -173,39 +173,39 @@
 	}
 }
 
-// Many clients disconnect at once, before the loop has handled any of their requests: none of the requests is forwarded.
+// If many clients disconnect before the loop has handled any of their requests, none of the requests is forwarded.
 func TestManyClientsDisconnect(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	cfg := testConfig("127.0.0.1:1", serving("s", addr))
+	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	cfg.Sockets = 4096
 	n := startNode(t, cfg, nil)
-	release := holdLoop(t, n)
-	const crowd = 300
+	release := blockLoop(t, n)
+	const clients = 300
 	var conns []net.Conn
-	for range crowd {
+	for range clients {
 		conn := nodetest.Dial(t, n.Addr().String())
 		io.WriteString(conn, head("GET", "/read/1", ""))
 		conns = append(conns, conn)
 	}
-	nodetest.Eventually(t, "all wait for the loop", func() bool { return len(n.loop.events) >= crowd })
+	nodetest.Eventually(t, "all requests are queued for the loop", func() bool { return len(n.loop.events) >= clients })
 	for _, c := range conns {
 		c.Close()
 	}
-	nodetest.Eventually(t, "all are seen to go", func() bool { return n.frontend.conns.Load() == 0 })
+	nodetest.Eventually(t, "all disconnects are detected", func() bool { return n.frontend.conns.Load() == 0 })
 	release()
-	nodetest.Eventually(t, "all are forgotten", func() bool {
+	nodetest.Eventually(t, "all requests are removed", func() bool {
 		return callOnLoop(t, n, func() bool { return len(n.loop.requests) == 0 && len(n.loop.events) == 0 })
 	})
 	if len(got) > 0 {
-		t.Errorf("%d of %d were forwarded", len(got), crowd)
+		t.Errorf("%d of %d requests were forwarded", len(got), clients)
 	}
 }
 
-// When all connections are in use, idle ones are closed for a new client; one with a request in flight is not.
+// At the connection limit, an idle connection is closed for a new client. A connection with a request in flight is not.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	t.Parallel()
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	var first atomic.Bool
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -213,51 +213,52 @@
 				return
 			}
 			if first.CompareAndSwap(false, true) {
-				<-hold
+				<-release
 			}
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	cfg := testConfig("127.0.0.1:1", serving("s", addr))
-	cfg.Sockets = reservedDescriptors + 20 // 12 for clients
+	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
+	cfg.Sockets = reservedDescriptors + 20 // 12 of them for clients
 	n := startNode(t, cfg, nil)
 	n.frontend.softLimit.Store(1000)
-	working := nodetest.Dial(t, n.Addr().String())
-	io.WriteString(working, head("GET", "/read/1", ""))
-	nodetest.Eventually(t, "one at work", first.Load)
+	busy := nodetest.Dial(t, n.Addr().String())
+	io.WriteString(busy, head("GET", "/read/1", ""))
+	nodetest.Eventually(t, "a request is in flight", first.Load)
 	for range n.listener.Limit() - 1 {
 		conn := nodetest.Dial(t, n.Addr().String())
 		io.WriteString(conn, head("GET", "/read/1", ""))
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
-			t.Fatalf("%+v, %v", resp, err)
+			t.Fatalf("idle connection: got %+v, %v", resp, err)
 		}
 	}
 	late := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(late, head("GET", "/read/1", ""))
-	nodetest.Eventually(t, "all others are idle", func() bool { return n.frontend.idle.Len() >= n.listener.Limit()-1 })
-	n.frontend.idle.SetMinEvictIdle(0) // as if they had been for long
+	nodetest.Eventually(t, "all other connections are idle", func() bool { return n.frontend.idle.Len() >= n.listener.Limit()-1 })
+	n.frontend.idle.SetMinEvictIdle(0) // makes them evictable at once
 	if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("new connection: got %+v, %v", resp, err)
 	}
-	close(hold)
-	if resp, err := http.ReadResponse(bufio.NewReader(working), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("at work: %+v, %v", resp, err)
+	close(release)
+	if resp, err := http.ReadResponse(bufio.NewReader(busy), nil); err != nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("busy connection: got %+v, %v", resp, err)
 	}
 }
 
-// A connection that is established only after the idempotency window of a request carries no retry of it.
+// A retry is not sent on a connection that is established only after the idempotency window of the request: servers could
+// run the request again.
 func TestRetryPastItsIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
 	other, got := nodetest.Stub(t, nodetest.OK, false)
-	cfg := testConfig("127.0.0.1:1", serving("a", failing), serving("b", other))
+	cfg := testConfig("127.0.0.1:1", servingEntry("a", failing), servingEntry("b", other))
 	const window = 50 * time.Millisecond
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].IdempotencyWindow = window
 	}
 	n := newNodeFor(t, cfg)
 	outcomes := make(chan balancer.Outcome, 2)
-	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n.loop.balancer = balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "a"}}
@@ -269,32 +270,32 @@
 		}
 		return nil
 	})
-	connect := n.loop.pool.Dial
-	n.loop.pool.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
+	dial := n.loop.pool.Dial
+	n.loop.pool.Dial = func(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 		if addr == other {
-			time.Sleep(window) // until it is over: a fact of time, nothing is waited for
+			time.Sleep(window) // lets the window pass; the test needs the elapsed time, not an event
 		}
-		return connect(ctx, addr, within)
+		return dial(ctx, addr, timeout)
 	}
 	runNode(t, n)
 	r := newRequest(t, n, "POST", "/send/1", "x")
 	r.Header.Set("Idempotency-Key", "k")
 	if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("got status %d", resp.StatusCode)
 	}
 	if a, b := nodetest.Wait(t, outcomes), nodetest.Wait(t, outcomes); a.Result != balancer.Failure || b.Result != balancer.NotSent || len(got) > 0 {
-		t.Errorf("outcomes %+v, %+v, %d forwarded", a, b, len(got))
+		t.Errorf("got outcomes %+v, %+v and %d forwarded retries", a, b, len(got))
 	}
 }
 
-// X-Time-Left is what is left when the head of an attempt is written, not when the attempt was decided: the time of the
-// dial is subtracted, for the first attempt and for retries.
+// X-Time-Left is the time left when the head of an attempt is written, not when the balancer sent it: the dial time is
+// subtracted, for the first attempt and for retries.
 func TestTimeLeftAtTheFirstByte(t *testing.T) {
 	t.Parallel()
-	const late, given = 100 * time.Millisecond, 10 * time.Second
+	const dialTime, initial = 100 * time.Millisecond, 10 * time.Second
 	failing, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true)
-	n := newNodeFor(t, testConfig("127.0.0.1:1", serving("s", failing)))
-	n.loop.balancer = decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := newNodeFor(t, testConfig("127.0.0.1:1", servingEntry("s", failing)))
+	n.loop.balancer = balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
@@ -306,22 +307,22 @@
 		}
 		return nil
 	})
-	connect := n.loop.pool.Dial
-	n.loop.pool.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-		<-time.After(late) // a fact of time, nothing is waited for
-		return connect(ctx, addr, within)
+	dial := n.loop.pool.Dial
+	n.loop.pool.Dial = func(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+		<-time.After(dialTime) // the test needs the elapsed time, not an event
+		return dial(ctx, addr, timeout)
 	}
 	runNode(t, n)
-	nodetest.Do(t, newRequest(t, n, "GET", "/read/1", "")) // which gives 10 s
+	nodetest.Do(t, newRequest(t, n, "GET", "/read/1", "")) // newRequest sets 10 s
 	for i := range 2 {
 		timeLeft, err := header.ParseTimeLeft(nodetest.Wait(t, got).Header.Get("X-Time-Left"))
-		if most := given - time.Duration(i+1)*late; err != nil || timeLeft > most {
-			t.Errorf("attempt %d tells %v, at most %v are left, %v", i, timeLeft, most, err)
+		if limit := initial - time.Duration(i+1)*dialTime; err != nil || timeLeft > limit {
+			t.Errorf("attempt %d: got X-Time-Left %v, want at most %v, error %v", i, timeLeft, limit, err)
 		}
 	}
 }
 
-// The balancer are notified of a client that closes its connection, and their cancel closes the connection of the attempt.
+// When a client closes its connection, the balancer is notified, and its Cancel closes the connection of the attempt.
 func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
 	began, closed := make(chan struct{}), make(chan struct{})
@@ -332,7 +333,7 @@
 			close(closed)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := newRequest(t, n, "GET", "/read/1", "").WithContext(ctx)
 	go func() { _, _ = http.DefaultTransport.RoundTrip(r) }()
@@ -341,12 +342,12 @@
 	nodetest.Wait(t, closed)
 }
 
-// A client that ends its sending has disconnected too. It must get no answer at all, least of all the empty 200 that
-// net/http makes of a handler that wrote nothing.
+// A client that closes its sending direction counts as disconnected. It must receive no response, and in particular not
+// the empty 200 that net/http sends when a handler returns without writing.
 func TestClientHalfCloses(t *testing.T) {
 	t.Parallel()
 	addr := nodetest.Listen(t, func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -6,10 +6,10 @@
 	"umberbank/internal/node/upstream"
 )
 
-// applyUpdate applies an update of the endpoint list: first to what attempts may use, then to the balancer. cached: it is from before
-// the start of the process.
+// applyUpdate applies an update of the endpoint list, first to the endpoints that attempts use, then to the balancer.
+// cached is set if the update is from before the start of the process.
 func (l *loop) applyUpdate(u discovery.Update, cached bool) {
-	l.watcher.updated(u.Revision, cached)
+	l.watcher.recordUpdate(u.Revision, cached)
 	listed := map[string]bool{}
 	e := balancer.EndpointUpdate{Full: u.Full, Cached: cached}
 	for _, t := range u.Entries {
@@ -29,11 +29,12 @@
 	l.handle(e)
 }
 
-// applyEntry applies one entry of the endpoint list to what attempts may use. endpoint is the entry in the form of the balancer.
+// applyEntry applies one entry of the endpoint list to the endpoints that attempts use. endpoint is the same entry in the
+// balancer's type.
 func (l *loop) applyEntry(t discovery.Entry, endpoint balancer.Endpoint) {
 	e := l.endpoints[t.UID]
 	if e == nil || e.Addr != t.Address || e.StartTime != endpoint.StartTime {
-		// Connections to an earlier process or address are of no use.
+		// Connections to a previous process or address cannot be reused.
 		l.removeEndpoint(t.UID)
 		e = upstream.NewEndpoint(t.Address, endpoint.StartTime)
 		l.endpoints[t.UID] = e
@@ -47,7 +48,7 @@
 	}
 }
 
-// removeEndpoint ends the use of an endpoint, if it is listed.
+// removeEndpoint removes an endpoint and closes its idle connections. It does nothing if the endpoint is not listed.
 func (l *loop) removeEndpoint(id string) {
 	if e := l.endpoints[id]; e != nil {
 		e.SetReady(false)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// requestTimeout bounds the reading of a request's head, from connecting or, for a later request, from its first bytes on. A peer
-	// that sends something else, or nothing, counts against the limit of clients until then. It also bounds a body that net/http drains
-	// by itself; clientconn.Body bounds a body that is forwarded.
+	// requestTimeout limits the time to read a request head. It starts when the client connects or, for a later request on
+	// the connection, at the first byte. Until it expires, a peer that sends nothing or no valid request counts against the
+	// client limit. It also limits a body that net/http drains itself; clientconn.Body limits a forwarded body.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout is how long a client's connection may be idle.
+	// idleTimeout is how long a client connection may be idle.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes is the longest that a request's head may be.
+	// maxHeaderBytes is the maximum size of a request head.
 	maxHeaderBytes = 16 << 10
 
-	// closePollInterval is how often a frontend that accepts no more looks whether a connection is left, and maxCloseWait is how long it
-	// waits for the slowest of clients.
+	// closePollInterval is the interval at which a stopping frontend checks for open connections, and maxCloseWait is how
+	// long it waits for them.
 	closePollInterval = 20 * time.Millisecond
 	maxCloseWait      = time.Minute
 
-	// readinessPath is where the platform asks whether the node takes requests.
+	// readinessPath is the path of the platform's readiness check.
 	readinessPath = "/health/ready"
 )
 
-// frontend takes clients' requests, gives them to the event loop and writes their answers. net/http calls it on the goroutines of the
-// connections.
+// frontend reads client requests, posts them to the event loop and writes their responses. net/http calls it on the
+// goroutines of the connections.
 type frontend struct {
 	loop    *loop
 	metrics *metrics.Metrics
 
-	conns     atomic.Int64 // clients' connections
-	softLimit atomic.Int64 // from so many on they are closed after an answer, to make room
+	conns     atomic.Int64 // open client connections
+	softLimit atomic.Int64 // at this number of connections, connections are closed after their response
 	idle      *clientconn.IdleConns
 	drain     *clientconn.Drainer
 }
@@ -47,10 +47,10 @@
 	return &frontend{loop: l, metrics: l.metrics, idle: idle, drain: clientconn.NewDrainer(idle)}
 }
 
-// setConnectionLimit follows a limit of connections: from 3/4 of it on they are closed after an answer.
+// setConnectionLimit sets softLimit to 3/4 of the connection limit, so that room is left for new connections.
 func (f *frontend) setConnectionLimit(limit int) { f.softLimit.Store(int64(limit) * 3 / 4) }
 
-// server returns the HTTP server of the frontend, which does not serve yet.
+// server returns the HTTP server of the frontend. The caller starts it.
 func (f *frontend) server() *http.Server {
 	return &http.Server{
 		Handler:        f,
@@ -72,21 +72,21 @@
 	}
 }
 
-// awaitClosed waits until every connection is closed, for maxCloseWait at the most, while the frontend drains. open returns how
-// many accepted connections have not been released yet.
+// awaitClosed waits until every connection is closed, for at most maxCloseWait. The frontend must be draining. open
+// returns the number of accepted connections that are not released yet.
 func (f *frontend) awaitClosed(open func() int) {
 	for end := time.Now().Add(maxCloseWait); (f.conns.Load() > 0 || open() > 0) && time.Now().Before(end); {
 		time.Sleep(closePollInterval)
 	}
 }
 
-// ServeHTTP answers one request. The frontend is no ServeMux, which would redirect paths that it cleans.
+// ServeHTTP serves one request. The frontend does not use http.ServeMux, which redirects requests whose path is not clean.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	if hr.Method == http.MethodGet && hr.URL.Path == readinessPath {
 		f.serveReadiness(w)
 		return
 	}
-	if ambiguousEnd(hr) {
+	if hasAmbiguousEnd(hr) {
 		w.Header().Set("Connection", "close")
 	}
 	r, release, err := f.read(w, hr)
@@ -98,7 +98,7 @@
 	client := clientconn.ClientOf(hr)
 	disconnected := make(chan struct{})
 	disconnect := sync.OnceFunc(func() { r.disconnected.Store(true); close(disconnected) })
-	if r.streamedBody == nil { // else its body's reading shows it, and while nobody reads, the next call of connected
+	if r.streamedBody == nil { // with a streamed body, reading it or calling connected detects a disconnect
 		defer client.Watch(disconnect)()
 	}
 	r.connected = func() bool {
@@ -108,26 +108,28 @@
 		return !r.disconnected.Load() && hr.Context().Err() == nil
 	}
 	f.loop.post(func() { f.loop.accept(r) })
-	f.awaitAnswer(w, hr, r, disconnected)
+	f.awaitResponse(w, hr, r, disconnected)
 }
 
-// serveReadiness says whether the node takes requests. It closes the connection, which would count against the limit of clients.
+// serveReadiness reports whether the node accepts requests. It closes the connection, which would otherwise count against
+// the client limit.
 func (f *frontend) serveReadiness(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if f.drain.Draining() {
 		w.WriteHeader(http.StatusServiceUnavailable)
-	} // else 200: the frontend serves only once requests can be handled
+	} // otherwise 200: the frontend serves only once requests can be handled
 }
 
-// awaitAnswer writes the final answer to a request once the loop has it, or ends the request if its client disconnects before.
-func (f *frontend) awaitAnswer(w http.ResponseWriter, hr *http.Request, r *request, disconnected <-chan struct{}) {
+// awaitResponse writes the final response to a request once the loop provides it, or ends the request if its client
+// disconnects first.
+func (f *frontend) awaitResponse(w http.ResponseWriter, hr *http.Request, r *request, disconnected <-chan struct{}) {
 	var bodyFailed <-chan struct{} // never closed for a request whose body is buffered
 	if r.streamedBody != nil {
 		bodyFailed = r.streamedBody.Failed()
 	}
 	select {
-	case a := <-r.answer:
-		f.answer(w, hr, r, a)
+	case resp := <-r.response:
+		f.writeResponse(w, hr, r, resp)
 	case <-bodyFailed:
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
 		reject(w, r.streamedBody.Err())
@@ -138,19 +140,19 @@
 		r.disconnected.Store(true)
 		f.loop.post(func() { f.loop.clientDisconnected(r) })
 		if r.streamedBody != nil && !r.streamedBody.Complete() {
-			// The body failed; net/http cancels the context before its reader returns.
+			// The body failed: net/http cancels the context before the body's Read returns.
 			<-r.streamedBody.Failed()
 			reject(w, r.streamedBody.Err())
 			return
 		}
-		// Returning would answer 200 with nothing in it, should the client still read.
+		// Returning would send an empty 200 response to a client that still reads.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// ambiguousEnd reports whether the body's end may be elsewhere than where net/http took it to be: it drops a Content-Length beside a
-// Transfer-Encoding, and a Transfer-Encoding of HTTP/1.0, without an error. What follows on the connection may belong to the body, so
-// it must not be read as a request.
-func ambiguousEnd(hr *http.Request) bool {
+// hasAmbiguousEnd reports whether the body may end at a different position than net/http assumes: net/http ignores a
+// Content-Length next to a Transfer-Encoding, and a Transfer-Encoding in HTTP/1.0, without an error. The bytes that follow
+// on the connection may belong to the body, so they must not be read as a request.
+func hasAmbiguousEnd(hr *http.Request) bool {
 	return len(hr.TransferEncoding) > 0 || !hr.ProtoAtLeast(1, 1)
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -15,22 +15,22 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Every command of the second address, faulty lines, and the answers to them.
+// Pins the responses of the control server to every command and to invalid lines.
 func TestGoldenControl(t *testing.T) {
 	t.Parallel()
-	n := startControlled(t, testConfig("127.0.0.1:1"))
+	n := startWithControl(t, testConfig("127.0.0.1:1"))
 	var b strings.Builder
-	say := func(line, answer string) { fmt.Fprintf(&b, "%.40q -> %q\n", line, answer) }
+	record := func(line, response string) { fmt.Fprintf(&b, "%.40q -> %q\n", line, response) }
 	for _, line := range []string{"check\n", "check\r\n", "drain-on\n", "drain-off\n", "\n", "nonsense\n", "CHECK\n", "check it\n", "vars \n",
 		strings.Repeat("x", 300) + "\n"} {
-		say(line, sendCommand(t, n, line))
+		record(line, sendCommand(t, n, line))
 	}
-	calls := n.commands()
+	commands := n.commands()
 	n.stopping.Store(true)
-	say("drain-off while stopping", calls["drain-off"]())
+	record("drain-off while stopping", commands["drain-off"]())
 	n.stopping.Store(false)
 	n.serving.Store(false)
-	say("check before serving", calls["check"]())
+	record("check before serving", commands["check"]())
 	n.serving.Store(true)
 	nodetest.Golden(t, "control.golden", b.String())
 }
@@ -41,12 +41,13 @@
 	portNumber   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
-// The answers to clients, byte for byte but for the date: to requests that are not accepted, rejected, failed and served.
+// Pins the responses to clients byte for byte, except for the date, for requests that are invalid, rejected, failed and
+// served.
 func TestGoldenAnswers(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
-	served := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-	refusing := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	served := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
+	rejecting := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		r, is := e.(balancer.Request)
 		switch {
 		case is && r.Class == "read":
@@ -74,16 +75,16 @@
 		{served, "PUT /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
 		{served, "POST /send/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 0\r\n\r\n"},
 		{served, "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 33554433\r\n\r\n"},
-		{refusing, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
-		{refusing, "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 0\r\n\r\n"},
+		{rejecting, "GET /read/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "\r\n"},
+		{rejecting, "POST /order/1 HTTP/1.1\r\nHost: a\r\n" + id + left + "Content-Length: 0\r\n\r\n"},
 	} {
-		fmt.Fprintf(&b, "%q\n%q\n", c.request, rawAnswer(t, c.n, c.request))
+		fmt.Fprintf(&b, "%q\n%q\n", c.request, rawResponse(t, c.n, c.request))
 	}
 	nodetest.Golden(t, "answers.golden", b.String())
 }
 
-// rawAnswer returns the complete answer to a request, without its date.
-func rawAnswer(t *testing.T, n *Node, request string) string {
+// rawResponse returns the complete response to a request, without its Date header.
+func rawResponse(t *testing.T, n *Node, request string) string {
 	t.Helper()
 	c := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(c, request)
@@ -98,14 +99,15 @@
 	return dateLine.ReplaceAllString(raw.String(), "")
 }
 
-// The requests that servers get, byte for byte but for the time left: which headers are forwarded, and which are added.
+// Pins the requests that servers receive byte for byte, except for the time left: which headers are forwarded and which
+// are added.
 func TestGoldenForwarded(t *testing.T) {
 	t.Parallel()
 	heads := make(chan string, 10)
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		var head strings.Builder
 		requests := bufio.NewReader(io.TeeReader(r, &head))
-		for { // a connection that the server closes might take the next request along
+		for { // the connection stays open, because the next request could be lost on a closing one
 			req, err := http.ReadRequest(requests)
 			if err != nil {
 				return
@@ -116,7 +118,7 @@
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	const common = "Host: app\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\nX-Facts: effort-ms=2\r\nX-Repeat: 1\r\nX-Other: o\r\nAccept: */*\r\n" +
 		"User-Agent: u\r\nIdempotency-Key: k\r\nContent-Type: a/b\r\nCookie: c\r\n"
 	var b strings.Builder
@@ -125,17 +127,17 @@
 		"POST /send/1 HTTP/1.1\r\n" + common + "Content-Length: 4\r\n\r\nbody",
 		"GET /read/1 HTTP/1.0\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n",
 	} {
-		rawAnswer(t, n, request)
+		rawResponse(t, n, request)
 		fmt.Fprintf(&b, "%q\n%q\n", request, nodetest.Wait(t, heads))
 	}
 	nodetest.Golden(t, "forwarded.golden", b.String())
 }
 
-// What the balancer learn of a client's request.
+// Checks the fields of balancer.Request that the headers of a client request determine.
 func TestGoldenRequestHeaders(t *testing.T) {
 	t.Parallel()
 	requests := make(chan balancer.Request, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		if r, is := e.(balancer.Request); is {
 			requests <- r
 			return []balancer.Action{balancer.Fail{ID: r.ID}}
@@ -144,15 +146,15 @@
 	}))
 	for _, c := range []struct {
 		repeat, facts string
-		again         bool
+		retry         bool
 		cost          time.Duration
 	}{{"1", "effort-ms=2.5", true, 2500 * time.Microsecond}, {"0", "effort=2", false, 0}, {"", "", false, 0}} {
 		r := newRequest(t, n, "GET", "/read/1", "")
 		r.Header.Set("X-Repeat", c.repeat)
 		r.Header.Set("X-Facts", c.facts)
 		nodetest.Do(t, r)
-		if got := nodetest.Wait(t, requests); got.ClientRetry != c.again || got.CostHint != c.cost || got.Class != "read" {
-			t.Errorf("X-Repeat %q, X-Facts %q: %+v", c.repeat, c.facts, got)
+		if got := nodetest.Wait(t, requests); got.ClientRetry != c.retry || got.CostHint != c.cost || got.Class != "read" {
+			t.Errorf("X-Repeat %q, X-Facts %q: got %+v", c.repeat, c.facts, got)
 		}
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -20,59 +20,59 @@
 	"umberbank/internal/simwire"
 )
 
-// sendCommand sends an operator's command and returns the complete answer.
+// sendCommand sends a command to the control server and returns the complete response.
 func sendCommand(t *testing.T, n *Node, line string) string {
 	t.Helper()
 	c := nodetest.Dial(t, n.control.Addr().String())
 	io.WriteString(c, line)
 	b, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("call %q: %v", line, err)
+		t.Fatalf("command %q: %v", line, err)
 	}
 	return string(b)
 }
 
-// startControlled runs a node with a second address, and waits until it serves.
-func startControlled(t *testing.T, cfg config.Config) *Node {
+// startWithControl runs a node with a control server, and waits until it serves.
+func startWithControl(t *testing.T, cfg config.Config) *Node {
 	t.Helper()
 	cfg.Control = "127.0.0.1:0"
 	n := startNode(t, cfg, nil)
 	for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
 		if time.Now().After(end) {
-			t.Fatal("the node never serves")
+			t.Fatal("the node does not serve in time")
 		}
 	}
 	return n
 }
 
-// callOnLoop returns the result of f, called on the node's event loop.
+// callOnLoop calls f on the node's event loop and returns its result.
 func callOnLoop[T any](t *testing.T, n *Node, f func() T) T {
 	t.Helper()
-	said := make(chan T, 1)
-	n.loop.post(func() { said <- f() })
-	return nodetest.Wait(t, said)
+	result := make(chan T, 1)
+	n.loop.post(func() { result <- f() })
+	return nodetest.Wait(t, result)
 }
 
-// holdLoop blocks the node's event loop until release is called.
-func holdLoop(t *testing.T, n *Node) (release func()) {
+// blockLoop blocks the node's event loop until release is called.
+func blockLoop(t *testing.T, n *Node) (release func()) {
 	t.Helper()
-	held, busy := make(chan struct{}), make(chan struct{})
-	n.loop.post(func() { close(busy); <-held })
-	nodetest.Wait(t, busy)
-	return func() { close(held) }
+	unblock, blocked := make(chan struct{}), make(chan struct{})
+	n.loop.post(func() { close(blocked); <-unblock })
+	nodetest.Wait(t, blocked)
+	return func() { close(unblock) }
 }
 
-// delayDials delays the node's dials until gate is closed; each sends to began first.
-func delayDials(n *Node, began, gate chan struct{}) {
+// delayDials delays the node's dials until proceed is closed. Each dial sends to began first.
+func delayDials(n *Node, began, proceed chan struct{}) {
 	dial := n.loop.pool.Dial
-	n.loop.pool.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
+	n.loop.pool.Dial = func(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 		began <- struct{}{}
-		<-gate
-		return dial(ctx, addr, within)
+		<-proceed
+		return dial(ctx, addr, timeout)
 	}
 }
 
-// newNodeFor returns a node that does not run yet.
+// newNodeFor returns a node that is not running yet.
 func newNodeFor(t *testing.T, cfg config.Config) *Node {
 	t.Helper()
 	n, err := New(cfg)
@@ -82,7 +82,7 @@
 	return n
 }
 
-var answer503 = answer{status: http.StatusServiceUnavailable}
+var response503 = clientResponse{status: http.StatusServiceUnavailable}
 
 const readRequest = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n"
 
@@ -115,21 +115,21 @@
 		Connections: simwire.Connections{IdleTimeout: time.Minute, ConnectTimeout: nodetest.Limit}}
 }
 
-func serving(uid, addr string) discovery.Entry {
+func servingEntry(uid, addr string) discovery.Entry {
 	return discovery.Entry{UID: uid, Address: addr, Zone: "a", State: "SERVING", Weight: 1}
 }
 
-// startNode runs a node until the test ends. Its decisions are a balancer.Balancer if d is nil.
-func startNode(t *testing.T, cfg config.Config, d requestBalancer) *Node {
+// startNode runs a node until the test ends. It uses b for its decisions, or a balancer.Balancer if b is nil.
+func startNode(t *testing.T, cfg config.Config, b requestBalancer) *Node {
 	t.Helper()
-	if d == nil {
-		b, err := balancer.New(cfg.Settings, cfg.Seed)
+	if b == nil {
+		defaultBalancer, err := balancer.New(cfg.Settings, cfg.Seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d = b
+		b = defaultBalancer
 	}
-	n, err := newNode(cfg, d)
+	n, err := newNode(cfg, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,14 +151,14 @@
 	})
 }
 
-// decisionsFunc implements decisions with a function of a test.
-type decisionsFunc func(e balancer.Event) []balancer.Action
+// balancerFunc implements requestBalancer with a function that handles the events.
+type balancerFunc func(e balancer.Event) []balancer.Action
 
-func (f decisionsFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
+func (f balancerFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-func (decisionsFunc) EjectedCount(time.Duration) int { return 0 }
+func (balancerFunc) EjectedCount(time.Duration) int { return 0 }
 
-func (decisionsFunc) Snapshot(time.Duration) balancer.Snapshot { return balancer.Snapshot{} }
+func (balancerFunc) Snapshot(time.Duration) balancer.Snapshot { return balancer.Snapshot{} }
 
 func newRequest(t *testing.T, n *Node, method, path, body string) *http.Request {
 	t.Helper()
@@ -171,13 +171,13 @@
 	return r
 }
 
-func status(t *testing.T, n *Node, method, path string) int {
+func requestStatus(t *testing.T, n *Node, method, path string) int {
 	t.Helper()
 	resp, _ := nodetest.Do(t, newRequest(t, n, method, path, ""))
 	return resp.StatusCode
 }
 
-// newTestPool returns a pool of one connection.
+// newTestPool returns a pool that allows one connection.
 func newTestPool(cfg config.Config) *upstream.Pool {
 	return upstream.NewPool(upstream.Options{
 		Connections:    cfg.Connections,
--- a/internal/node/insync_test.go
+++ b/internal/node/insync_test.go
@@ -19,38 +19,37 @@
 	"umberbank/internal/registry/state"
 )
 
-// fakeRegistry is a registry of one replica without leases: a State behind the calls of a follower. gate is called before
-// each write and may delay it; nil: nothing is called.
+// fakeRegistry is a registry of one replica without leases: a State that serves the requests of a follower.
 type fakeRegistry struct {
-	mu    sync.Mutex
-	state *state.State
-	wake  chan struct{} // closed with the next change
-	gate  func(state.Op)
+	mu          sync.Mutex
+	state       *state.State
+	changed     chan struct{}  // closed at the next change
+	beforeWrite func(state.Op) // called before each write, which it may delay; may be nil
 }
 
 func newFakeRegistry(t *testing.T) (*fakeRegistry, string) {
 	t.Helper()
-	r := &fakeRegistry{state: state.New(), wake: make(chan struct{})}
+	r := &fakeRegistry{state: state.New(), changed: make(chan struct{})}
 	s := httptest.NewServer(r)
 	t.Cleanup(s.Close)
 	return r, strings.TrimPrefix(s.URL, "http://")
 }
 
-// write applies writes.
-func (r *fakeRegistry) write(ops ...state.Op) (l []state.Result) {
+// write applies operations and returns their results.
+func (r *fakeRegistry) write(ops ...state.Op) (results []state.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, op := range ops {
-		a, _ := r.state.Apply(op)
-		l = append(l, a)
+		result, _ := r.state.Apply(op)
+		results = append(results, result)
 	}
-	close(r.wake)
-	r.wake = make(chan struct{})
-	return l
+	close(r.changed)
+	r.changed = make(chan struct{})
+	return results
 }
 
-// node returns what the rollout state has of a node.
-func (r *fakeRegistry) node(uid string) (inTouch bool, running int64) {
+// node returns whether the registry counts a node as in sync, and the version that it reported as running.
+func (r *fakeRegistry) node(uid string) (inSync bool, running int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.state.Rollout().Nodes[uid]
@@ -73,9 +72,9 @@
 	}
 	switch q.URL.Path {
 	case "/registry/write":
-		if r.gate != nil {
+		if r.beforeWrite != nil {
 			for _, op := range body.Ops {
-				r.gate(op)
+				r.beforeWrite(op)
 			}
 		}
 		_ = json.NewEncoder(w).Encode(map[string]any{"answers": r.write(body.Ops...)})
@@ -90,20 +89,20 @@
 		r.mu.Unlock()
 		_ = json.NewEncoder(w).Encode(map[string]any{"unknown": unknown})
 	case "/registry/agreed":
-		r.agreed(w, q)
+		r.serveNodeView(w, q)
 	}
 }
 
-// agreed answers once there is a newer revision than the follower knows, or its wait is over.
-func (r *fakeRegistry) agreed(w http.ResponseWriter, q *http.Request) {
-	after, _ := strconv.ParseInt(q.URL.Query().Get("after"), 10, 64) // the client's own
+// serveNodeView responds once there is a newer revision than the follower has, or when the wait that it requested is over.
+func (r *fakeRegistry) serveNodeView(w http.ResponseWriter, q *http.Request) {
+	after, _ := strconv.ParseInt(q.URL.Query().Get("after"), 10, 64) // the follower's revision
 	ms, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(ms) * time.Millisecond)
-	for waits := true; ; {
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
+	for waiting := true; ; {
 		r.mu.Lock()
-		wake := r.wake
-		if r.state.Revision() > after || !waits {
-			uid := q.URL.Query().Get("node") + q.URL.Query().Get("unit") // one of them
+		changed := r.changed
+		if r.state.Revision() > after || !waiting {
+			uid := q.URL.Query().Get("node") + q.URL.Query().Get("unit") // only one of them is set
 			text, err := json.Marshal(r.state.NodeView(uid, nil))
 			r.mu.Unlock()
 			if err == nil {
@@ -113,121 +112,121 @@
 		}
 		r.mu.Unlock()
 		select {
-		case <-wake:
-		case <-over:
-			waits = false
+		case <-changed:
+		case <-timeout:
+			waiting = false
 		case <-q.Context().Done():
 			return
 		}
 	}
 }
 
-// force puts a version in force, acknowledged and reported by two other nodes.
-func (r *fakeRegistry) force(t *testing.T, content json.RawMessage) int64 {
+// commitVersion proposes and commits a version, which two other nodes acknowledge and report as running.
+func (r *fakeRegistry) commitVersion(t *testing.T, content json.RawMessage) int64 {
 	t.Helper()
-	var start [2]int64
+	var tokens [2]int64
 	ops := []state.Op{}
-	for i := range start {
+	for i := range tokens {
 		e := &state.Instance{UID: fmt.Sprint("other", i), Endpoint: "x:1", Role: state.RoleNode, Tier: "front", State: state.Serving, Capacity: 1}
-		start[i] = r.write(state.Op{Kind: state.OpRegister, Instance: e})[0].Token
+		tokens[i] = r.write(state.Op{Kind: state.OpRegister, Instance: e})[0].Token
 	}
-	say := func(kind state.OpKind, number int64, hash string) {
-		for i, s := range start {
-			ops = append(ops, state.Op{Kind: kind, UID: fmt.Sprint("other", i), Token: s, Number: number, Hash: hash})
+	addOps := func(kind state.OpKind, number int64, hash string) {
+		for i, token := range tokens {
+			ops = append(ops, state.Op{Kind: kind, UID: fmt.Sprint("other", i), Token: token, Number: number, Hash: hash})
 		}
 	}
 	r.mu.Lock()
-	was := r.state.Rollout().Committed
+	previous := r.state.Rollout().Committed
 	r.mu.Unlock()
-	say(state.OpReport, was.Number, was.Hash)
-	ops = append(ops, state.Op{Kind: state.OpPropose, Value: content, Replaces: was.Number, Stages: []float64{1}})
-	answers := r.write(ops...)
-	number := answers[len(answers)-1].Token
+	addOps(state.OpReport, previous.Number, previous.Hash)
+	ops = append(ops, state.Op{Kind: state.OpPropose, Value: content, Replaces: previous.Number, Stages: []float64{1}})
+	results := r.write(ops...)
+	number := results[len(results)-1].Token
 	ops = ops[:0]
-	say(state.OpAcknowledge, number, state.ContentHash(content))
+	addOps(state.OpAcknowledge, number, state.ContentHash(content))
 	ops = append(ops, state.Op{Kind: state.OpAdvance, Number: number})
-	say(state.OpReport, number, state.ContentHash(content))
-	for _, a := range r.write(ops...) {
-		if a.Code != "" {
-			t.Fatalf("version %d: %+v", number, a)
+	addOps(state.OpReport, number, state.ContentHash(content))
+	for _, result := range r.write(ops...) {
+		if result.Code != "" {
+			t.Fatalf("version %d: %+v", number, result)
 		}
 	}
 	return number
 }
 
-// A node starts with a version that an earlier process saved, while another is in force. It serves only once the registry
-// has its report that it runs that one; a process that ends before has served nobody. Later its lease ends, two versions
-// are put in force, and the node is in sync again with the last, serving all along.
+// A node starts with a version that a previous process saved, while another version is in force. It must not serve before
+// the registry has its report that it runs the version in force, and a process that is stopped earlier must not have
+// served. Later the node's lease expires and two more versions are committed; the node must get in sync with the last one.
 func TestServesOnceInSync(t *testing.T) {
 	t.Parallel()
 	r, addr := newFakeRegistry(t)
 	first := settingsWithAttempts(t, 5)
-	r.force(t, first)
-	r.force(t, settingsWithAttempts(t, 6))
-	keep := filepath.Join(t.TempDir(), "kept")
+	r.commitVersion(t, first)
+	r.commitVersion(t, settingsWithAttempts(t, 6))
+	savedPath := filepath.Join(t.TempDir(), "saved")
 	text, err := json.Marshal(follower.Version{Number: 1, Hash: state.ContentHash(first), Settings: first})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(keep, text, 0o600); err != nil {
+	if err := os.WriteFile(savedPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := agreedConfigAt(t, addr, keep)
-	reported, let := make(chan state.Op, 1), make(chan struct{})
-	r.gate = func(op state.Op) {
+	cfg := rolloutConfigAt(t, addr, savedPath)
+	reported, release := make(chan state.Op, 1), make(chan struct{})
+	r.beforeWrite = func(op state.Op) {
 		if op.Kind == state.OpReport && op.UID == "n3" {
 			select {
 			case reported <- op:
 			default:
 			}
-			<-let
+			<-release
 		}
 	}
 
-	early := newNodeFor(t, cfg)
-	ctx, end := context.WithCancel(t.Context())
+	stopped := newNodeFor(t, cfg)
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- early.Run(ctx) }()
+	go func() { done <- stopped.Run(ctx) }()
 	nodetest.Wait(t, reported)
-	end()
-	if err := nodetest.Wait(t, done); err != nil || early.serving.Load() {
-		t.Errorf("ended before it had caught up: %v, serving %v", err, early.serving.Load())
+	stop()
+	if err := nodetest.Wait(t, done); err != nil || stopped.serving.Load() {
+		t.Errorf("stopped before it was in sync: error %v, serving %v", err, stopped.serving.Load())
 	}
 
 	if text, err = json.Marshal(follower.Version{Number: 1, Hash: state.ContentHash(first), Settings: first}); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(keep, text, 0o600); err != nil {
+	if err := os.WriteFile(savedPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n := newNodeFor(t, cfg)
 	runNode(t, n)
-	nodetest.Eventually(t, "it says what it runs", func() bool { return n.running(t) == 6 })
+	nodetest.Eventually(t, "the node runs the version in force", func() bool { return n.currentMaxAttempts(t) == 6 })
 	nodetest.Wait(t, reported)
-	if inTouch, _ := r.node("n3"); n.serving.Load() || inTouch {
-		t.Errorf("serving %v, in touch %v before its word was taken", n.serving.Load(), inTouch)
+	if inSync, _ := r.node("n3"); n.serving.Load() || inSync {
+		t.Errorf("before the report was written: serving %v, in sync %v, want false", n.serving.Load(), inSync)
 	}
-	close(let)
-	if s := status(t, n, "GET", "/nothing/1"); s != http.StatusNotFound {
-		t.Errorf("status %d", s)
+	close(release)
+	if s := requestStatus(t, n, "GET", "/nothing/1"); s != http.StatusNotFound {
+		t.Errorf("got status %d", s)
 	}
-	if inTouch, running := r.node("n3"); !inTouch || running != 2 {
-		t.Errorf("it serves: in touch %v with version %d", inTouch, running)
+	if inSync, running := r.node("n3"); !inSync || running != 2 {
+		t.Errorf("while serving: in sync %v with version %d, want true with version 2", inSync, running)
 	}
 
 	r.mu.Lock()
-	start := r.state.Get("n3").Token
+	token := r.state.Get("n3").Token
 	r.mu.Unlock()
-	r.write(state.Op{Kind: state.OpExpire, UID: "n3", Token: start})
-	r.force(t, settingsWithAttempts(t, 7))
-	r.force(t, settingsWithAttempts(t, 8))
-	nodetest.Eventually(t, "it is back in touch", func() bool { inTouch, running := r.node("n3"); return inTouch && running == 4 })
-	if got := n.running(t); got != 8 {
-		t.Errorf("it is in touch with version 4 and makes %d attempts", got)
+	r.write(state.Op{Kind: state.OpExpire, UID: "n3", Token: token})
+	r.commitVersion(t, settingsWithAttempts(t, 7))
+	r.commitVersion(t, settingsWithAttempts(t, 8))
+	nodetest.Eventually(t, "the node is in sync again", func() bool { inSync, running := r.node("n3"); return inSync && running == 4 })
+	if got := n.currentMaxAttempts(t); got != 8 {
+		t.Errorf("in sync with version 4: got %d attempts, want 8", got)
 	}
 }
 
-// running is how many attempts a node makes, by which its settings are known.
-func (n *Node) running(t *testing.T) int {
+// currentMaxAttempts returns the maximum number of attempts in force, which identifies the settings that the node runs.
+func (n *Node) currentMaxAttempts(t *testing.T) int {
 	return callOnLoop(t, n, func() int { return n.loop.maxAttempts })
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// acceptLingerTimeout is how long a stopping node goes on to accept. New connections come for up to 0.4 s after the signal, and
-	// closing the listener would reset those not yet accepted.
+	// acceptLingerTimeout is how long a stopping node continues to accept connections. New connections arrive for up to 0.4 s
+	// after the signal, and closing the listener resets those that are not yet accepted.
 	acceptLingerTimeout = 500 * time.Millisecond
-	// The platform kills a stopping node with SIGKILL once the longest deadline of a request, maxRequestTimeout at the most, and killGrace more have
-	// passed. It answers everything by killMargin before that.
+	// The platform kills a stopping node with SIGKILL once the longest request deadline, at most maxRequestTimeout, plus
+	// killGrace has passed. The node completes all requests killMargin before that.
 	maxRequestTimeout = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
 	killMargin        = 250 * time.Millisecond
-	// firstUpdateTimeout is how long a node that starts waits for what its agent holds before it serves by the endpoint list in its
-	// configuration. The agent answers at once if it can, and the node is expected to know what the agent knows from its start on.
+	// firstUpdateTimeout is how long a starting node waits for the list of its discovery agent before it serves with the
+	// endpoint list from its configuration. An agent that has the list responds at once, and the node is required to use
+	// the agent's list from its first request on.
 	firstUpdateTimeout = 250 * time.Millisecond
 )
 
-// Run serves until ctx ends, and then until all that was accepted is answered. A long response or body that is under way goes on
-// until its end, or until the process is killed: ending before would truncate it.
+// Run serves until ctx ends, and then until all accepted requests are completed. A long response or request body in
+// progress continues until its end, or until the process is killed, because stopping it would truncate it.
 func (n *Node) Run(ctx context.Context) error {
-	running, stop := context.WithCancel(context.Background())
+	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go n.loop.run(running)
-	listKnown := make(chan struct{})
+	go n.loop.run(loopCtx)
+	listApplied := make(chan struct{})
 	if n.control != nil {
 		defer n.control.Close()
 		go func() {
-			<-listKnown // else the first figures would tell of no endpoint
+			<-listApplied // otherwise the first "vars" response would report no endpoints
 			n.control.Serve()
 		}()
 	}
-	n.startBackground(running, listKnown)
+	n.startBackground(loopCtx, listApplied)
 	defer n.frontend.drain.Stop()
 	if n.lock != nil {
 		defer n.lock.Close()
-		go n.awaitPredecessor(running)
+		go n.awaitPredecessor(loopCtx)
 	}
 	if !n.awaitReady(ctx) {
 		return n.listener.Close()
@@ -50,35 +51,35 @@
 	return n.serve(ctx)
 }
 
-// startBackground restores the last snapshot, applies the endpoint list to start with, and starts what goes on beside the event
-// loop. listKnown is closed once the list is applied.
-func (n *Node) startBackground(running context.Context, listKnown chan<- struct{}) {
+// startBackground restores the last snapshot, applies the initial endpoint list, and starts the goroutines that run beside
+// the event loop. It closes listApplied once the list is applied.
+func (n *Node) startBackground(loopCtx context.Context, listApplied chan<- struct{}) {
 	var snapshot balancer.Restore
 	restored := false
 	if n.snapshotter != nil {
 		snapshot, restored = n.snapshotter.Restore(time.Now())
-		go n.snapshotter.Run(running, n.loop.snapshot)
+		go n.snapshotter.Run(loopCtx, n.loop.snapshot)
 	}
 	n.loop.post(func() {
 		if restored {
 			n.loop.handle(snapshot)
 		}
 		n.loop.applyUpdate(n.initialList, true)
-		close(listKnown)
+		close(listApplied)
 		if n.loop.watcher.pushed {
 			n.loop.watcher.subscribe()
 		}
 	})
 	if n.registryWatcher != nil {
-		go n.readRegistry(running)
+		go n.readRegistry(loopCtx)
 	}
 	if n.follower != nil {
-		go n.follower.Run(running)
+		go n.follower.Run(loopCtx)
 	}
 }
 
-// awaitPredecessor widens the process's quota once no predecessor is left. Without the lock it stays at the lesser one, which is
-// safe.
+// awaitPredecessor raises the quota of the process once its predecessor has exited. If the lock cannot be acquired, the
+// process keeps the smaller quota, which is safe.
 func (n *Node) awaitPredecessor(ctx context.Context) {
 	err := n.lock.Acquire(ctx)
 	switch {
@@ -86,11 +87,11 @@
 		slog.Info("no other process of this node is left")
 		n.setQuota(servingQuota)
 	case ctx.Err() == nil:
-		slog.Error("lock of the serving process", "error", err)
+		slog.Error("could not acquire the process lock; keeping the quota of a starting process", "error", err)
 	}
 }
 
-// awaitReady waits until the node may serve; false: ctx ended first.
+// awaitReady waits until the node may serve. It returns false if ctx ended first.
 func (n *Node) awaitReady(ctx context.Context) bool {
 	if !n.cfg.Settings.PollDiscovery && n.registryWatcher == nil {
 		n.awaitFirstUpdate(ctx)
@@ -98,18 +99,18 @@
 	return n.awaitInSync(ctx)
 }
 
-// awaitFirstUpdate waits until the node knows the list of its discovery agent, for firstUpdateTimeout at the most.
+// awaitFirstUpdate waits until the node has the list of its discovery agent, for at most firstUpdateTimeout.
 func (n *Node) awaitFirstUpdate(ctx context.Context) {
 	select {
-	case <-n.loop.watcher.firstAnswer:
+	case <-n.loop.watcher.synced:
 	case <-time.After(firstUpdateTimeout):
-		slog.Warn("discovery did not answer; serving by the endpoint list in the configuration", "timeout", firstUpdateTimeout)
+		slog.Warn("discovery did not respond; serving with the endpoint list from the configuration", "timeout", firstUpdateTimeout)
 	case <-ctx.Done():
 	}
 }
 
-// awaitInSync waits until this start of the node runs the settings in force, so that it never serves by those before; false: ctx
-// ended first. While the registry cannot be reached that lasts as long as it cannot.
+// awaitInSync waits until the registry counts this incarnation of the node as in sync, so that it never serves with
+// outdated settings. It returns false if ctx ended first. While the registry is unreachable, the wait has no limit.
 func (n *Node) awaitInSync(ctx context.Context) bool {
 	if n.follower == nil {
 		return true
@@ -123,7 +124,7 @@
 	}
 }
 
-// serve serves clients until ctx ends, and then shuts down.
+// serve serves clients until ctx ends, and then shuts the node down.
 func (n *Node) serve(ctx context.Context) error {
 	n.serving.Store(true)
 	server := n.frontend.server()
@@ -138,7 +139,8 @@
 	return n.shutdown(served)
 }
 
-// shutdown answers what was accepted and returns once all connections are closed. served is what Serve returns.
+// shutdown completes the accepted requests and returns once all connections are closed. served receives the result of the
+// HTTP server's Serve.
 func (n *Node) shutdown(served <-chan error) error {
 	n.serving.Store(false)
 	n.stopping.Store(true)
@@ -151,14 +153,14 @@
 			return fmt.Errorf("serving clients: %w", err)
 		case <-time.After(n.acceptLingerTimeout):
 		}
-	} // else the successor accepts what is in the backlog
+	} // otherwise the successor accepts the connections in the backlog
 	_ = n.listener.Close()
 	<-served //nolint:errcheck // the listener was closed on purpose
 	n.frontend.awaitClosed(n.listener.OpenConnections)
 	return nil
 }
 
-// longestRequestOf is how long clients may wait for what a stopping node has accepted.
+// longestRequestOf returns the longest deadline of any class, limited to maxRequestTimeout.
 func longestRequestOf(settings balancer.Settings) time.Duration {
 	var longest time.Duration
 	for _, class := range settings.Classes {
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -16,8 +16,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// platformSocket is a listening socket that outlives every process of the node. inherit returns the descriptor under which
-// one process finds it.
+// platformSocket opens a listening socket that outlives each process of the node. inherit returns a descriptor of it for
+// one process.
 func platformSocket(t *testing.T) (addr string, inherit func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	}
 }
 
-// dup returns a descriptor of its own for an open file, for the node to keep.
+// dup returns a duplicate descriptor of an open file. The node takes ownership of it.
 func dup(t *testing.T, f *os.File) int {
 	t.Helper()
 	fd, err := syscall.Dup(int(f.Fd()))
@@ -46,33 +46,33 @@
 	return fd
 }
 
-// quota is the fraction of the limits that the process has now.
+// quota returns the fraction of the node's limits that the process uses.
 func (n *Node) quota() float64 {
-	spare := n.cfg.Sockets - reservedDescriptors - control.MaxConnections - 1
-	return float64(n.listener.Limit()) / float64(spare-spare*2/5)
+	descriptors := n.cfg.Sockets - reservedDescriptors - control.MaxConnections - 1
+	return float64(n.listener.Limit()) / float64(descriptors-descriptors*2/5)
 }
 
-// stopped reports whether the process accepts no more.
+// stopped reports whether the process has stopped accepting connections.
 func (n *Node) stopped() bool { return n.listener.Closed() }
 
-// Two processes on one socket: the first ends its requests and accepts no more; connections in the backlog go to the
-// second.
-func TestReplacedWithoutALostRequest(t *testing.T) {
+// When a second process on the same socket replaces the first, no request is lost: the first process completes its requests
+// and stops accepting, and connections in the backlog go to the second.
+func TestProcessReplacementLosesNoRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	begun, release := make(chan struct{}, 10), make(chan struct{})
+	began, release := make(chan struct{}, 10), make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			begun <- struct{}{}
+			began <- struct{}{}
 			<-release
 			io.WriteString(c, nodetest.OK)
 		}
 	})
 	clients, inherit := platformSocket(t)
 	start := func(ctx context.Context) (*Node, chan error) {
-		cfg := testConfig("127.0.0.1:1", serving("s", addr))
+		cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 		cfg.Control, cfg.AcceptFD = "127.0.0.1:0", inherit()
 		n, err := New(cfg)
 		if err != nil {
@@ -82,7 +82,7 @@
 		go func() { done <- n.Run(ctx) }()
 		for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
 			if time.Now().After(end) {
-				t.Fatal("the node never serves")
+				t.Fatal("the node does not serve in time")
 			}
 		}
 		return n, done
@@ -92,29 +92,29 @@
 	first, firstDone := start(firstCtx)
 	open := nodetest.Dial(t, clients)
 	io.WriteString(open, readRequest)
-	nodetest.Wait(t, begun)
+	nodetest.Wait(t, began)
 
 	secondCtx, stopSecond := context.WithCancel(context.Background())
 	defer stopSecond()
 	second, secondDone := start(secondCtx)
 	if s := second.quota(); s > startingQuota {
-		t.Errorf("beside its predecessor the second process has a share of %v", s)
+		t.Errorf("second process beside its predecessor: got quota %v, want at most startingQuota", s)
 	}
 	stopFirst()
 	for end := time.Now().Add(nodetest.Limit); !first.stopped(); {
 		if time.Now().After(end) {
-			t.Fatal("the first process still accepts")
+			t.Fatal("the first process does not stop accepting connections in time")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	late := nodetest.Dial(t, clients)
 	io.WriteString(late, readRequest)
-	nodetest.Wait(t, begun)
+	nodetest.Wait(t, began)
 	close(release)
 	for name, c := range map[string]net.Conn{"open": open, "late": late} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK || resp.Close != (name == "open") {
-			t.Errorf("%s request: %+v, %v", name, resp, err)
+			t.Errorf("%s request: got %+v, %v", name, resp, err)
 		}
 	}
 	if err := nodetest.Wait(t, firstDone); err != nil {
@@ -122,7 +122,7 @@
 	}
 	for end := time.Now().Add(nodetest.Limit); second.quota() <= startingQuota; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("alone, the second process never gets its share")
+			t.Fatal("the second process does not raise its quota after its predecessor's exit")
 		}
 	}
 	stopSecond()
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestInheritedMustListen(t *testing.T) {
+func TestInheritedDescriptorMustListen(t *testing.T) {
 	t.Parallel()
 	file, err := os.CreateTemp(t.TempDir(), "")
 	if err != nil {
@@ -161,14 +161,14 @@
 			cfg := testConfig("127.0.0.1:1")
 			cfg.AcceptFD = fd
 			if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "inherited descriptor") {
-				t.Errorf("%v", err)
+				t.Errorf("got error %v, want one about the inherited descriptor", err)
 			}
 		})
 	}
 }
 
-// A process that is stopped does not truncate a long answer, however long that takes.
-func TestStopLeavesALongAnswerWhole(t *testing.T) {
+// A stopping process does not truncate a streamed response, however long the response takes.
+func TestShutdownCompletesLongResponse(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -178,11 +178,11 @@
 			io.WriteString(c, strings.Repeat("x", 69999))
 		}
 	})
-	n, err := New(testConfig("127.0.0.1:1", serving("s", addr)))
+	n, err := New(testConfig("127.0.0.1:1", servingEntry("s", addr)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.longestRequest.Store(0) // all that can be answered is to be answered at once
+	n.longestRequest.Store(0) // unfinished requests are failed at once
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
@@ -196,21 +196,21 @@
 	time.Sleep(killGrace + killMargin)
 	select {
 	case err := <-done:
-		t.Errorf("ended amid an answer: %v", err)
+		t.Errorf("Run returned %v during a response", err)
 	default:
 	}
 	close(release)
 	if b, err := io.ReadAll(resp.Body); err != nil || len(b) != 70000 {
-		t.Errorf("%d bytes, %v", len(b), err)
+		t.Errorf("got %d bytes, %v, want 70000", len(b), err)
 	}
 	if err := nodetest.Wait(t, done); err != nil {
 		t.Error(err)
 	}
 }
 
-// After the signal new connections come for a while: they are served, and so is all that was accepted, each with
-// Connection: close, before Run returns.
-func TestStopServesWhatCame(t *testing.T) {
+// Connections that arrive shortly after the stop signal are still served. All accepted requests are completed with
+// Connection: close before Run returns.
+func TestShutdownServesAcceptedConnections(t *testing.T) {
 	t.Parallel()
 	began, release := make(chan struct{}, 2), make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -220,32 +220,32 @@
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	n, err := New(testConfig("127.0.0.1:1", serving("s", addr)))
+	n, err := New(testConfig("127.0.0.1:1", servingEntry("s", addr)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n.acceptLingerTimeout <= 400*time.Millisecond {
-		t.Errorf("new connections are taken for %v only", n.acceptLingerTimeout)
+		t.Errorf("new connections are accepted for %v, want more than 400ms", n.acceptLingerTimeout)
 	}
-	n.acceptLingerTimeout = 3 * time.Second // a slow machine gets more
+	n.acceptLingerTimeout = 3 * time.Second // leaves a slow machine enough time for the second request
 	n.longestRequest.Store(int64(nodetest.Limit))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	answers := make(chan *http.Response, 2)
-	ask := func() {
+	responses := make(chan *http.Response, 2)
+	send := func() {
 		resp, err := (&http.Transport{}).RoundTrip(newRequest(t, n, "GET", "/read/1", ""))
 		if err != nil {
 			t.Error(err)
 		}
-		answers <- resp
+		responses <- resp
 	}
-	go ask()
+	go send()
 	nodetest.Wait(t, began)
 	cancel()
-	go ask() // after the signal
+	go send() // after the signal
 	nodetest.Wait(t, began)
-	// Once the listener is closed the rest is answered.
+	// Waits until the listener is closed.
 	for stop := time.Now().Add(nodetest.Limit); time.Now().Before(stop); {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err != nil {
@@ -255,13 +255,13 @@
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("Run returned %v with requests unanswered", err)
+		t.Fatalf("Run returned %v with unfinished requests", err)
 	default:
 	}
 	close(release)
 	for range 2 {
-		if resp := nodetest.Wait(t, answers); resp == nil || resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("answer %+v", resp)
+		if resp := nodetest.Wait(t, responses); resp == nil || resp.StatusCode != http.StatusOK || !resp.Close {
+			t.Errorf("got response %+v", resp)
 		}
 	}
 	if err := nodetest.Wait(t, done); err != nil {
@@ -269,8 +269,8 @@
 	}
 }
 
-// A request that would outlast the process is failed before the process is killed.
-func TestStopAnswersBeforeTheKill(t *testing.T) {
+// A request that does not complete in time during a shutdown is failed before the platform kills the process.
+func TestShutdownRespondsBeforeKill(t *testing.T) {
 	t.Parallel()
 	began := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -279,7 +279,7 @@
 			_, _ = io.Copy(io.Discard, r)
 		}
 	})
-	cfg := testConfig("127.0.0.1:1", serving("s", addr))
+	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Deadline = 300 * time.Millisecond
 	}
@@ -298,20 +298,21 @@
 	nodetest.Wait(t, began)
 	cancel()
 	if s := nodetest.Wait(t, status); s != 502 {
-		t.Errorf("answer %d", s)
+		t.Errorf("got status %d, want 502", s)
 	}
 	if err := nodetest.Wait(t, done); err != nil {
 		t.Errorf("Run: %v", err)
 	}
 }
 
-// A request that comes when the process is about to be killed is rejected at once: no answer would come in time.
-func TestRejectsBeforeTheKill(t *testing.T) {
+// A request that arrives when the process is about to be killed is rejected at once, because no response would arrive in
+// time.
+func TestShutdownRejectsLateRequests(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	n.loop.post(n.loop.abandonAll)
 	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusServiceUnavailable || len(got) > 0 {
-		t.Errorf("answer %d, %d forwarded", resp.StatusCode, len(got))
+		t.Errorf("got status %d with %d requests forwarded, want 503 with none", resp.StatusCode, len(got))
 	}
 }
--- a/internal/node/longanswer_test.go
+++ b/internal/node/longanswer_test.go
@@ -15,11 +15,11 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Long answers reach the client complete, however they are framed and in whatever pieces they come.
-func TestLongAnswers(t *testing.T) {
+// Long responses reach the client complete, with each kind of framing and independent of the sizes of the chunks.
+func TestLongResponses(t *testing.T) {
 	t.Parallel()
 	body := nodetest.Text(3 << 20)
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length":          fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		"chunks":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n\r\n" + chunked(body, 1000),
 		"until the close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
@@ -27,18 +27,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := nodetest.Stub(t, answer, true)
-			n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+			addr, _ := nodetest.Stub(t, response, true)
+			n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 			resp, got := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
 			if resp.StatusCode != http.StatusOK || got != body {
-				t.Errorf("%d with %d bytes", resp.StatusCode, len(got))
+				t.Errorf("got status %d with %d bytes", resp.StatusCode, len(got))
 			}
 		})
 	}
 }
 
-// The first bytes of a long answer do not wait for what follows.
-func TestLongAnswerIsNotHeldBack(t *testing.T) {
+// The first bytes of a streamed response are forwarded before the rest has arrived.
+func TestLongResponseIsNotDelayed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ head, first, rest string }{
 		"length": {"Content-Length: 70000\r\n\r\n", "a", strings.Repeat("x", 69999)},
@@ -55,7 +55,7 @@
 					io.WriteString(conn, c.rest)
 				}
 			})
-			n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+			n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 			conn := nodetest.Dial(t, n.Addr().String())
 			io.WriteString(conn, head("GET", "/read/1", ""))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -73,17 +73,18 @@
 	}
 }
 
-// A truncated long answer does not look complete to any client, and no other attempt follows.
-func TestLongAnswerBreaksOff(t *testing.T) {
+// A truncated streamed response must not look complete to a client of HTTP/1.1 or HTTP/1.0. The request counts as failed
+// and is not retried.
+func TestTruncatedLongResponse(t *testing.T) {
 	t.Parallel()
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + nodetest.Text(69000),
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + nodetest.Text(69000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, got := nodetest.Stub(t, answer, true)
-			n := startControlled(t, testConfig("127.0.0.1:1", serving("s", addr), serving("s2", addr)))
+			addr, got := nodetest.Stub(t, response, true)
+			n := startWithControl(t, testConfig("127.0.0.1:1", servingEntry("s", addr), servingEntry("s2", addr)))
 			for _, proto := range []string{"1.1", "1.0"} {
 				conn := nodetest.Dial(t, n.Addr().String())
 				io.WriteString(conn, strings.Replace(head("GET", "/read/1", ""), "HTTP/1.1", "HTTP/"+proto, 1))
@@ -92,24 +93,25 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
 				if err == nil {
-					t.Errorf("looks complete to a client of HTTP/%s", proto)
+					t.Errorf("the response looks complete to a client of HTTP/%s", proto)
 				}
 				nodetest.Wait(t, got)
 			}
 			if len(got) > 0 {
-				t.Errorf("another attempt followed")
+				t.Errorf("the request was retried")
 			}
 			for end := time.Now().Add(nodetest.Limit); vars(t, n).Results["read"] != (metrics.ClassResults{Failed: 2}); {
 				if time.Now().After(end) {
-					t.Fatalf("%+v", vars(t, n))
+					t.Fatalf("got %+v, want 2 failed requests", vars(t, n))
 				}
 			}
 		})
 	}
 }
 
-// A client that disconnects amid a long answer ends the attempt, and no server is blamed.
-func TestClientLeavesALongAnswer(t *testing.T) {
+// If the client disconnects during a streamed response, the attempt is cancelled and does not count as a failure of the
+// server.
+func TestClientDisconnectsDuringLongResponse(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -120,7 +122,7 @@
 		}
 	})
 	outcomes, started := make(chan balancer.Outcome, 1), make(chan balancer.ResponseStarted, 1)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
@@ -137,6 +139,6 @@
 	c.Close()
 	nodetest.Wait(t, closed)
 	if o := nodetest.Wait(t, outcomes); o.Result != balancer.Cancelled || !o.RequestDone {
-		t.Errorf("outcome %+v", o)
+		t.Errorf("got outcome %+v", o)
 	}
 }
--- a/internal/node/longrequest_test.go
+++ b/internal/node/longrequest_test.go
@@ -19,17 +19,17 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// sink is a server that keeps what it is sent, and then answers.
+// sink starts a server that responds with 200 and sends the requests that it received to got.
 func sink(t *testing.T) (addr string, got chan nodetest.Received) {
 	return nodetest.Stub(t, nodetest.OK, false)
 }
 
-// Long requests reach the server complete, however clients frame them, and connections are used again after them.
+// Long requests reach the server complete with each kind of framing, and the client can reuse its connection after them.
 func TestLongRequests(t *testing.T) {
 	t.Parallel()
 	body := nodetest.Text(2 << 20)
 	addr, got := sink(t)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for name, c := range map[string]struct{ more, body string }{
 		"length":  {fmt.Sprintf("Content-Length: %d\r\n", len(body)), body},
 		"chunks":  {"Transfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n", chunked(body, 777)},
@@ -41,22 +41,22 @@
 			io.WriteString(conn, head("POST", "/order/1", c.more))
 			if strings.HasPrefix(c.more, "Expect") {
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusContinue {
-					t.Fatalf("not asked for the body: %+v, %v", resp, err)
+					t.Fatalf("got %+v, %v, want 100 Continue", resp, err)
 				}
 			}
 			io.WriteString(conn, c.body)
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				t.Fatalf("%+v, %v", resp, err)
+				t.Fatalf("got %+v, %v", resp, err)
 			}
 			if s := nodetest.Wait(t, got); s.Content != body || s.Header.Get("X-Correlation-Id") != "c-1" {
-				t.Errorf("the server got %d bytes", len(s.Content))
+				t.Errorf("the server received %d bytes, want the complete body", len(s.Content))
 			}
-			if c.more[0] != 'T' { // a connection with chunks is closed, see ambiguous
+			if c.more[0] != 'T' { // after a chunked request the connection is closed, see hasAmbiguousEnd
 				_, _ = io.ReadAll(io.LimitReader(r, 2))
 				io.WriteString(conn, head("GET", "/read/2", ""))
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
-					t.Errorf("the next request: %+v, %v", resp, err)
+					t.Errorf("next request: got %+v, %v", resp, err)
 				}
 				nodetest.Wait(t, got)
 			}
@@ -64,8 +64,8 @@
 	}
 }
 
-// A long request's body is forwarded as it comes.
-func TestLongRequestIsPassedOnAsItComes(t *testing.T) {
+// The body of a long request is forwarded while it arrives.
+func TestLongRequestIsStreamed(t *testing.T) {
 	t.Parallel()
 	const size = 1 << 20
 	half := make(chan struct{})
@@ -81,20 +81,20 @@
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", size)))
 	_, _ = conn.Write(make([]byte, size/2))
 	nodetest.Wait(t, half)
 	_, _ = conn.Write(make([]byte, size/2))
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("got %+v, %v", resp, err)
 	}
 }
 
-// A long request is retried while nothing of its body was read. When a server fails amid the body the request is rejected:
-// it cannot have run, and cannot be sent again.
-func TestLongRequestMovesOnWhileItCan(t *testing.T) {
+// A long request is retried as long as no part of its streamed body has been consumed. If a server fails during the body,
+// the request is rejected: it cannot have run, and its body cannot be sent again.
+func TestLongRequestRetry(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	l.Close()
 	good, got := sink(t)
-	quits := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
+	resets := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		c.(*net.TCPConn).SetLinger(0)
 	})
@@ -115,9 +115,9 @@
 	for name, c := range map[string]struct {
 		first  string
 		status int
-	}{"not there": {l.Addr().String(), 200}, "quits": {quits, 503}, "rejects": {rejects, 503}} {
+	}{"unreachable": {l.Addr().String(), 200}, "resets": {resets, 503}, "rejects": {rejects, 503}} {
 		t.Run(name, func(t *testing.T) {
-			n := startNode(t, testConfig("127.0.0.1:1", serving("first", c.first), serving("second", good)),
+			n := startNode(t, testConfig("127.0.0.1:1", servingEntry("first", c.first), servingEntry("second", good)),
 				firstThenSecond())
 			conn := nodetest.Dial(t, n.Addr().String())
 			var wrote sync.WaitGroup
@@ -126,22 +126,23 @@
 			})
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != c.status {
-				t.Fatalf("%+v, %v", resp, err)
+				t.Fatalf("got %+v, %v", resp, err)
 			}
 			wrote.Wait()
 			if c.status == 200 {
 				if s := nodetest.Wait(t, got); s.Content != body {
-					t.Errorf("the second server got %d bytes", len(s.Content))
+					t.Errorf("the second server received %d bytes, want the complete body", len(s.Content))
 				}
 			} else if len(got) > 0 {
-				t.Errorf("a consumed body reached the second server")
+				t.Errorf("a request with a consumed body reached the second server")
 			}
 		})
 	}
 }
 
-// firstThenSecond are decisions that send to one server, then to the other unless the body is consumed.
-func firstThenSecond() decisionsFunc {
+// firstThenSecond returns a balancer that sends to the endpoint "first", and then to "second" unless the body is consumed.
+// It fails requests without a streamed body.
+func firstThenSecond() balancerFunc {
 	return func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
@@ -159,48 +160,49 @@
 	}
 }
 
-// The time of a long request begins when the server has all of it, however long that took.
-func TestTimeBeginsWhenALongRequestIsSent(t *testing.T) {
+// The deadline of a long request starts when its last byte has been sent to the server, however long that took.
+func TestLongRequestDeadlineStartsAtLastByte(t *testing.T) {
 	t.Parallel()
 	addr, _ := sink(t)
-	taken := make(chan balancer.RequestBodySent, 1)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	bodySent := make(chan balancer.RequestBodySent, 1)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.Request:
 			return []balancer.Action{balancer.Send{ID: e.ID, Endpoint: "s"}}
 		case balancer.RequestBodySent:
-			taken <- e
+			bodySent <- e
 		}
 		return nil
 	}))
 	conn := nodetest.Dial(t, n.Addr().String())
 	io.WriteString(conn, strings.Replace(head("POST", "/order/1", "Content-Length: 100000\r\n"), "15000m", "900m", 1))
-	for range 10 { // longer than the client will wait from its last byte on
+	for range 10 { // takes longer than the 900 ms that the client waits after its last byte
 		_, _ = conn.Write(make([]byte, 10000))
 		time.Sleep(100 * time.Millisecond)
 	}
 	before := time.Duration(time.Now().Add(-time.Second).UnixNano())
-	if e := nodetest.Wait(t, taken); e.Deadline < before {
-		t.Errorf("a deadline that was over before the last byte: %v before", before-e.Deadline)
+	if e := nodetest.Wait(t, bodySent); e.Deadline < before {
+		t.Errorf("the deadline is %v before the last byte", before-e.Deadline)
 	}
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("got %+v, %v", resp, err)
 	}
 }
 
-// A client that pauses for too long amid a body of any length gets an error, and the connection to its server is closed.
-func TestClientPausesAmidItsBody(t *testing.T) {
+// A client that pauses for too long during its body gets a 408, at any position in the body, and the connection to the
+// server is closed.
+func TestClientStallsDuringBody(t *testing.T) {
 	t.Parallel()
 	if clientconn.MaxBodyPause >= 3*time.Second || clientconn.FirstBodyTimeout >= 3*time.Second {
-		t.Errorf("peers that stand still are borne for %v", clientconn.MaxBodyPause)
+		t.Errorf("a client may pause for %v during its body, want less than 3s", clientconn.MaxBodyPause)
 	}
 	closed := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = io.Copy(io.Discard, r)
 		close(closed)
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
-	for name, sent := range map[string]int{"at the start": 0, "amid what is held": 1000, "amid the rest": 500_000} {
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
+	for name, sent := range map[string]int{"at the start": 0, "in the buffered part": 1000, "in the streamed part": 500_000} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := nodetest.Dial(t, n.Addr().String())
@@ -208,7 +210,7 @@
 			_, _ = conn.Write(make([]byte, sent))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout {
-				t.Errorf("%+v, %v", resp, err)
+				t.Errorf("got %+v, %v, want status 408", resp, err)
 			}
 			if sent > bodybudget.MaxBufferedBytes {
 				nodetest.Wait(t, closed)
@@ -217,11 +219,11 @@
 	}
 }
 
-// A body that is too long is rejected by its Content-Length, or when it has become too long.
+// A body over the limit is rejected by its Content-Length or, if it is chunked, once it exceeds the limit.
 func TestBodyTooLong(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for name, more := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", bodybudget.MaxBodyBytes+1),
 		"chunks": "Transfer-Encoding: chunked\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -235,21 +237,21 @@
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-				t.Errorf("%+v, %v", resp, err)
+				t.Errorf("got %+v, %v, want status 413", resp, err)
 			}
 		})
 	}
 	if len(got) > 0 {
-		t.Error("a body that is too long reached the server")
+		t.Error("a body over the limit reached the server")
 	}
 }
 
-// What looks like a request inside a long body is not handled as one, also when the answer comes before the end of the
-// body.
+// Bytes inside a long body that look like a request are not handled as one, even if the response is written before the end
+// of the body.
 func TestRequestInsideALongBody(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), balancerFunc(func(e balancer.Event) []balancer.Action {
 		if e, is := e.(balancer.Request); is {
 			if e.StreamingBody {
 				return []balancer.Action{balancer.Reject{ID: e.ID}}
@@ -265,13 +267,13 @@
 	go io.WriteString(conn, head("POST", "/order/1", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body+inner)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("got %+v, %v", resp, err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if rest, err := io.ReadAll(r); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a second answer: %q, %v", rest, err)
+		t.Errorf("got a second response: %q, %v", rest, err)
 	}
 	if len(got) > 0 {
-		t.Error("what stood in a body was forwarded")
+		t.Error("the request inside the body was forwarded")
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// eventBacklog is how many events may wait for the loop before post blocks.
-	eventBacklog = 1024
-	// staleInterval is how often stale connections to servers are looked for.
+	// eventQueueSize is the number of events that may be queued before post blocks.
+	eventQueueSize = 1024
+	// staleInterval is the interval at which stale connections to servers are closed.
 	staleInterval = time.Second
-	// ejectedInterval is how often the balancer is asked how many endpoints are ejected.
+	// ejectedInterval is the interval at which the metric of ejected endpoints is updated.
 	ejectedInterval = 200 * time.Millisecond
 )
 
-// clock is Unix time that never goes back: the wall's at the start plus what has passed since.
+// clock provides Unix time that never goes backwards: the wall clock at start plus the monotonic time since.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// requestBalancer is what the loop needs of the balancer; balancer.Balancer implements it. Only the loop's goroutine may call it.
+// requestBalancer is the part of balancer.Balancer that the loop uses. Only the loop's goroutine may call it.
 type requestBalancer interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 	EjectedCount(now time.Duration) int
 	Snapshot(now time.Duration) balancer.Snapshot
 }
 
-// loop is the event loop. Its methods run on the one goroutine of run, except for post, after and snapshot, which any other
-// goroutine may call. I/O happens on other goroutines, which post its results.
+// loop is the event loop. Its methods run on the goroutine of run, except for post, after and snapshot, which other
+// goroutines may call. I/O runs on other goroutines, which post its results.
 type loop struct {
-	now         func() time.Duration // of the clock
+	now         func() time.Duration // the clock time
 	balancer    requestBalancer
 	pool        *upstream.Pool
 	watcher     *watcher
 	metrics     *metrics.Metrics
-	running     context.Context         // of run: polls end with it
-	classes     atomic.Pointer[classes] // swapped by the loop, read by the frontend too
+	ctx         context.Context         // the context of run; polls end with it
+	classes     atomic.Pointer[classes] // replaced by the loop, also read by the frontend
 	maxAttempts int
 	events      chan func()
-	done        chan struct{} // closed when run has ended
+	done        chan struct{} // closed when run has returned
 
-	queue     []balancer.Event // for the balancer, in order
-	requests  map[string]*request
+	queue     []balancer.Event              // events not yet handled by the balancer, in order
+	requests  map[string]*request           // by ID
 	endpoints map[string]*upstream.Endpoint // by ID
-	lastID    uint64                        // of a request
-	closing   bool                          // the process is about to be killed
+	lastID    uint64                        // the ID of the latest request
+	closing   bool                          // the process is about to be killed; new requests are rejected
 }
 
 func newLoop(cfg config.Config, b requestBalancer, pool *upstream.Pool, client *discovery.Client, counters *metrics.Metrics) *loop {
@@ -64,7 +64,7 @@
 		pool:        pool,
 		metrics:     counters,
 		maxAttempts: cfg.Settings.MaxAttempts,
-		events:      make(chan func(), eventBacklog),
+		events:      make(chan func(), eventQueueSize),
 		done:        make(chan struct{}),
 		requests:    map[string]*request{},
 		endpoints:   map[string]*upstream.Endpoint{},
@@ -74,7 +74,7 @@
 	return l
 }
 
-// reconfigure takes over new settings and discovery's address, in one step.
+// reconfigure applies new settings and a new discovery address, in one step.
 func (l *loop) reconfigure(cfg config.Config) {
 	l.setClasses(cfg.Settings)
 	l.maxAttempts = cfg.Settings.MaxAttempts
@@ -84,7 +84,7 @@
 	l.watcher.reconfigure(cfg.Discovery)
 }
 
-// setClasses puts the classes of the settings in force.
+// setClasses replaces the classes with those of the settings.
 func (l *loop) setClasses(settings balancer.Settings) {
 	l.classes.Store(newClasses(settings))
 	for _, c := range settings.Classes {
@@ -96,7 +96,7 @@
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
 	defer func() { l.watcher.stop() }()
-	l.running = ctx
+	l.ctx = ctx
 	stale := time.NewTicker(staleInterval)
 	defer stale.Stop()
 	ejected := time.NewTicker(ejectedInterval)
@@ -115,7 +115,7 @@
 	}
 }
 
-// post hands the loop something to do. It may block, so the loop itself must not call it.
+// post runs f on the loop's goroutine. It drops f if the loop has ended. It may block, so the loop itself must not call it.
 func (l *loop) post(f func()) {
 	select {
 	case l.events <- f:
@@ -123,12 +123,12 @@
 	}
 }
 
-// after posts f when d has passed.
+// after posts f once d has passed.
 func (l *loop) after(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() { l.post(f) })
 }
 
-// handle gives the balancer an event, and then those that their own actions caused at once.
+// handle passes an event to the balancer, and then the events that its actions cause synchronously.
 func (l *loop) handle(e balancer.Event) {
 	l.queue = append(l.queue, e)
 	for len(l.queue) > 0 {
@@ -140,7 +140,7 @@
 	}
 }
 
-// perform carries out an action of the balancer.
+// perform executes an action of the balancer.
 func (l *loop) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
@@ -148,9 +148,9 @@
 	case balancer.Cancel:
 		l.cancel(a)
 	case balancer.Reject:
-		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+		l.finish(a.ID, clientResponse{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case balancer.Fail:
-		l.finish(a.ID, answer{status: http.StatusBadGateway})
+		l.finish(a.ID, clientResponse{status: http.StatusBadGateway})
 	case balancer.SetTimer:
 		l.after(a.At-l.now(), func() { l.handle(balancer.TimerFired{Token: a.Token}) })
 	case balancer.Subscribe:
@@ -158,7 +158,7 @@
 	}
 }
 
-// snapshot asks the loop for what the balancer has learned; false: the loop has ended.
+// snapshot returns a snapshot of the balancer's state. ok is false if the loop has ended.
 func (l *loop) snapshot() (s balancer.Snapshot, ok bool) {
 	taken := make(chan balancer.Snapshot, 1)
 	l.post(func() { taken <- l.balancer.Snapshot(l.now()) })
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -11,8 +11,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// figures are the answer to the command vars.
-type figures struct {
+// varsResponse is the response to the command vars.
+type varsResponse struct {
 	Results        map[string]metrics.ClassResults `json:"results"`
 	Outstanding    int                             `json:"outstanding"`
 	Forwards       int                             `json:"forwards"`
@@ -22,11 +22,11 @@
 	SighupRejected int                             `json:"sighup_rejected"`
 }
 
-func vars(t *testing.T, n *Node) (f figures) {
+func vars(t *testing.T, n *Node) (f varsResponse) {
 	t.Helper()
 	text, complete := strings.CutSuffix(sendCommand(t, n, "vars\n"), "\neof\n")
 	if !complete || strings.Contains(text, "\n") {
-		t.Fatalf("vars: %q", text)
+		t.Fatalf("vars: got response %q", text)
 	}
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
 		t.Fatalf("vars: %v", err)
@@ -34,8 +34,8 @@
 	return f
 }
 
-// Each figure follows what happens: an answer of each kind, a request in flight, the endpoint list.
-func TestFiguresFollowWhatHappens(t *testing.T) {
+// The command vars reports the responses of each kind, the attempts and the size of the endpoint list.
+func TestVars(t *testing.T) {
 	t.Parallel()
 	served, _ := nodetest.Stub(t, nodetest.OK, false)
 	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
@@ -49,37 +49,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cfg := testConfig("127.0.0.1:1", serving("s", c.addr))
+			cfg := testConfig("127.0.0.1:1", servingEntry("s", c.addr))
 			cfg.Settings.MaxAttempts = 1
-			n := startControlled(t, cfg)
+			n := startWithControl(t, cfg)
 			if f := vars(t, n); f.Results["order"] != (metrics.ClassResults{}) || len(f.Results) != 3 || f.Discovered != 1 || f.Forwards != 0 {
-				t.Errorf("at the start %+v", f)
+				t.Errorf("at the start: got %+v", f)
 			}
 			nodetest.Do(t, newRequest(t, n, "POST", "/order/1", ""))
-			nodetest.Do(t, newRequest(t, n, "PUT", "/order/1", "")) // no client's request
+			nodetest.Do(t, newRequest(t, n, "PUT", "/order/1", "")) // invalid requests are not counted
 			if f := vars(t, n); f.Results["order"] != c.want || f.Forwards != 1 || f.Outstanding != 0 {
-				t.Errorf("%+v", f)
+				t.Errorf("after a request: got %+v", f)
 			}
 		})
 	}
 }
 
-func TestFiguresOutstanding(t *testing.T) {
+// A request counts as outstanding until it is completed or its client disconnects.
+func TestVarsOutstanding(t *testing.T) {
 	t.Parallel()
 	silent, got := nodetest.Stub(t, "", false)
-	n := startControlled(t, testConfig("127.0.0.1:1", serving("s", silent)))
+	n := startWithControl(t, testConfig("127.0.0.1:1", servingEntry("s", silent)))
 	c := nodetest.Dial(t, n.Addr().String())
 	if _, err := c.Write([]byte(readRequest)); err != nil {
 		t.Fatal(err)
 	}
 	nodetest.Wait(t, got)
 	if f := vars(t, n); f.Outstanding != 1 || f.Forwards != 1 {
-		t.Errorf("with a request in hand: %+v", f)
+		t.Errorf("with a request in flight: got %+v", f)
 	}
 	c.(*net.TCPConn).Close()
 	for end := time.Now().Add(nodetest.Limit); vars(t, n).Outstanding != 0; {
 		if time.Now().After(end) {
-			t.Fatal("a request whose client has left stays outstanding")
+			t.Fatal("a request whose client has disconnected stays outstanding")
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,32 +24,33 @@
 	"umberbank/internal/registry/client"
 )
 
-// Node is one node of the load balancer. New returns a node that listens, and Run serves, once; the other methods may be called by
-// any goroutine while it runs.
+// Node is one node of the load balancer. New returns a node that listens; Run serves and may be called once. The other
+// methods may be called by any goroutine while Run is active.
 type Node struct {
 	loop            *loop
 	frontend        *frontend
 	listener        *clientconn.Listener
-	cfg             config.Config            // as the node was started with
-	lock            *processlock.Lock        // nil: the process is not replaced while it serves
-	control         *control.Server          // nil: there is no address for operators
-	initialList     discovery.Update         // the endpoint list to start with
-	registryWatcher *client.Watcher          // nil: the node follows discovery
-	snapshotter     *snapshotter.Snapshotter // nil: nothing is saved for the process after this one
-	follower        *follower.Follower       // nil: settings come from the configuration alone
+	cfg             config.Config            // the configuration at startup; reloads do not change it
+	lock            *processlock.Lock        // nil if the process cannot be replaced while it serves
+	control         *control.Server          // nil if no control address is configured
+	initialList     discovery.Update         // the endpoint list at startup
+	registryWatcher *client.Watcher          // nil if the node follows discovery
+	snapshotter     *snapshotter.Snapshotter // nil if the configuration names no snapshot directory
+	follower        *follower.Follower       // nil if settings come from the configuration alone
 
-	acceptLingerTimeout time.Duration // how long a stopping node goes on to accept
-	longestRequest      atomic.Int64  // a time.Duration: how long clients may wait for what a stopping node has accepted
+	acceptLingerTimeout time.Duration // how long a stopping node continues to accept connections
+	longestRequest      atomic.Int64  // the longest request deadline that a shutdown allows for, as a time.Duration
 
-	reloading sync.Mutex      // guards current and agreed
-	current   config.Config   // the configuration in force
-	agreed    json.RawMessage // settings from a rollout, if there are any
+	reloadMu        sync.Mutex      // guards current and rolloutSettings
+	current         config.Config   // the configuration in force
+	rolloutSettings json.RawMessage // nil if the settings come from the configuration
 
-	serving  atomic.Bool // clients are served
-	stopping atomic.Bool // SIGTERM has come; accepted requests are being answered
+	serving  atomic.Bool // set while clients are served
+	stopping atomic.Bool // set once a shutdown has begun; accepted requests are still completed
 }
 
-// New returns a node that listens and does not serve yet.
+// New returns a node that listens for clients but does not serve them until Run is called. It returns an error if the
+// settings are invalid or if a socket or file of the configuration cannot be opened.
 func New(cfg config.Config) (*Node, error) {
 	cfg, version := follower.Restore(cfg)
 	b, err := balancer.New(cfg.Settings, cfg.Seed)
@@ -60,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.agreed = version.Settings
+	n.rolloutSettings = version.Settings
 	if n.follower, err = n.newFollower(version); err != nil {
 		n.listener.Close()
 		return nil, fmt.Errorf("agreed: %w", err)
@@ -68,7 +69,7 @@
 	return n, nil
 }
 
-// newNode is New with given decisions, and without a follower of rollouts.
+// newNode returns a node that uses b for its decisions and does not follow rollouts.
 func newNode(cfg config.Config, b requestBalancer) (*Node, error) {
 	socket, err := listen(cfg)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return n, nil
 }
 
-// listen opens the clients' socket, or takes the one that is inherited.
+// listen opens the client-facing socket, or uses the inherited one.
 func listen(cfg config.Config) (net.Listener, error) {
 	if cfg.AcceptFD > 0 {
 		return listener.Inherit(cfg.AcceptFD)
@@ -95,7 +96,7 @@
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(upstream.Options{
 		Connections:    cfg.Connections,
-		MaxConnections: 1, // until setQuota
+		MaxConnections: 1, // replaced by setQuota
 		Metrics:        counters,
 		Budget:         bodybudget.ForMemory(cfg.MemoryMB, cfg.AcceptFD > 0),
 	})
@@ -118,15 +119,15 @@
 	return n
 }
 
-// openOptionalParts opens the registry client, the process lock and the operators' address, where the configuration asks for them.
+// openOptionalParts opens the registry client, the process lock and the control server, as far as they are configured.
 func (n *Node) openOptionalParts() (err error) {
 	if err := n.openRegistry(); err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	n.loop.watcher.external = n.registryWatcher != nil
+	n.loop.watcher.usesRegistry = n.registryWatcher != nil
 	if n.cfg.AcceptFD > 0 {
 		if n.lock, err = processlock.Open(os.TempDir(), n.cfg.Name); err != nil {
-			return fmt.Errorf("lock of the serving process: %w", err)
+			return fmt.Errorf("process lock: %w", err)
 		}
 		n.setQuota(startingQuota)
 	}
@@ -138,10 +139,10 @@
 	return nil
 }
 
-// Addr is the address that the node listens on for clients.
+// Addr returns the address that the node listens on for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// commands are the commands at the operators' address. Their names and answers are documented in docs/oncall.
+// commands returns the commands of the control server. Their names and responses are documented in docs/oncall.
 func (n *Node) commands() control.Commands {
 	return control.Commands{
 		"check": func() string {
--- a/internal/node/program.go
+++ b/internal/node/program.go
@@ -16,16 +16,17 @@
 
 // Environment variables that the platform sets.
 const (
-	envConfig   = "ROUTER_CONFIG"    // the path of the configuration
-	envControl  = "ROUTER_CONTROL"   // host:port for operators' commands, in place of the configuration's
-	envAcceptFD = "ROUTER_ACCEPT_FD" // the descriptor of the inherited listening socket
+	envConfig   = "ROUTER_CONFIG"    // path of the configuration file
+	envControl  = "ROUTER_CONTROL"   // host:port of the control server; overrides the configuration
+	envAcceptFD = "ROUTER_ACCEPT_FD" // descriptor of the inherited listening socket
 )
 
 // minInheritedFD is the first descriptor that is not one of the standard streams.
 const minInheritedFD = 3
 
-// RunProgram is the program that is one node, as its environment tells. It reads the configuration again at each of hangups, and
-// returns once ctx has ended and all that it has accepted is answered.
+// RunProgram runs one node with the configuration that the environment names. It reloads the configuration at each signal
+// from hangups. It returns nil once ctx has ended and all accepted requests are completed, and an error if the node
+// cannot start or stops serving.
 func RunProgram(ctx context.Context, hangups <-chan os.Signal) error {
 	path := os.Getenv(envConfig)
 	if path == "" {
@@ -44,14 +45,14 @@
 	if err != nil {
 		return err
 	}
-	// Who starts the program reads the address from this line; see docs/oncall/upgrade.md.
+	// Programs that start a node read its address from this line; see docs/oncall/upgrade.md.
 	slog.Info(fmt.Sprintf("listening on %s", n.Addr()))
-	go reloadAtHangups(n, path, hangups)
+	go reloadOnHangup(n, path, hangups)
 	return n.Run(ctx)
 }
 
-// loadWithEnvironment reads the configuration, and what the environment has in place of it: the file is the same for a process and
-// the one that replaces it.
+// loadWithEnvironment reads the configuration and applies the overrides of the environment. These are not in the file
+// because a process and its replacement share the file.
 func loadWithEnvironment(path string) (config.Config, error) {
 	cfg, err := config.Load(path)
 	if err != nil {
@@ -68,8 +69,8 @@
 	return cfg, nil
 }
 
-// reloadAtHangups gives the node its configuration anew at each hangup. One with a fault changes nothing.
-func reloadAtHangups(n *Node, path string, hangups <-chan os.Signal) {
+// reloadOnHangup reloads the configuration at each hangup signal. An invalid configuration changes nothing.
+func reloadOnHangup(n *Node, path string, hangups <-chan os.Signal) {
 	for range hangups {
 		if err := n.ReloadFile(path); err != nil {
 			// Operators search for this line; see docs/oncall/settings.md.
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// reservedDescriptors are for the listener, the watch, the log and the runtime.
+	// reservedDescriptors is the number of descriptors for the listener, the watch, the log and the runtime.
 	reservedDescriptors = 32
-	// upstreamFractionNum/upstreamFractionDen of the descriptors are for connections to servers. Each attempt belongs to a client's
-	// connection, and clients also hold idle ones, so clients get the larger part.
+	// upstreamFractionNum/upstreamFractionDen is the fraction of the descriptors for connections to servers. Clients get the
+	// larger part, because each attempt belongs to a client connection and clients also keep idle connections.
 	upstreamFractionNum, upstreamFractionDen = 2, 5
-	// memoryLimitFraction is the fraction of the memory limit from which on the garbage collector works harder, well below the limit at
-	// which the node is killed.
+	// memoryLimitFraction is the fraction of the memory limit at which garbage collection becomes more aggressive. It is
+	// well below 1 because the node is killed at the limit.
 	memoryLimitFraction = 0.7
 )
 
-// A node whose process can be replaced is two processes for a while, under one set of limits. The one that serves keeps to
-// servingQuota of them, and one that starts beside it to startingQuota.
+// During a replacement a node has two processes, which share one set of limits. The serving process uses servingQuota of
+// them, and the process that starts beside it startingQuota.
 const (
 	servingQuota  = 2.0 / 3
 	startingQuota = 1.0 / 3
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -15,10 +15,11 @@
 	"umberbank/internal/node/header"
 )
 
-// forwardedHeaders are the headers of a client's request that go to servers as they are.
+// forwardedHeaders are the headers of a client request that are forwarded to servers unchanged.
 var forwardedHeaders = []string{header.CorrelationID, header.IdempotencyKey, "Content-Type"}
 
-// read reads a request, its body included as far as it is buffered. release gives the memory of its body back.
+// read reads a request, including the part of its body that is buffered. The caller must call release once the request is
+// done, to return the memory of the body to the budget.
 func (f *frontend) read(w http.ResponseWriter, hr *http.Request) (r *request, release func(), err error) {
 	timeLeft, err := header.ParseTimeLeft(hr.Header.Get(header.TimeLeft))
 	if err != nil {
@@ -34,16 +35,16 @@
 		timeLeft:    timeLeft,
 		costHint:    header.ParseCostHint(hr.Header.Get(header.Facts)),
 		outgoing:    newOutgoing(hr),
-		answer:      make(chan answer, 1),
+		response:    make(chan clientResponse, 1),
 	}
 	if release, err = f.readBody(w, hr, r); err != nil {
 		return nil, nil, err
 	}
-	f.loop.startDeadline(r) // it runs from the last byte on
+	f.loop.startDeadline(r) // the deadline starts at the last byte of the request
 	return r, release, nil
 }
 
-// check says why a request of a class is not to be accepted, as far as its head tells.
+// check returns an error if a request must be rejected because of its head.
 func (f *frontend) check(hr *http.Request, class string) error {
 	switch {
 	case hr.Method != http.MethodGet && hr.Method != http.MethodPost:
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// newOutgoing is what of a client's request goes to servers, without its body.
+// newOutgoing returns the request that is sent to servers, without its body.
 func newOutgoing(hr *http.Request) *http.Request {
 	out := &http.Request{Method: hr.Method, URL: hr.URL, Host: hr.Host, Header: http.Header{"User-Agent": nil}}
 	for _, name := range forwardedHeaders {
@@ -73,13 +74,13 @@
 	return out
 }
 
-// readBody reads a request's body, as far as it is buffered. release gives its memory back.
+// readBody reads the part of a request's body that is buffered. release returns the memory to the budget.
 func (f *frontend) readBody(w http.ResponseWriter, hr *http.Request, r *request) (release func(), err error) {
 	allowance := clientconn.ClientOf(hr).BodyAllowance()
 	control := http.NewResponseController(w)
 	if hr.ContentLength == 0 {
-		// requestTimeout is lifted: should it pass while the request is served, it would look like a disconnect of the client, and the
-		// request would be lost.
+		// The read deadline of requestTimeout is removed: if it passed while the request is served, it would look like a
+		// client disconnect, and the request would be dropped.
 		return func() {}, control.SetReadDeadline(time.Time{})
 	}
 	waiting, cancel := context.WithTimeout(hr.Context(), requestTimeout)
@@ -94,7 +95,7 @@
 	return release, nil
 }
 
-// readBufferedBody reads the part of a body that is buffered. What follows becomes the request's streamedBody.
+// readBufferedBody reads the part of a body that is buffered. The rest becomes the request's streamedBody.
 func readBufferedBody(hr *http.Request, r *request, body *clientconn.Body, control *http.ResponseController) error {
 	buffered := bytes.NewBuffer(make([]byte, 0, min(max(hr.ContentLength, 0), bodybudget.MaxBufferedBytes)+bytes.MinRead))
 	if _, err := buffered.ReadFrom(io.LimitReader(body, bodybudget.MaxBufferedBytes+1)); err != nil {
@@ -105,7 +106,7 @@
 	if len(r.body) <= bodybudget.MaxBufferedBytes {
 		return nil
 	}
-	// The answer may have to be written before the whole body has come.
+	// The response may be written before the whole body has been read.
 	if err := control.EnableFullDuplex(); err != nil {
 		return err
 	}
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -10,29 +10,29 @@
 	"umberbank/internal/registry/client"
 )
 
-// openRegistry opens a Watcher of the registry that the configuration names, if it names one. A list that the Watcher has cached
-// replaces the one in the configuration, which is older.
+// openRegistry opens a Watcher if a registry is configured. A list from the Watcher's cache replaces the list in the
+// configuration, which is older.
 func (n *Node) openRegistry() error {
 	if len(n.cfg.Registry.Endpoints) == 0 {
 		return nil
 	}
-	reader, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Logger: slog.Default()})
+	watcher, err := client.NewWatcher(client.Options{Endpoints: n.cfg.Registry.Endpoints, CacheDir: n.cfg.Registry.Cache, Logger: slog.Default()})
 	if err != nil {
 		return err
 	}
-	n.registryWatcher = reader
-	if view := reader.View(); len(view.Instances) > 0 {
-		known, err := fromRegistry(client.WatchEvent{Revision: view.Revision, FullList: true, Instances: view.Instances})
+	n.registryWatcher = watcher
+	if view := watcher.View(); len(view.Instances) > 0 {
+		cached, err := fromRegistry(client.WatchEvent{Revision: view.Revision, FullList: true, Instances: view.Instances})
 		if err != nil {
 			return fmt.Errorf("%s: %w", n.cfg.Registry.Cache, err)
 		}
-		n.initialList = known
+		n.initialList = cached
 	}
 	return nil
 }
 
-// readRegistry gives the event loop what the registry says until ctx ends. The registry watcher applies nothing that is older or
-// incomplete. An invalid update is logged and ignored.
+// readRegistry passes updates from the registry to the event loop until ctx ends. The registry watcher drops outdated and
+// incomplete updates itself. An invalid update is logged and ignored.
 func (n *Node) readRegistry(ctx context.Context) {
 	_ = n.registryWatcher.Run(ctx, func(u client.WatchEvent) {
 		update, err := fromRegistry(u)
@@ -44,7 +44,7 @@
 	})
 }
 
-// fromRegistry is an update of the registry as discovery would have sent it.
+// fromRegistry converts an update from the registry to the form that discovery sends.
 func fromRegistry(u client.WatchEvent) (discovery.Update, error) {
 	text, err := json.Marshal(u)
 	if err != nil {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -12,60 +12,60 @@
 	"umberbank/internal/node/upstream"
 )
 
-// overhead is the part of a client's time that the node reserves for its own work and the way back, so that the answer arrives before
-// the client has given up. Of a short time it reserves no more than 1/4.
-const overhead = 20 * time.Millisecond
+// deadlineMargin is the part of a client's time left that the node reserves for its own work and the transfer of the response,
+// so that the response arrives before the client gives up. At most 1/4 of the time left is reserved.
+const deadlineMargin = 20 * time.Millisecond
 
-// request is a client's request. The loop owns it, except for the fields that the frontend sets before accept and for the atomics.
-// deadline, fallbackAt and firstSentAt are clock times.
+// request is a client request. The loop owns it, except for the atomics and the fields that the frontend sets before
+// accept. deadline, fallbackAt and firstSentAt are clock times.
 type request struct {
-	id           string // ours: a client's id may come twice
+	id           string // assigned by the node, because correlation IDs of clients may repeat
 	class        string
-	clientRetry  bool             // the client has sent it before
-	costHint     time.Duration    // the work to expect; 0: not known
-	timeLeft     time.Duration    // how long the client waits from the request's last byte on
-	deadline     time.Duration    // by which the balancer is to answer
-	fallbackAt   time.Duration    // at which the node answers by itself
-	outgoing     *http.Request    // what goes to a server
-	body         []byte           // as much of it as is buffered
-	streamedBody *clientconn.Body // what follows body; nil: nothing
-	answer       chan answer      // holds the final answer; never blocks
-
-	maxAttempts int            // by the settings when it was accepted
-	settings    balancer.Class // likewise
-	firstSentAt time.Duration  // when the first attempt was sent that may have run; 0: none may have
-
-	finished      atomic.Bool // answered, or its client has disconnected; set by the loop alone
-	disconnected  atomic.Bool // its client was seen to disconnect; the loop may not know yet
-	connected     func() bool // asks, at this instant, whether its client is still there; by any goroutine
-	fallbackTimer *time.Timer // nil: it was never accepted
+	clientRetry  bool                // the client has sent the request before
+	costHint     time.Duration       // the expected work; zero if unknown
+	timeLeft     time.Duration       // how long the client waits, from the last byte of the request on
+	deadline     time.Duration       // when the balancer must have completed the request
+	fallbackAt   time.Duration       // when the node fails the request if the balancer has not completed it
+	outgoing     *http.Request       // the request that is sent to servers
+	body         []byte              // the buffered part of the body
+	streamedBody *clientconn.Body    // the rest of the body; nil if the whole body is buffered
+	response     chan clientResponse // receives the final response; buffered, so that sending never blocks
+
+	maxAttempts int            // from the settings at the time of accept
+	settings    balancer.Class // from the settings at the time of accept
+	firstSentAt time.Duration  // when the first attempt that may have run was sent; zero if there is none
+
+	finished      atomic.Bool // the request is completed or its client has disconnected; set only by the loop
+	disconnected  atomic.Bool // the client has disconnected; the loop may not have been notified yet
+	connected     func() bool // checks whether the client is still connected; any goroutine may call it
+	fallbackTimer *time.Timer // nil if the request was never accepted
 	attempts      []*attempt
-	inFlight      int // attempts that have not ended
+	inFlight      int // number of attempts that have not ended
 }
 
-// answer is the final answer to a client.
-type answer struct {
+// clientResponse is the final response to a client.
+type clientResponse struct {
 	status      int
 	body        []byte
-	contentType string
-	retryAfter  time.Duration      // 0: it says nothing of that
-	response    *upstream.Response // not nil: the body, as it comes
-	rejection   error              // not nil: the request was not accepted, for this reason
+	contentType string             // empty for no Content-Type header
+	retryAfter  time.Duration      // zero for no Retry-After header
+	streamed    *upstream.Response // a response whose body is streamed; nil if body is complete
+	rejection   error              // why the request was not accepted; nil if it was
 }
 
-// accept takes a request from the frontend.
+// accept registers a request from the frontend and passes it to the balancer.
 func (l *loop) accept(r *request) {
-	// The settings may have changed since the frontend looked.
+	// The settings may have changed since the frontend checked the request.
 	if err := l.classes.Load().check(r.class, r.outgoing.Header); err != nil {
-		r.answer <- answer{rejection: err}
+		r.response <- clientResponse{rejection: err}
 		return
 	}
 	if l.closing {
-		r.answer <- answer{status: http.StatusServiceUnavailable}
+		r.response <- clientResponse{status: http.StatusServiceUnavailable}
 		return
 	}
 	if r.disconnected.Load() {
-		return // nobody waits for an answer
+		return // no client waits for a response
 	}
 	r.maxAttempts, r.settings = l.maxAttempts, (*l.classes.Load())[r.class]
 	l.lastID++
@@ -83,30 +83,31 @@
 	})
 }
 
-// startFallbackTimer makes the node fail a request by itself, just before its client gives up, if the balancer never answers it.
+// startFallbackTimer starts the timer that fails a request shortly before its client gives up, in case the balancer does
+// not complete it.
 func (l *loop) startFallbackTimer(r *request) {
 	r.fallbackTimer = l.after(r.fallbackAt-l.now(), func() {
 		if !r.finished.Load() {
-			slog.Error("no decision by the deadline of a request", "request", r.id)
+			slog.Error("balancer did not complete a request by its deadline", "request", r.id)
 			l.abandon(r)
 		}
 	})
 }
 
-// startDeadline makes a request's time begin now.
+// startDeadline sets the deadlines of a request whose time left starts now.
 func (l *loop) startDeadline(r *request) {
-	reserved := min(overhead, r.timeLeft/4)
+	reserved := min(deadlineMargin, r.timeLeft/4)
 	r.deadline = l.now() + r.timeLeft - reserved
 	r.fallbackAt = r.deadline + reserved/2
 }
 
-// abandon fails a request without the balancer, which is notified that nobody waits for it any more.
+// abandon fails a request without a decision of the balancer, and reports it to the balancer as a client disconnect.
 func (l *loop) abandon(r *request) {
-	l.finish(r.id, answer{status: http.StatusBadGateway})
+	l.finish(r.id, clientResponse{status: http.StatusBadGateway})
 	l.handle(balancer.ClientDisconnected{ID: r.id})
 }
 
-// abandonAll fails whatever is unanswered, and rejects whatever comes from now on.
+// abandonAll fails all unfinished requests and makes accept reject new ones.
 func (l *loop) abandonAll() {
 	l.closing = true
 	for _, r := range l.requests {
@@ -116,47 +117,48 @@
 	}
 }
 
-// clientDisconnected notes that a client has closed its connection.
+// clientDisconnected handles the disconnect of a request's client.
 func (l *loop) clientDisconnected(r *request) {
-	if r.fallbackTimer != nil && l.markFinished(r) { // else it was never accepted
+	if r.fallbackTimer != nil && l.markFinished(r) { // without a timer the request was never accepted
 		l.metrics.InFlight.Add(-1)
 		l.handle(balancer.ClientDisconnected{ID: r.id})
-		l.forget(r)
+		l.removeIfDone(r)
 	}
 }
 
-// finish gives a request its final answer, once.
-func (l *loop) finish(id string, a answer) {
+// finish sends the final response of a request, unless the request is finished already.
+func (l *loop) finish(id string, resp clientResponse) {
 	r := l.requests[id]
 	if r != nil && l.markFinished(r) {
 		l.metrics.InFlight.Add(-1)
-		r.answer <- a
-		l.forget(r)
+		r.response <- resp
+		l.removeIfDone(r)
 	}
 }
 
-// markFinished makes a request one that is finished; false: it was before.
+// markFinished marks a request as finished. It returns false if it was finished before.
 func (l *loop) markFinished(r *request) bool {
 	r.fallbackTimer.Stop()
 	return r.finished.CompareAndSwap(false, true)
 }
 
-// forget drops a request that is finished and has no attempt in flight.
-func (l *loop) forget(r *request) {
+// removeIfDone removes a request that is finished and has no attempt in flight.
+func (l *loop) removeIfDone(r *request) {
 	if r.finished.Load() && r.inFlight == 0 {
 		delete(l.requests, r.id)
 	}
 }
 
-// retryDeadline is the clock time from which on the servers may run a retry of the request anew, less the time on the way; 0: there
-// is none. A connection that comes up late must not carry it past that.
+// retryDeadline returns the clock time after which no retry may be sent, or zero if there is no limit. After the
+// idempotency window, less a margin for the transfer, servers may run a retry as a new request. The limit also applies to
+// a retry whose connection is established late.
 func (r *request) retryDeadline() time.Duration {
 	if r.settings.Effect != balancer.WithIdempotencyKey || r.firstSentAt == 0 {
 		return 0
 	}
 	window := r.settings.IdempotencyWindow
-	return r.firstSentAt + window - min(overhead, window/4)
+	return r.firstSentAt + window - min(deadlineMargin, window/4)
 }
 
-// clientIsWaiting reports whether the request is unanswered and its client connected. Any goroutine may call it.
+// clientIsWaiting reports whether the request is unfinished and its client connected. Any goroutine may call it.
 func (r *request) clientIsWaiting() bool { return !r.finished.Load() && r.connected() }
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -20,8 +20,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// A request that is rejected by its head does not keep its connection for a body that never comes.
-func TestUnreadBodyKeepsNoConnection(t *testing.T) {
+// If a request is rejected because of its head, its connection is closed and does not wait for a body that never arrives.
+func TestUnreadBodyDoesNotHoldConnection(t *testing.T) {
 	t.Parallel()
 	n := startNode(t, testConfig("127.0.0.1:1"), nil)
 	for request, status := range map[string]int{
@@ -39,16 +39,16 @@
 			r := bufio.NewReader(conn)
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil || resp.StatusCode != status {
-				t.Fatalf("%+v, %v", resp, err)
+				t.Fatalf("got %+v, %v", resp, err)
 			}
 			if _, err := io.Copy(io.Discard, r); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("the connection stays")
+				t.Error("the connection stays open")
 			}
 		})
 	}
 }
 
-// Pipelined requests are answered in their order, long bodies among them.
+// Responses to pipelined requests are sent in the order of the requests, also if some have long bodies.
 func TestPipelined(t *testing.T) {
 	t.Parallel()
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -58,11 +58,11 @@
 				return
 			}
 			n, _ := io.Copy(io.Discard, req.Body)
-			answer := fmt.Sprintf("%s %d", req.RequestURI, n)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+			content := fmt.Sprintf("%s %d", req.RequestURI, n)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(content), content)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	conn := nodetest.Dial(t, n.Addr().String())
 	go io.WriteString(conn, head("GET", "/read/1", "")+head("POST", "/order/2", "Content-Length: 5\r\n")+"12345"+
 		head("POST", "/order/3", "Content-Length: 100000\r\n")+nodetest.Text(100000)+head("GET", "/read/4", ""))
@@ -73,37 +73,37 @@
 			t.Fatalf("%s: %v", want, err)
 		}
 		if b, err := io.ReadAll(resp.Body); string(b) != want {
-			t.Errorf("%q, %v, want %q", b, err, want)
+			t.Errorf("got response %q, %v, want %q", b, err, want)
 		}
 	}
 }
 
-func TestServedUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", bodybudget.MaxBufferedBytes))
 	r.Header.Set("Idempotency-Key", "k-1")
 	resp, body := nodetest.Do(t, r)
 	if resp.StatusCode != http.StatusOK || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
-		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
+		t.Errorf("got response %d %q %v", resp.StatusCode, body, resp.Header)
 	}
 	s := nodetest.Wait(t, got)
 	if s.Method != http.MethodPost || s.RequestURI != "/send//7f%2F3a?q=1&q=2" || len(s.Content) != bodybudget.MaxBufferedBytes ||
 		s.Header.Get("X-Correlation-Id") != "c-1" || s.Header.Get("Idempotency-Key") != "k-1" {
-		t.Errorf("the server got %s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Content), s.Header)
+		t.Errorf("the server received %s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Content), s.Header)
 	}
 	left, err := header.ParseTimeLeft(s.Header.Get("X-Time-Left"))
 	if err != nil || left <= 0 || left > 10*time.Second {
-		t.Errorf("X-Time-Left %v, %v", left, err)
+		t.Errorf("got X-Time-Left %v, %v, want more than 0 and at most 10s", left, err)
 	}
 }
 
-// A client that names no host, as HTTP/1.0 allows, is served like any other.
+// A request without a Host header, as HTTP/1.0 allows, is forwarded with the server's address as host.
 func TestNoHost(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -112,26 +112,26 @@
 	io.WriteString(c, "GET /read/1 HTTP/1.0\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("answer %+v, %v", resp, err)
+		t.Fatalf("got response %+v, %v", resp, err)
 	}
 	if s := nodetest.Wait(t, got); s.Host != addr {
-		t.Errorf("host %q", s.Host)
+		t.Errorf("got host %q, want the server's address", s.Host)
 	}
 }
 
-// Two requests in flight may have the same correlation ID; each gets its own answer.
+// Two requests in flight may have the same correlation ID; each receives its own response.
 func TestSameCorrelationIDTwice(t *testing.T) {
 	t.Parallel()
-	both := make(chan struct{}, 2)
+	began := make(chan struct{}, 2)
 	release := make(chan struct{})
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
-			both <- struct{}{}
+			began <- struct{}{}
 			<-release
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	status := make(chan int, 2)
 	for range 2 {
 		r := newRequest(t, n, "GET", "/read/1", "")
@@ -145,18 +145,18 @@
 			status <- resp.StatusCode
 		}()
 	}
-	nodetest.Wait(t, both)
-	nodetest.Wait(t, both)
+	nodetest.Wait(t, began)
+	nodetest.Wait(t, began)
 	close(release)
 	if a, b := nodetest.Wait(t, status), nodetest.Wait(t, status); a != 200 || b != 200 {
-		t.Errorf("answers %d and %d", a, b)
+		t.Errorf("got statuses %d and %d, want 200", a, b)
 	}
 }
 
 func TestMalformedRequest(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for name, c := range map[string]struct {
 		method, path, header, value string
 		size, status                int
@@ -178,7 +178,7 @@
 			r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
 			r.Header.Set(c.header, c.value)
 			if resp, _ := nodetest.Do(t, r); resp.StatusCode != c.status {
-				t.Errorf("%d, want %d", resp.StatusCode, c.status)
+				t.Errorf("got status %d, want %d", resp.StatusCode, c.status)
 			}
 		})
 	}
@@ -187,11 +187,12 @@
 	}
 }
 
-// Bytes that are a body by one framing and a request by another never reach a server as a request.
+// Bytes that are part of the body by one framing and a request by another must not reach a server as a request, which
+// would allow request smuggling.
 func TestRequestInsideABody(t *testing.T) {
 	t.Parallel()
 	addr, got := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	const id = "X-Correlation-Id: outer\r\nX-Time-Left: 9000m\r\n"
 	const inner = "GET /read/inner HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: inner\r\nX-Time-Left: 9000m\r\n\r\n"
 	for name, outer := range map[string]string{
@@ -214,21 +215,22 @@
 		}
 		_, _ = io.ReadAll(resp.Body)
 		if resp, err := http.ReadResponse(r, nil); err == nil {
-			t.Errorf("%s: a second answer: %s", name, resp.Status)
+			t.Errorf("%s: got a second response: %s", name, resp.Status)
 		}
 	}
 	for len(got) > 0 {
 		if s := <-got; s.Header.Get("X-Correlation-Id") != "outer" {
-			t.Errorf("the server got %s", s.RequestURI)
+			t.Errorf("the inner request reached the server: %s", s.RequestURI)
 		}
 	}
 }
 
-// The connection of a peer without a proper request is closed after the answer, for another client.
-func TestRejectedPeersAreClosed(t *testing.T) {
+// After the response to a readiness check or an invalid request, the connection is closed to make room for other clients.
+// After a served request it stays open.
+func TestRejectedConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for request, status := range map[string]int{
 		"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n":                                           200,
 		"GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 9000m\r\n\r\n":                           400,
@@ -247,25 +249,25 @@
 		r := bufio.NewReader(c)
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != status {
-			t.Fatalf("%q: %+v, %v", request, resp, err)
+			t.Fatalf("%q: got %+v, %v", request, resp, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		if served := resp.ContentLength == 2; served {
 			if resp.Close {
-				t.Errorf("a client's connection ends with its answer")
+				t.Errorf("the connection is closed after a served request")
 			}
 		} else if b, err := io.ReadAll(r); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: still open: %q, %v", request, b, err)
+			t.Errorf("%q: the connection stays open: %q, %v", request, b, err)
 		}
 	}
 }
 
-// A peer that sends nothing, or half a request, gets an error or a close soon after it connected. A request that was slow
-// but in time is served.
+// A peer that sends nothing, or only part of a request, receives an error or a close after requestTimeout. A complete
+// request is served even if the server responds only after requestTimeout.
 func TestSlowPeers(t *testing.T) {
 	t.Parallel()
 	if requestTimeout >= 3*time.Second {
-		t.Errorf("peers hold their places for %v", requestTimeout)
+		t.Errorf("requestTimeout is %v, want less than 3s", requestTimeout)
 	}
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -273,7 +275,7 @@
 			io.WriteString(c, nodetest.OK)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", serving("s", addr)), nil)
+	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	const head = "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\nContent-Length: 9\r\n"
 	for sent, want := range map[string]string{
 		"":                     "",
@@ -302,11 +304,11 @@
 	}
 }
 
-// The balancer get the cost hint of a request.
+// The balancer receives the cost hint of a request, and zero if the header is absent or invalid.
 func TestCostHint(t *testing.T) {
 	t.Parallel()
 	costs := make(chan time.Duration, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		if r, is := e.(balancer.Request); is {
 			costs <- r.CostHint
 			return []balancer.Action{balancer.Reject{ID: r.ID}}
@@ -319,22 +321,22 @@
 		r.Header.Set("X-Facts", facts)
 		nodetest.Do(t, r)
 		if got := nodetest.Wait(t, costs); got != want {
-			t.Errorf("%q: %v, want %v", facts, got, want)
+			t.Errorf("%q: got cost hint %v, want %v", facts, got, want)
 		}
 	}
 }
 
-// Clients over the connection limit wait; none is lost and the node stays up.
+// Clients over the connection limit wait for a connection. Each receives a response, and at least one of them is served.
 func TestClientsOverTheLimit(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.Stub(t, nodetest.OK, false)
-	cfg := testConfig("127.0.0.1:1", serving("s", addr))
-	cfg.Sockets = reservedDescriptors + 10 // 6 for clients
+	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
+	cfg.Sockets = reservedDescriptors + 10 // 6 of them for clients
 	n := startNode(t, cfg, nil)
-	client := &http.Client{Timeout: nodetest.Limit} // keeps its connections
+	client := &http.Client{Timeout: nodetest.Limit} // keeps connections alive
 	const clients = 30
 	errs := make(chan error, clients)
-	var refused atomic.Int64
+	var rejected atomic.Int64
 	for range clients {
 		r := newRequest(t, n, "GET", "/read/1", "")
 		go func() {
@@ -344,8 +346,8 @@
 				resp.Body.Close()
 				switch resp.StatusCode {
 				case http.StatusOK:
-				case http.StatusServiceUnavailable: // by the balancer, for want of capacity
-					refused.Add(1)
+				case http.StatusServiceUnavailable: // the balancer has no capacity
+					rejected.Add(1)
 				default:
 					err = errors.New(resp.Status)
 				}
@@ -358,8 +360,8 @@
 			t.Error(err)
 		}
 	}
-	if refused.Load() == clients {
-		t.Error("none was served")
+	if rejected.Load() == clients {
+		t.Error("no client was served")
 	}
 }
 
@@ -368,6 +370,6 @@
 	n := startNode(t, testConfig("127.0.0.1:1"), nil)
 	r, _ := http.NewRequest(http.MethodGet, "http://"+n.Addr().String()+"/health/ready", nil)
 	if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusOK {
-		t.Errorf("ready: %d", resp.StatusCode)
+		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -9,14 +9,14 @@
 	"umberbank/internal/node/follower"
 )
 
-// ReloadFile reads the configuration anew and takes over what may change while the node runs, as Reload does. Settings from a
-// rollout stay.
+// ReloadFile reads the configuration file at path and applies it as Reload does. Settings from a rollout take precedence
+// over those in the file.
 func (n *Node) ReloadFile(path string) error {
 	cfg, err := config.Load(path)
-	n.reloading.Lock()
-	defer n.reloading.Unlock()
-	if err == nil && n.agreed != nil {
-		cfg, err = cfg.WithSettings(n.agreed)
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
+	if err == nil && n.rolloutSettings != nil {
+		cfg, err = cfg.WithSettings(n.rolloutSettings)
 	}
 	if err != nil {
 		n.loop.metrics.ReloadsRejected.Add(1)
@@ -25,15 +25,15 @@
 	return n.apply(cfg)
 }
 
-// Reload takes over discovery's address and the settings, all in one step of the event loop. A configuration with any fault changes
-// nothing.
+// Reload applies the discovery address and the settings of cfg, in one step of the event loop. It returns an error and
+// changes nothing if cfg is invalid or differs in a part that a reload may not change.
 func (n *Node) Reload(cfg config.Config) error {
-	n.reloading.Lock()
-	defer n.reloading.Unlock()
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
 	return n.apply(cfg)
 }
 
-// apply is Reload with n.reloading locked.
+// apply is Reload for callers that hold n.reloadMu.
 func (n *Node) apply(cfg config.Config) error {
 	if err := n.current.CheckReload(cfg); err != nil {
 		n.loop.metrics.ReloadsRejected.Add(1)
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// newFollower returns what follows the versions of settings of the site; nil: nothing does.
+// newFollower returns the follower of settings rollouts, or nil if none is configured. running is the version that the
+// node starts with.
 func (n *Node) newFollower(running follower.Version) (*follower.Follower, error) {
 	if len(n.cfg.Rollout.Endpoints) == 0 {
 		return nil, nil
@@ -65,13 +66,13 @@
 	}, running)
 }
 
-// logVersionEvent logs what the node does with a version of settings. The fault-injection tests read the line.
+// logVersionEvent logs an event of a settings version. The fault-injection tests parse this line.
 func logVersionEvent(e follower.Event) { slog.Info(e.String()) }
 
-// validateSettings says why the node could not run settings; nil: it could. It checks exactly what a reload does.
+// validateSettings returns an error if the node cannot run with settings. It makes the same checks as a reload.
 func (n *Node) validateSettings(settings json.RawMessage) error {
-	n.reloading.Lock()
-	defer n.reloading.Unlock()
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
 	cfg, err := n.current.WithSettings(settings)
 	if err != nil {
 		return err
@@ -79,10 +80,10 @@
 	return n.current.CheckReload(cfg)
 }
 
-// applySettings takes settings over, as a reload of a file with them would.
+// applySettings applies settings from a rollout, with the same effect as a reload of a file that contains them.
 func (n *Node) applySettings(settings json.RawMessage) error {
-	n.reloading.Lock()
-	defer n.reloading.Unlock()
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
 	cfg, err := n.current.WithSettings(settings)
 	if err != nil {
 		return err
@@ -90,6 +91,6 @@
 	if err := n.apply(cfg); err != nil {
 		return err
 	}
-	n.agreed = settings
+	n.rolloutSettings = settings
 	return nil
 }
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -14,11 +14,12 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// What discovery may do in place of sending its update, several times in a row, and by when the node must have the update
-// anyhow: 6 s after its watch fell silent, 4 s after SIGHUP, and at once in a new process.
-func TestSilentAgents(t *testing.T) {
+// Discovery may fail to deliver an update on several watches in a row: it rejects them, breaks them, falls silent or sends
+// malformed messages. The node must have the update anyway within 6 s after its watch fell silent, within 4 s after
+// SIGHUP, and at once in a new process.
+func TestDiscoveryFailures(t *testing.T) {
 	t.Parallel()
-	says := func(text string) func(http.ResponseWriter, *http.Request) {
+	sends := func(text string) func(http.ResponseWriter, *http.Request) {
 		return func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, text)
 			w.(http.Flusher).Flush()
@@ -27,8 +28,8 @@
 	}
 	complete := nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
 	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	refuses := func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	answers := func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) }
+	rejects := func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	responds := func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) }
 	breaks := func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }
 	trickles := func(w http.ResponseWriter, r *http.Request) {
 		for _, b := range []byte(complete) {
@@ -41,97 +42,98 @@
 			}
 		}
 	}
-	// The bound by construction: the complete list is polled so long after the last confirmation, and answered at once.
+	// The bound by design: the complete list is polled this long after the last confirmation. The poll is served at once.
 	const bound = discovery.SilenceTimeout + pollInterval
 	type handler = func(http.ResponseWriter, *http.Request)
 	for name, c := range map[string]struct {
-		ask    bool
-		bad    []handler
-		polled handler // answers polls; nil: nothing does, and watches alone must do
-		most   time.Duration
+		pollMode bool      // lists are polled: the node opens a watch only when the balancer subscribes
+		faulty   []handler // serve the first watches; later ones receive the update
+		poll     handler   // serves polls; if nil, polls receive no response, and a watch must deliver the update
+		limit    time.Duration
 	}{
-		"three in a row answer and fall silent":          {bad: []handler{says("\n"), says("\n"), says("\n")}, polled: answers, most: bound},
-		"three in a row where the list is asked for":     {ask: true, bad: []handler{says("\n"), says("\n"), says("\n")}, polled: answers, most: bound},
-		"three in a row that are refused":                {bad: []handler{refuses, refuses, refuses, refuses, refuses}, polled: answers, most: bound},
-		"five that break":                                {bad: []handler{breaks, breaks, breaks, breaks, breaks}, polled: answers, most: bound},
-		"a byte a second, and silent ones":               {bad: []handler{trickles, trickles, silent, silent}, polled: answers, most: bound},
-		"a half list, a broken one and two silent ones":  {bad: []handler{says(complete[:40]), says("no list\n"), says("\n"), says("\n")}, polled: answers, most: bound},
-		"a broken list is asked for at once":             {bad: []handler{says("\n\nno list\n"), says("\n"), says("\n")}, polled: answers, most: pollInterval},
-		"a list without its targets, the same":           {bad: []handler{says(`{"rev":9,"all":true}` + "\n"), says("\n"), says("\n")}, polled: answers, most: pollInterval},
-		"the first of a new process, and the whole list": {bad: []handler{says(""), says("")}, polled: answers, most: pollInterval},
+		"three watches fall silent":              {faulty: []handler{sends("\n"), sends("\n"), sends("\n")}, poll: responds, limit: bound},
+		"three watches fall silent in poll mode": {pollMode: true, faulty: []handler{sends("\n"), sends("\n"), sends("\n")}, poll: responds, limit: bound},
+		"five watches are rejected":              {faulty: []handler{rejects, rejects, rejects, rejects, rejects}, poll: responds, limit: bound},
+		"five watches break":                     {faulty: []handler{breaks, breaks, breaks, breaks, breaks}, poll: responds, limit: bound},
+		"one byte per second, then silence":      {faulty: []handler{trickles, trickles, silent, silent}, poll: responds, limit: bound},
+		"truncated, malformed, then silence":     {faulty: []handler{sends(complete[:40]), sends("no list\n"), sends("\n"), sends("\n")}, poll: responds, limit: bound},
+		"a malformed list is polled at once":     {faulty: []handler{sends("\n\nno list\n"), sends("\n"), sends("\n")}, poll: responds, limit: pollInterval},
+		"a list without targets too":             {faulty: []handler{sends(`{"rev":9,"all":true}` + "\n"), sends("\n"), sends("\n")}, poll: responds, limit: pollInterval},
+		"a new process polls at once":            {faulty: []handler{sends(""), sends("")}, poll: responds, limit: pollInterval},
 
-		"a watch falls silent":         {bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
-		"it is asked for":              {ask: true, bad: []func(http.ResponseWriter, *http.Request){says("\n")}, most: 6 * time.Second},
-		"and the next three never say": {bad: []func(http.ResponseWriter, *http.Request){says("\n"), silent, silent, silent}, most: 6 * time.Second},
-		"where it is asked for":        {ask: true, bad: []func(http.ResponseWriter, *http.Request){says("\n"), silent, silent, silent}, most: 6 * time.Second},
-		"two fall silent":              {bad: []func(http.ResponseWriter, *http.Request){says("\n"), says("\n")}, most: 6 * time.Second},
-		"the first of a new process":   {bad: []func(http.ResponseWriter, *http.Request){silent}, most: 500 * time.Millisecond},
-		"a line that never ends": {bad: []func(http.ResponseWriter, *http.Request){func(w http.ResponseWriter, r *http.Request) {
+		"a watch falls silent":                       {faulty: []func(http.ResponseWriter, *http.Request){sends("\n")}, limit: 6 * time.Second},
+		"a watch falls silent in poll mode":          {pollMode: true, faulty: []func(http.ResponseWriter, *http.Request){sends("\n")}, limit: 6 * time.Second},
+		"the next three get no response":             {faulty: []func(http.ResponseWriter, *http.Request){sends("\n"), silent, silent, silent}, limit: 6 * time.Second},
+		"the next three get no response (poll mode)": {pollMode: true, faulty: []func(http.ResponseWriter, *http.Request){sends("\n"), silent, silent, silent}, limit: 6 * time.Second},
+		"two watches fall silent":                    {faulty: []func(http.ResponseWriter, *http.Request){sends("\n"), sends("\n")}, limit: 6 * time.Second},
+		"the first watch of a new process is silent": {faulty: []func(http.ResponseWriter, *http.Request){silent}, limit: 500 * time.Millisecond},
+		"an endless line": {faulty: []func(http.ResponseWriter, *http.Request){func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, `{"rev":9,"all":true,"targets":[`)
 			for r.Context().Err() == nil {
 				fmt.Fprint(w, " ")
 				w.(http.Flusher).Flush()
 				time.Sleep(10 * time.Millisecond)
 			}
-		}}, most: 6 * time.Second},
-		"an indented list that stops": {bad: []func(http.ResponseWriter, *http.Request){says("{\n\n")}, most: 6 * time.Second},
+		}}, limit: 6 * time.Second},
+		"an indented list that stops": {faulty: []func(http.ResponseWriter, *http.Request){sends("{\n\n")}, limit: 6 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			polled := c.polled
-			if polled == nil {
-				polled = silent
+			poll := c.poll
+			if poll == nil {
+				poll = silent
 			}
-			var asked atomic.Int32
+			var watches atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if nodetest.IsPoll(r) {
-					polled(w, r)
+					poll(w, r)
 					return
 				}
-				if i := int(asked.Add(1)) - 1; i < len(c.bad) {
-					c.bad[i](w, r)
+				if i := int(watches.Add(1)) - 1; i < len(c.faulty) {
+					c.faulty[i](w, r)
 					return
 				}
-				says(complete+"\n")(w, r)
+				sends(complete+"\n")(w, r)
 			}))
 			t.Cleanup(s.CloseClientConnections)
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
-			cfg.Settings.PollDiscovery = c.ask
-			news := make(chan time.Time, 10)
+			cfg.Settings.PollDiscovery = c.pollMode
+			updated := make(chan time.Time, 10)
 			started := time.Now()
-			startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
-					news <- time.Now()
-				} else if is && c.ask {
+					updated <- time.Now()
+				} else if is && c.pollMode {
 					return []balancer.Action{balancer.Subscribe{}}
 				}
 				return nil
 			}))
-			took := nodetest.Wait(t, news).Sub(started)
-			// The waits add up by design; how late this machine runs them is not the node's doing.
-			t.Logf("news after %v", took)
-			if slack := 2 * time.Second; took > c.most+slack || c.polled == nil && int(asked.Load()) != len(c.bad)+1 {
-				t.Errorf("news after %v and %d watches, due after %v", took, asked.Load(), c.most)
+			took := nodetest.Wait(t, updated).Sub(started)
+			// The limits follow from the timeouts; the slack covers a machine that runs the timers late.
+			t.Logf("got the update after %v", took)
+			if slack := 2 * time.Second; took > c.limit+slack || c.poll == nil && int(watches.Load()) != len(c.faulty)+1 {
+				t.Errorf("got the update after %v and %d watches, want it within %v", took, watches.Load(), c.limit)
 			}
 		})
 	}
 }
 
-// Calls overtake each other: an older list that comes late is ignored, whichever way the newer one came.
-func TestOlderListIsLate(t *testing.T) {
+// Responses may arrive out of order. A list that is older than the current one is ignored, whether the older list comes
+// from a poll and the newer one from a watch, or the reverse.
+func TestLateOlderListIsIgnored(t *testing.T) {
 	t.Parallel()
 	newer, older := nodetest.Message(9, true, nodetest.Target("a", "DRAINING")), nodetest.Message(8, true, nodetest.Target("a", "SERVING"))
-	for name, late := range map[string]bool{"the answer to a question": true, "a watch's message": false} {
+	for name, late := range map[string]bool{"older list from a poll": true, "older list from a watch": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gate := make(chan struct{})
+			proceed := make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if !nodetest.IsPoll(r) {
-					w.(http.Flusher).Flush() // a watch that has begun may be silent for longer than gate is held
+					w.(http.Flusher).Flush() // an open watch may be silent for longer than the older list is delayed
 				}
 				if nodetest.IsPoll(r) == late {
 					select {
-					case <-gate:
+					case <-proceed:
 					case <-r.Context().Done():
 						return
 					}
@@ -148,109 +150,109 @@
 			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
 			cfg.Settings.PollDiscovery = false
 			lists := make(chan balancer.EndpointUpdate, 10)
-			n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			n := startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 					lists <- l
 				}
 				return nil
 			}))
 			if late {
-				n.loop.post(n.loop.watcher.poll) // while the watch speaks
+				n.loop.post(n.loop.watcher.poll) // while the watch delivers the newer list
 			}
 			if l := nodetest.Wait(t, lists); l.Endpoints[0].State != balancer.Draining {
-				t.Fatalf("first %+v", l)
+				t.Fatalf("got %+v first, want the newer list", l)
 			}
 			start := callOnLoop(t, n, func() time.Duration { return n.loop.watcher.confirmedAt })
-			close(gate)
-			// The older list has been dealt with once no question is out, or once its watch has proven something.
-			nodetest.Eventually(t, "the older list", func() bool {
+			close(proceed)
+			// The older list has been handled once no poll is in flight, or once the watch has confirmed the list.
+			nodetest.Eventually(t, "the older list is handled", func() bool {
 				return callOnLoop(t, n, func() bool { return late && n.loop.watcher.polls == 0 || !late && n.loop.watcher.confirmedAt > start })
 			})
 			if len(lists) > 0 {
-				t.Errorf("then %+v", <-lists)
+				t.Errorf("the older list was applied: %+v", <-lists)
 			}
 		})
 	}
 }
 
-// A node that starts serves by the list of its discovery agent, not by the one in its configuration, which may be old. An
-// agent that does not answer delays it for a moment only.
+// A starting node serves with the list of its discovery agent, not with the possibly outdated list of its configuration.
+// An agent that does not respond delays the start only briefly.
 func TestFirstUpdateBeforeServing(t *testing.T) {
 	t.Parallel()
-	for name, news := range map[string]string{"news": nodetest.Message(9, true, nodetest.Target("a", "SERVING")), "none": "", "silence": "silence"} {
+	for name, message := range map[string]string{"update": nodetest.Message(9, true, nodetest.Target("a", "SERVING")), "none": "", "silence": "silence"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			updated, serve := make(chan struct{}), make(chan struct{})
+			updated, respond := make(chan struct{}), make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if news == "silence" {
+				if message == "silence" {
 					<-r.Context().Done()
 					return
 				}
-				<-serve
-				fmt.Fprintln(w, news)
+				<-respond
+				fmt.Fprintln(w, message)
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}))
 			t.Cleanup(s.CloseClientConnections)
-			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), servingEntry("old", "127.0.0.1:1"))
 			cfg.Settings.PollDiscovery = false
 			started := time.Now()
-			n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			n := startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 				if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
 					close(updated)
 				}
 				return nil
 			}))
 			if serves := n.serving.Load(); serves && time.Since(started) < firstUpdateTimeout {
-				t.Errorf("it serves before its agent has answered")
+				t.Errorf("the node serves before its agent has responded")
 			}
-			close(serve)
+			close(respond)
 			for end := time.Now().Add(nodetest.Limit); !n.serving.Load(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("it never serves")
+					t.Fatalf("the node does not serve in time")
 				}
 			}
-			if name == "news" {
+			if name == "update" {
 				select {
 				case <-updated:
 				default:
-					t.Error("it serves before it knows the news")
+					t.Error("the node serves before it has applied the update")
 				}
 			}
 		})
 	}
 }
 
-// A truncated update changes nothing and is asked for again, soon, from the revision that the node has.
-func TestListCutShort(t *testing.T) {
+// A truncated update changes nothing. The node requests it again soon, from its current revision.
+func TestTruncatedList(t *testing.T) {
 	t.Parallel()
 	complete := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "SERVING"))
-	for name, cut := range map[string]func(w http.ResponseWriter, r *http.Request){
-		"and ends": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete[:len(complete)/2]) },
-		"and breaks": func(w http.ResponseWriter, r *http.Request) {
+	for name, truncated := range map[string]func(w http.ResponseWriter, r *http.Request){
+		"the response ends": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete[:len(complete)/2]) },
+		"the connection breaks": func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, complete[:len(complete)/2])
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"by its end": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) },
-		"and stands still": func(w http.ResponseWriter, r *http.Request) {
+		"without the newline": func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, complete) },
+		"the response stalls": func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, complete[:len(complete)/2])
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		},
-		"by its targets": func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, `{"rev":9,"all":true}`) },
+		"without the targets": func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, `{"rev":9,"all":true}`) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan string, 100)
+			revisions := make(chan string, 100)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if nodetest.IsPoll(r) {
 					<-r.Context().Done()
 					return
 				}
-				asked <- r.URL.Query().Get("since")
-				if len(asked) == 1 {
-					cut(w, r)
+				revisions <- r.URL.Query().Get("since")
+				if len(revisions) == 1 {
+					truncated(w, r)
 					return
 				}
 				fmt.Fprintln(w, complete)
@@ -258,42 +260,42 @@
 				<-r.Context().Done()
 			}))
 			t.Cleanup(s.CloseClientConnections)
-			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), serving("old", "127.0.0.1:1"))
+			cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), servingEntry("old", "127.0.0.1:1"))
 			cfg.Settings.PollDiscovery = false
 			lists := make(chan balancer.EndpointUpdate, 10)
-			startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+			startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 				if l, is := e.(balancer.EndpointUpdate); is {
 					lists <- l
 				}
 				return nil
 			}))
 			if l := nodetest.Wait(t, lists); !l.Cached {
-				t.Fatalf("%+v", l)
+				t.Fatalf("got %+v, want the cached list", l)
 			}
 			if l := nodetest.Wait(t, lists); !l.Full || len(l.Endpoints) != 2 {
-				t.Errorf("the first news is %+v", l)
+				t.Errorf("got first update %+v, want the complete list", l)
 			}
-			if first, second := nodetest.Wait(t, asked), nodetest.Wait(t, asked); first != "7" || second != "7" {
-				t.Errorf("asked since %s, then %s", first, second)
+			if first, second := nodetest.Wait(t, revisions), nodetest.Wait(t, revisions); first != "7" || second != "7" {
+				t.Errorf("got watches since %s and %s, want 7 for both", first, second)
 			}
 		})
 	}
 }
 
-// Where lists are polled, discovery serves the calls of all nodes one after the other. After it has rejected a watch for
-// its load the next watch is given all the time that there is, so that only one is waiting; and there is one poll at a
-// time.
-func TestSerializedDiscoveryIsWaitedFor(t *testing.T) {
+// Where lists are polled, discovery serves the requests of all nodes one at a time. After discovery has rejected a watch
+// because of its load, the next watch gets the longest response timeout, so that the node does not queue further watches.
+// There is also at most one poll in flight.
+func TestSerializedDiscovery(t *testing.T) {
 	t.Parallel()
-	const line = 4 * time.Second / 3 // what standing in line takes; watches of an agent are given up long before
-	var watches, questions, together atomic.Int32
+	const queueTime = 4 * time.Second / 3 // longer than every response timeout of a watch except the longest
+	var watches, polls, concurrentPolls atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if nodetest.IsPoll(r) {
-			if questions.Add(1) > 1 {
-				together.Add(1)
+			if polls.Add(1) > 1 {
+				concurrentPolls.Add(1)
 			}
 			<-r.Context().Done()
-			questions.Add(-1)
+			polls.Add(-1)
 			return
 		}
 		if watches.Add(1) == 1 {
@@ -301,7 +303,7 @@
 			return
 		}
 		select {
-		case <-time.After(line): // a fact of time, nothing is waited for
+		case <-time.After(queueTime): // the test needs the elapsed time, not an event
 			fmt.Fprintln(w, nodetest.Message(9, true, nodetest.Target("a", "SERVING")))
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
@@ -312,7 +314,7 @@
 	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"))
 	cfg.Settings.PollDiscovery = true
 	lists := make(chan balancer.EndpointUpdate, 10)
-	startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+	startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
 		case balancer.EndpointUpdate:
 			if e.Cached {
@@ -325,7 +327,7 @@
 		return nil
 	}))
 	nodetest.Wait(t, lists)
-	if n, q := watches.Load(), together.Load(); n != 2 || q > 0 {
-		t.Errorf("%d watches, %d questions beside another", n, q)
+	if w, p := watches.Load(), concurrentPolls.Load(); w != 2 || p > 0 {
+		t.Errorf("got %d watches and %d concurrent polls, want 2 and 0", w, p)
 	}
 }
--- a/internal/node/watcher.go
+++ b/internal/node/watcher.go
@@ -12,62 +12,62 @@
 	"umberbank/internal/node/discovery"
 )
 
-// The staleness bound. Once nothing has confirmed for discovery.SilenceTimeout that the list is current, because watches are silent,
-// break, are rejected or deliver malformed messages, the complete list is polled every pollInterval, beside whatever watch there is,
-// until a response or a watch confirms it again. So discovery, from when it can be reached, is heard after SilenceTimeout +
-// pollInterval and the time of one response at the most: 2.75 s and that, of the 6 s within which a change has to be known (docs/fleet-test.md),
-// however many watches go wrong in a row. Before a process has any confirmation, and after its discovery has moved, the first poll goes
-// out after pollInterval alone.
+// Limits on the staleness of the endpoint list. If nothing confirms for discovery.SilenceTimeout that the list is current,
+// because watches are silent, fail, are rejected or deliver malformed messages, the complete list is polled every
+// pollInterval, in addition to any watch, until a poll or a watch confirms it again. A reachable discovery is therefore
+// heard within SilenceTimeout + pollInterval (2.75 s) plus the time of one response, however many watches fail in a row.
+// A change must be applied within 6 s (docs/fleet-test.md). Before the first confirmation, and after a change of the
+// discovery address, the first poll is sent after pollInterval alone.
 const (
 	pollInterval = 250 * time.Millisecond
-	// maxPolls are in flight at once at the most.
+	// maxPolls is the maximum number of polls in flight.
 	maxPolls = int(discovery.FetchTimeout / pollInterval)
-	// maxPollBackoff is the longest pause between polls that fail, where discovery serves calls one after the other: with the silence
-	// and one response it stays under the 6 s.
+	// maxPollBackoff is the longest delay between failing polls where discovery serves requests one at a time. Together with
+	// SilenceTimeout and one response it stays below the limit of 6 s.
 	maxPollBackoff = time.Second
-	// emptyWatchDelay is how soon after a watch begins to answer its first update is here, if the agent has any.
+	// emptyWatchDelay is how long after the start of a watch's response the first update arrives, if the agent has one.
 	emptyWatchDelay = 20 * time.Millisecond
 )
 
-// Where discovery pushes the list, a watch that breaks is opened again after a pause: minRewatchDelay, doubled up to maxRewatchDelay as long as
-// watches break at once. Elsewhere the balancer says when.
+// Where discovery pushes the list, a failed watch is reopened after minRewatchDelay. The delay doubles up to
+// maxRewatchDelay while watches fail at once. Where the list is polled, the balancer decides when to subscribe again.
 const (
 	minRewatchDelay = 50 * time.Millisecond
 	maxRewatchDelay = time.Second
 )
 
-// watcher follows the endpoint list of discovery for the event loop: by one watch at a time, and by polls while nothing confirms that
-// the list is current. It is part of the loop, and runs on its goroutine.
+// watcher follows the endpoint list of discovery for the event loop, with one watch at a time, and with polls while nothing
+// confirms that the list is current. It is part of the loop and runs on its goroutine.
 type watcher struct {
 	loop   *loop
 	client *discovery.Client
-	// pushed says that the node watches by itself; else it does when the balancer subscribes.
+	// pushed is set if the node opens watches itself; otherwise it opens one when the balancer subscribes.
 	pushed bool
-	// external says that the list comes from a registry, and discovery is not called.
-	external bool
+	// usesRegistry is set if the list comes from a registry; discovery is not used then.
+	usesRegistry bool
 
-	revision int64 // of the list that the node has
-	cached   bool  // and that is from before the start of the process
+	revision int64 // the revision of the current list
+	cached   bool  // the current list is from before the start of the process
 
-	firstAnswer chan struct{} // closed once the list of discovery's agent is known
-	answered    bool          // it is closed
+	synced   chan struct{} // closed once the node has the list of its discovery agent
+	isSynced bool          // synced is closed
 
 	stop         context.CancelFunc // ends the watch
-	watching     bool               // a watch was opened; a broken one is opened again
-	rewatchDelay time.Duration      // before the last watch that was opened again
+	watching     bool               // a watch has been opened; it is reopened if it ends
+	rewatchDelay time.Duration      // the last delay before a watch was reopened; zero after a watch that lasted
 
-	confirmedAt time.Duration // clock time at which the list was surely current
+	confirmedAt time.Duration // clock time at which the list was last confirmed as current
 	polledAt    time.Duration // clock time of the last poll
-	polls       int           // in flight
-	pollBackoff time.Duration // before the next poll, where discovery serves calls one after the other and the last have failed
-	pollTimer   *time.Timer   // for the next look whether a poll is due; nil before the first watch
+	polls       int           // number of polls in flight
+	pollBackoff time.Duration // delay before the next poll where discovery serves requests one at a time; zero after a success
+	pollTimer   *time.Timer   // runs pollIfDue; nil before the first watch
 }
 
 func newWatcher(l *loop, client *discovery.Client, pushed bool) *watcher {
-	return &watcher{loop: l, client: client, pushed: pushed, firstAnswer: make(chan struct{}), stop: func() {}}
+	return &watcher{loop: l, client: client, pushed: pushed, synced: make(chan struct{}), stop: func() {}}
 }
 
-// reconfigure follows the list at an address from now on. w.pushed must be set before.
+// reconfigure switches to the discovery at addr. The caller sets w.pushed first.
 func (w *watcher) reconfigure(addr string) {
 	if addr != w.client.Addr {
 		w.setClient(discovery.NewClient(addr))
@@ -76,8 +76,8 @@
 	}
 }
 
-// setClient follows the list of another client from now on, if it was followed at all. The old address closes its connections soon, and
-// a watch that waits for that falls behind.
+// setClient replaces the discovery client, and the watch if there is one. It does not wait for the old address to close its
+// connections, because the list would become stale meanwhile.
 func (w *watcher) setClient(client *discovery.Client) {
 	w.client = client
 	if w.watching {
@@ -86,37 +86,37 @@
 	}
 }
 
-// updated notes the revision of an update that the loop applies.
-func (w *watcher) updated(revision int64, cached bool) {
+// recordUpdate records the revision of an update that the loop applies.
+func (w *watcher) recordUpdate(revision int64, cached bool) {
 	w.revision, w.cached = revision, cached
 	if !cached {
-		w.noteAnswer()
+		w.markSynced()
 	}
 }
 
-// noteAnswer records that the list of discovery's agent is known.
-func (w *watcher) noteAnswer() {
-	if !w.answered {
-		w.answered = true
-		close(w.firstAnswer)
+// markSynced records that the node has the list of its discovery agent.
+func (w *watcher) markSynced() {
+	if !w.isSynced {
+		w.isSynced = true
+		close(w.synced)
 	}
 }
 
-// receive applies what discovery has said, of the clock time at, unless it is older than what the node has: calls overtake each other. A
-// list from before the start is replaced by any complete one.
+// receive applies an update that was current at the clock time at, unless it is older than the current list, as responses
+// may arrive out of order. A cached list is replaced by any complete one.
 func (w *watcher) receive(u discovery.Update, at time.Duration) {
 	w.confirm(at)
 	if w.cached && u.Full || u.Revision > w.revision {
 		w.loop.applyUpdate(u, false)
 	} else {
-		w.noteAnswer()
+		w.markSynced()
 	}
 }
 
-// confirm notes that the list was current at a clock time.
+// confirm records that the list was current at a clock time.
 func (w *watcher) confirm(at time.Duration) { w.confirmedAt = max(w.confirmedAt, at) }
 
-// setConfirmed sets the clock time at which the list was current, so that a poll is sent SilenceTimeout after that.
+// setConfirmed sets the clock time at which the list was current, which schedules a poll for SilenceTimeout after it.
 func (w *watcher) setConfirmed(at time.Duration) {
 	w.confirmedAt = at
 	if w.pollTimer == nil {
@@ -126,12 +126,12 @@
 	}
 }
 
-// pollIfDue polls if nothing has confirmed for too long that the list that the node has is current.
+// pollIfDue polls if nothing has confirmed for SilenceTimeout that the list is current.
 func (w *watcher) pollIfDue() {
 	now := w.loop.now()
 	limit := maxPolls
 	if !w.pushed {
-		limit = 1 // another would wait behind it in the same queue, and delay all nodes
+		limit = 1 // a second poll would wait behind the first in discovery's queue and delay all nodes
 	}
 	due := max(w.confirmedAt+discovery.SilenceTimeout, w.polledAt+max(pollInterval, w.pollBackoff))
 	if now >= due {
@@ -143,28 +143,28 @@
 	w.pollTimer.Reset(due - now)
 }
 
-// poll asks discovery for the complete list.
+// poll requests the complete list from discovery.
 func (w *watcher) poll() {
 	w.polls++
 	w.polledAt = w.loop.now()
 	client, at := w.client, w.polledAt
 	go func() {
-		u, err := client.Fetch(w.loop.running)
+		u, err := client.Fetch(w.loop.ctx)
 		w.loop.post(func() {
 			w.polls--
 			w.setPollBackoff(err)
 			switch {
-			case client != w.client: // it has moved since
+			case client != w.client: // the discovery address has changed since
 			case err == nil:
 				w.receive(u, at)
-			case errors.Is(err, discovery.ErrMalformed): // the watch reports other errors
+			case errors.Is(err, discovery.ErrMalformed): // the watch logs other errors
 				logPollFailed(err)
 			}
 		})
 	}()
 }
 
-// setPollBackoff sets the pause before the next poll by the result of the last.
+// setPollBackoff sets the delay before the next poll from the result of the last one.
 func (w *watcher) setPollBackoff(err error) {
 	if err == nil || w.pushed {
 		w.pollBackoff = 0
@@ -175,9 +175,9 @@
 	w.polledAt = w.loop.now() + jitter
 }
 
-// subscribe opens a watch in place of the one before.
+// subscribe opens a watch and ends the previous one.
 func (w *watcher) subscribe() {
-	if w.external {
+	if w.usesRegistry {
 		return
 	}
 	w.stop()
@@ -199,7 +199,8 @@
 	}()
 }
 
-// watchHandler returns the handler of the watch that ends with ctx. What comes after that is dropped: a newer watch brings the same.
+// watchHandler returns the handler of the watch that ends with ctx. Messages after that are dropped, because a newer watch
+// delivers them too.
 func (w *watcher) watchHandler(ctx context.Context) discovery.Handler {
 	post := func(f func(at time.Duration)) {
 		at := w.loop.now()
@@ -210,31 +211,31 @@
 		})
 	}
 	return discovery.Handler{
-		Opened:    func() { w.loop.after(emptyWatchDelay, w.noteAnswer) },
+		Opened:    func() { w.loop.after(emptyWatchDelay, w.markSynced) },
 		Heartbeat: func() { post(w.confirm) },
 		Update:    func(u discovery.Update) { post(func(at time.Duration) { w.receive(u, at) }) },
 	}
 }
 
-// watchEnded records that the watch with ctx, opened at the clock time began, has ended with err, and arranges for the next one.
+// watchEnded handles the end of the watch with ctx, which was opened at the clock time began, and arranges for the next one.
 func (w *watcher) watchEnded(ctx context.Context, err error, began time.Duration) {
 	logWatchEnded(err)
 	if errors.Is(err, discovery.ErrMalformed) {
-		w.setConfirmed(min(w.confirmedAt, w.loop.now()-discovery.SilenceTimeout)) // what did not count is polled at once
+		w.setConfirmed(min(w.confirmedAt, w.loop.now()-discovery.SilenceTimeout)) // polls at once for the dropped update
 	}
-	// Where lists are polled the balancer decides when to subscribe again; after a silent watch the node does at once.
+	// Where lists are polled, the balancer decides when to subscribe again, except after a silent watch.
 	if !w.pushed && !errors.Is(err, discovery.ErrSilent) {
 		w.loop.handle(balancer.SubscriptionFailed{})
 		return
 	}
 	w.loop.after(w.nextRewatchDelay(w.loop.now()-began), func() {
-		if ctx.Err() == nil { // else another was opened meanwhile
+		if ctx.Err() == nil { // otherwise another watch has been opened since
 			w.subscribe()
 		}
 	})
 }
 
-// nextRewatchDelay is the pause after a watch that lasted for so long.
+// nextRewatchDelay returns the delay before the next watch, given how long the previous one lasted.
 func (w *watcher) nextRewatchDelay(lasted time.Duration) time.Duration {
 	if lasted > maxRewatchDelay {
 		w.rewatchDelay = 0
@@ -243,7 +244,7 @@
 	return w.rewatchDelay
 }
 
-// The beginnings of these lines are in docs/oncall/discovery.md, and operators search for them.
+// Operators search for the prefixes of these lines; see docs/oncall/discovery.md.
 
 func logWatchEnded(err error) { slog.Warn(fmt.Sprintf("watch: %v", err)) }
 
