--- a/internal/node/watcher_test.go
+++ b/internal/node/watcher_test.go
@@ -14,13 +14,14 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// TestWatch follows a node through everything that a watch can bring.
+// TestWatch checks the events that a watch causes for complete lists, changes, heartbeats, its end and malformed messages,
+// and the revision from which the next watch continues.
 func TestWatch(t *testing.T) {
 	t.Parallel()
-	addr, lines, asked := nodetest.Discovery(t)
+	addr, lines, watches := nodetest.Discovery(t)
 	events := make(chan balancer.Event, 10)
-	startNode(t, testConfig(addr, serving("old", "127.0.0.1:1")),
-		decisionsFunc(func(e balancer.Event) []balancer.Action {
+	startNode(t, testConfig(addr, servingEntry("old", "127.0.0.1:1")),
+		balancerFunc(func(e balancer.Event) []balancer.Action {
 			events <- e
 			switch e := e.(type) {
 			case balancer.EndpointUpdate:
@@ -32,55 +33,57 @@
 			}
 			return nil
 		}))
-	list := func(full, cached bool, ids ...string) {
+	expectList := func(full, cached bool, ids ...string) {
 		t.Helper()
 		l, is := nodetest.Wait(t, events).(balancer.EndpointUpdate)
 		if !is || l.Full != full || l.Cached != cached || len(l.Endpoints) != len(ids) {
-			t.Fatalf("event %+v", l)
+			t.Fatalf("got event %+v", l)
 		}
 		for i, s := range l.Endpoints {
 			if s.ID != ids[i] {
-				t.Errorf("server %+v, want %s", s, ids[i])
+				t.Errorf("got endpoint %+v, want %s", s, ids[i])
 			}
 		}
 	}
-	failed := func() {
+	expectFailure := func() {
 		t.Helper()
 		if e, is := nodetest.Wait(t, events).(balancer.SubscriptionFailed); !is {
-			t.Fatalf("event %+v, want ListFailed", e)
+			t.Fatalf("got event %+v, want SubscriptionFailed", e)
 		}
 	}
-	query := func(since int) {
+	expectWatch := func(since int) {
 		t.Helper()
-		if got, want := nodetest.Wait(t, asked), fmt.Sprintf("/registry/instances?follow=1&since=%d", since); got != want {
-			t.Errorf("asked %s, want %s", got, want)
+		if got, want := nodetest.Wait(t, watches), fmt.Sprintf("/registry/instances?follow=1&since=%d", since); got != want {
+			t.Errorf("got watch %s, want %s", got, want)
 		}
 	}
-	list(true, true, "old")
-	query(7)
+	expectList(true, true, "old")
+	expectWatch(7)
 	lines <- nodetest.Message(8, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "SERVING"))
-	list(true, false, "a", "b")
+	expectList(true, false, "a", "b")
 	lines <- "" // a heartbeat
 	lines <- nodetest.Message(9, false, nodetest.Target("b", "DRAINING"))
-	list(false, false, "b")
+	expectList(false, false, "b")
 	lines <- "end"
-	failed()
-	query(9)
-	// A line that is not whole or makes no sense ends the watch and changes nothing.
+	expectFailure()
+	expectWatch(9)
+	// A malformed message ends the watch and changes nothing.
 	for _, bad := range []string{"{", nodetest.Message(12, true, nodetest.Target("c", "SLEEPING")), nodetest.Message(12, true, nodetest.Target("", "SERVING")),
 		nodetest.Message(12, true, strings.Replace(nodetest.Target("c", "SERVING"), "127.0.0.1:1", "nowhere", 1))} {
 		lines <- bad
-		failed()
-		query(9)
+		expectFailure()
+		expectWatch(9)
 	}
 	lines <- nodetest.Message(13, false, nodetest.Target("a", "DELETED"))
-	list(false, false, "a")
+	expectList(false, false, "a")
 }
 
-// A reload while the watch is silent: whatever the new address's watches do, its list arrives soon.
-func TestReloadAmidSilence(t *testing.T) {
+// If the discovery address changes while the watch is silent, the list of the new address arrives within SilenceTimeout,
+// even if watches at the new address stay silent too.
+func TestReloadWhileWatchIsSilent(t *testing.T) {
 	t.Parallel()
-	agent := func(first, list string) string { // what its watches say before they fall silent, and its whole list
+	// agent starts a discovery agent whose watches send first and then stay silent. Polls receive list unless it is empty.
+	agent := func(first, list string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if nodetest.IsPoll(r) && list != "" {
 				fmt.Fprint(w, list)
@@ -97,26 +100,26 @@
 	after := agent("", nodetest.Message(9, true, nodetest.Target("a", "DRAINING")))
 	cfg := testConfig(before)
 	cfg.Settings.PollDiscovery = false
-	news := make(chan struct{}, 10)
-	n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+	updates := make(chan struct{}, 10)
+	n := startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 		if l, is := e.(balancer.EndpointUpdate); is && !l.Cached {
-			news <- struct{}{}
+			updates <- struct{}{}
 		}
 		return nil
 	}))
-	nodetest.Wait(t, news) // it is proven for a while
+	nodetest.Wait(t, updates) // confirms the list, so that no poll is due for SilenceTimeout
 	cfg.Discovery = after
 	reloaded := time.Now()
 	if err := n.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.Wait(t, news)
+	nodetest.Wait(t, updates)
 	if took := time.Since(reloaded); took >= discovery.SilenceTimeout {
-		t.Errorf("news %v after the reload", took)
+		t.Errorf("got the update %v after the reload, want less than SilenceTimeout", took)
 	}
 }
 
-// There is one watch at a time: a second Subscribe ends the first.
+// There is one watch at a time: a new subscription ends the previous watch.
 func TestOneWatch(t *testing.T) {
 	t.Parallel()
 	open, closed := make(chan struct{}, 10), make(chan struct{}, 10)
@@ -132,7 +135,7 @@
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	n := startNode(t, testConfig(strings.TrimPrefix(s.URL, "http://")),
-		decisionsFunc(func(balancer.Event) []balancer.Action { return nil }))
+		balancerFunc(func(balancer.Event) []balancer.Action { return nil }))
 	n.loop.post(func() { n.loop.watcher.client.SilenceTimeout = time.Hour; n.loop.watcher.subscribe() })
 	nodetest.Wait(t, open)
 	n.loop.post(n.loop.watcher.subscribe)
@@ -140,99 +143,99 @@
 	nodetest.Wait(t, closed)
 }
 
-// Where the list is pushed the node watches by itself, and again after a watch has ended.
+// Where discovery pushes the list, the node opens a watch itself, and reopens it after it has ended.
 func TestPushedList(t *testing.T) {
 	t.Parallel()
-	addr, lines, asked := nodetest.Discovery(t)
+	addr, lines, watches := nodetest.Discovery(t)
 	cfg := testConfig(addr)
 	cfg.Settings.PollDiscovery = false
 	startNode(t, cfg, nil)
-	nodetest.Wait(t, asked)
+	nodetest.Wait(t, watches)
 	lines <- "end"
-	nodetest.Wait(t, asked)
+	nodetest.Wait(t, watches)
 }
 
-// After a reload the list is followed at the new address, from the revision that the node has.
+// After a reload the node watches the new discovery address, from its current revision on.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	before, lines, asked := nodetest.Discovery(t)
-	after, newLines, newAsked := nodetest.Discovery(t)
+	before, lines, watches := nodetest.Discovery(t)
+	after, newLines, newWatches := nodetest.Discovery(t)
 	cfg := testConfig(before)
 	cfg.Settings.PollDiscovery = false
 	lists := make(chan balancer.EndpointUpdate, 10)
-	n := startNode(t, cfg, decisionsFunc(func(e balancer.Event) []balancer.Action {
+	n := startNode(t, cfg, balancerFunc(func(e balancer.Event) []balancer.Action {
 		if l, is := e.(balancer.EndpointUpdate); is {
 			lists <- l
 		}
 		return nil
 	}))
-	nodetest.Wait(t, lists) // the cached one
-	nodetest.Wait(t, asked)
+	nodetest.Wait(t, lists) // the cached list
+	nodetest.Wait(t, watches)
 	lines <- nodetest.Message(9, true, nodetest.Target("a", "SERVING"))
 	nodetest.Wait(t, lists)
 	cfg.Discovery = after
 	_ = n.Reload(cfg)
-	if got := nodetest.Wait(t, newAsked); !strings.HasSuffix(got, "since=9") {
-		t.Errorf("asked %s", got)
+	if got := nodetest.Wait(t, newWatches); !strings.HasSuffix(got, "since=9") {
+		t.Errorf("got watch %s, want one since revision 9", got)
 	}
 	newLines <- nodetest.Message(10, false, nodetest.Target("b", "SERVING"))
 	if l := nodetest.Wait(t, lists); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
-		t.Errorf("list %+v", l)
+		t.Errorf("got list %+v", l)
 	}
 }
 
-// Start times are Unix time, as is the node's clock, whenever the node itself started.
+// Start times of endpoints and the node's clock are both Unix times, also for endpoints that started before the node.
 func TestStartTime(t *testing.T) {
 	c := clock{time.Now()}
-	boot := c.start.Add(-3 * time.Second) // before the node
+	boot := c.start.Add(-3 * time.Second) // before the node's start
 	s := discovery.Entry{UID: "s", State: "SERVING", StartTimeMS: float64(boot.UnixMilli())}.Endpoint()
 	if age := c.now() - s.StartTime; age < 3*time.Second || age > 3*time.Second+nodetest.Limit {
-		t.Errorf("age %v", age)
+		t.Errorf("got age %v, want at least 3s and at most nodetest.Limit more", age)
 	}
 	if s := (discovery.Entry{}).Endpoint(); s.StartTime != 0 {
-		t.Errorf("a boot long ago is %v", s.StartTime)
+		t.Errorf("entry without a start time: got %v, want 0", s.StartTime)
 	}
 }
 
-// The loop must not use an endpoint that the list no longer names, nor an address that it has left.
-func TestListRulesServers(t *testing.T) {
-	m := decisionsFunc(func(balancer.Event) []balancer.Action { return nil })
+// The loop uses only endpoints in the list, at their current addresses.
+func TestEndpointsFollowList(t *testing.T) {
+	m := balancerFunc(func(balancer.Event) []balancer.Action { return nil })
 	cfg := testConfig("127.0.0.1:1")
 	l := newLoop(cfg, m, newTestPool(cfg), discovery.NewClient(cfg.Discovery), &metrics.Metrics{})
-	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{serving("a", "127.0.0.1:1"), serving("b", "127.0.0.1:2"),
-		serving("c", "127.0.0.1:3")}}, false)
+	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{servingEntry("a", "127.0.0.1:1"), servingEntry("b", "127.0.0.1:2"),
+		servingEntry("c", "127.0.0.1:3")}}, false)
 	a, b, c := l.endpoints["a"], l.endpoints["b"], l.endpoints["c"]
-	drain := serving("a", "127.0.0.1:1")
+	drain := servingEntry("a", "127.0.0.1:1")
 	drain.State = "DRAINING"
-	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{drain, serving("b", "127.0.0.1:9")}}, false)
+	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{drain, servingEntry("b", "127.0.0.1:9")}}, false)
 	if a.Ready() || b.Ready() || !c.Ready() || !l.endpoints["b"].Ready() {
-		t.Error("after changes: a drains, b moved, c stays")
+		t.Error("after a drains and b moves, only the new b and c must be ready")
 	}
-	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{serving("a", "127.0.0.1:1")}}, false)
+	l.applyUpdate(discovery.Update{Entries: []discovery.Entry{servingEntry("a", "127.0.0.1:1")}}, false)
 	if !a.Ready() || l.endpoints["a"] != a {
-		t.Error("a serves again")
+		t.Error("after a serves again, it must be ready and the same endpoint")
 	}
-	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{serving("a", "127.0.0.1:1")}}, false)
+	l.applyUpdate(discovery.Update{Full: true, Entries: []discovery.Entry{servingEntry("a", "127.0.0.1:1")}}, false)
 	if c.Ready() || len(l.endpoints) != 1 {
-		t.Error("a full list that names only a")
+		t.Error("after a full list with a alone, c must be removed")
 	}
 }
 
-// The delay between watches doubles while they end at once, and is short again after one that lasted.
+// The delay between watches doubles up to maxRewatchDelay while they end at once, and is reset after a watch that lasted.
 func TestRewatchDelay(t *testing.T) {
 	w := &watcher{}
 	for i, want := range []time.Duration{minRewatchDelay, 2 * minRewatchDelay, 4 * minRewatchDelay} {
 		if got := w.nextRewatchDelay(0); got != want {
-			t.Errorf("rest %d is %v, want %v", i, got, want)
+			t.Errorf("delay %d is %v, want %v", i, got, want)
 		}
 	}
 	for range 10 {
 		w.nextRewatchDelay(0)
 	}
 	if got := w.nextRewatchDelay(0); got != maxRewatchDelay {
-		t.Errorf("at last it is %v", got)
+		t.Errorf("after many short watches the delay is %v, want maxRewatchDelay", got)
 	}
 	if got := w.nextRewatchDelay(time.Minute); got != minRewatchDelay {
-		t.Errorf("after a watch that lasted it is %v", got)
+		t.Errorf("after a watch of one minute the delay is %v, want minRewatchDelay", got)
 	}
 }
--- a/internal/node/write.go
+++ b/internal/node/write.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// answerTimeout is how long a client may take to read its answer. One that has stopped reading would keep its
-	// connection, and the answer's memory, forever.
-	answerTimeout = 5 * time.Second
-	// maxClientPause is how long a client may pause amid a long answer.
-	maxClientPause = 10 * time.Second
+	// responseWriteTimeout is how long a client may take to read a buffered response. Without it, a client that stops
+	// reading would hold its connection and the response's memory indefinitely.
+	responseWriteTimeout = 5 * time.Second
+	// clientPauseTimeout is how long a client may stop reading during a streamed response.
+	clientPauseTimeout = 10 * time.Second
 )
 
-// answer writes the final answer to a request.
-func (f *frontend) answer(w http.ResponseWriter, hr *http.Request, r *request, a answer) {
-	if a.rejection != nil {
-		reject(w, a.rejection)
+// writeResponse writes the final response to a request.
+func (f *frontend) writeResponse(w http.ResponseWriter, hr *http.Request, r *request, resp clientResponse) {
+	if resp.rejection != nil {
+		reject(w, resp.rejection)
 		return
 	}
 	unread := r.streamedBody != nil && !r.streamedBody.Complete()
 	if f.conns.Load() >= f.softLimit.Load() || f.drain.Draining() || unread {
 		w.Header().Set("Connection", "close")
 	}
-	if a.response != nil {
-		f.streamResponse(w, hr, r, a)
+	if resp.streamed != nil {
+		f.streamResponse(w, hr, r, resp)
 		return
 	}
-	write(w, a)
-	f.metrics.CountAnswer(r.class, a.status, false)
+	writeBuffered(w, resp)
+	f.metrics.CountAnswer(r.class, resp.status, false)
 	if unread {
-		// Closing on a client that still writes would reset the connection, and it might never read its answer.
+		// Closing the connection while the client still writes would reset it, and the client might never read the response.
 		http.NewResponseController(w).Flush()      // an error means that the client has disconnected
-		_, _ = io.Copy(io.Discard, r.streamedBody) // until its end, or the client's
+		_, _ = io.Copy(io.Discard, r.streamedBody) // until the body ends or the client disconnects
 	}
 }
 
-// streamResponse writes a long answer to its client as it comes.
-func (f *frontend) streamResponse(w http.ResponseWriter, hr *http.Request, r *request, a answer) {
-	err := copyResponse(w, hr, a.response)
-	a.response.Finish(err)
-	f.metrics.CountAnswer(r.class, a.status, err != nil)
+// streamResponse streams a response from a server to the client.
+func (f *frontend) streamResponse(w http.ResponseWriter, hr *http.Request, r *request, resp clientResponse) {
+	err := copyResponse(w, hr, resp.streamed)
+	resp.streamed.Finish(err)
+	f.metrics.CountAnswer(r.class, resp.status, err != nil)
 	if err == nil {
 		return
 	}
-	if a.response.Length < 0 && !hr.ProtoAtLeast(1, 1) {
-		clientconn.ClientOf(hr).Reset() // the close alone would be the answer's end
+	if resp.streamed.Length < 0 && !hr.ProtoAtLeast(1, 1) {
+		clientconn.ClientOf(hr).Reset() // a plain close would look like the end of the response
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// copyResponse writes a response as it comes, and returns why not all of it was written.
+// copyResponse writes a response as it arrives. It returns an error if the response was not written completely.
 func copyResponse(w http.ResponseWriter, hr *http.Request, response *upstream.Response) error {
 	defer context.AfterFunc(hr.Context(), response.Abandon)()
 	setContentType(w.Header(), response.ContentType)
@@ -69,7 +69,7 @@
 	buf := make([]byte, upstream.ChunkBytes)
 	for {
 		n, err := response.Read(buf)
-		if err := control.SetWriteDeadline(time.Now().Add(maxClientPause)); err != nil {
+		if err := control.SetWriteDeadline(time.Now().Add(clientPauseTimeout)); err != nil {
 			return err
 		}
 		if n > 0 {
@@ -88,21 +88,21 @@
 	}
 }
 
-// write writes an answer whose body is complete.
-func write(w http.ResponseWriter, a answer) {
-	// net/http lifts it once the answer is out. An error means that the client has disconnected.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
+// writeBuffered writes a response whose body is complete.
+func writeBuffered(w http.ResponseWriter, resp clientResponse) {
+	// net/http removes the deadline once the response is written. An error means that the client has disconnected.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	h := w.Header()
-	setContentType(h, a.contentType)
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	if a.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+	setContentType(h, resp.contentType)
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	if resp.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', -1, 64))
 	}
-	w.WriteHeader(a.status)
-	w.Write(a.body) // an error means that the client has disconnected
+	w.WriteHeader(resp.status)
+	w.Write(resp.body) // an error means that the client has disconnected
 }
 
-// setContentType sets the content type of an answer; "": it has none, and net/http must not guess one.
+// setContentType sets the Content-Type header. If contentType is empty, no header is sent, and net/http does not guess one.
 func setContentType(h http.Header, contentType string) {
 	h["Content-Type"] = nil
 	if contentType != "" {
@@ -110,13 +110,14 @@
 	}
 }
 
-// reject answers a request that is not accepted, and closes its connection, so that it does not count against the limit of clients.
+// reject sends the response to a request that is not accepted, and closes the connection so that it does not count against
+// the client limit.
 func reject(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), rejectionStatus(err))
 }
 
-// rejectionStatus is the HTTP status that says why a request is not accepted.
+// rejectionStatus returns the HTTP status for the reason why a request is not accepted.
 func rejectionStatus(err error) int {
 	tooLarge := new(http.MaxBytesError)
 	switch {
@@ -127,7 +128,7 @@
 	case errors.Is(err, errUnknownClass):
 		return http.StatusNotFound
 	case errors.Is(err, context.DeadlineExceeded):
-		return http.StatusServiceUnavailable // no capacity in time
+		return http.StatusServiceUnavailable // no memory for the body became available in time
 	}
 	return http.StatusBadRequest
 }
