--- a/cmd/umberbank/lab_cost.go
+++ b/cmd/umberbank/lab_cost.go
@@ -71,7 +71,7 @@
 func printCost(env *environment, r *cost.Result) error {
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d servers\tnode\tbare relay\tratio\t\n", r.Servers)
-	row := func(name string, of func(*cost.Subject) float64, digits int) {
+	row := func(name string, of func(*cost.ProcessCost) float64, digits int) {
 		n, b := of(&r.Node), of(&r.Relay)
 		ratio := "-" // the relay has no such part
 		if b > 0 {
@@ -79,20 +79,20 @@
 		}
 		fmt.Fprintf(t, "%s\t%.*f\t%.*f\t%s\t\n", name, digits, n, digits, b, ratio)
 	}
-	row("requests/s held", func(s *cost.Subject) float64 { return s.Throughput }, 0)
-	row(fmt.Sprintf("added p50 us, %.0f/s", r.PacedRate), func(s *cost.Subject) float64 { return s.Added.P50 }, 0)
-	row("added p99 us", func(s *cost.Subject) float64 { return s.Added.P99 }, 0)
-	row("CPU us a request", func(s *cost.Subject) float64 { return s.CPUMicros }, 1)
+	row("requests/s held", func(s *cost.ProcessCost) float64 { return s.Throughput }, 0)
+	row(fmt.Sprintf("added p50 us, %.0f/s", r.PacedRate), func(s *cost.ProcessCost) float64 { return s.Added.P50 }, 0)
+	row("added p99 us", func(s *cost.ProcessCost) float64 { return s.Added.P99 }, 0)
+	row("CPU us a request", func(s *cost.ProcessCost) float64 { return s.CPUMicros }, 1)
 	for _, p := range cost.Parts {
-		row("  "+p, func(s *cost.Subject) float64 { return s.CPUSplit[p] }, 1)
+		row("  "+p, func(s *cost.ProcessCost) float64 { return s.CPUSplit[p] }, 1)
 	}
-	row("bytes a request", func(s *cost.Subject) float64 { return s.AllocBytes }, 0)
+	row("bytes a request", func(s *cost.ProcessCost) float64 { return s.AllocBytes }, 0)
 	for _, p := range cost.Parts {
-		row("  "+p, func(s *cost.Subject) float64 { return s.AllocSplit[p] }, 0)
+		row("  "+p, func(s *cost.ProcessCost) float64 { return s.AllocSplit[p] }, 0)
 	}
-	row("allocations a request", func(s *cost.Subject) float64 { return s.Allocs }, 1)
-	row("MB at rest", func(s *cost.Subject) float64 { return s.IdleMemoryMB }, 1)
-	row("MB under load", func(s *cost.Subject) float64 { return s.MemoryMB }, 1)
+	row("allocations a request", func(s *cost.ProcessCost) float64 { return s.Allocs }, 1)
+	row("MB at rest", func(s *cost.ProcessCost) float64 { return s.IdleMemoryMB }, 1)
+	row("MB under load", func(s *cost.ProcessCost) float64 { return s.MemoryMB }, 1)
 	return t.Flush()
 }
 
--- a/internal/lab/clocks.go
+++ b/internal/lab/clocks.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	r.world.Backend, r.processUsage = processes, processes.Usage
-	return processes.Play(ctx, func() { r.start(events) }, r.site.Duration.Std()+r.drainTime())
+	return processes.Run(ctx, func() { r.start(events) }, r.site.Duration.Std()+r.drainTime())
 }
 
 // drainTime is how long a run goes on after its load, so that the calls in flight can end.
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -27,21 +27,21 @@
 
 // Result is the cost of a node and of a baseline relay. Ratios are of the node to the relay.
 type Result struct {
-	Node            Subject `json:"node"`
-	Relay           Subject `json:"bare_relay"`
-	Direct          Latency `json:"direct"`     // of the servers themselves, at the paced rate
-	Servers         int     `json:"servers"`    // in the list
-	PacedRate       float64 `json:"paced_rps"`  // requests a second at which latencies were measured
-	AddedP99Ratio   float64 `json:"p99_ratio"`  // of the added latencies; 0 where the relay added none
-	ThroughputRatio float64 `json:"held_ratio"` // of the throughputs
-	CPURatio        float64 `json:"cpu_ratio"`  // of the processor times of a request
-	AllocRatio      float64 `json:"alloc_ratio"`
-	Valid           bool    `json:"valid"`  // the load was sent on time
-	Pinned          bool    `json:"pinned"` // each process ran on one core of its own
+	Node            ProcessCost `json:"node"`
+	Relay           ProcessCost `json:"bare_relay"`
+	Direct          Latency     `json:"direct"`     // of the servers themselves, at the paced rate
+	Servers         int         `json:"servers"`    // in the list
+	PacedRate       float64     `json:"paced_rps"`  // requests a second at which latencies were measured
+	AddedP99Ratio   float64     `json:"p99_ratio"`  // of the added latencies; 0 where the relay added none
+	ThroughputRatio float64     `json:"held_ratio"` // of the throughputs
+	CPURatio        float64     `json:"cpu_ratio"`  // of the processor times of a request
+	AllocRatio      float64     `json:"alloc_ratio"`
+	Valid           bool        `json:"valid"`  // the load was sent on time
+	Pinned          bool        `json:"pinned"` // each process ran on one core of its own
 }
 
-// Subject is the cost of one process.
-type Subject struct {
+// ProcessCost is the cost of one process.
+type ProcessCost struct {
 	Throughput   float64            `json:"held_rps"` // requests served a second with every connection busy
 	Rejected     int                `json:"refused"`
 	CPUMicros    float64            `json:"cpu_us_per_request"`
@@ -194,7 +194,7 @@
 }
 
 // throughput measures the throughput of a process and the cost of a request.
-func (m *measurement) throughput(ctx context.Context, name string, p *measuredProcess, s *Subject) error {
+func (m *measurement) throughput(ctx context.Context, name string, p *measuredProcess, s *ProcessCost) error {
 	m.options.Step("what " + name + " holds")
 	if err := p.measureThroughput(ctx, m.options.Duration, s); err != nil {
 		return fmt.Errorf("%s: %w: %s", name, err, p.logTail())
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]Subject{"node": r.Node, "relay": r.Relay} {
+	for name, s := range map[string]ProcessCost{"node": r.Node, "relay": r.Relay} {
 		if s.Throughput <= 0 || s.CPUMicros <= 0 || s.AllocBytes <= 0 || s.MemoryMB <= 0 || s.Descriptors <= 0 || s.Latency.P50 <= 0 || s.Latency.P99 < s.Latency.P50 {
 			t.Errorf("%s: %+v", name, s)
 		}
--- a/internal/lab/cost/throughput.go
+++ b/internal/lab/cost/throughput.go
@@ -8,7 +8,7 @@
 )
 
 // measureThroughput keeps the process busy on all connections, and computes the cost of a request.
-func (p *measuredProcess) measureThroughput(ctx context.Context, d time.Duration, s *Subject) error {
+func (p *measuredProcess) measureThroughput(ctx context.Context, d time.Duration, s *ProcessCost) error {
 	l := &loader{addr: p.address}
 	s.IdleMemoryMB, _ = p.usage()
 	if _, err := l.runBusy(ctx, busyConnections, warmUpDuration); err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -2,7 +2,7 @@
 // clients and the relays between them share this process. All sockets are on loopback, in a network of 127/8 that the run reserves.
 //
 // Fleet is a model.Backend. Its state belongs to the goroutine of the model's loop, except where a type's comment says otherwise; other
-// goroutines post functions to the loop. Play ends all processes and goroutines before it returns.
+// goroutines post functions to the loop. Run ends all processes and goroutines before it returns.
 package fleet
 
 import (
@@ -123,9 +123,9 @@
 	}
 }
 
-// Play starts all nodes, calls begin when they are ready, and runs the loop until the given time. It ends all processes and
+// Run starts all nodes, calls begin when they are ready, and runs the loop until the given time. It ends all processes and
 // goroutines before it returns.
-func (f *Fleet) Play(ctx context.Context, begin func(), until time.Duration) error {
+func (f *Fleet) Run(ctx context.Context, begin func(), until time.Duration) error {
 	defer f.close()
 	f.ctx, f.cancel = context.WithCancelCause(ctx)
 	defer f.cancel(nil)
