--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -84,7 +84,7 @@
 // A client with almost no time left receives a final response, not a closed connection.
 func TestNoTimeLeft(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for range 20 {
 		for method, path := range map[string]string{"GET": "/read/1", "POST": "/order/1"} {
@@ -105,7 +105,7 @@
 // receives a NotSent outcome for each.
 func TestSuppressedSends(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	cfg.Settings.MaxAttempts = 2
 	outcomes := make(chan balancer.Outcome, 10)
@@ -146,7 +146,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		}
 	})
-	fast, _ := nodetest.Stub(t, nodetest.OK, false)
+	fast, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	outcomes := make(chan balancer.Outcome, 10)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("slow", slow), servingEntry("fast", fast)),
 		balancerFunc(func(e balancer.Event) []balancer.Action {
--- a/internal/node/bodybudget/bodybudget.go
+++ b/internal/node/bodybudget/bodybudget.go
@@ -26,16 +26,16 @@
 // Budget bounds what bodies hold. Requests and responses have a half each: a request keeps its body until its response has
 // come, and must not keep the response from coming. Any goroutine may use it.
 type Budget struct {
-	Requests, Responses *Part
+	Requests, Responses *Limiter
 }
 
-// Part is the half of a Budget for one direction.
-type Part struct{ free *semaphore.Weighted }
+// Limiter is the half of a Budget for one direction.
+type Limiter struct{ free *semaphore.Weighted }
 
 // New returns a budget of so many bytes, but of no less than one body of MaxBufferedBytes each way.
 func New(bytes int64) *Budget {
 	half := max(bytes/2, MaxBufferedBytes)
-	return &Budget{&Part{semaphore.NewWeighted(half)}, &Part{semaphore.NewWeighted(half)}}
+	return &Budget{&Limiter{semaphore.NewWeighted(half)}, &Limiter{semaphore.NewWeighted(half)}}
 }
 
 // ForMemory returns the budget under a memory limit in MiB; 0: there is none. Where the process can be replaced while it
@@ -53,7 +53,7 @@
 
 // Reserve takes capacity for a body of the given length in bytes, -1 if it is not known, or for the part of it that is ever buffered.
 // It waits until there is capacity or ctx ends, whose error it then returns.
-func (p *Part) Reserve(ctx context.Context, length int64) (release func(), err error) {
+func (p *Limiter) Reserve(ctx context.Context, length int64) (release func(), err error) {
 	if length < 0 || length > MaxBufferedBytes {
 		length = MaxBufferedBytes
 	}
--- a/internal/node/clientconn/client.go
+++ b/internal/node/clientconn/client.go
@@ -40,10 +40,11 @@
 	}
 }
 
-// Watch calls disconnected when the client is seen to have disconnected behind bytes that it sent ahead; see Conn.Watch.
-func (c *Client) Watch(disconnected func()) (stop func()) {
+// WatchDisconnect calls disconnected when the client is seen to have disconnected behind bytes that it sent ahead; see
+// Conn.WatchDisconnect.
+func (c *Client) WatchDisconnect(disconnected func()) (stop func()) {
 	if conn, isClient := c.conn.(*Conn); isClient {
-		return conn.Watch(disconnected)
+		return conn.WatchDisconnect(disconnected)
 	}
 	return func() {}
 }
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -95,9 +95,9 @@
 	return n, err
 }
 
-// Watch calls disconnected, from another goroutine and at most once, when the client is seen to have disconnected behind bytes
-// that it sent ahead of its response. It ends with stop, before which nothing else may read but net/http's look for a disconnect.
-func (c *Conn) Watch(disconnected func()) (stop func()) {
+// WatchDisconnect calls disconnected, from another goroutine and at most once, when the client is seen to have disconnected
+// behind bytes that it sent ahead of its response. It ends with stop, before which nothing else may read but net/http's look for a disconnect.
+func (c *Conn) WatchDisconnect(disconnected func()) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = disconnected
--- a/internal/node/clientconn/conn_test.go
+++ b/internal/node/clientconn/conn_test.go
@@ -88,7 +88,7 @@
 		if _, err := io.WriteString(theirs, nodetest.Text(more)); err != nil {
 			t.Errorf("%d more bytes: %v", more, err)
 		}
-		_ = theirs.SetReadDeadline(time.Now().Add(nodetest.Limit))
+		_ = theirs.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if b, err := io.ReadAll(theirs); string(b) != "the last answer" || err != nil {
 			t.Errorf("%d more bytes: %q, %v", more, b, err)
 		}
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -102,7 +102,7 @@
 // A draining node is not ready, serves new requests and closes every connection. After drain-off it serves as before.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startWithControl(t, testConfig("127.0.0.1:1", servingEntry("s", addr)))
 	const request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 9000m\r\n\r\n"
 	ready := func() int {
@@ -164,7 +164,7 @@
 // A connection that has received part of a request head is not idle: neither a drain nor the shutdown closes it.
 func TestSlowHeadIsNotIdle(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n, err := New(testConfig("127.0.0.1:1", servingEntry("s", addr)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -88,7 +88,7 @@
 // blocked and has not handled the disconnect.
 func TestDisconnectWhileDialing(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := newNodeFor(t, testConfig("127.0.0.1:1", servingEntry("s", addr)))
 	began, proceed := make(chan struct{}, 1), make(chan struct{})
 	delayDials(n, began, proceed)
@@ -176,7 +176,7 @@
 // If many clients disconnect before the loop has handled any of their requests, none of the requests is forwarded.
 func TestManyClientsDisconnect(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	cfg.Sockets = 4096
 	n := startNode(t, cfg, nil)
@@ -215,7 +215,7 @@
 			if first.CompareAndSwap(false, true) {
 				<-release
 			}
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
@@ -249,8 +249,8 @@
 // run the request again.
 func TestRetryPastItsIdempotencyWindow(t *testing.T) {
 	t.Parallel()
-	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
-	other, got := nodetest.Stub(t, nodetest.OK, false)
+	failing, _ := nodetest.StubServer(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
+	other, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	cfg := testConfig("127.0.0.1:1", servingEntry("a", failing), servingEntry("b", other))
 	const window = 50 * time.Millisecond
 	for i := range cfg.Settings.Classes {
@@ -293,7 +293,7 @@
 func TestTimeLeftAtTheFirstByte(t *testing.T) {
 	t.Parallel()
 	const dialTime, initial = 100 * time.Millisecond, 10 * time.Second
-	failing, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true)
+	failing, got := nodetest.StubServer(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true)
 	n := newNodeFor(t, testConfig("127.0.0.1:1", servingEntry("s", failing)))
 	n.loop.balancer = balancerFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
@@ -355,7 +355,7 @@
 	defer c.Close()
 	io.WriteString(c, "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 60000m\r\n\r\n")
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(nodetest.Limit))
+	c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 	if b, err := io.ReadAll(c); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got %q, %v", b, err)
 	}
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -51,7 +51,7 @@
 // A watch that is silent ends.
 func TestWatchSilence(t *testing.T) {
 	t.Parallel()
-	addr, lines, _ := nodetest.Discovery(t)
+	addr, lines, _ := nodetest.StubDiscovery(t)
 	d := NewClient(addr)
 	d.SilenceTimeout = 200 * time.Millisecond
 	ended := make(chan error, 1)
@@ -67,7 +67,7 @@
 // Heartbeats keep a watch open whose list does not change.
 func TestHeartbeats(t *testing.T) {
 	t.Parallel()
-	addr, lines, _ := nodetest.Discovery(t)
+	addr, lines, _ := nodetest.StubDiscovery(t)
 	d := NewClient(addr)
 	d.SilenceTimeout = time.Second
 	ended := make(chan error, 1)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -99,7 +99,7 @@
 	disconnected := make(chan struct{})
 	disconnect := sync.OnceFunc(func() { r.disconnected.Store(true); close(disconnected) })
 	if r.streamedBody == nil { // with a streamed body, reading it or calling connected detects a disconnect
-		defer client.Watch(disconnect)()
+		defer client.WatchDisconnect(disconnect)()
 	}
 	r.connected = func() bool {
 		if client.Disconnected() {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -45,7 +45,7 @@
 // served.
 func TestGoldenAnswers(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	served := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	rejecting := startNode(t, testConfig("127.0.0.1:1"), balancerFunc(func(e balancer.Event) []balancer.Action {
 		r, is := e.(balancer.Request)
@@ -115,7 +115,7 @@
 			_, _ = io.Copy(io.Discard, req.Body)
 			heads <- timeLeftLine.ReplaceAllString(portNumber.ReplaceAllString(head.String(), "ADDR"), "X-Time-Left: TIMEu")
 			head.Reset()
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	cfg.Control = "127.0.0.1:0"
 	n := startNode(t, cfg, nil)
-	for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
+	for end := time.Now().Add(nodetest.Timeout); sendCommand(t, n, "check\n") != "ok\n"; {
 		if time.Now().After(end) {
 			t.Fatal("the node does not serve in time")
 		}
@@ -112,7 +112,7 @@
 				class("order", balancer.NonIdempotent)},
 			Replicas: 1, MaxAttempts: 6, Cancellation: true, PollDiscovery: true,
 			PollInterval: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
-		Connections: simwire.Connections{IdleTimeout: time.Minute, ConnectTimeout: nodetest.Limit}}
+		Connections: simwire.Connections{IdleTimeout: time.Minute, ConnectTimeout: nodetest.Timeout}}
 }
 
 func servingEntry(uid, addr string) discovery.Entry {
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -67,7 +67,7 @@
 			}
 			began <- struct{}{}
 			<-release
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	clients, inherit := platformSocket(t)
@@ -80,7 +80,7 @@
 		}
 		done := make(chan error, 1)
 		go func() { done <- n.Run(ctx) }()
-		for end := time.Now().Add(nodetest.Limit); sendCommand(t, n, "check\n") != "ok\n"; {
+		for end := time.Now().Add(nodetest.Timeout); sendCommand(t, n, "check\n") != "ok\n"; {
 			if time.Now().After(end) {
 				t.Fatal("the node does not serve in time")
 			}
@@ -101,7 +101,7 @@
 		t.Errorf("second process beside its predecessor: got quota %v, want at most startingQuota", s)
 	}
 	stopFirst()
-	for end := time.Now().Add(nodetest.Limit); !first.stopped(); {
+	for end := time.Now().Add(nodetest.Timeout); !first.stopped(); {
 		if time.Now().After(end) {
 			t.Fatal("the first process does not stop accepting connections in time")
 		}
@@ -120,7 +120,7 @@
 	if err := nodetest.Wait(t, firstDone); err != nil {
 		t.Errorf("the first process: %v", err)
 	}
-	for end := time.Now().Add(nodetest.Limit); second.quota() <= startingQuota; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Timeout); second.quota() <= startingQuota; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the second process does not raise its quota after its predecessor's exit")
 		}
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	tcp, err := nodetest.Dial(t, addr).(*net.TCPConn).File()
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 		if _, err := http.ReadRequest(r); err == nil {
 			began <- struct{}{}
 			<-release
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	n, err := New(testConfig("127.0.0.1:1", servingEntry("s", addr)))
@@ -228,7 +228,7 @@
 		t.Errorf("new connections are accepted for %v, want more than 400ms", n.acceptLingerTimeout)
 	}
 	n.acceptLingerTimeout = 3 * time.Second // leaves a slow machine enough time for the second request
-	n.longestRequest.Store(int64(nodetest.Limit))
+	n.longestRequest.Store(int64(nodetest.Timeout))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
@@ -246,7 +246,7 @@
 	go send() // after the signal
 	nodetest.Wait(t, began)
 	// Waits until the listener is closed.
-	for stop := time.Now().Add(nodetest.Limit); time.Now().Before(stop); {
+	for stop := time.Now().Add(nodetest.Timeout); time.Now().Before(stop); {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err != nil {
 			break
@@ -309,7 +309,7 @@
 // time.
 func TestShutdownRejectsLateRequests(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	n.loop.post(n.loop.abandonAll)
 	if resp, _ := nodetest.Do(t, newRequest(t, n, "POST", "/order/1", "")); resp.StatusCode != http.StatusServiceUnavailable || len(got) > 0 {
--- a/internal/node/longanswer_test.go
+++ b/internal/node/longanswer_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := nodetest.Stub(t, response, true)
+			addr, _ := nodetest.StubServer(t, response, true)
 			n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 			resp, got := nodetest.Do(t, newRequest(t, n, "GET", "/read/1", ""))
 			if resp.StatusCode != http.StatusOK || got != body {
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, got := nodetest.Stub(t, response, true)
+			addr, got := nodetest.StubServer(t, response, true)
 			n := startWithControl(t, testConfig("127.0.0.1:1", servingEntry("s", addr), servingEntry("s2", addr)))
 			for _, proto := range []string{"1.1", "1.0"} {
 				conn := nodetest.Dial(t, n.Addr().String())
@@ -100,7 +100,7 @@
 			if len(got) > 0 {
 				t.Errorf("the request was retried")
 			}
-			for end := time.Now().Add(nodetest.Limit); vars(t, n).Results["read"] != (metrics.ClassResults{Failed: 2}); {
+			for end := time.Now().Add(nodetest.Timeout); vars(t, n).Results["read"] != (metrics.ClassResults{Failed: 2}); {
 				if time.Now().After(end) {
 					t.Fatalf("got %+v, want 2 failed requests", vars(t, n))
 				}
--- a/internal/node/longrequest_test.go
+++ b/internal/node/longrequest_test.go
@@ -21,7 +21,7 @@
 
 // sink starts a server that responds with 200 and sends the requests that it received to got.
 func sink(t *testing.T) (addr string, got chan nodetest.Received) {
-	return nodetest.Stub(t, nodetest.OK, false)
+	return nodetest.StubServer(t, nodetest.OKResponse, false)
 }
 
 // Long requests reach the server complete with each kind of framing, and the client can reuse its connection after them.
@@ -78,7 +78,7 @@
 			close(half)
 		}
 		if n, _ := io.Copy(io.Discard, req.Body); n == size/2+8192 {
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
@@ -222,7 +222,7 @@
 // A body over the limit is rejected by its Content-Length or, if it is chunked, once it exceeds the limit.
 func TestBodyTooLong(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for name, more := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", bodybudget.MaxBodyBytes+1),
 		"chunks": "Transfer-Encoding: chunked\r\n"} {
@@ -250,7 +250,7 @@
 // of the body.
 func TestRequestInsideALongBody(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), balancerFunc(func(e balancer.Event) []balancer.Action {
 		if e, is := e.(balancer.Request); is {
 			if e.StreamingBody {
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -47,9 +47,9 @@
 	m.resultsOf(class)
 }
 
-// CountAnswer counts the final answer to a request of a class, by its HTTP status. An incomplete answer, one that was not
+// CountResponse counts the final answer to a request of a class, by its HTTP status. An incomplete answer, one that was not
 // written to its end, counts as failed whatever its status.
-func (m *Metrics) CountAnswer(class string, status int, incomplete bool) {
+func (m *Metrics) CountResponse(class string, status int, incomplete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.resultsOf(class)
--- a/internal/node/metrics/metrics_test.go
+++ b/internal/node/metrics/metrics_test.go
@@ -12,11 +12,11 @@
 	m.AddClass("idle")
 	for status, times := range map[int]int{200: 1, 503: 2, 502: 4} {
 		for range times {
-			m.CountAnswer("read", status, false)
+			m.CountResponse("read", status, false)
 		}
 	}
-	m.CountAnswer("read", 200, true)
-	m.CountAnswer("read", 429, false)
+	m.CountResponse("read", 200, true)
+	m.CountResponse("read", 429, false)
 	m.InFlight.Store(11)
 	m.AttemptsSent.Store(12)
 	m.EndpointsListed.Store(13)
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -37,9 +37,9 @@
 // The command vars reports the responses of each kind, the attempts and the size of the endpoint list.
 func TestVars(t *testing.T) {
 	t.Parallel()
-	served, _ := nodetest.Stub(t, nodetest.OK, false)
-	failing, _ := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
-	full, _ := nodetest.Stub(t, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false)
+	served, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
+	failing, _ := nodetest.StubServer(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
+	full, _ := nodetest.StubServer(t, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false)
 	for name, c := range map[string]struct {
 		addr string
 		want metrics.ClassResults
@@ -67,7 +67,7 @@
 // A request counts as outstanding until it is completed or its client disconnects.
 func TestVarsOutstanding(t *testing.T) {
 	t.Parallel()
-	silent, got := nodetest.Stub(t, "", false)
+	silent, got := nodetest.StubServer(t, "", false)
 	n := startWithControl(t, testConfig("127.0.0.1:1", servingEntry("s", silent)))
 	c := nodetest.Dial(t, n.Addr().String())
 	if _, err := c.Write([]byte(readRequest)); err != nil {
@@ -78,7 +78,7 @@
 		t.Errorf("with a request in flight: got %+v", f)
 	}
 	c.(*net.TCPConn).Close()
-	for end := time.Now().Add(nodetest.Limit); vars(t, n).Outstanding != 0; {
+	for end := time.Now().Add(nodetest.Timeout); vars(t, n).Outstanding != 0; {
 		if time.Now().After(end) {
 			t.Fatal("a request whose client has disconnected stays outstanding")
 		}
--- a/internal/node/nodetest/discovery.go
+++ b/internal/node/nodetest/discovery.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Discovery is a stub of discovery. What comes on lines goes out on the watch that is open, one message or heartbeat at a time; "end"
+// StubDiscovery is a stub of discovery. What comes on lines goes out on the watch that is open, one message or heartbeat at a time; "end"
 // ends it. watches receives the path and query of each watch. Polls are not answered.
-func Discovery(t *testing.T) (addr string, lines, watches chan string) {
+func StubDiscovery(t *testing.T) (addr string, lines, watches chan string) {
 	t.Helper()
 	lines, watches = make(chan string), make(chan string, 100)
 	newest := make(chan context.CancelFunc, 1) // ends the watch before, which may not know yet that it is over
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Limit bounds every wait of the tests; none passes by waiting.
-const Limit = 20 * time.Second
+// Timeout bounds every wait of the tests; none passes by waiting.
+const Timeout = 20 * time.Second
 
 // Wait returns what comes on a channel, and fails the test if nothing does.
 func Wait[T any](t *testing.T, c <-chan T) T {
@@ -21,7 +21,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Limit):
+	case <-time.After(Timeout):
 		t.Fatal("nothing came")
 		panic("unreachable")
 	}
@@ -30,9 +30,9 @@
 // Eventually asks again and again until ok says yes, and fails the test if it never does.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Limit); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, Limit)
+			t.Fatalf("%s: not within %v", what, Timeout)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Limit))
+	c.SetDeadline(time.Now().Add(Timeout))
 	return c
 }
 
@@ -98,12 +98,12 @@
 	Content string // of its body
 }
 
-// OK is a complete response.
-const OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: a/b\r\n\r\nhi"
+// OKResponse is a complete response.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: a/b\r\n\r\nhi"
 
-// Stub answers every request with answer, raw; closeAfter says that it closes the connection then. got tells of each request before
+// StubServer answers every request with answer, raw; closeAfter says that it closes the connection then. got tells of each request before
 // its answer.
-func Stub(t *testing.T, answer string, closeAfter bool) (addr string, got chan Received) {
+func StubServer(t *testing.T, answer string, closeAfter bool) (addr string, got chan Received) {
 	t.Helper()
 	got = make(chan Received, 100)
 	return Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -137,7 +137,7 @@
 // Do sends a request over a connection of its own, and returns the response and its body.
 func Do(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
-	c := &http.Client{Timeout: Limit, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := &http.Client{Timeout: Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(r)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -66,7 +66,7 @@
 // awaitApplied waits until the node has applied this number of reloads.
 func (n *Node) awaitApplied(t *testing.T, files int) {
 	t.Helper()
-	for end := time.Now().Add(nodetest.Limit); vars(t, n).SighupApplied < files; {
+	for end := time.Now().Add(nodetest.Timeout); vars(t, n).SighupApplied < files; {
 		if time.Now().After(end) {
 			t.Fatalf("%d reloads are not applied in time", files)
 		}
@@ -76,7 +76,7 @@
 // After a reload, a new class is served, a removed class is unknown, and a changed effect is in force.
 func TestReloadAppliesNewSettings(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
+	addr, got := nodetest.StubServer(t, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false)
 	file := completeConfig(addr)
 	n := startFromFile(t, file)
 	if s := requestStatus(t, n, "GET", "/fresh/1"); s != http.StatusNotFound || len(got) > 0 {
@@ -108,7 +108,7 @@
 // An invalid file changes nothing and is counted as rejected.
 func TestReloadRejectsBrokenFiles(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startFromFile(t, completeConfig(addr))
 	complete, err := json.Marshal(completeConfig(addr))
 	if err != nil {
@@ -167,7 +167,7 @@
 	t.Parallel()
 	cfg := testConfig("127.0.0.1:1")
 	n := startWithControl(t, cfg)
-	r := &request{class: "read", deadline: n.loop.now() + nodetest.Limit, fallbackAt: n.loop.now() + nodetest.Limit,
+	r := &request{class: "read", deadline: n.loop.now() + nodetest.Timeout, fallbackAt: n.loop.now() + nodetest.Timeout,
 		outgoing: newRequest(t, n, "GET", "/read/1", ""), response: make(chan clientResponse, 1)}
 	late := &request{class: "read", outgoing: newRequest(t, n, "GET", "/read/1", ""), response: make(chan clientResponse, 1)}
 	n.loop.post(func() { n.loop.accept(r) })
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -80,7 +80,7 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	r := newRequest(t, n, "POST", "/send//7f%2F3a?q=1&q=2", strings.Repeat("x", bodybudget.MaxBufferedBytes))
 	r.Header.Set("Idempotency-Key", "k-1")
@@ -102,7 +102,7 @@
 // A request without a Host header, as HTTP/1.0 allows, is forwarded with the server's address as host.
 func TestNoHost(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
@@ -128,7 +128,7 @@
 		if _, err := http.ReadRequest(r); err == nil {
 			began <- struct{}{}
 			<-release
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
@@ -155,7 +155,7 @@
 
 func TestMalformedRequest(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for name, c := range map[string]struct {
 		method, path, header, value string
@@ -191,7 +191,7 @@
 // would allow request smuggling.
 func TestRequestInsideABody(t *testing.T) {
 	t.Parallel()
-	addr, got := nodetest.Stub(t, nodetest.OK, false)
+	addr, got := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	const id = "X-Correlation-Id: outer\r\nX-Time-Left: 9000m\r\n"
 	const inner = "GET /read/inner HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: inner\r\nX-Time-Left: 9000m\r\n\r\n"
@@ -206,7 +206,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(nodetest.Limit))
+		c.SetDeadline(time.Now().Add(nodetest.Timeout))
 		io.WriteString(c, outer+inner)
 		r := bufio.NewReader(c)
 		resp, err := http.ReadResponse(r, nil)
@@ -229,7 +229,7 @@
 // After a served request it stays open.
 func TestRejectedConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
 	for request, status := range map[string]int{
 		"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n":                                           200,
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(nodetest.Limit))
+		c.SetDeadline(time.Now().Add(nodetest.Timeout))
 		io.WriteString(c, request)
 		r := bufio.NewReader(c)
 		resp, err := http.ReadResponse(r, nil)
@@ -272,7 +272,7 @@
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			time.Sleep(requestTimeout + 500*time.Millisecond)
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	n := startNode(t, testConfig("127.0.0.1:1", servingEntry("s", addr)), nil)
@@ -329,11 +329,11 @@
 // Clients over the connection limit wait for a connection. Each receives a response, and at least one of them is served.
 func TestClientsOverTheLimit(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	cfg := testConfig("127.0.0.1:1", servingEntry("s", addr))
 	cfg.Sockets = reservedDescriptors + 10 // 6 of them for clients
 	n := startNode(t, cfg, nil)
-	client := &http.Client{Timeout: nodetest.Limit} // keeps connections alive
+	client := &http.Client{Timeout: nodetest.Timeout} // keeps connections alive
 	const clients = 30
 	errs := make(chan error, clients)
 	var rejected atomic.Int64
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -207,7 +207,7 @@
 				t.Errorf("the node serves before its agent has responded")
 			}
 			close(respond)
-			for end := time.Now().Add(nodetest.Limit); !n.serving.Load(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(nodetest.Timeout); !n.serving.Load(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("the node does not serve in time")
 				}
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -70,7 +70,7 @@
 // newTestPool returns a pool of one connection.
 func newTestPool(limit int) *Pool {
 	return NewPool(Options{
-		Connections:    simwire.Connections{IdleTimeout: serverIdleTimeout, ConnectTimeout: nodetest.Limit},
+		Connections:    simwire.Connections{IdleTimeout: serverIdleTimeout, ConnectTimeout: nodetest.Timeout},
 		MaxConnections: limit,
 		Metrics:        &metrics.Metrics{},
 		Budget:         bodybudget.New(16 << 20),
@@ -102,7 +102,7 @@
 
 func attemptWith(t *testing.T, u *Pool, s *Endpoint) AttemptResult {
 	t.Helper()
-	ctx, cancel := context.WithTimeoutCause(context.Background(), nodetest.Limit, ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), nodetest.Timeout, ErrTimedOut)
 	defer cancel()
 	return u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions, ResponseStarted: func(d *Response) {
 		go func() {
@@ -119,12 +119,12 @@
 		result balancer.Result
 		kept   bool
 	}{
-		"served":            {nodetest.OK, balancer.Success, true},
-		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + nodetest.OK, balancer.Success, true},
+		"served":            {nodetest.OKResponse, balancer.Success, true},
+		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + nodetest.OKResponse, balancer.Success, true},
 		"chunked":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Success, true},
 		"empty":             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", balancer.Success, true},
 		"closes":            {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
-		"leftover bytes":    {nodetest.OK + "HTTP/1.1 200 OK", balancer.Success, false},
+		"leftover bytes":    {nodetest.OKResponse + "HTTP/1.1 200 OK", balancer.Success, false},
 		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
@@ -195,7 +195,7 @@
 			if i == 1 {
 				return // no answer to a connection's second request
 			}
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -63,7 +63,7 @@
 }
 
 // RequestBudget bounds the memory that the bodies of requests hold.
-func (p *Pool) RequestBudget() *bodybudget.Part { return p.budget.Requests }
+func (p *Pool) RequestBudget() *bodybudget.Limiter { return p.budget.Requests }
 
 // Reconfigure takes over new settings of connections. The maximum idle time for reuse
 // follows the setting unless it was lowered; see lowerMaxReuseIdle.
--- a/internal/node/upstream/pool_test.go
+++ b/internal/node/upstream/pool_test.go
@@ -37,7 +37,7 @@
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if req, err := http.ReadRequest(r); err == nil {
 			_, _ = io.Copy(io.Discard, req.Body)
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 			c.Close()
 			closed <- struct{}{}
 		}
@@ -70,7 +70,7 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 			if i == 0 {
 				if _, open := <-more; open {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
@@ -92,7 +92,7 @@
 // Idle connections are closed before the server would close them, and the one used last is used next.
 func TestIdlePool(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	u, s := newTestPool(10), newReadyEndpoint(addr)
 	ctx := context.Background()
 	a, err := u.get(ctx, s)
@@ -127,8 +127,8 @@
 // At the limit an idle connection is closed for another one, else the attempt fails without a dial.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
-	a, _ := nodetest.Stub(t, nodetest.OK, false)
-	b, _ := nodetest.Stub(t, nodetest.OK, false)
+	a, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
+	b, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	u, sa, sb := newTestPool(1), newReadyEndpoint(a), newReadyEndpoint(b)
 	for _, s := range []*Endpoint{sa, sb} {
 		if res := attemptWith(t, u, s); res.Result != balancer.Success {
@@ -151,7 +151,7 @@
 // The idle connections to an endpoint that drains are not used, and one in use is not put back.
 func TestDrainDropsIdle(t *testing.T) {
 	t.Parallel()
-	addr, _ := nodetest.Stub(t, nodetest.OK, false)
+	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	u, s := newTestPool(10), newReadyEndpoint(addr)
 	attemptWith(t, u, s)
 	busy, err := u.get(context.Background(), s)
@@ -178,7 +178,7 @@
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, nodetest.OK)
+			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
 	u, s := newTestPool(10), newReadyEndpoint(addr)
--- a/internal/node/watcher_test.go
+++ b/internal/node/watcher_test.go
@@ -18,7 +18,7 @@
 // and the revision from which the next watch continues.
 func TestWatch(t *testing.T) {
 	t.Parallel()
-	addr, lines, watches := nodetest.Discovery(t)
+	addr, lines, watches := nodetest.StubDiscovery(t)
 	events := make(chan balancer.Event, 10)
 	startNode(t, testConfig(addr, servingEntry("old", "127.0.0.1:1")),
 		balancerFunc(func(e balancer.Event) []balancer.Action {
@@ -146,7 +146,7 @@
 // Where discovery pushes the list, the node opens a watch itself, and reopens it after it has ended.
 func TestPushedList(t *testing.T) {
 	t.Parallel()
-	addr, lines, watches := nodetest.Discovery(t)
+	addr, lines, watches := nodetest.StubDiscovery(t)
 	cfg := testConfig(addr)
 	cfg.Settings.PollDiscovery = false
 	startNode(t, cfg, nil)
@@ -158,8 +158,8 @@
 // After a reload the node watches the new discovery address, from its current revision on.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	before, lines, watches := nodetest.Discovery(t)
-	after, newLines, newWatches := nodetest.Discovery(t)
+	before, lines, watches := nodetest.StubDiscovery(t)
+	after, newLines, newWatches := nodetest.StubDiscovery(t)
 	cfg := testConfig(before)
 	cfg.Settings.PollDiscovery = false
 	lists := make(chan balancer.EndpointUpdate, 10)
@@ -189,8 +189,8 @@
 	c := clock{time.Now()}
 	boot := c.start.Add(-3 * time.Second) // before the node's start
 	s := discovery.Entry{UID: "s", State: "SERVING", StartTimeMS: float64(boot.UnixMilli())}.Endpoint()
-	if age := c.now() - s.StartTime; age < 3*time.Second || age > 3*time.Second+nodetest.Limit {
-		t.Errorf("got age %v, want at least 3s and at most nodetest.Limit more", age)
+	if age := c.now() - s.StartTime; age < 3*time.Second || age > 3*time.Second+nodetest.Timeout {
+		t.Errorf("got age %v, want at least 3s and at most nodetest.Timeout more", age)
 	}
 	if s := (discovery.Entry{}).Endpoint(); s.StartTime != 0 {
 		t.Errorf("entry without a start time: got %v, want 0", s.StartTime)
