--- a/internal/durable/corruption_test.go
+++ b/internal/durable/corruption_test.go
@@ -13,8 +13,8 @@
 
 var diskErrors = []syscall.Errno{syscall.ENOSPC, syscall.EROFS, syscall.EIO}
 
-// flippedBits calls do with content with each of its bits flipped.
-func flippedBits(content []byte, do func(what string, corrupt []byte)) {
+// forEachBitFlip calls do once for each bit of content, with a copy in which that bit is flipped.
+func forEachBitFlip(content []byte, do func(what string, corrupt []byte)) {
 	for i := range content {
 		for bit := range 8 {
 			corrupt := bytes.Clone(content)
@@ -24,8 +24,8 @@
 	}
 }
 
-// Every bit of a snapshot is flipped, and it is cut and lengthened by every number of bytes: it is reported and skipped, and the
-// one before is loaded. A damaged log costs its records from the damage on, and no others.
+// A snapshot with any flipped bit, truncated at any byte or extended by any number of bytes is reported and skipped, and the
+// previous one is loaded. A damaged log loses its records from the damage on, and no others.
 func TestCorruptedBytes(t *testing.T) {
 	f := faultfs.New()
 	session(f, 0)
@@ -52,10 +52,10 @@
 			t.Fatalf("%s: state %d is loaded, skipped %v", what, got, skipped)
 		}
 	}
-	flippedBits(content, check)
+	forEachBitFlip(content, check)
 	for i := range content {
-		check(fmt.Sprintf("cut at %d", i), content[:i])
-		check(fmt.Sprintf("%d more", i+1), append(bytes.Clone(content), content[:i+1]...))
+		check(fmt.Sprintf("truncated at %d", i), content[:i])
+		check(fmt.Sprintf("extended by %d", i+1), append(bytes.Clone(content), content[:i+1]...))
 	}
 	return checked
 }
@@ -70,19 +70,19 @@
 		}
 		return skipped
 	}
-	flippedBits(content, func(what string, corrupt []byte) {
+	forEachBitFlip(content, func(what string, corrupt []byte) {
 		checked++
 		if skipped := loaded(what, corrupt); len(skipped) != 1 || skipped[0].File != path {
 			t.Fatalf("log, %s: skipped %v", what, skipped)
 		}
 	})
 	for i := range content {
-		loaded(fmt.Sprintf("cut at %d", i), content[:i])
+		loaded(fmt.Sprintf("truncated at %d", i), content[:i])
 	}
 	return checked
 }
 
-// Whatever the bytes, Decode returns what Encode wrote or an error.
+// For any input, Decode returns an error or a snapshot that Encode encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	for n := range 3 {
 		content, err := durable.Encode(durable.Snapshot{Kind: "test", Schema: 1, Seq: uint64(n), Taken: taken, Payload: payload(n)})
--- a/internal/durable/faultfs/fs.go
+++ b/internal/durable/faultfs/fs.go
@@ -1,8 +1,9 @@
-// Package faultfs is an in-memory file system that fails as disks and power supplies do, for tests of package durable.
+// Package faultfs provides an in-memory file system that simulates disk errors and power loss, for tests of package durable.
 //
-// What was not synced may be lost, torn or kept, each file and each directory entry by itself and in any order. A sync that
-// failed drops what it should have written although the next one succeeds, as Linux does. Every call except reads is a step;
-// a step can be made to fail, or to be the first one after a power loss. An FS is for one goroutine.
+// A power loss may drop, tear or keep unsynced data, independently for each file and directory entry and in any order. A failed
+// sync drops the data that it should have written, although the next sync succeeds, as on Linux. Every call except reads counts
+// as a step. A step can be made to fail, or to be the first one after a power loss. An FS must not be used by several
+// goroutines.
 package faultfs
 
 import (
@@ -18,21 +19,21 @@
 )
 
 // ErrPowerLost is returned by every step from CrashAt on.
-var ErrPowerLost = errors.New("faultfs: the power is gone")
+var ErrPowerLost = errors.New("faultfs: power lost")
 
-// Never as CrashAt or FailAt means that the fault does not occur.
+// Never is the value of CrashAt or FailAt if the fault does not occur.
 const Never = -1
 
-// FS is a durable.FS in memory. Set its faults before the first step.
+// FS is an in-memory durable.FS. A fault must be set before the step that it affects.
 type FS struct {
 	CrashAt int   // index of the first step after the power loss
 	FailAt  int   // index of the step that fails
-	FailErr error // what step FailAt returns
-	Steps   int   // steps taken so far
+	FailErr error // error that step FailAt returns
+	Steps   int   // number of steps so far
 
 	visible map[string]*inode // by path, as processes see the files
-	onDisk  map[string]*inode // by path, as a power loss now would leave the directories at the least
-	pending []dirChange       // changes of directories that were not synced
+	onDisk  map[string]*inode // by path, as the directories are on the disk without the pending changes
+	pending []dirChange       // directory changes that were not synced
 	locked  map[string]bool
 }
 
@@ -41,14 +42,14 @@
 // inode is the content of a file.
 type inode struct {
 	current []byte // as processes see it
-	synced  []byte // as it is on the disk for certain
-	dirty   bool   // it was written since the last sync
+	synced  []byte // content of the last sync, which a power loss keeps
+	dirty   bool   // written since the last sync
 }
 
-// dirChange is a change of a directory that was not synced.
+// dirChange is a change of a directory entry that was not synced.
 type dirChange struct {
 	dir, path string
-	target    *inode // nil: the entry is removed
+	target    *inode // nil if the entry is removed
 }
 
 func (c dirChange) applyTo(files map[string]*inode) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// step counts a step and returns the error it fails with.
+// step counts a step and returns the error it fails with, or nil.
 func (f *FS) step() error {
 	index := f.Steps
 	f.Steps++
@@ -84,14 +85,14 @@
 	return nil
 }
 
-// change changes a directory entry, for processes at once and on the disk with the next SyncDir.
+// change changes a directory entry. Processes see the change immediately. The next SyncDir makes it durable.
 func (f *FS) change(path string, target *inode) {
 	c := dirChange{dir: filepath.Dir(path), path: path, target: target}
 	c.applyTo(f.visible)
 	f.pending = append(f.pending, c)
 }
 
-// MkdirAll only counts as a step: every directory exists.
+// MkdirAll only counts as a step, because every directory exists.
 func (f *FS) MkdirAll(string) error { return f.step() }
 
 // Create creates an empty file.
@@ -107,7 +108,7 @@
 	return &file{fs: f, inode: n}, nil
 }
 
-// Rename moves a file, replacing the one that has the new name.
+// Rename renames a file and replaces an existing file with the new name.
 func (f *FS) Rename(from, to string) error {
 	if err := f.step(); err != nil {
 		return err
@@ -168,13 +169,13 @@
 	return slices.Clone(n.current), nil
 }
 
-// Put places a file on the disk, synced. It is no step.
+// Put stores a synced file. It does not count as a step.
 func (f *FS) Put(name string, content []byte) {
 	n := &inode{current: slices.Clone(content), synced: slices.Clone(content)}
 	f.visible[name], f.onDisk[name] = n, n
 }
 
-// Lock takes a lock, which lasts until it is closed or the power is lost.
+// Lock takes a lock, which is held until it is closed or the power is lost.
 func (f *FS) Lock(name string) (io.Closer, error) {
 	if err := f.step(); err != nil {
 		return nil, err
@@ -186,13 +187,13 @@
 	return unlocker(func() { f.locked[name] = false }), nil
 }
 
-// unlocker is a function that releases a lock.
+// unlocker is an io.Closer that calls a function to release a lock.
 type unlocker func()
 
 // Close releases the lock.
 func (u unlocker) Close() error { u(); return nil }
 
-// String lists the files with a mark for each byte, up to eight.
+// String lists the files, each with one x per byte of its content, up to eight.
 func (f *FS) String() string {
 	const maxMarks = 8
 	var files []string
@@ -209,7 +210,7 @@
 	inode *inode
 }
 
-// Write appends to the file. When it fails the first half was written, unless the power is gone.
+// Write appends to the file. If it fails, the first half of p is written, unless the power is lost.
 func (w *file) Write(p []byte) (int, error) {
 	err := w.fs.step()
 	n := len(p)
@@ -222,7 +223,7 @@
 	return n, err
 }
 
-// Sync makes what was written durable. When it fails that is dropped, and the next Sync has nothing to do.
+// Sync makes written data durable. If it fails, the data is dropped, and the next Sync has nothing to write.
 func (w *file) Sync() error {
 	err := w.fs.step()
 	if errors.Is(err, ErrPowerLost) {
--- a/internal/durable/faultfs/powerloss.go
+++ b/internal/durable/faultfs/powerloss.go
@@ -10,14 +10,14 @@
 
 const (
 	unwritten  outcome = iota // the content of the last sync
-	truncated                 // and the first half of what was written since
-	zeroFilled                // the full length, with zeros for the first half of what was written since
-	written                   // everything
+	truncated                 // the synced content and the first half of the data written since
+	zeroFilled                // the full length, with zeros for the first half of the data written since the sync
+	written                   // all data
 
 	outcomeCount
 )
 
-// afterPowerLoss returns the content that an outcome leaves.
+// afterPowerLoss returns the content after a power loss with an outcome.
 func (n *inode) afterPowerLoss(o outcome) []byte {
 	if !n.dirty {
 		return n.synced
@@ -37,8 +37,8 @@
 	}
 }
 
-// ForEachPowerLoss calls do with every state in which a power loss now may leave the disk: every subset of the directory
-// changes that were not synced, and for each of them every outcome for the files that were not synced.
+// ForEachPowerLoss calls do with every state in which a power loss at this step may leave the disk. It combines every subset of
+// the unsynced directory changes with every outcome for the unsynced files.
 func (f *FS) ForEachPowerLoss(do func(after *FS)) {
 	for subset := range 1 << len(f.pending) {
 		files := maps.Clone(f.onDisk)
--- a/internal/durable/file.go
+++ b/internal/durable/file.go
@@ -8,20 +8,20 @@
 	"path/filepath"
 )
 
-// replaceFile writes a file under a temporary name, syncs it, renames it to path and syncs the directory. It either puts the
-// whole content in place or leaves what was there.
+// replaceFile writes a file under a temporary name, syncs it, renames it to path and syncs the directory. The file at path has
+// either its previous content or the complete new content.
 func replaceFile(fsys FS, path, temporary string, content []byte) error {
 	if err := writeSynced(fsys, temporary, content); err != nil {
 		return err
 	}
 	if err := fsys.Rename(temporary, path); err != nil {
-		_ = fsys.Remove(temporary) // else the next Open does
+		_ = fsys.Remove(temporary) // if this fails, the next Open removes the file
 		return err
 	}
 	return fsys.SyncDir(filepath.Dir(path))
 }
 
-// writeSynced writes a new file and syncs it. After an error nothing of it remains, if it can be removed.
+// writeSynced writes a new file and syncs it. After an error, it tries to remove the file.
 func writeSynced(fsys FS, name string, content []byte) error {
 	f, err := createNew(fsys, name)
 	if err != nil {
@@ -35,12 +35,12 @@
 		err = closeErr
 	}
 	if err != nil {
-		_ = fsys.Remove(name) // else the next Open does
+		_ = fsys.Remove(name) // if this fails, the next Open removes the file
 	}
 	return err
 }
 
-// createNew creates a file, in the place of one that an earlier attempt could not remove.
+// createNew creates a file. It replaces a file that an earlier attempt could not remove.
 func createNew(fsys FS, name string) (File, error) {
 	f, err := fsys.Create(name)
 	if !errors.Is(err, fs.ErrExist) {
@@ -52,8 +52,8 @@
 	return fsys.Create(name)
 }
 
-// WriteFile writes a single snapshot to a file, replacing the one before. It is durable when WriteFile returns nil; after an
-// error the file holds either the old snapshot or the new one. If several processes write the same file the last one counts.
+// WriteFile atomically replaces a file with a snapshot. The snapshot is durable when WriteFile returns nil. After an error, the
+// file holds either the old snapshot or the new one. If several processes write the same file, the last one wins.
 func WriteFile(path string, s Snapshot) error {
 	content, err := Encode(s)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return replaceFile(OS, path, fmt.Sprintf("%s.%d%s", path, os.Getpid(), temporarySuffix), content)
 }
 
-// ReadFile reads a snapshot file as WriteFile or a Store writes it, whatever its kind. Errors about its content name the file
+// ReadFile reads a snapshot file of any kind that WriteFile or a Store has written. Errors about the content include the path
 // and wrap those of Decode.
 func ReadFile(path string) (Snapshot, error) {
 	content, err := OS.ReadFile(path)
--- a/internal/durable/format_test.go
+++ b/internal/durable/format_test.go
@@ -11,8 +11,8 @@
 	"umberbank/internal/durable"
 )
 
-// The files under testdata were written by an earlier release. They pin the form on disk: this release must read them, and
-// must write the same bytes for the same calls.
+// The files under testdata were written by an earlier release. They fix the format on disk: the code must read them, and must
+// write the same bytes for the same calls.
 const (
 	storedFolder = "testdata/store"
 	storedFile   = "testdata/single.state"
@@ -24,7 +24,7 @@
 
 func storedTime(n int64) time.Time { return time.Unix(1_800_000_000+n, 250_000_000) }
 
-// copyFolder copies a folder's files into a temporary one.
+// copyFolder copies a folder to a temporary one and returns its path.
 func copyFolder(t *testing.T, from string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -77,7 +77,7 @@
 	if err != nil || single.Kind != "single" || single.Schema != 7 || single.Seq != 42 || !single.Taken.Equal(storedTime(42)) || string(single.Payload) != "payload" {
 		t.Errorf("single file: %+v, %v", single, err)
 	}
-	// A writer goes on from there: it numbers on and removes what is too old, with its log.
+	// A Store continues the sequence numbers, and removes the oldest snapshot and its log.
 	s, err := durable.Open(opt)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the file system that a Store and the readers use; tests inject faults through it. All names are paths.
+// FS is the file system that Store, Load and Replay use. Tests inject faults through it. All names are paths.
 type FS interface {
 	// MkdirAll creates a directory and its parents unless they exist.
 	MkdirAll(dir string) error
-	// Create creates a file for writing and fails with fs.ErrExist if the name is taken.
+	// Create creates a file for writing and fails with fs.ErrExist if the file exists.
 	Create(name string) (File, error)
-	// Rename moves a file, replacing the one that has the new name.
+	// Rename renames a file and replaces an existing file with the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
@@ -25,7 +25,8 @@
 	ReadDir(dir string) ([]string, error)
 	// ReadFile returns a file's content.
 	ReadFile(name string) ([]byte, error)
-	// Lock takes an exclusive lock that the system releases when the process ends. It fails with ErrInUse if it is held.
+	// Lock takes an exclusive lock that the system releases when the process ends. It fails with ErrInUse if the
+	// lock is held.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -36,7 +37,7 @@
 	Sync() error
 }
 
-// ErrInUse is returned if another process holds the lock of a directory.
+// ErrInUse is returned if another process holds the lock on a directory.
 var ErrInUse = errors.New("another process keeps its state there")
 
 // OS is the operating system's file system.
@@ -45,7 +46,7 @@
 // osFS implements FS with package os.
 type osFS struct{}
 
-// Permissions of what is created: state is nobody else's to read.
+// Permissions of created files and directories. Only the owner may read the state.
 const (
 	directoryMode = 0o700
 	fileMode      = 0o600
@@ -99,7 +100,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		f.Close() // the lock's error is the one to report
+		f.Close() // the error of Flock is the one to report
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrInUse
 		}
--- a/internal/durable/killed_test.go
+++ b/internal/durable/killed_test.go
@@ -11,15 +11,16 @@
 	"umberbank/internal/durable"
 )
 
-// writerDirEnv makes the test binary a writer in that directory, until it is killed.
+// writerDirEnv is the environment variable with a writer's directory. If it is set, the test binary saves states there until it
+// is killed.
 const writerDirEnv = "DURABLE_TEST_DIR"
 
 func writerOptions(dir string) durable.Options {
 	return durable.Options{Dir: dir, Kind: "test", Schema: 2}
 }
 
-// On the operating system's files, with processes that are killed at any moment while they save: what is loaded is whole and
-// no older than what a process reported as saved.
+// A process that is killed at any moment while it saves to the operating system's file system leaves a complete state, which
+// is no older than the last one that it reported as saved.
 func TestKilledWriter(t *testing.T) {
 	if dir := os.Getenv(writerDirEnv); dir != "" {
 		saveForever(dir)
@@ -34,14 +35,14 @@
 			t.Fatalf("round %d: state %d is loaded, %d was reported; skipped %v", round, got, reported, skipped)
 		}
 	}
-	const maxFiles = 3 + 3 // retained; one more, a temporary one, and the lock
+	const maxFiles = 3 + 3 // retained snapshots; one not yet pruned, a temporary file and the lock
 	names, err := os.ReadDir(dir)
 	if err != nil || len(names) > maxFiles {
 		t.Errorf("%d files, %v", len(names), err)
 	}
 }
 
-// killWriter starts a writer, kills it once it has reported so many states as saved, and returns the last that it reported.
+// killWriter starts a writer, kills it after a number of reported states, and returns the last state that it reported.
 func killWriter(t *testing.T, dir string, reports int) (last int) {
 	t.Helper()
 	self, err := os.Executable()
@@ -62,7 +63,7 @@
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		n, err := strconv.Atoi(lines.Text())
 		if err != nil {
-			t.Fatalf("the writer says %q", lines.Text())
+			t.Fatalf("unexpected output of the writer: %q", lines.Text())
 		}
 		last = n
 		if count++; count == reports {
@@ -72,12 +73,12 @@
 		}
 	}
 	if err := cmd.Wait(); err == nil || count < reports {
-		t.Fatalf("the writer ended by itself: %v, after %d reports", err, count)
+		t.Fatalf("the writer exited before it was killed: %v after %d reports", err, count)
 	}
 	return last
 }
 
-// saveForever saves one state after another and reports each, until it is killed.
+// saveForever saves successive states and prints the number of each saved state until the process is killed.
 func saveForever(dir string) {
 	first := 0
 	durable.Load(writerOptions(dir), func(s durable.Snapshot) error {
--- a/internal/durable/load.go
+++ b/internal/durable/load.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// SkippedFile is a file that could not be used, and why.
+// SkippedFile describes a file that could not be used.
 type SkippedFile struct {
 	File   string // path
 	Reason error
@@ -16,8 +16,8 @@
 // String returns the path and the reason.
 func (f SkippedFile) String() string { return fmt.Sprintf("%s: %v", f.File, f.Reason) }
 
-// Load returns the newest intact snapshot that accept returns nil for, and the files that it skipped on the way. The
-// snapshot is nil if there is none. Load takes no lock: another process may write meanwhile.
+// Load returns the newest intact snapshot for which accept returns nil, and the files that it skipped. The snapshot is nil if
+// there is none. Load takes no lock, so another process may write at the same time.
 func Load(o Options, accept func(Snapshot) error) (*Snapshot, []SkippedFile) {
 	o.setDefaults()
 	names, err := o.FS.ReadDir(o.Dir)
@@ -36,7 +36,7 @@
 		switch {
 		case err == nil:
 			return &s, skipped
-		case errors.Is(err, fs.ErrNotExist): // pruned meanwhile by its writer, which has a newer one
+		case errors.Is(err, fs.ErrNotExist): // a Store pruned it after ReadDir and has a newer snapshot
 		default:
 			skipped = append(skipped, SkippedFile{o.snapshotPath(seq), err})
 		}
@@ -44,7 +44,8 @@
 	return nil, skipped
 }
 
-// readSnapshot reads the snapshot of a sequence number and checks that it is the one its name says.
+// readSnapshot reads the snapshot with a sequence number. It checks that the kind and the sequence number in the file match
+// its name, and that the schema is supported.
 func (o *Options) readSnapshot(seq uint64) (Snapshot, error) {
 	content, err := o.FS.ReadFile(o.snapshotPath(seq))
 	if err != nil {
@@ -55,9 +56,9 @@
 	case err != nil:
 		return s, err
 	case s.Kind != o.Kind || s.Seq != seq:
-		return s, fmt.Errorf("it is number %d of kind %q under another's name", s.Seq, s.Kind)
+		return s, fmt.Errorf("content is snapshot %d of kind %q, which does not match the file name", s.Seq, s.Kind)
 	case s.Schema > o.Schema:
-		return s, fmt.Errorf("%w: form %d, this one knows up to %d", ErrNewerVersion, s.Schema, o.Schema)
+		return s, fmt.Errorf("%w: schema %d, newest supported is %d", ErrNewerVersion, s.Schema, o.Schema)
 	}
 	return s, nil
 }
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A log holds the records appended since the snapshot of its sequence number: a header, and the records one after another,
-// each with its length and a checksum that covers its place. A log is valid only with that snapshot, because a snapshot need
-// not equal what the log before it led to.
+// A log holds the records appended after the snapshot with the same sequence number. It consists of a header and a series of
+// records, each with its length and a checksum that also covers its position. A log is valid only with that snapshot, because
+// a snapshot may differ from the state that results from the previous log.
 const (
 	logMagic  = "umbrlog1"
 	logSuffix = ".log"
@@ -22,19 +22,19 @@
 	recordHeaderSize = recordLengthSize + checksumSize
 )
 
-// ErrLogFailed is returned by Append after a write failed: the content of the log is unknown until the next Save.
+// ErrLogFailed is returned by Append after an earlier write failed. The content of the log is unknown until a Save succeeds.
 var ErrLogFailed = errors.New("an earlier write to the log failed")
 
-// ErrNoSnapshot is returned by Append before the first Save of a Store.
-var ErrNoSnapshot = errors.New("no snapshot was saved yet")
+// ErrNoSnapshot is returned by Append before the first successful Save of a Store.
+var ErrNoSnapshot = errors.New("no snapshot has been saved")
 
 func (o *Options) logPath(seq uint64) string {
 	return filepath.Join(o.Dir, fmt.Sprintf("%s-%016x%s", o.Kind, seq, logSuffix))
 }
 
-// Append adds records to the log of the last saved snapshot. When it returns nil all of them are durable. After an error
-// some of them may be, and every call fails with ErrLogFailed until Save succeeds. Before the first Save it fails with
-// ErrNoSnapshot.
+// Append appends records to the log of the last saved snapshot. When it returns nil, all of them are durable. After an error,
+// some of them may be durable, and every call fails with ErrLogFailed until Save succeeds. Before the first successful Save,
+// Append fails with ErrNoSnapshot.
 func (s *Store) Append(records ...[]byte) (err error) {
 	switch {
 	case s.snapshotSeq == 0:
@@ -69,19 +69,19 @@
 	return nil
 }
 
-// encodedSize returns how many bytes records take in the log, without its header.
+// encodedSize returns the size of records in the log in bytes, without the log's header.
 func (s *Store) encodedSize(records [][]byte) (int, error) {
 	size := 0
 	for _, r := range records {
 		if len(r) > s.opt.MaxPayload {
-			return 0, fmt.Errorf("%s: a record of %d bytes, over the %d allowed", s.opt.Dir, len(r), s.opt.MaxPayload)
+			return 0, fmt.Errorf("%s: record of %d bytes exceeds the limit of %d bytes", s.opt.Dir, len(r), s.opt.MaxPayload)
 		}
 		size += recordHeaderSize + len(r)
 	}
 	return size, nil
 }
 
-// encodeRecords returns records as they stand in the log, after the log's header if it begins with them.
+// encodeRecords returns records in the format of the log, preceded by the log's header if withHeader is set.
 func (s *Store) encodeRecords(records [][]byte, size int, withHeader bool) []byte {
 	b := make([]byte, 0, logHeaderSize+size)
 	if withHeader {
@@ -97,22 +97,24 @@
 	return b
 }
 
-// LogSize returns the size of the records appended since the last snapshot, in bytes: what Replay has to read.
+// LogSize returns the size in bytes of the records appended since the last snapshot, which Replay has to read.
 func (s *Store) LogSize() int { return s.logSize }
 
-// recordChecksum is the checksum of a record at its place: the log's sequence number and the record's index in it.
+// recordChecksum returns the checksum of a record and its position, which is the log's sequence number and the record's index
+// in the log.
 func recordChecksum(seq, index uint64, record []byte) uint64 {
-	var place [8 + 8 + recordLengthSize]byte
-	binary.LittleEndian.PutUint64(place[:], seq)
-	binary.LittleEndian.PutUint64(place[8:], index)
-	binary.LittleEndian.PutUint32(place[16:], uint32(len(record)))
+	var position [8 + 8 + recordLengthSize]byte
+	binary.LittleEndian.PutUint64(position[:], seq)
+	binary.LittleEndian.PutUint64(position[8:], index)
+	binary.LittleEndian.PutUint32(position[16:], uint32(len(record)))
 	digest := xxhash.New()
-	_, _ = digest.Write(place[:]) // a digest's Write never fails
+	_, _ = digest.Write(position[:]) // the Write of a digest never fails
 	_, _ = digest.Write(record)
 	return digest.Sum64()
 }
 
-// decodeLog calls apply with each intact record of a log, in order. It returns nil if the log ends with an intact record.
+// decodeLog calls apply with each record of a log, in order. It stops at the first damaged record or when apply fails, and
+// returns the error.
 func decodeLog(seq uint64, content []byte, apply func(record []byte) error) error {
 	if !validLogHeader(seq, content) {
 		return ErrUnrecognized
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// validLogHeader reports whether content begins with the header of the log of a sequence number.
+// validLogHeader reports whether content begins with a valid header for the log with a sequence number.
 func validLogHeader(seq uint64, content []byte) bool {
 	const checksumAt = logHeaderSize - checksumSize
 	return len(content) >= logHeaderSize &&
@@ -147,10 +149,10 @@
 		binary.LittleEndian.Uint64(content[checksumAt:]) == xxhash.Sum64(content[:checksumAt])
 }
 
-// Replay calls apply, in order, with the records that were appended to the snapshot of a sequence number, as Load returned
-// it. It stops at the first damaged record, which after a crash is one whose Append had not returned, or when apply fails,
-// and returns the reason; the records applied until then are valid. It returns nil if there is no log or it was read to its
-// end.
+// Replay calls apply, in order, with the records appended after a snapshot that Load returned. seq is the sequence number of
+// that snapshot. Replay stops at the first damaged record or when apply fails, and returns the reason. The records applied
+// before are valid. After a crash, the damaged record is one whose Append had not returned. Replay returns nil if there is no
+// log or the log was read to its end.
 func Replay(o Options, seq uint64, apply func(record []byte) error) *SkippedFile {
 	o.setDefaults()
 	path := o.logPath(seq)
--- a/internal/durable/options.go
+++ b/internal/durable/options.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Options describe where a state is stored and what it is.
+// Options configures where and how a state is stored.
 type Options struct {
-	Dir        string // the directory; Open creates it
-	Kind       string // of the state, 1 to 64 bytes; files of other kinds in Dir are left alone
-	Schema     uint32 // the newest version of the payload's form that the caller understands
-	Retain     int    // snapshots to retain; 0: 3
-	MaxPayload int    // limit of a payload and of a record, in bytes; 0: 64 MiB
-	FS         FS     // nil: OS
+	Dir        string // directory of the files; Open creates it
+	Kind       string // kind of the state, 1 to 64 bytes; files of other kinds in Dir are not touched
+	Schema     uint32 // newest version of the payload format that the caller supports
+	Retain     int    // number of snapshots to retain; 3 if zero
+	MaxPayload int    // maximum size of a payload or a record in bytes; 64 MiB if zero
+	FS         FS     // file system to use; OS if nil
 }
 
 const (
@@ -25,12 +25,12 @@
 
 // Names of files in a Store's directory.
 const (
-	// SnapshotSuffix ends the names of snapshot files.
+	// SnapshotSuffix is the suffix of snapshot file names.
 	SnapshotSuffix = ".state"
 
 	temporarySuffix = ".tmp"
 	lockFile        = "lock"
-	sequenceDigits  = 16 // hexadecimal, so that names sort by number
+	sequenceDigits  = 16 // hexadecimal, with leading zeros so that names sort by number
 )
 
 func (o *Options) setDefaults() {
@@ -60,7 +60,7 @@
 	return seq, err == nil
 }
 
-// sequences returns the sequence numbers of the snapshots among names, in rising order.
+// sequences returns the sequence numbers of the snapshots among names, in increasing order.
 func (o *Options) sequences(names []string) []uint64 {
 	var seqs []uint64
 	for _, name := range names {
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -13,17 +13,17 @@
 
 // Snapshot is one saved state.
 type Snapshot struct {
-	Kind    string // what the payload is a state of, 1 to 64 bytes
-	Schema  uint32 // version of the payload's form
-	Seq     uint64 // sequence number in its directory, from 1
+	Kind    string // kind of the state, 1 to 64 bytes
+	Schema  uint32 // version of the payload format
+	Seq     uint64 // sequence number in its directory, starting at 1
 	Taken   time.Time
 	Payload []byte
 }
 
-// The form of a snapshot file. All integers are little endian.
+// Format of a snapshot file. All integers are little-endian.
 const (
 	snapshotMagic   = "umbrstat"
-	snapshotVersion = 1 // of what surrounds the payload
+	snapshotVersion = 1 // version of the file format, not of the payload
 	maxKindSize     = 64
 
 	versionSize    = 4
@@ -39,21 +39,21 @@
 
 // Reasons why a file cannot be used.
 var (
-	// ErrUnrecognized is returned for a file that is no snapshot or log of this package.
+	// ErrUnrecognized is returned for a file that is not a snapshot or log of this package.
 	ErrUnrecognized = errors.New("no state of this program")
-	// ErrTruncated is returned for a file whose size contradicts the lengths in it.
-	ErrTruncated = errors.New("cut short or longer than it says")
+	// ErrTruncated is returned for a file whose size does not match the lengths recorded in it.
+	ErrTruncated = errors.New("file size does not match the lengths recorded in it")
 	// ErrChecksum is returned for a file whose content changed after it was written.
 	ErrChecksum = errors.New("the checksum does not fit: what is in it is not what was written")
-	// ErrNewerVersion is returned for a file in a form that only a later version of the program knows.
+	// ErrNewerVersion is returned for a file in a format that only a newer version of the program supports.
 	ErrNewerVersion = errors.New("written by a newer version of this program")
 )
 
-// Encode returns a snapshot as the content of a file: magic, version, kind, schema, sequence number, time in nanoseconds
-// since 1970, payload length, payload, and the xxhash of all that. It fails if the kind is empty or too long.
+// Encode returns the content of a snapshot file: magic, version, kind, schema, sequence number, time in nanoseconds since 1970,
+// payload length, payload, and the xxhash of everything before it. It fails if the kind is empty or too long.
 func Encode(s Snapshot) ([]byte, error) {
 	if len(s.Kind) == 0 || len(s.Kind) > maxKindSize {
-		return nil, fmt.Errorf("durable: kind %q is empty or over %d bytes", s.Kind, maxKindSize)
+		return nil, fmt.Errorf("durable: kind %q is empty or longer than %d bytes", s.Kind, maxKindSize)
 	}
 	b := make([]byte, 0, snapshotOverhead+len(s.Kind)+len(s.Payload))
 	b = append(b, snapshotMagic...)
@@ -71,11 +71,11 @@
 // Decode parses the content of a snapshot file. The error is ErrUnrecognized, ErrTruncated, ErrChecksum or ErrNewerVersion.
 // The returned payload aliases content.
 func Decode(content []byte) (Snapshot, error) {
-	body, checksumFits, err := splitChecksum(content)
+	body, checksumMatches, err := splitChecksum(content)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	rest, err := checkVersion(body[len(snapshotMagic):], checksumFits)
+	rest, err := checkVersion(body[len(snapshotMagic):], checksumMatches)
 	if err != nil {
 		return Snapshot{}, err
 	}
@@ -86,15 +86,15 @@
 	if payloadLength > math.MaxInt64 || int64(payloadLength) != int64(len(rest)) {
 		return s, ErrTruncated
 	}
-	if !checksumFits {
+	if !checksumMatches {
 		return s, ErrChecksum
 	}
 	s.Payload = rest[:payloadLength:payloadLength]
 	return s, nil
 }
 
-// splitChecksum takes the checksum off a file's content and reports whether it fits.
-func splitChecksum(content []byte) (body []byte, fits bool, err error) {
+// splitChecksum separates a file's content from its checksum and reports whether the checksum matches.
+func splitChecksum(content []byte) (body []byte, matches bool, err error) {
 	if !bytes.HasPrefix(content, []byte(snapshotMagic)) {
 		return nil, false, ErrUnrecognized
 	}
@@ -105,20 +105,20 @@
 	return body, binary.LittleEndian.Uint64(content[len(body):]) == xxhash.Sum64(body), nil
 }
 
-// checkVersion reads the version of the form and returns what follows it.
-func checkVersion(b []byte, checksumFits bool) (rest []byte, err error) {
+// checkVersion checks the version of the file format and returns the bytes after it.
+func checkVersion(b []byte, checksumMatches bool) (rest []byte, err error) {
 	version := binary.LittleEndian.Uint32(b)
 	switch {
 	case version == snapshotVersion:
 		return b[versionSize:], nil
-	case version > snapshotVersion && checksumFits:
-		return nil, ErrNewerVersion // as far as can be told: a later form may have its checksum elsewhere
+	case version > snapshotVersion && checksumMatches:
+		return nil, ErrNewerVersion // detected only if the newer format also ends with this checksum
 	default:
 		return nil, ErrUnrecognized
 	}
 }
 
-// decodeHeader reads all that stands between the version and the payload.
+// decodeHeader decodes the fields between the version and the payload, and returns the rest as payload.
 func decodeHeader(b []byte) (s Snapshot, payloadLength uint64, payload []byte, err error) {
 	const fixedSize = schemaSize + seqSize + takenSize + lengthSize
 	kindLength := int(binary.LittleEndian.Uint16(b))
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Store writes snapshots and their logs into a directory whose lock it holds. Its methods are for one goroutine at a time.
+// Store writes snapshots and their logs to a directory whose lock it holds. Its methods must not be called concurrently.
 type Store struct {
 	opt      Options
 	lock     io.Closer
-	lastSeq  uint64   // the highest sequence number given out
-	retained []uint64 // sequence numbers of the snapshots in the directory, rising
+	lastSeq  uint64   // highest sequence number assigned
+	retained []uint64 // sequence numbers of the snapshots in the directory, in increasing order
 
 	// The log that follows the last saved snapshot.
-	snapshotSeq  uint64 // 0: none was saved yet
-	snapshotSize int    // of its payload
-	log          File   // nil: nothing was appended yet
+	snapshotSeq  uint64 // zero until the first successful Save
+	snapshotSize int    // size of its payload in bytes
+	log          File   // nil until the first Append after a Save
 	recordCount  uint64
-	logSize      int  // of its records, in bytes
-	logFailed    bool // the content of the log is unknown
+	logSize      int  // size of its records in bytes
+	logFailed    bool // a write failed and left the content of the log unknown
 }
 
-// Open creates the directory if need be and takes its lock; it fails with ErrInUse if another process holds it. Temporary
-// files that a process left when it died are removed.
+// Open creates the directory if it does not exist and takes its lock. It fails with ErrInUse if another process holds the
+// lock. It removes temporary files left by a process that died.
 func Open(o Options) (*Store, error) {
 	o.setDefaults()
 	if err := o.FS.MkdirAll(o.Dir); err != nil {
@@ -42,7 +42,7 @@
 		return nil, errors.Join(err, lock.Close())
 	}
 	s := &Store{opt: o, lock: lock, retained: o.sequences(names)}
-	// A snapshot that is damaged or from a newer version counts too, so that no number is used twice.
+	// Damaged snapshots and snapshots of a newer version are included, so that no number is used twice.
 	if n := len(s.retained); n > 0 {
 		s.lastSeq = s.retained[n-1]
 	}
@@ -50,7 +50,7 @@
 	return s, nil
 }
 
-// removeTemporary removes unfinished files. One that cannot be removed only takes space.
+// removeTemporary removes temporary files. It ignores errors, because a file that remains only takes up space.
 func (s *Store) removeTemporary(names []string) {
 	for _, name := range names {
 		if strings.HasPrefix(name, s.opt.Kind+"-") && strings.HasSuffix(name, temporarySuffix) {
@@ -59,12 +59,12 @@
 	}
 }
 
-// Save writes a payload as the newest snapshot and begins an empty log. When it returns nil the snapshot is durable; after an
-// error the older ones stand, and the new one may or may not be there. Each call writes a new file from its beginning, so
-// that nothing depends on what an earlier failed sync left behind.
+// Save writes a payload as the newest snapshot and starts an empty log. When it returns nil, the snapshot is durable. After an
+// error, the older snapshots are unchanged, and the new one may or may not exist. Each call writes a complete new file, so
+// that it does not depend on what an earlier failed sync left on the disk.
 func (s *Store) Save(payload []byte, taken time.Time) error {
 	if len(payload) > s.opt.MaxPayload {
-		return fmt.Errorf("%s: a state of %d bytes, over the %d allowed", s.opt.Dir, len(payload), s.opt.MaxPayload)
+		return fmt.Errorf("%s: state of %d bytes exceeds the limit of %d bytes", s.opt.Dir, len(payload), s.opt.MaxPayload)
 	}
 	s.lastSeq++
 	content, err := Encode(Snapshot{Kind: s.opt.Kind, Schema: s.opt.Schema, Seq: s.lastSeq, Taken: taken, Payload: payload})
@@ -73,7 +73,7 @@
 	}
 	path := s.opt.snapshotPath(s.lastSeq)
 	if err := replaceFile(s.opt.FS, path, path+temporarySuffix, content); err != nil {
-		s.logFailed = true // the new snapshot may be there all the same, and would make the log before it void
+		s.logFailed = true // the new snapshot may exist despite the error, which makes the current log obsolete
 		return err
 	}
 	s.beginLog(len(payload))
@@ -82,19 +82,19 @@
 	return nil
 }
 
-// beginLog makes the snapshot just saved the one that Append continues.
+// beginLog makes Append write to a new log that follows the snapshot just saved.
 func (s *Store) beginLog(snapshotSize int) {
 	if s.log != nil {
-		s.log.Close() // every record that counts was synced
+		s.log.Close() // errors are ignored: every acknowledged record was synced
 	}
 	s.snapshotSeq, s.snapshotSize = s.lastSeq, snapshotSize
 	s.log, s.recordCount, s.logSize, s.logFailed = nil, 0, 0, false
 }
 
-// SnapshotSize returns the size of the last saved payload in bytes; 0 before the first Save.
+// SnapshotSize returns the size of the last saved payload in bytes, or zero before the first successful Save.
 func (s *Store) SnapshotSize() int { return s.snapshotSize }
 
-// prune removes snapshots beyond those to retain, each after its log. What cannot be removed is tried again at the next Save.
+// prune removes the oldest snapshots beyond Options.Retain, each after its log. If a removal fails, the next Save retries it.
 func (s *Store) prune() {
 	for len(s.retained) > s.opt.Retain {
 		oldest := s.retained[0]
@@ -116,7 +116,8 @@
 	return errors.Join(err, s.lock.Close())
 }
 
-// LockDir takes the lock of a directory of the operating system as Open does; it fails with ErrInUse if a Store holds it.
+// LockDir takes the lock on a directory of the operating system's file system, as Open does. It fails with ErrInUse if a Store
+// holds the lock. The caller must Close the lock.
 func LockDir(dir string) (io.Closer, error) {
 	lock, err := OS.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -17,7 +17,7 @@
 
 var taken = time.Unix(1_800_000_000, 0)
 
-// payload returns the n-th state. Its text tells n, and its length depends on n.
+// payload returns the n-th state. Its text contains n, and its length depends on n.
 func payload(n int) []byte {
 	return fmt.Appendf(nil, "state %d %s.", n, strings.Repeat("x", 37*(n%5)))
 }
@@ -28,8 +28,8 @@
 
 func acceptAll(durable.Snapshot) error { return nil }
 
-// load returns the number of the state that is stored, -1 if there is none, and the skipped files. It fails the test if the
-// snapshot or a record was never written or is out of order.
+// load returns the number of the stored state, or -1 if there is none, and the skipped files. It fails the test if the snapshot
+// or a record was never written or is out of order.
 func load(t *testing.T, o durable.Options) (n int, skipped []durable.SkippedFile) {
 	t.Helper()
 	s, skipped := durable.Load(o, acceptAll)
@@ -42,7 +42,7 @@
 	bad := durable.Replay(o, s.Seq, func(r []byte) error {
 		n++
 		if !bytes.Equal(r, payload(n)) {
-			t.Fatalf("%q comes after state %d", r, n-1)
+			t.Fatalf("record %q follows state %d", r, n-1)
 		}
 		return nil
 	})
@@ -52,18 +52,19 @@
 	return n, skipped
 }
 
-// writesPerSession is how many states a session writes, every third as a snapshot and the others as records of its log.
+// writesPerSession is the number of states that a session writes. Every third is written as a snapshot, and the others as
+// records of its log.
 const writesPerSession = 7
 
-// session opens the directory and writes the states from first on. It returns the last state whose write succeeded and the last
-// that was attempted; -1: none.
+// session opens the directory and writes states starting with first. It returns the last state whose write succeeded and the
+// last state whose write was attempted, each -1 if there is none.
 func session(fsys durable.FS, first int) (acknowledged, attempted int) {
 	acknowledged, attempted = -1, -1
 	s, err := durable.Open(options(fsys))
 	if err != nil {
 		return acknowledged, attempted
 	}
-	defer s.Close() // fails on purpose in some tests
+	defer s.Close() // fails in tests that inject faults
 	for n := first; n < first+writesPerSession; n++ {
 		attempted = n
 		var err error
@@ -107,11 +108,11 @@
 	return content
 }
 
-// The power is lost at every step, and what was not synced may be there or not: what is loaded was written whole, and is no older
-// than the last acknowledged write. A second session goes on from each of these states, with a power loss at each of its steps.
+// After a power loss at any step, with any part of the unsynced data kept, the loaded state was written completely and is no
+// older than the last acknowledged write. A second session starts from each of these states, with a power loss at each step.
 func TestPowerLoss(t *testing.T) {
 	states := 0
-	crashEverywhere := func(begin func() *faultfs.FS, acknowledgedBefore, first int, check func(after *faultfs.FS, loaded int)) {
+	crashAtEveryStep := func(begin func() *faultfs.FS, acknowledgedBefore, first int, check func(after *faultfs.FS, loaded int)) {
 		for at := 0; ; at++ {
 			f := begin()
 			f.CrashAt = at
@@ -130,19 +131,19 @@
 			}
 		}
 	}
-	crashEverywhere(faultfs.New, -1, 0, func(after *faultfs.FS, loaded int) {
-		crashEverywhere(func() *faultfs.FS { return copyDisk(t, after) }, loaded, loaded+1, func(*faultfs.FS, int) {})
+	crashAtEveryStep(faultfs.New, -1, 0, func(after *faultfs.FS, loaded int) {
+		crashAtEveryStep(func() *faultfs.FS { return copyDisk(t, after) }, loaded, loaded+1, func(*faultfs.FS, int) {})
 	})
-	t.Logf("%d states of the disk after a power loss", states)
+	t.Logf("%d disk states after a power loss", states)
 	if states < 10_000 {
-		t.Errorf("only %d states of the disk were checked", states)
+		t.Errorf("only %d disk states were checked", states)
 	}
 }
 
-// Any one step fails, as on a full, a read-only or a failing disk, and the power is lost at any step after it: what was
-// acknowledged is there. Save and Append recover from a fault by themselves, also from one failed sync.
+// If any one step fails, as on a full, read-only or failing disk, and the power is lost at any later step, all acknowledged
+// writes are loaded. Save and Append recover from a single fault, such as a failed sync, without a new Open.
 func TestFailingDisk(t *testing.T) {
-	const stepsOfOpen = 2 // before them Open itself fails
+	const stepsOfOpen = 2 // if one of these steps fails, Open fails
 	complete := faultfs.New()
 	session(complete, 0)
 	steps := complete.Steps
@@ -167,8 +168,8 @@
 	}
 }
 
-// A snapshot of a newer version, one that the caller does not accept, and files of other kinds are skipped, and nothing of them
-// is overwritten.
+// Load skips a snapshot of a newer version, a snapshot that the caller rejects, and files of other kinds. None of them is
+// overwritten.
 func TestSkipsUnusableSnapshots(t *testing.T) {
 	f := faultfs.New()
 	session(f, 0)
@@ -200,11 +201,11 @@
 	other := options(f)
 	other.Kind = "other"
 	if s, skipped := durable.Load(other, acceptAll); s != nil || skipped != nil {
-		t.Errorf("of another kind: %v is loaded, skipped %v", s, skipped)
+		t.Errorf("other kind: %v is loaded, skipped %v", s, skipped)
 	}
 }
 
-// saveNewerSchema saves a snapshot in a form that options does not know, and checks that a second writer is kept out.
+// saveNewerSchema saves a snapshot with a schema newer than that of options, and checks that a second Open fails meanwhile.
 func saveNewerSchema(t *testing.T, f *faultfs.FS) {
 	t.Helper()
 	newer := options(f)
@@ -214,9 +215,9 @@
 		t.Fatal(err)
 	}
 	if _, err := durable.Open(newer); !errors.Is(err, durable.ErrInUse) {
-		t.Errorf("a second writer: %v", err)
+		t.Errorf("second Open: %v, want ErrInUse", err)
 	}
-	if err := s.Save([]byte("of tomorrow"), taken); err != nil {
+	if err := s.Save([]byte("newer schema"), taken); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -224,7 +225,7 @@
 	}
 }
 
-// An Append that cannot be carried out says why.
+// Append returns ErrNoSnapshot before the first Save, the error of a failed write, and then ErrLogFailed.
 func TestAppendErrors(t *testing.T) {
 	f := faultfs.New()
 	s, err := durable.Open(options(f))
@@ -243,6 +244,6 @@
 		t.Errorf("on a failing disk: %v", err)
 	}
 	if err := s.Append(payload(1)); !errors.Is(err, durable.ErrLogFailed) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("after a failed write: %v", err)
 	}
 }
