--- a/internal/process/launcher.go
+++ b/internal/process/launcher.go
@@ -1,6 +1,6 @@
-// Package process runs child processes for tests, benches and the lab, and injects the faults of processes: it kills
-// them, sends them signals and starts them again. Children die with this process, however it ends. Package relay below it
-// does the same to the connections between processes.
+// Package process runs child processes for tests, benchmarks and the lab. It injects process faults: it kills, signals and
+// restarts the children. When this process ends for any reason, the kernel kills them. Package relay injects faults into the
+// connections between processes.
 package process
 
 import (
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// Launcher starts processes from one operating system thread that lives until Close. The kernel kills the processes when that
-// thread ends (PR_SET_PDEATHSIG). Its methods may be called by any goroutine, but Start not after Close.
+// Launcher starts processes from one operating system thread that runs until Close. The kernel kills the processes when that
+// thread ends (PR_SET_PDEATHSIG). Its methods are safe for concurrent use. Start must not be called after Close.
 type Launcher struct {
 	jobs      chan func()
 	closeOnce sync.Once
 }
 
-// NewLauncher returns a Launcher with its thread running. The caller must Close it.
+// NewLauncher returns a Launcher and starts its thread. The caller must Close it.
 func NewLauncher() *Launcher {
 	l := &Launcher{jobs: make(chan func())}
 	go func() {
@@ -37,5 +37,5 @@
 	return <-started
 }
 
-// Close ends the thread, and with it the processes that still run.
+// Close ends the thread, so that the kernel kills the processes that are still running.
 func (l *Launcher) Close() { l.closeOnce.Do(func() { close(l.jobs) }) }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// Process is a program that can be killed, signalled and started again. Set the exported fields before the first Start; the
-// methods may then be called by any goroutine.
+// Process is a program that can be killed, signalled and restarted. The exported fields must be set before the first Start. The
+// methods are then safe for concurrent use.
 type Process struct {
 	Launcher *Launcher
-	Args     []string // arguments, after the command of SetCommand
+	Args     []string // arguments that follow the command set by SetCommand
 	LogPath  string   // file to which the output of every run is appended
 
 	mu      sync.Mutex
 	command []string
-	cmd     *exec.Cmd // nil: it does not run
+	cmd     *exec.Cmd // nil if the process was not started or was killed
 	done    chan struct{}
 }
 
-// logTailSize is how much of the output LogTail returns, in bytes.
+// logTailSize is the maximum size of the output that LogTail returns, in bytes.
 const logTailSize = 800
 
 // SetCommand sets the program that the next Start runs, with its leading arguments. It must not be empty.
@@ -31,7 +31,7 @@
 	p.command = command
 }
 
-// Start starts the process unless it runs.
+// Start starts the process unless it is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the child has a descriptor of its own
+	defer log.Close() // the child has its own descriptor
 	cmd := exec.Command(p.command[0], append(p.command[1:len(p.command):len(p.command)], p.Args...)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := p.Launcher.Start(cmd); err != nil {
@@ -51,13 +51,13 @@
 	done := make(chan struct{})
 	p.cmd, p.done = cmd, done
 	go func() {
-		_ = cmd.Wait() // however it ended, it serves nothing any more, which whoever uses it notices
+		_ = cmd.Wait() // the exit status is not needed: users of the process see that it no longer responds
 		close(done)
 	}()
 	return nil
 }
 
-// running reports whether the process was started and has not ended by itself. p.mu is held.
+// running reports whether the process was started and has not ended. The caller must hold p.mu.
 func (p *Process) running() bool {
 	if p.cmd == nil {
 		return false
@@ -70,7 +70,7 @@
 	}
 }
 
-// Kill kills the process and waits for its end. It does nothing if the process does not run.
+// Kill kills the process and waits until it has ended. It does nothing if the process was not started or was killed.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// Signal sends the process a signal if it runs.
+// Signal sends the process a signal if it is running.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Done returns a channel that is closed when the process that runs now ends; nil if none was started or it was killed.
+// Done returns a channel that is closed when the current process ends, or nil if none was started or it was killed.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,7 @@
 	return p.done
 }
 
-// Pid returns the process identifier; 0 if none was started or it was killed.
+// Pid returns the process identifier, or zero if no process was started or it was killed.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,7 @@
 	return p.cmd.Process.Pid
 }
 
-// LogTail returns the end of what the process wrote, or why that cannot be read.
+// LogTail returns the end of the process's output, or the error's text if the log file cannot be read.
 func (p *Process) LogTail() string {
 	text, err := os.ReadFile(p.LogPath)
 	if err != nil {
--- a/internal/process/relay/listener.go
+++ b/internal/process/relay/listener.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// fillerCount is how many connections are tried to fill a backlog of length 0.
+	// fillerCount is the maximum number of connections dialled to fill a backlog of length 0.
 	fillerCount = 4
-	// fillerTimeout is how long one of them may take to be established.
+	// fillerTimeout is the dial timeout of such a connection.
 	fillerTimeout = 20 * time.Millisecond
-	// acceptRetryDelay is the pause after accepting failed, for want of descriptors, say.
+	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = time.Millisecond
 )
 
-// updateListener brings the listener in line with the impairments. r.mu is held.
+// updateListener makes the listener match the impairments. The caller must hold r.mu.
 func (r *Relay) updateListener() error {
 	defer r.changed.Broadcast()
 	if r.closed {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// refuse closes the listener. r.mu is held.
+// refuse closes the listener. The caller must hold r.mu.
 func (r *Relay) refuse() {
 	r.emptyBacklog()
 	if r.listener != nil {
@@ -54,16 +54,17 @@
 	}
 }
 
-// fillBacklog occupies the listener's backlog, so that the kernel establishes no more connections. r.mu is held, except while
-// it waits for the accepting goroutine to pause, which might free a place again.
+// fillBacklog fills the listener's backlog so that the kernel establishes no more connections. It first waits for the accept
+// goroutine to pause, because accepting a connection frees a place in the backlog. The caller must hold r.mu, which is released
+// during the wait.
 func (r *Relay) fillBacklog() error {
 	r.fillers = []net.Conn{}
-	_ = r.listener.SetDeadline(time.Unix(1, 0)) // wakes the accepting goroutine; fails only on a closed listener
+	_ = r.listener.SetDeadline(time.Unix(1, 0)) // wakes the accept goroutine; fails only on a closed listener
 	for r.fillers != nil && !r.acceptPaused && !r.closed {
 		r.changed.Wait()
 	}
 	if r.fillers == nil || r.closed || r.listener == nil {
-		return nil // the stall has ended meanwhile, or connections are refused
+		return nil // the stall has ended, or the listener was closed during the wait
 	}
 	if err := r.setBacklog(0); err != nil {
 		return err
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// emptyBacklog resets the connections that fill the backlog and lets the listener accept again. r.mu is held.
+// emptyBacklog resets the connections that fill the backlog and lets the listener accept again. The caller must hold r.mu.
 func (r *Relay) emptyBacklog() {
 	if r.fillers == nil {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// setBacklog changes how many connections the kernel holds for the listener.
+// setBacklog sets the maximum number of connections that the kernel queues for the listener.
 func (r *Relay) setBacklog(length int) error {
 	raw, err := r.listener.SyscallConn()
 	if err != nil {
@@ -105,7 +106,7 @@
 	return os.NewSyscallError("listen", listenErr)
 }
 
-// accept accepts connections until the relay is closed, and pauses while there is no listener or its backlog is kept full.
+// accept accepts connections until the relay is closed. It pauses while there is no listener or its backlog is kept full.
 func (r *Relay) accept() {
 	for {
 		listener := r.waitForListener()
--- a/internal/process/relay/pipe.go
+++ b/internal/process/relay/pipe.go
@@ -12,9 +12,10 @@
 
 const (
 	copyBufferSize = 16 << 10
-	// writesPerSecond is the number of writes into which a second's bytes are split while the rate is limited.
+	// writesPerSecond is the number of writes into which the data of one second is split while the rate is limited.
 	writesPerSecond = 20
-	// rereadTimeout is how long a direction looks for what came during a stall. A deadline that has passed would read nothing.
+	// rereadTimeout is the timeout for reading data that arrived during a stall. With a deadline in the past, Read returns no
+	// data even if some has arrived.
 	rereadTimeout = time.Millisecond
 )
 
@@ -29,7 +30,8 @@
 	resetConn(p.target)
 }
 
-// resetConn closes a connection so that its peer sees a reset. Errors say only that it is closed already.
+// resetConn closes a connection so that its peer sees a reset. Errors are ignored because they only mean that the connection is
+// already closed.
 func resetConn(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
@@ -41,7 +43,7 @@
 func toTarget(i *Impairment) bool   { return i.ToTarget }
 func fromTarget(i *Impairment) bool { return i.FromTarget }
 
-// forward connects a client to the target and copies until both directions have ended.
+// forward connects a client to the target and copies data until both directions have ended.
 func (r *Relay) forward(client *net.TCPConn) {
 	c, err := net.Dial("tcp", r.target)
 	if err != nil {
@@ -67,7 +69,7 @@
 	r.mu.Unlock()
 }
 
-// copy copies one direction of a pipe until its end, and resets the pipe if that fails.
+// copy copies one direction of a pipe until the end of the stream, and resets the pipe if that fails.
 func (r *Relay) copy(p *pipe, to, from *net.TCPConn, dir direction) {
 	buf := make([]byte, copyBufferSize)
 	for {
@@ -87,7 +89,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			to.CloseWrite() // fails only if that side has ended too
+			to.CloseWrite() // fails only if that connection has already ended
 			return
 		case err != nil:
 			p.reset()
@@ -96,12 +98,12 @@
 	}
 }
 
-// reread reads what arrived during a stall, or that the connection has ended.
+// reread reads data that arrived during a stall. It returns io.EOF or another error if the connection has ended.
 func reread(from *net.TCPConn, buf []byte) (int, error) {
 	if len(buf) == 0 {
 		return 0, nil
 	}
-	_ = from.SetReadDeadline(time.Now().Add(rereadTimeout)) // fails only on a closed connection, which Read tells too
+	_ = from.SetReadDeadline(time.Now().Add(rereadTimeout)) // fails only on a closed connection, which Read also reports
 	defer func() { _ = from.SetReadDeadline(time.Time{}) }()
 	n, err := from.Read(buf)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -110,7 +112,7 @@
 	return n, err
 }
 
-// delay waits while a direction is stalled and then for its delay. It reports whether the direction was stalled.
+// delay waits until a direction is not stalled, and then for its delay. It reports whether the direction was stalled.
 func (r *Relay) delay(dir direction) (stalled bool) {
 	isStalled := func() bool {
 		return !r.closed && r.anyImpairment(func(i *Impairment) bool { return i.Stall && dir(i) })
@@ -135,7 +137,7 @@
 	return stalled
 }
 
-// write writes b at the rate that a direction has.
+// write writes b at the rate limit of a direction.
 func (r *Relay) write(to *net.TCPConn, b []byte, dir direction) error {
 	for len(b) > 0 {
 		rate := r.rate(dir)
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// rate returns the lowest rate of a direction in bytes a second; 0: it is not limited.
+// rate returns the lowest rate limit of a direction in bytes per second, or zero if there is none.
 func (r *Relay) rate(dir direction) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/process/relay/relay.go
+++ b/internal/process/relay/relay.go
@@ -1,10 +1,9 @@
-// Package relay forwards TCP connections between two processes on loopback and impairs them as a network may: it delays,
-// stalls and slows their bytes, refuses new connections and resets established ones. Bytes that it forwards are complete and
-// in order.
+// Package relay forwards TCP connections between two processes on loopback and simulates network faults: it delays, stalls and
+// throttles data, refuses new connections and resets established ones. Forwarded data is complete and in order.
 //
-// A stalled direction loses nothing for good: as with TCP over a link that comes back, the bytes arrive when the stall ends,
-// also those of a side that has closed by then. A side that has reset its connection takes back what the stall held, as its
-// kernel has dropped it. While a relay stalls, no new connection is established.
+// A stalled direction loses no data. As with TCP over a link that recovers, the data arrives when the stall ends, even if its
+// sender has closed the connection in the meantime. If the sender has reset the connection, the data is discarded, because the
+// sender's kernel has dropped it. While a relay stalls, no new connection is established.
 package relay
 
 import (
@@ -14,37 +13,37 @@
 	"time"
 )
 
-// Impairment is what a link does to its connections. Several may apply at once: their delays add up, the lowest rate counts,
-// and one stall is enough.
+// Impairment is a fault of a network link. If several apply at once, their delays add up, the lowest rate limit applies, and a
+// direction is stalled if any of them stalls it.
 type Impairment struct {
-	// Delay is added to each read, with a uniformly drawn part of Jitter.
+	// Delay is added to each read, plus a uniformly distributed duration of up to Jitter.
 	Delay, Jitter time.Duration
-	// Stall holds all bytes until the impairment is removed.
+	// Stall holds all data until the impairment is removed.
 	Stall bool
-	// Refuse refuses new connections; established ones go on.
+	// Refuse refuses new connections. It does not affect established ones.
 	Refuse bool
-	// BytesPerSecond limits the rate; 0: no limit.
+	// BytesPerSecond limits the rate. Zero means no limit.
 	BytesPerSecond int
-	// ToTarget and FromTarget select the directions in which the rest, but for Refuse, applies.
+	// ToTarget and FromTarget select the directions to which the fields above apply, except Refuse.
 	ToTarget, FromTarget bool
 }
 
-// Relay listens at an address and forwards connections to a target. Its methods may be called by any goroutine.
+// Relay listens on an address and forwards connections to a target. Its methods are safe for concurrent use.
 type Relay struct {
 	addr, target string
 
 	mu            sync.Mutex
-	changed       *sync.Cond       // with mu: anything below has changed
+	changed       *sync.Cond       // uses mu; signalled when a field below changes
 	listener      *net.TCPListener // nil while connections are refused
 	impairments   []*Impairment
 	pipes         map[*pipe]struct{}
-	acceptPaused  bool       // the accepting goroutine waits and accepts nothing
-	stalledCopies int        // directions that wait for a stall to end, with bytes or an end of stream to forward
-	fillers       []net.Conn // connections that keep the backlog full; not nil: connections are not established
+	acceptPaused  bool       // the accept goroutine is paused
+	stalledCopies int        // number of directions that hold data or an end of stream until a stall ends
+	fillers       []net.Conn // connections that keep the backlog full during a stall; nil if there is no stall
 	closed        bool
 }
 
-// Listen returns a Relay on a free port of a host. The caller must Close it.
+// Listen returns a Relay that listens on a free port of a host. The caller must Close it.
 func Listen(host, target string) (*Relay, error) {
 	r := &Relay{target: target, pipes: map[*pipe]struct{}{}}
 	r.changed = sync.NewCond(&r.mu)
@@ -58,7 +57,7 @@
 	return r, nil
 }
 
-// Addr returns the address that the relay listens at, also while it refuses connections.
+// Addr returns the address of the listener. It stays the same while the relay refuses connections.
 func (r *Relay) Addr() string { return r.addr }
 
 // Close closes the listener and resets all connections.
@@ -95,7 +94,7 @@
 	return r.updateListener()
 }
 
-// Remove ends an impairment. It does nothing if the impairment does not apply.
+// Remove ends an impairment. It does nothing if the impairment was not added.
 func (r *Relay) Remove(i *Impairment) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +104,7 @@
 	return r.updateListener()
 }
 
-// anyImpairment reports whether some impairment matches. r.mu is held.
+// anyImpairment reports whether any impairment matches. The caller must hold r.mu.
 func (r *Relay) anyImpairment(matches func(*Impairment) bool) bool {
 	return slices.ContainsFunc(r.impairments, matches)
 }
--- a/internal/process/relay/relay_test.go
+++ b/internal/process/relay/relay_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// testTimeout is how long anything may take that has to happen.
+	// testTimeout limits the wait for an expected event.
 	testTimeout = 20 * time.Second
-	// quietTime is how long nothing is to arrive that must not.
+	// quietTime is how long a test waits to check that no data arrives.
 	quietTime = 50 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 	return ln
 }
 
-// startEcho starts a server that returns what it receives, and returns its address.
+// startEcho starts a server that sends back what it receives, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkSilent sends a line and checks that nothing comes back for a while.
+// checkSilent sends a line and checks that nothing comes back within quietTime.
 func checkSilent(t *testing.T, c net.Conn, line string) {
 	t.Helper()
 	send(t, c, line+"\n")
@@ -136,8 +136,8 @@
 	}
 }
 
-// While a link stalls in either direction nothing comes back and no connection is established. Afterwards what was written
-// arrives, once.
+// While either direction stalls, nothing comes back and no connection is established. After the stall, the data written during
+// it arrives once.
 func TestStall(t *testing.T) {
 	for _, i := range []*Impairment{{Stall: true, ToTarget: true}, {Stall: true, FromTarget: true}, {Stall: true, ToTarget: true, FromTarget: true}} {
 		t.Run(fmt.Sprintf("to target %v, from target %v", i.ToTarget, i.FromTarget), func(t *testing.T) {
@@ -157,8 +157,8 @@
 	}
 }
 
-// What is written into a stall arrives after it though its sender has closed by then. A sender that has reset its connection
-// has taken it back.
+// Data written during a stall arrives after it, even if the sender has closed the connection in the meantime. If the sender has
+// reset the connection, the data is discarded.
 func TestCloseDuringStall(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -194,7 +194,7 @@
 	}
 }
 
-// receiveAll accepts one connection and reports all that has arrived on it, after each read, until it ends.
+// receiveAll accepts one connection. After each read it sends all data received so far, until the connection ends.
 func receiveAll(ln net.Listener, received chan<- string) {
 	defer close(received)
 	c, err := ln.Accept()
@@ -213,7 +213,7 @@
 	}
 }
 
-// waitForStalledCopy waits until a direction holds bytes.
+// waitForStalledCopy waits until a stalled direction holds data.
 func waitForStalledCopy(t *testing.T, r *Relay) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -224,14 +224,14 @@
 			return
 		}
 	}
-	t.Fatal("nothing was stalled")
+	t.Fatal("no direction was stalled")
 }
 
-// A stall within another lasts as long as either, and a refusal ends when it is removed itself.
+// Overlapping stalls last until the last one is removed. A refusal lasts until it is removed.
 func TestOverlappingImpairments(t *testing.T) {
 	r := startRelay(t)
 	c := dial(t, r)
-	checkEcho(t, c, "before") // it is accepted, and not in the backlog that a refusal empties
+	checkEcho(t, c, "before") // makes sure that the connection is accepted: a refusal resets those in the backlog
 	first, second := add(t, r, &Impairment{Stall: true, ToTarget: true}), add(t, r, &Impairment{Stall: true, ToTarget: true})
 	refuse := add(t, r, &Impairment{Refuse: true})
 	remove(t, r, first)
@@ -239,11 +239,11 @@
 	remove(t, r, second)
 	checkReceives(t, c, "held")
 	if _, err := net.DialTimeout("tcp", r.Addr(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("while it refuses: %v", err)
+		t.Errorf("dial during a refusal: %v", err)
 	}
 	remove(t, r, refuse)
-	checkEcho(t, dial(t, r), "open again")
-	remove(t, r, refuse) // a second time, which does nothing
+	checkEcho(t, dial(t, r), "after refusal")
+	remove(t, r, refuse) // removing it again does nothing
 }
 
 func TestReset(t *testing.T) {
@@ -257,7 +257,7 @@
 	checkEcho(t, dial(t, r), "after")
 }
 
-// Delays add up in each direction that they apply to; a rate limit holds bytes back.
+// Delays in the same direction add up. A rate limit delays data.
 func TestDelayAndRate(t *testing.T) {
 	r := startRelay(t)
 	c := dial(t, r)
@@ -266,12 +266,12 @@
 	start := time.Now()
 	checkEcho(t, c, "delayed")
 	if took := time.Since(start); took < 70*time.Millisecond {
-		t.Errorf("%v there and back, want 70ms or more", took)
+		t.Errorf("round trip took %v, want at least 70ms", took)
 	}
 	add(t, r, &Impairment{BytesPerSecond: 1000, FromTarget: true})
 	start = time.Now()
 	checkEcho(t, c, strings.Repeat("x", 100))
 	if took := time.Since(start); took < 150*time.Millisecond {
-		t.Errorf("101 bytes took %v at 1000 bytes/s", took)
+		t.Errorf("101 bytes took %v at 1000 bytes/s, want at least 150ms", took)
 	}
 }
