--- a/internal/modelcheck/checkedsync/sync.go
+++ b/internal/modelcheck/checkedsync/sync.go
@@ -1,7 +1,8 @@
 //go:build !interleave
 
-// Package checkedsync provides the synchronization types for code that package modelcheck checks. They are those of sync and
-// sync/atomic. Under the build tag interleave they are the checker's, and then only code under the checker works.
+// Package checkedsync provides the synchronization types for code that package modelcheck checks. They are the types of sync and
+// sync/atomic. Under the build tag interleave they are those of modelcheck, which synchronize only the threads of a
+// modelcheck.Execution.
 package checkedsync
 
 import (
--- a/internal/modelcheck/doc.go
+++ b/internal/modelcheck/doc.go
@@ -1,18 +1,18 @@
-// Package modelcheck is a stateless model checker: it runs a few threads of real code under every order in which their
-// synchronizing operations can come, and reports the order in which an invariant breaks, a thread panics, or no thread can
-// proceed, which is a deadlock or a lost wake-up.
+// Package modelcheck is a stateless model checker. It runs a few threads of real code in every possible order of their
+// synchronization operations. It reports the order in which an invariant is violated, a thread panics, or no thread can proceed
+// because of a deadlock or a lost wake-up.
 //
-// Code is checked by synchronizing through package checkedsync, whose types are those of sync and sync/atomic, and under the
-// build tag interleave the ones of this package. Threads take turns: one runs until it is about to perform an operation, and
-// the checker decides which one proceeds.
+// The code under test synchronizes through package checkedsync. The types of that package are those of sync and sync/atomic, or
+// those of this package under the build tag interleave. One thread runs at a time, until it is about to perform an operation.
+// The checker then decides which thread proceeds.
 //
-// The search is depth first and runs the whole body again for each order. Sleep sets (Godefroid, Partial-Order Methods for
-// the Verification of Concurrent Systems, 1996) leave out orders that differ from one already run only in operations that
-// commute: those that touch different objects, or only read the same one. That prunes orders, never outcomes.
+// The search is depth-first and runs the whole body again for each order. Sleep sets (Godefroid, Partial-Order Methods for the
+// Verification of Concurrent Systems, 1996) omit orders that differ from an earlier one only in the order of operations that
+// commute. Operations commute if they touch different objects or only read the same one. This omits orders, but no outcomes.
 //
-// It does not see data races, which the race detector shows, nor memory orders weaker than sequential consistency. A loop
-// that waits without an operation runs into the bound on operations.
+// The checker detects neither data races, which the race detector finds, nor the effects of memory orders weaker than sequential
+// consistency. A loop that polls instead of blocking exceeds the limit on operations.
 //
-// One Explore at a time may run in a process, and what it checks must not depend on time, chance or goroutines that it did
-// not start through Execution.Go.
+// Only one Explore may run in a process at a time. The code under test must not depend on time, randomness or goroutines that
+// were not started through Execution.Go.
 package modelcheck
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// maxSteps is how many operations a schedule may have.
+// maxSteps is the maximum number of operations in a schedule.
 const maxSteps = 10_000
 
 // Execution is one run of the threads under one schedule.
 type Execution struct {
 	threads   []*thread
 	finally   func()
-	running   *thread      // nil: none, the checker decides
-	parked    chan *thread // a thread is about to perform an operation, or has ended
-	objects   map[any]int  // identifiers of the objects that operations touch, in the order of their first use
+	running   *thread      // nil while the checker decides
+	parked    chan *thread // receives a thread that is about to perform an operation or has ended
+	objects   map[any]int  // identifiers of the objects that operations touch, in order of first use
 	steps     []string
 	schedule  []int
-	abandoned bool // the threads are to end
-	failure   any  // nil: none so far
+	abandoned bool // the threads must end
+	failure   any  // nil unless the execution has failed
 }
 
-// thread is a goroutine that proceeds when the checker says so.
+// thread is a goroutine that the checker schedules.
 type thread struct {
 	id     int
 	name   string
@@ -32,12 +32,12 @@
 	done   bool
 }
 
-// operation is what a thread is about to do.
+// operation is the operation that a thread is about to perform.
 type operation struct {
 	name    string
 	object  int
 	write   bool
-	enabled func() bool // nil: always
+	enabled func() bool // reports whether it can be performed; nil if it always can
 }
 
 func (o operation) isEnabled() bool { return o.enabled == nil || o.enabled() }
@@ -49,10 +49,11 @@
 
 const waitOperation = "wait for"
 
-// isWait reports whether the operation waits for a channel. Closing one touches another object and still enables it.
+// isWait reports whether the operation waits for a channel to be closed. The operation that closes the channel touches another
+// object, so dependsOn does not show that it enables the wait.
 func (o operation) isWait() bool { return strings.HasPrefix(o.name, waitOperation) }
 
-// current is the execution that runs; nil: none, and operations are performed as they come.
+// current is the running execution. While it is nil, operations are performed without scheduling.
 var current *Execution
 
 func newExecution() *Execution {
@@ -64,11 +65,11 @@
 	x.threads = append(x.threads, &thread{id: len(x.threads), name: name, body: body, resume: make(chan struct{})})
 }
 
-// Finally sets what is run once all threads have ended, to check what they left.
+// Finally sets a check that runs after all threads have ended.
 func (x *Execution) Finally(check func()) { x.finally = check }
 
-// beforeOperation lets the checker decide which thread proceeds. enabled reports whether the operation could be performed now;
-// nil: always.
+// beforeOperation lets the checker decide which thread proceeds. enabled reports whether the operation can be performed. It is
+// nil for an operation that always can.
 func beforeOperation(object any, write bool, name string, enabled func() bool) {
 	x := current
 	if x == nil || x.running == nil || x.abandoned {
@@ -88,7 +89,7 @@
 	}
 }
 
-// Step marks an operation that writes an object, such as an action that others can see.
+// Step marks an operation that writes an object, such as an action that is visible to other threads.
 func Step(object any, name string) { beforeOperation(object, true, name, nil) }
 
 // Wait waits until a channel is closed.
@@ -107,8 +108,8 @@
 	}
 }
 
-// run starts the threads and lets them proceed along a path and on from its end. It returns the longer path; complete is false
-// if what follows was run before in another order.
+// run starts the threads, lets them proceed along a path, and extends the path from its end. It returns the extended path.
+// complete is false if every continuation was run before in an equivalent order or exceeds the limit on preemptions.
 func (x *Execution) run(o Options, path []*searchNode, replay []int) (extended []*searchNode, complete bool) {
 	current = x
 	defer func() { current = nil }()
@@ -141,7 +142,7 @@
 	}
 }
 
-// nodeAt returns the node of a path at a depth, or a new one that follows its end.
+// nodeAt returns the node of a path at a depth, or a new node after its end.
 func nodeAt(path []*searchNode, depth int) *searchNode {
 	switch {
 	case depth < len(path):
@@ -153,7 +154,7 @@
 	}
 }
 
-// observe enters the threads' next operations in a node and returns how many threads have not ended.
+// observe records the threads' next operations in a node and returns the number of threads that have not ended.
 func (x *Execution) observe(n *searchNode) (alive int) {
 	n.enabled = n.enabled[:0]
 	for _, t := range x.threads {
@@ -169,7 +170,7 @@
 	return alive
 }
 
-// stuck returns why the execution cannot go on from a node; "": it can.
+// stuck returns the reason why the execution cannot continue from a node, or "" if it can.
 func (x *Execution) stuck(n *searchNode, depth int) string {
 	switch {
 	case len(n.enabled) == 0:
@@ -181,7 +182,7 @@
 		}
 		return "no thread can proceed: " + strings.Join(waiting, ", ")
 	case depth > maxSteps:
-		return fmt.Sprintf("over %d steps", maxSteps)
+		return fmt.Sprintf("more than %d steps", maxSteps)
 	}
 	return ""
 }
@@ -190,7 +191,7 @@
 func (x *Execution) proceed(id, depth int) {
 	t := x.threads[id]
 	if t.done || !t.next.isEnabled() {
-		x.failure = fmt.Sprintf("step %d: thread %d cannot proceed: the schedule is of other code, or the code depends on time or chance", depth, id)
+		x.failure = fmt.Sprintf("step %d: thread %d cannot proceed: the schedule belongs to other code, or the code depends on time or randomness", depth, id)
 		return
 	}
 	x.schedule = append(x.schedule, t.id)
@@ -221,11 +222,11 @@
 	x.running = nil
 }
 
-// checkEnd runs the check of Finally.
+// checkEnd runs the check set by Finally.
 func (x *Execution) checkEnd() {
 	defer func() {
 		if r := recover(); r != nil {
-			x.failure = fmt.Sprint("in the end: ", r)
+			x.failure = fmt.Sprint("final check: ", r)
 		}
 	}()
 	if x.finally != nil {
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Options bound a search.
+// Options limits a search.
 type Options struct {
-	MaxPreemptions int // how often a thread may be interrupted that could proceed; 0: no bound
-	MaxSchedules   int // the search fails after so many; 0: a million
+	MaxPreemptions int // maximum number of times a thread that could proceed is interrupted; no limit if zero
+	MaxSchedules   int // number of schedules at which the search fails; one million if zero
 }
 
 const defaultMaxSchedules = 1_000_000
 
-// Explore runs the threads that body adds under all schedules. It returns how many there were and how one failed; nil: none
-// did. Body is called anew for each schedule and must build everything anew. With ReplayEnv in the environment that schedule
-// alone is run.
+// Explore runs the threads that body adds under all schedules. It returns the number of schedules and the first failure, or nil
+// if none failed. It calls body before each execution, and body must create all objects again. If ReplayEnv is set, Explore
+// runs only that schedule.
 func Explore(o Options, body func(x *Execution)) (schedules int, failure *Failure) {
 	if o.MaxSchedules == 0 {
 		o.MaxSchedules = defaultMaxSchedules
@@ -39,7 +39,7 @@
 		case replay != nil:
 			return schedules, nil
 		case schedules >= o.MaxSchedules:
-			return schedules, &Failure{Reason: fmt.Sprintf("over %d schedules", o.MaxSchedules)}
+			return schedules, &Failure{Reason: fmt.Sprintf("reached the limit of %d schedules", o.MaxSchedules)}
 		}
 		if path = backtrack(o, path); len(path) == 0 {
 			return schedules, nil
@@ -48,7 +48,7 @@
 }
 
 // backtrack shortens a path to its last node with a thread left to try, and chooses that thread there. It returns an empty
-// path when the search is over.
+// path when the search is complete.
 func backtrack(o Options, path []*searchNode) []*searchNode {
 	for len(path) > 0 {
 		last := path[len(path)-1]
@@ -64,12 +64,12 @@
 // searchNode is a state on the path of the search.
 type searchNode struct {
 	enabled     []int             // threads that can proceed
-	operations  map[int]operation // next ones of all threads that have not ended
-	sleep       map[int]bool      // the sleep set: threads whose operation was tried before in an order that commutes with this one
+	operations  map[int]operation // next operation of each thread that has not ended
+	sleep       map[int]bool      // the sleep set: threads whose next operation was run before in an equivalent order
 	tried       []int
 	chosen      int
-	previous    int // the thread that performed the operation before; noThread: none
-	preemptions int // until here
+	previous    int // thread that performed the previous operation, or noThread
+	preemptions int // number of preemptions on the path to this node
 }
 
 const noThread = -1
@@ -83,7 +83,7 @@
 	return id != n.previous && slices.Contains(n.enabled, n.previous)
 }
 
-// choose chooses the next thread to try; false: none is left.
+// choose chooses the next thread to try. It returns false if none is left.
 func (n *searchNode) choose(o Options) bool {
 	for _, id := range n.enabled {
 		overBound := o.MaxPreemptions > 0 && n.preemptions >= o.MaxPreemptions && n.preempts(id)
--- a/internal/modelcheck/failure.go
+++ b/internal/modelcheck/failure.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// ReplayEnv names the environment variable with a schedule, as a Failure prints it. Explore then runs that schedule alone.
+// ReplayEnv is the environment variable for a schedule to replay, in the format that Failure.Error prints. If it is set, Explore
+// runs only that schedule.
 const ReplayEnv = "INTERLEAVE_REPLAY"
 
-// Failure describes a schedule that went wrong.
+// Failure describes a schedule that failed.
 type Failure struct {
 	Reason   string
 	Schedule []int    // the index of the thread that performed each operation
-	Steps    []string // the same in words
+	Steps    []string // a description of each operation
 }
 
-// Error returns the reason, the schedule to replay, and its operations one a line.
+// Error returns the reason, the schedule to replay, and its operations, one per line.
 func (f *Failure) Error() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "%s\n%s=", f.Reason, ReplayEnv)
@@ -33,7 +34,7 @@
 	return s.String()
 }
 
-// replaySchedule returns the schedule in the environment; nil if there is none.
+// replaySchedule returns the schedule in the environment, or nil if there is none.
 func replaySchedule() ([]int, error) {
 	text := os.Getenv(ReplayEnv)
 	if text == "" {
@@ -50,10 +51,10 @@
 	return schedule, nil
 }
 
-// invariantViolation is the value of Failf's panic.
+// invariantViolation is the value that Failf panics with.
 type invariantViolation string
 
-// Failf ends the schedule with a broken invariant. Threads and the function of Execution.Finally call it.
+// Failf ends the schedule with a violated invariant. Threads and the check set by Execution.Finally may call it.
 func Failf(format string, args ...any) {
 	panic(invariantViolation(fmt.Sprintf(format, args...)))
 }
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -11,14 +11,14 @@
 	defer m.Unlock()
 }
 
-// lockBoth locks one mutex within another.
+// lockBoth locks the inner mutex while it holds the outer one.
 func lockBoth(outer, inner *Mutex) {
 	outer.Lock()
 	defer outer.Unlock()
 	lockOnce(inner)
 }
 
-// The number of orders of small programs is known. Of orders that differ in operations that commute one is run.
+// The number of orders is known for small programs. Of orders that differ only in operations that commute, only one is run.
 func TestScheduleCount(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -30,8 +30,8 @@
 			for _, name := range []string{"a", "b"} {
 				x.Go(name, func() { n.Add(1); n.Add(1) })
 			}
-		}, 6}, // 4 over 2
-		{"an object each", func(x *Execution) {
+		}, 6}, // 4 choose 2
+		{"one object per thread", func(x *Execution) {
 			var n [3]Int64
 			for i := range n {
 				x.Go("t", func() { n[i].Add(1); n[i].Add(1) })
@@ -49,7 +49,7 @@
 			for range 2 {
 				x.Go("r", func() { n.Load() })
 			}
-		}, 4}, // each reader comes before or after it
+		}, 4}, // each reader runs before or after the writer
 		{"three in a critical section", func(x *Execution) {
 			var m Mutex
 			for range 3 {
@@ -72,7 +72,7 @@
 	}
 	x.Finally(func() {
 		if v := n.Load(); v != 2 {
-			Failf("it is %d", v)
+			Failf("the counter is %d", v)
 		}
 	})
 }
@@ -92,7 +92,7 @@
 		m.Unlock()
 		if !isReady {
 			m.Lock()
-			c := wake // too late: it may have been closed and replaced
+			c := wake // the fault: the channel may have been closed and replaced
 			m.Unlock()
 			Wait(c)
 		}
@@ -120,17 +120,17 @@
 	})
 }
 
-// Faults of small programs are found, with a schedule that replays them.
+// Explore finds the faults of small programs, and the reported schedule replays them.
 func TestFindsFaults(t *testing.T) {
 	for _, c := range []struct {
 		name, reason string
 		body         func(x *Execution)
 	}{
-		{"lost update", "it is 1", lostUpdate},
+		{"lost update", "the counter is 1", lostUpdate},
 		{"lock order inversion", "no thread can proceed: a at lock", lockOrderInversion},
 		{"lost wake-up", "no thread can proceed: sleeper at wait for", lostWakeup},
 		{"panic", "index out of range", indexOutOfRange},
-		{"endless loop", "over 10000 steps", endlessLoop},
+		{"endless loop", "more than 10000 steps", endlessLoop},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, failure := Explore(Options{}, c.body)
@@ -141,13 +141,13 @@
 			schedule, _, _ := strings.Cut(afterName, "\n")
 			t.Setenv(ReplayEnv, schedule)
 			if _, again := Explore(Options{}, c.body); again == nil || again.Reason != failure.Reason {
-				t.Errorf("replayed: %v, was %v", again, failure.Reason)
+				t.Errorf("replay failed with %v, want %v", again, failure.Reason)
 			}
 		})
 	}
 }
 
-// A bound on preemptions leaves out orders, and keeps those with fewer.
+// MaxPreemptions omits the orders with more preemptions and keeps the others.
 func TestPreemptionBound(t *testing.T) {
 	body := func(x *Execution) {
 		var n Int64
--- a/internal/modelcheck/sync.go
+++ b/internal/modelcheck/sync.go
@@ -15,12 +15,13 @@
 func (m *Mutex) Unlock() {
 	beforeOperation(m, true, "unlock", nil)
 	if !m.locked {
-		panic("unlock of a mutex that nobody holds")
+		panic("unlock of unlocked mutex")
 	}
 	m.locked = false
 }
 
-// RWMutex is a sync.RWMutex whose operations the checker schedules, except that readers come before a writer that waits.
+// RWMutex is a sync.RWMutex whose operations the checker schedules. Unlike in package sync, a waiting writer does not block new
+// readers.
 type RWMutex struct {
 	readers int
 	writer  bool
@@ -32,7 +33,7 @@
 	m.writer = true
 }
 
-// Unlock undoes a Lock.
+// Unlock releases the lock for writing.
 func (m *RWMutex) Unlock() {
 	beforeOperation(m, true, "unlock", nil)
 	m.writer = false
@@ -44,7 +45,7 @@
 	m.readers++
 }
 
-// RUnlock undoes an RLock.
+// RUnlock releases one lock for reading.
 func (m *RWMutex) RUnlock() {
 	beforeOperation(m, true, "read-unlock", nil)
 	m.readers--
@@ -65,7 +66,7 @@
 	b.value.Store(value)
 }
 
-// CompareAndSwap sets the value if it is old, and reports whether it did.
+// CompareAndSwap sets the value if it equals old, and reports whether it did.
 func (b *Bool) CompareAndSwap(old, value bool) bool {
 	beforeOperation(b, true, "compare-and-swap", nil)
 	return b.value.CompareAndSwap(old, value)
--- a/internal/modelcheck/testing.go
+++ b/internal/modelcheck/testing.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Check explores body and fails t with the schedule that breaks it, if any.
+// Check runs body under all schedules and fails t with the first schedule that fails.
 func Check(t *testing.T, o Options, body func(x *Execution)) {
 	t.Helper()
 	schedules, failure := Explore(o, body)
@@ -15,13 +15,13 @@
 	t.Logf("schedules: %d", schedules)
 }
 
-// CheckFails explores a body with a planted fault and fails t unless some schedule fails for a reason that contains reason. It
-// proves that a Check beside it would find that fault.
+// CheckFails runs a body with a deliberate fault and fails t unless a schedule fails with a reason that contains reason. It
+// verifies that a Check of the same body would find that fault.
 func CheckFails(t *testing.T, o Options, reason string, body func(x *Execution)) {
 	t.Helper()
 	schedules, failure := Explore(o, body)
 	if failure == nil || !strings.Contains(failure.Reason, reason) {
-		t.Fatalf("the planted fault was not found in %d schedules: %v", schedules, failure)
+		t.Fatalf("the deliberate fault was not found in %d schedules: %v", schedules, failure)
 	}
-	t.Logf("schedules: %d until %s", schedules, failure.Reason)
+	t.Logf("schedules: %d until the failure: %s", schedules, failure.Reason)
 }
