--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares the encoded form of types with files under testdata, for tests of what is stored and what
-// travels between processes. A golden file that an earlier build wrote must decode without an unknown key, and encode
-// to the same bytes again.
+// Package golden compares the JSON encoding of types with files under testdata, for tests of stored data and of data
+// exchanged between processes. A golden file written by an earlier build must decode without unknown keys and encode
+// to the same bytes.
 package golden
 
 import (
@@ -40,7 +40,7 @@
 	return v
 }
 
-// Encodes fails the test unless v encodes to exactly want.
+// Encodes fails the test unless the JSON encoding of v equals want.
 func Encodes(t testing.TB, v any, want []byte) {
 	t.Helper()
 	got, err := json.Marshal(v)
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the encoded form has changed\n got %s\nwant %s", got, want)
+		t.Errorf("the encoding has changed\n got %s\nwant %s", got, want)
 	}
 }
 
@@ -61,8 +61,8 @@
 	return v
 }
 
-// RoundTripFull is RoundTrip for a file in which every field of T has a value, T's own structs included. A field that
-// the file does not set, and a field without an explicit name in its json tag, fail the test.
+// RoundTripFull is like RoundTrip, but also fails the test if an exported field of T or of a nested struct is not set
+// in the file or has no explicit name in its json tag.
 func RoundTripFull[T any](t testing.TB, path string) T {
 	t.Helper()
 	v := RoundTrip[T](t, path)
@@ -70,7 +70,7 @@
 	return v
 }
 
-// requireFull walks a decoded value and reports fields that are zero or have no json name.
+// requireFull reports the fields of a decoded value that are zero or have no explicit json name.
 func requireFull(t testing.TB, name string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -13,16 +13,16 @@
 const (
 	// readBufferSize is the size of the buffer for input, in bytes.
 	readBufferSize = 1 << 20
-	// listCount is how many endpoint lists have a number at once.
+	// listCount is the number of endpoint lists that can be kept at once.
 	listCount = 16
-	// noInstance stands for the instance before the first "about" of a batch.
+	// noInstance is the instance before the first "about" of a batch.
 	noInstance = -1
 )
 
 // Decoder reads messages one at a time.
 type Decoder struct {
 	reader   *bufio.Reader
-	line     int // number of the last line that was read
+	line     int // number of the last line read
 	inBatch  bool
 	instance int
 	lists    [listCount][]balancer.Endpoint
@@ -33,8 +33,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and an error that
-// names the line for anything else that ends the input or cannot be read.
+// Next returns the next message. It returns io.EOF if the input ends between two batches. Any other error contains
+// the line number.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		line, err := d.readLine()
@@ -60,8 +60,8 @@
 	}
 }
 
-// readLine returns the next line without its end. At the end of the input it returns io.EOF, or
-// io.ErrUnexpectedEOF if the last line has no end.
+// readLine returns the next line without its line ending. At the end of the input it returns io.EOF, or
+// io.ErrUnexpectedEOF if the last line has no line ending.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) {
@@ -74,7 +74,7 @@
 	return strings.TrimRight(s, "\r\n"), err
 }
 
-// decode decodes one line. It returns false for a line that only changes the decoder's state.
+// decode decodes one line. complete is false for a line that only changes the decoder's state.
 func (d *Decoder) decode(line string) (m Message, complete bool, err error) {
 	name, values, _ := strings.Cut(line, "\t")
 	if err := d.checkOrder(name); err != nil {
@@ -110,7 +110,7 @@
 	return m, true, f.err
 }
 
-// checkOrder returns an error if a message must not come now.
+// checkOrder returns an error if a message is not allowed at this point of the input.
 func (d *Decoder) checkOrder(name string) error {
 	if name == "sync" && d.inBatch {
 		return errors.New("sync inside a batch")
@@ -141,7 +141,7 @@
 func decodeHello(f *fields, values string) (uint64, balancer.Settings, error) {
 	seed, text, ok := strings.Cut(values, "\t")
 	if !ok {
-		return 0, balancer.Settings{}, errors.New("hello lacks its settings")
+		return 0, balancer.Settings{}, errors.New("hello: settings are missing")
 	}
 	f.parts[0] = seed
 	value := f.seed(0)
@@ -152,7 +152,7 @@
 	return value, settings, err
 }
 
-// decodeList reads the items of an endpoint list.
+// decodeList reads the items of an endpoint list and stores the list under its number.
 func (d *Decoder) decodeList(f *fields) error {
 	number, length := f.integer(0), f.integer(1)
 	if f.err != nil {
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -56,9 +56,9 @@
 func TestDecodeErrorNamesLineAndValue(t *testing.T) {
 	for input, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
-		"sync\tx\n":                            "line 1: sync: value 1 is no time",
-		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before any about",
-		"sync\t1\nabout\t1\nhuh\t1\n":          "line 3: unknown message \"huh\"",
+		"sync\tx\n":                            "line 1: sync: value 1 is not a time",
+		"sync\t1\nxyz\t1\n":                    "line 2: \"xyz\" before any about",
+		"sync\t1\nabout\t1\nxyz\t1\n":          "line 3: unknown message \"xyz\"",
 		"sync\t1\nabout\t1\njob_in\ta\n":       "line 3: job_in: value 2",
 		"sync\t1\nlist\t0\t2\nitem\ta\tb\n":    "value 4 is missing",
 		"sync\t1\nlist\t77\t2\n":               "out of range",
@@ -72,7 +72,7 @@
 	}
 }
 
-// Every message that carries an event, with all its values.
+// Every message that carries an event is decoded with all its values.
 func TestDecodeEventMessages(t *testing.T) {
 	ready := balancer.Endpoint{ID: "s", Zone: "z", Cell: 4, Weight: 1.5, StartTime: 6 * time.Millisecond}
 	removed, draining := ready, ready
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -13,10 +13,10 @@
 // writeBufferSize is the size of the buffer for replies, in bytes.
 const writeBufferSize = 1 << 16
 
-// Encoder writes replies.
+// Encoder writes the replies to batches.
 type Encoder struct {
 	writer   *bufio.Writer
-	instance int // of the last action of the reply
+	instance int // instance of the last action in the reply, or noInstance
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -24,7 +24,7 @@
 	return &Encoder{writer: bufio.NewWriterSize(w, writeBufferSize), instance: noInstance}
 }
 
-// Action adds one action of an instance to the reply. An error of the writer is returned by Flush.
+// Action adds one action of an instance to the reply. Flush returns the first write error.
 func (e *Encoder) Action(instance int, action balancer.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.writer, "instance\t%d\n", instance)
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -8,7 +8,7 @@
 	"umberbank/balancer"
 )
 
-// The instance is named once for the actions that follow.
+// Consecutive actions of the same instance share one "instance" line.
 func TestEncodeReply(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
@@ -24,7 +24,7 @@
 	}
 }
 
-// Every message that carries an action, with all its values.
+// Every action is encoded with all its values.
 func TestEncodeActionMessages(t *testing.T) {
 	for want, action := range map[string]balancer.Action{
 		"forward\tid\ts\t80.5\n": balancer.Send{ID: "id", Endpoint: "s", Timeout: 80500 * time.Microsecond},
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,7 +2,7 @@
 
 import "umberbank/balancer"
 
-// eventDecoders holds the decoder of each message that carries an event. Errors stay in the fields.
+// eventDecoders maps each message that carries an event to its decoder. Decoders store errors in fields.err.
 var eventDecoders = map[string]func(*Decoder, *fields) balancer.Event{
 	"announce":         decodeAnnounce,
 	"job_in":           decodeRequest,
@@ -12,7 +12,7 @@
 	"flowing":          decodeResponseStarted,
 }
 
-// Modes of an "announce".
+// Modes of an "announce" message.
 const (
 	announceChanges = iota
 	announceFull
@@ -20,10 +20,10 @@
 	announceFailed
 )
 
-// Flags of a "job_in".
+// Flags of a "job_in" message.
 const (
-	flagHasCost     = 1 << iota // its value 7 is the request's cost
-	flagClientRetry             // the client retries
+	flagHasCost     = 1 << iota // value 7 is the request's cost
+	flagClientRetry             // the request is a client's retry
 )
 
 func decodeAnnounce(d *Decoder, f *fields) balancer.Event {
@@ -35,7 +35,7 @@
 			return nil
 		}
 		if number < 0 || number >= len(d.lists) {
-			f.fail(1, "is no list number")
+			f.fail(1, "is not a list number")
 			return nil
 		}
 		return balancer.EndpointUpdate{
@@ -46,7 +46,7 @@
 	case announceFailed:
 		return balancer.SubscriptionFailed{}
 	}
-	f.fail(0, "is no mode")
+	f.fail(0, "is not a mode")
 	return nil
 }
 
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// absent is the text of a value that is not told.
+	// absent is the text of a value that is not set.
 	absent = "-"
-	// maxNumber bounds times in milliseconds and other numbers.
+	// maxNumber is the maximum magnitude of times in milliseconds and of other numbers.
 	maxNumber = 1e12
-	// maxQuoted bounds how much of a name an error quotes, in bytes.
+	// maxQuoted is the maximum length of a name quoted in an error, in bytes.
 	maxQuoted = 40
 )
 
-// fields reads the values of one line and keeps the first error. After an error the values are of no use.
+// fields parses the values of one line and keeps the first error. After an error, the parsed values must not be
+// used.
 type fields struct {
 	name  string
 	parts []string
 	err   error
 }
 
-// fail keeps the error that value i is wrong, unless there is an earlier one.
+// fail records an error about value i, unless there is an earlier one.
 func (f *fields) fail(i int, reason string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: value %d %s", f.name, i+1, reason)
 	}
 }
 
-// optionalText returns "" if the value is not told.
+// optionalText returns "" if the value is not set.
 func (f *fields) optionalText(i int) string {
 	if i >= len(f.parts) || f.parts[i] == absent {
 		return ""
@@ -52,12 +53,12 @@
 func (f *fields) integer(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is not an integer")
 	}
 	return v
 }
 
-// optionalInteger returns 0 if the value is not told.
+// optionalInteger returns zero if the value is not set.
 func (f *fields) optionalInteger(i int) int {
 	if f.optionalText(i) == "" {
 		return 0
@@ -65,7 +66,7 @@
 	return f.integer(i)
 }
 
-// seed accepts numbers of 64 bits, with a sign or without.
+// seed accepts signed and unsigned integers of 64 bits.
 func (f *fields) seed(i int) uint64 {
 	s := f.text(i)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -73,7 +74,7 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is not an integer")
 	}
 	return uint64(v)
 }
@@ -81,13 +82,13 @@
 func (f *fields) milliseconds(i int) time.Duration {
 	v, err := strconv.ParseFloat(f.text(i), 64)
 	if err != nil || math.IsNaN(v) || math.Abs(v) > maxNumber {
-		f.fail(i, "is no time in milliseconds")
+		f.fail(i, "is not a time in milliseconds")
 		return 0
 	}
 	return fromMilliseconds(v)
 }
 
-// optionalMilliseconds returns 0 if the value is not told.
+// optionalMilliseconds returns zero if the value is not set.
 func (f *fields) optionalMilliseconds(i int) time.Duration {
 	if f.optionalText(i) == "" {
 		return 0
@@ -95,15 +96,15 @@
 	return f.milliseconds(i)
 }
 
-// optionalNumber returns 0 if the value is not told.
+// optionalNumber returns zero if the value is not set.
 func (f *fields) optionalNumber(i int) float64 {
 	s := f.optionalText(i)
 	if s == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(math.Abs(v) <= maxNumber) { // true for NaN
-		f.fail(i, "is no number")
+	if err != nil || !(math.Abs(v) <= maxNumber) { // also true for NaN
+		f.fail(i, "is not a number")
 	}
 	return v
 }
@@ -117,7 +118,7 @@
 	case 2:
 		return balancer.Ready
 	}
-	f.fail(i, "is no state")
+	f.fail(i, "is not an endpoint state")
 	return balancer.Ready
 }
 
@@ -135,12 +136,13 @@
 func (f *fields) result(i int) balancer.Result {
 	r, ok := results[f.text(i)]
 	if !ok {
-		f.fail(i, "is no ending")
+		f.fail(i, "is not a result")
 	}
 	return r
 }
 
-// loadReport reads pairs name:value; nil: not told. Unknown names are ignored.
+// loadReport parses pairs of the form name:value, separated by commas. It returns nil if the value is not set, and
+// ignores unknown names.
 func (f *fields) loadReport(i int) *balancer.LoadReport {
 	s := f.optionalText(i)
 	if s == "" {
@@ -151,7 +153,7 @@
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(v) || math.Abs(v) > maxNumber {
-			f.fail(i, "is no load report")
+			f.fail(i, "is not a load report")
 			return nil
 		}
 		switch name {
@@ -164,7 +166,7 @@
 	return report
 }
 
-// quote quotes a name from the input, cut if it is long.
+// quote quotes a name from the input and truncates it to maxQuoted bytes.
 func quote(s string) string {
 	if len(s) > maxQuoted {
 		s = s[:maxQuoted] + "..."
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -1,12 +1,12 @@
-// Package simwire speaks the simulator's text protocol: it decodes batches of events and encodes the replies.
-// It makes no decisions.
+// Package simwire implements the simulator's text protocol. It decodes batches of events and encodes the replies,
+// and contains no balancing logic.
 //
-// A batch is a series of lines between "sync" and "eob", whose values are separated by tabs. A line "about"
-// names the instance that the lines after it are for. "list" gives an endpoint list a number, by which
-// "announce" refers to it. A reply ends with "yield".
+// A batch is a series of lines from "sync" to "eob". The values of a line are separated by tabs. An "about" line
+// selects the instance that the following lines are for. A "list" line assigns a number to an endpoint list, by
+// which "announce" refers to it. A reply ends with "yield".
 //
-// The protocol's words stay within this package; the names of package balancer stand for them elsewhere. A
-// Decoder and an Encoder each belong to one goroutine.
+// Names of the protocol are used only in this package, which maps them to those of package balancer. A Decoder or
+// an Encoder must not be used by several goroutines at the same time.
 package simwire
 
 import (
@@ -15,7 +15,7 @@
 	"umberbank/balancer"
 )
 
-// Kind tells what a Message carries.
+// Kind is the type of a Message.
 type Kind int
 
 // Kinds of messages.
@@ -24,14 +24,14 @@
 	InstanceInit             // a new instance begins; Seed and Settings are set
 	Event                    // Event is set
 	InstanceKill             // the instance was killed
-	Ignored                  // known, but of no use to a Balancer
-	BatchEnd                 // the batch is over; a reply is due
+	Ignored                  // a known message that a Balancer does not need
+	BatchEnd                 // a batch ends; a reply is expected
 )
 
-// Message is one line of a batch, resolved.
+// Message is a decoded line of a batch.
 type Message struct {
 	Kind     Kind
-	Instance int // that the message is for; below 0: none yet
+	Instance int // instance that the message is for; negative before the first "about" of a batch
 	Now      time.Duration
 	Seed     uint64
 	Settings balancer.Settings
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,7 +8,7 @@
 	"umberbank/balancer"
 )
 
-// settingsObject is the settings object on the wire. Times are in milliseconds.
+// settingsObject is the JSON encoding of the settings. Times are in milliseconds.
 type settingsObject struct {
 	Replicas int `json:"balancers"`
 	Weights  struct {
@@ -39,7 +39,7 @@
 	WeightKind   string  `json:"weights"`
 }
 
-// classObject is a class of requests on the wire.
+// classObject is the JSON encoding of a request class.
 type classObject struct {
 	Deadline          float64 `json:"deadline-ms"`
 	Effect            string  `json:"effect"`
@@ -52,11 +52,11 @@
 	PriorityWeight    float64 `json:"worth"`
 }
 
-// pollMode is the discovery mode in which the endpoint list comes only after a Subscribe.
+// pollMode is the discovery mode in which an endpoint list is sent only after a Subscribe.
 const pollMode = "on_request"
 
-// Words of the wire. Any other means the zero value: the narrowest scope, a weight of no meaning, and an
-// effect that is not idempotent.
+// Values of enumerations in the JSON encoding. An unknown value means the zero value: the narrowest scope, a weight
+// of unknown meaning, and an effect that is not idempotent.
 var (
 	effects = map[string]balancer.Effect{
 		"read_like":       balancer.Idempotent,
@@ -74,15 +74,15 @@
 	}
 )
 
-// Connections holds the settings of connections to endpoints. The simulator keeps to them by itself; a real
-// node must. 0: not told.
+// Connections holds the settings of connections to endpoints. The simulator applies them itself, but a real node
+// has to apply them to its connections. Zero means that a value is not set.
 type Connections struct {
-	IdleTimeout    time.Duration // an endpoint closes a connection that was idle for so long
-	ConnectTimeout time.Duration // an endpoint that does not accept one within it counts as unreachable
+	IdleTimeout    time.Duration // an endpoint closes a connection after this time without a request
+	ConnectTimeout time.Duration // an endpoint that does not accept a connection within this time is unreachable
 }
 
-// ParseSettings reads the settings object. Unknown keys are ignored, an unknown effect is NonIdempotent and
-// an unknown scope is the narrowest. The settings are not validated.
+// ParseSettings parses the settings object. It ignores unknown keys. An unknown effect becomes NonIdempotent, and an
+// unknown scope becomes the narrowest one. The settings are not validated.
 func ParseSettings(text []byte) (balancer.Settings, Connections, error) {
 	var o settingsObject
 	if err := json.Unmarshal(text, &o); err != nil {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -9,7 +9,7 @@
 	"umberbank/balancer"
 )
 
-// Every key of the settings object, each with a value of its own.
+// Every key of the settings object sets its own field. The numbers in the file differ, so that swapped fields show.
 func TestSettingsKeys(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
--- a/internal/stricttoml/stricttoml.go
+++ b/internal/stricttoml/stricttoml.go
@@ -1,5 +1,5 @@
-// Package stricttoml decodes TOML files in which an unknown key is an error, and reports what is wrong with a file on one
-// line that names the file, the line, the key and the reason.
+// Package stricttoml decodes TOML files and rejects unknown keys. Each error is a single line with the file, the line number, the
+// key and the reason.
 package stricttoml
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error says what is wrong with a file.
+// Error describes an error in a file.
 type Error struct {
 	File   string
-	Line   int    // from 1; 0: unknown, or the fault is not in the file's text
-	Key    string // with its tables, separated by dots; "": no single key is at fault
+	Line   int    // starting at 1; zero if the error has no known position in the file
+	Key    string // with its tables, separated by dots; empty if the error is not about a single key
 	Reason string
 }
 
@@ -31,8 +31,8 @@
 	return text + ": " + e.Reason
 }
 
-// Decode decodes content into a pointer to a struct with toml tags. file is the name to give in errors. Every error is an
-// *Error for the first fault found.
+// Decode decodes content. into must point to a struct with toml tags, and file is the file name used in errors. Every error is an
+// *Error that describes the first fault found.
 func Decode(file string, content []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields().Decode(into)
 	if err == nil {
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -16,7 +16,7 @@
 	for _, c := range []struct {
 		name, content, want string
 	}{
-		{"in order", "name = \"a\"\n[[table]]\nshare = 0.5\n", ""},
+		{"valid", "name = \"a\"\n[[table]]\nshare = 0.5\n", ""},
 		{"unknown key", "name = \"a\"\n[[table]]\nshape = 0.5\n", "f.toml:3: table.shape: unknown key"},
 		{"wrong type", "name = 1\n", "f.toml:1: name: cannot decode TOML integer into struct field stricttoml.file.Name of type string"},
 		{"bad syntax", "name = \n", "f.toml:1: unexpected character U+000A at start of value"},
