--- a/internal/node/bodybudget/bodybudget.go
+++ b/internal/node/bodybudget/bodybudget.go
@@ -1,5 +1,5 @@
-// Package bodybudget bounds the memory that the bodies of requests and responses hold in a node, and says how long bodies may
-// be.
+// Package bodybudget limits the memory that the bodies of requests and responses hold in a node, and
+// defines the maximum length of a body.
 package bodybudget
 
 import (
@@ -9,22 +9,23 @@
 )
 
 const (
-	// MaxBufferedBytes is the most of one body that is buffered, either way. What follows of a longer one is passed on as it
-	// comes.
+	// MaxBufferedBytes is the maximum number of bytes of one body that are buffered, in either
+	// direction. The rest of a longer body is streamed.
 	MaxBufferedBytes = 64 << 10
-	// MaxBodyBytes is the longest that a body may be, either way.
+	// MaxBodyBytes is the maximum length of a body in either direction.
 	MaxBodyBytes = 32 << 20
 
-	// uncountedBytes is the length up to which a body counts as a part of its connection's own buffers.
+	// uncountedBytes is the length up to which a body counts as part of its connection's own buffers.
 	uncountedBytes = 4 << 10
-	// memoryFraction is the part of the process's memory limit that bodies may hold.
+	// memoryFraction is the fraction of the process's memory limit that bodies may hold.
 	memoryFraction = 0.25
-	// defaultBytes is what bodies may hold where the process has no memory limit.
+	// defaultBytes is the budget of a process without a memory limit.
 	defaultBytes = 16 << 20
 )
 
-// Budget bounds what bodies hold. Requests and responses have a half each: a request keeps its body until its response has
-// come, and must not keep the response from coming. Any goroutine may use it.
+// Budget limits the memory that bodies hold. Requests and responses have one half each: a request holds
+// its body until its response has arrived, and must not block the response. A Budget is safe for
+// concurrent use.
 type Budget struct {
 	Requests, Responses *Limiter
 }
@@ -32,14 +33,15 @@
 // Limiter is the half of a Budget for one direction.
 type Limiter struct{ free *semaphore.Weighted }
 
-// New returns a budget of so many bytes, but of no less than one body of MaxBufferedBytes each way.
+// New returns a budget of the given number of bytes, but at least MaxBufferedBytes for each direction.
 func New(bytes int64) *Budget {
 	half := max(bytes/2, MaxBufferedBytes)
 	return &Budget{&Limiter{semaphore.NewWeighted(half)}, &Limiter{semaphore.NewWeighted(half)}}
 }
 
-// ForMemory returns the budget under a memory limit in MiB; 0: there is none. Where the process can be replaced while it
-// serves, shared is true: two processes share the limit for a while.
+// ForMemory returns the budget for a memory limit in MiB, which is zero if there is no limit. shared is
+// true if the process can be replaced while it serves; each process then gets half, because two of them
+// share the limit for a while.
 func ForMemory(limitMB float64, shared bool) *Budget {
 	bytes := int64(defaultBytes)
 	if limitMB > 0 {
@@ -51,8 +53,9 @@
 	return New(bytes)
 }
 
-// Reserve takes capacity for a body of the given length in bytes, -1 if it is not known, or for the part of it that is ever buffered.
-// It waits until there is capacity or ctx ends, whose error it then returns.
+// Reserve reserves capacity for a body of the given length in bytes, -1 if the length is unknown. It
+// reserves at most MaxBufferedBytes, as no more of a body is buffered. It blocks until there is
+// capacity or ctx ends, and returns the error of ctx in that case.
 func (p *Limiter) Reserve(ctx context.Context, length int64) (release func(), err error) {
 	if length < 0 || length > MaxBufferedBytes {
 		length = MaxBufferedBytes
--- a/internal/node/bodybudget/bodybudget_test.go
+++ b/internal/node/bodybudget/bodybudget_test.go
@@ -6,7 +6,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// Bodies wait for capacity, and responses never wait for requests.
+// A body waits for capacity. Responses and bodies of uncountedBytes do not wait for requests.
 func TestBudget(t *testing.T) {
 	t.Parallel()
 	b := New(2 * MaxBufferedBytes)
@@ -16,25 +16,25 @@
 	}
 	got := make(chan error, 1)
 	go func() {
-		again, err := b.Requests.Reserve(t.Context(), MaxBufferedBytes)
+		releaseNext, err := b.Requests.Reserve(t.Context(), MaxBufferedBytes)
 		if err == nil {
-			again()
+			releaseNext()
 		}
 		got <- err
 	}()
-	if free, err := b.Responses.Reserve(t.Context(), MaxBodyBytes); err != nil {
+	if releaseResponse, err := b.Responses.Reserve(t.Context(), MaxBodyBytes); err != nil {
 		t.Error(err)
 	} else {
-		free()
+		releaseResponse()
 	}
-	if small, err := b.Requests.Reserve(t.Context(), uncountedBytes); err != nil {
+	if releaseSmall, err := b.Requests.Reserve(t.Context(), uncountedBytes); err != nil {
 		t.Error(err)
 	} else {
-		small()
+		releaseSmall()
 	}
 	select {
 	case err := <-got:
-		t.Errorf("more is held than there is capacity for: %v", err)
+		t.Errorf("Reserve returned without capacity: %v", err)
 	default:
 	}
 	release()
--- a/internal/node/clientconn/body.go
+++ b/internal/node/clientconn/body.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	// minBodyRate is the least rate of a client's body in bytes a second: three quarters of the slowest that clients may have.
+	// minBodyRate is the minimum rate of a request body in bytes per second: three quarters of the
+	// slowest rate that clients may have.
 	minBodyRate = 48_000
-	// MaxBodyPause is how long a client may pause amid its body.
+	// MaxBodyPause is the maximum duration of one pause within a request body.
 	MaxBodyPause = 2200 * time.Millisecond
-	// maxBodyCredit is the most that a client may be ahead of minBodyRate, to pause for later.
+	// maxBodyCredit is the maximum pause time that a client can earn by sending faster than
+	// minBodyRate.
 	maxBodyCredit = 4 * time.Second
-	// FirstBodyTimeout is by when, from connecting, the first bytes of a connection's first body are there. A peer that sends none
-	// gets an error or a close within 3 s.
+	// FirstBodyTimeout is the time from connecting until the first bytes of a connection's first body
+	// must have arrived. A peer that sends none must get an error or a close within 3 s.
 	FirstBodyTimeout = 2800 * time.Millisecond
-	// minFirstPause is what a body may pause at first, however late its head was.
+	// minFirstPause is how long every body may pause before its first byte, however late its head
+	// arrived.
 	minFirstPause = 300 * time.Millisecond
 )
 
-// Body reads a request's body for as long as the client keeps up its rate. Only the time spent waiting for the client counts. Its
-// readers take turns; the other methods may be called by any goroutine.
+// Body reads a request's body and fails if the client falls below the minimum rate. Only the time spent
+// waiting for the client counts. A Body is safe for concurrent use; concurrent reads are serialized.
 type Body struct {
 	setReadDeadline func(time.Time) error // on the connection
 	failed          chan struct{}
@@ -36,17 +39,19 @@
 	mu     sync.Mutex
 	reader io.Reader
 	total  int64         // bytes read
-	credit time.Duration // how much longer the client may keep its reader waiting
-	err    error         // why it can't be read to its end
+	credit time.Duration // how much longer reads may wait for the client
+	err    error         // why the body cannot be read to its end; nil while it can
 }
 
-// NewBody returns a Body that reads r, whose client may pause for allowance at first.
+// NewBody returns a Body that reads r. The client may pause for allowance before the first byte.
+// setReadDeadline sets the read deadline of the client's connection.
 func NewBody(r io.Reader, allowance time.Duration, setReadDeadline func(time.Time) error) *Body {
 	return &Body{reader: r, credit: allowance, setReadDeadline: setReadDeadline, failed: make(chan struct{})}
 }
 
-// Read reads what the client has sent. It fails with os.ErrDeadlineExceeded, wrapped, for a client that is too slow and with an
-// *http.MaxBytesError for a body over bodybudget.MaxBodyBytes; then and later.
+// Read reads what the client has sent. The error wraps os.ErrDeadlineExceeded if the client is too
+// slow, and is an *http.MaxBytesError if the body is longer than bodybudget.MaxBodyBytes. After an
+// error every later call returns the same one.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +73,8 @@
 		return n, b.fail(&http.MaxBytesError{Limit: bodybudget.MaxBodyBytes})
 	case err == io.EOF:
 		b.complete.Store(true)
-		// A deadline that passes while the request is served would look like a disconnect of the client.
+		// If a deadline passed while the request is served, net/http would take it for a disconnect of
+		// the client.
 		_ = b.setReadDeadline(time.Time{})
 	case err != nil:
 		return n, b.fail(err)
@@ -76,24 +82,24 @@
 	return n, err
 }
 
-// fail makes err the reason why the body cannot be read to its end; b.mu is locked.
+// fail records err as the reason why the body cannot be read to its end. b.mu must be held.
 func (b *Body) fail(err error) error {
 	b.err = err
 	close(b.failed)
 	return err
 }
 
-// Complete reports whether the last byte was read.
+// Complete reports whether the whole body has been read.
 func (b *Body) Complete() bool { return b.complete.Load() }
 
-// Consume notes that an attempt gets the part of the body that is not buffered, which can be read but once; false: an earlier attempt
-// has got it.
+// Consume claims the part of the body that is not buffered, which can be read only once, for an
+// attempt. It returns false if an earlier attempt has claimed it.
 func (b *Body) Consume() bool { return b.consumed.CompareAndSwap(false, true) }
 
-// Consumed reports whether an attempt has got the part that is not buffered.
+// Consumed reports whether an attempt has claimed the part that is not buffered.
 func (b *Body) Consumed() bool { return b.consumed.Load() }
 
-// Failed is closed once the body cannot be read to its end.
+// Failed returns a channel that is closed once the body cannot be read to its end.
 func (b *Body) Failed() <-chan struct{} { return b.failed }
 
 // Broken reports whether the body cannot be read to its end.
@@ -106,5 +112,6 @@
 	}
 }
 
-// Err is why the body cannot be read to its end. It may be called once Failed is closed.
+// Err returns the reason why the body cannot be read to its end. It must not be called before Failed is
+// closed.
 func (b *Body) Err() error { return b.err }
--- a/internal/node/clientconn/client.go
+++ b/internal/node/clientconn/client.go
@@ -8,24 +8,27 @@
 	"time"
 )
 
-// Client is what a request's handler knows of the connection that the request came on.
+// Client gives a request's handler access to the connection that the request arrived on.
 type Client struct {
 	conn      net.Conn
 	connected time.Time
-	bodies    atomic.Int64 // requests whose body was asked for
+	bodies    atomic.Int64 // calls of BodyAllowance
 }
 
 type clientKey struct{}
 
-// WithClient lets a request's handler find its connection with ClientOf; it is http.Server's ConnContext.
+// WithClient adds the Client of a connection to ctx, where ClientOf finds it. It is meant as
+// http.Server's ConnContext.
 func WithClient(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientKey{}, &Client{conn: conn, connected: time.Now()})
 }
 
-// ClientOf is the client of a request that a server with WithClient has read.
+// ClientOf returns the Client of a request. It panics if the request's server does not have WithClient
+// as its ConnContext.
 func ClientOf(r *http.Request) *Client { return r.Context().Value(clientKey{}).(*Client) }
 
-// BodyAllowance is how long the body of the connection's next request may pause at first. It is asked once for each request.
+// BodyAllowance returns how long the body of the connection's next request may pause before its first
+// byte. It must be called once for each request.
 func (c *Client) BodyAllowance() time.Duration {
 	if c.bodies.Add(1) > 1 {
 		return MaxBodyPause
@@ -33,15 +36,16 @@
 	return min(MaxBodyPause, max(minFirstPause, FirstBodyTimeout-time.Since(c.connected)))
 }
 
-// Reset makes the connection's close a reset, which cannot pass for the end of a response.
+// Reset makes closing the connection send a reset, which the client cannot mistake for the end of a
+// response.
 func (c *Client) Reset() {
 	if conn, isClient := c.conn.(*Conn); isClient {
 		conn.Reset()
 	}
 }
 
-// WatchDisconnect calls disconnected when the client is seen to have disconnected behind bytes that it sent ahead; see
-// Conn.WatchDisconnect.
+// WatchDisconnect calls disconnected when the client disconnects behind bytes that it sent before its
+// response; see Conn.WatchDisconnect.
 func (c *Client) WatchDisconnect(disconnected func()) (stop func()) {
 	if conn, isClient := c.conn.(*Conn); isClient {
 		return conn.WatchDisconnect(disconnected)
@@ -49,7 +53,8 @@
 	return func() {}
 }
 
-// Disconnected reports whether the client has closed its connection, whether or not anybody has noticed yet.
+// Disconnected reports whether the client has closed its connection, even if no read has returned that
+// yet.
 func (c *Client) Disconnected() bool {
 	conn, isClient := c.conn.(*Conn)
 	return isClient && conn.Disconnected()
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -13,48 +13,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// The states of a connection between its requests.
+// States of a connection.
 const (
-	stateIdle    int32 = iota // nothing has come since its last request ended
-	stateActive               // something has, so it may not be closed any more
-	stateClosing              // it is to be closed: what comes is not read as a request any more
+	stateIdle    int32 = iota // no bytes have arrived since the last request ended
+	stateActive               // bytes have arrived, so the connection must not be closed as idle
+	stateClosing              // the connection is being closed; bytes that arrive are no longer read as a request
 )
 
 const (
-	// maxReadAheadBytes is how much is read of what a client sends ahead of its response. A client that sends more is not seen
-	// to disconnect before its response.
+	// maxReadAheadBytes is the maximum number of bytes that are read ahead of a response. If a client
+	// sends more, its disconnect is not detected before the response.
 	maxReadAheadBytes = 4 << 10
-	// readAheadBytes is how much of that is read at once.
+	// readAheadBytes is the maximum size of one read ahead of a response.
 	readAheadBytes = 512
-	// closeLingerTimeout is how long a closed connection goes on reading, into nothing, so that no reset takes along what the client
-	// has not read yet, and maxLingerBytes how much of it.
+	// closeLingerTimeout is how long a closed connection continues to read and discard bytes, so that
+	// no reset destroys what the client has not read yet.
 	closeLingerTimeout = 400 * time.Millisecond
-	maxLingerBytes     = 1 << 20
+	// maxLingerBytes is the maximum number of bytes that a closed connection discards.
+	maxLingerBytes = 1 << 20
 )
 
-// Conn is a client's connection. It gives its capacity back when it is closed for good, and it sees its client disconnect also
-// where net/http does not: behind bytes that were sent ahead of the response.
+// Conn is a client's connection. It releases its capacity once it is fully closed, and it detects a
+// disconnect where net/http does not: behind bytes that the client sent before its response.
 //
-// net/http alone reads from it, by one goroutine at a time; the other methods may be called by any goroutine.
+// Only net/http reads from it, from one goroutine at a time; the other methods are safe for concurrent
+// use.
 type Conn struct {
 	net.Conn
-	release func() // gives the capacity back; called once
+	release func() // releases the capacity; called once
 
 	state        atomic.Int32
 	resetOnClose atomic.Bool
 	closed       atomic.Bool
 
 	mu           sync.Mutex
-	ahead        []byte        // read ahead of net/http, for its next Read
-	err          error         // what reading ahead ended with, for the Read after that
-	probed       bool          // net/http's own check for a disconnect read a byte, and it checks no more
-	disconnected func()        // to be called when the client is seen to have disconnected; nil: there is no watch
-	readingAhead chan struct{} // closed when reading ahead has ended; nil: it has not begun
+	ahead        []byte        // bytes read ahead, for the next Read of net/http
+	err          error         // the error that ended reading, for the Read after ahead is empty
+	probed       bool          // net/http's check for a disconnect has read a byte, so net/http checks no more
+	disconnected func()        // called when the client disconnects; nil while there is no watch
+	readingAhead chan struct{} // closed when reading ahead has ended; nil until it starts
 }
 
 func newConn(conn net.Conn, release func()) *Conn { return &Conn{Conn: conn, release: release} }
 
-// markIdle says that a request has ended and nothing of another has come, as far as net/http knows.
+// markIdle makes an active connection idle, unless bytes were read ahead. It is called when a request
+// has ended and net/http has read no byte of another.
 func (c *Conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,10 +69,11 @@
 // isIdle reports whether the connection may be closed now.
 func (c *Conn) isIdle() bool { return c.state.Load() == stateIdle }
 
-// beginClose makes an idle connection one that is to be closed; false: the client's next bytes were here before.
+// beginClose changes the state from idle to closing. It returns false if the connection is not idle,
+// for example because bytes of its next request have arrived.
 func (c *Conn) beginClose() bool { return c.state.CompareAndSwap(stateIdle, stateClosing) }
 
-// Read reads for net/http.
+// Read implements net.Conn for net/http.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	n, err := copy(p, c.ahead), error(nil)
@@ -82,31 +86,32 @@
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 && !c.state.CompareAndSwap(stateIdle, stateActive) && c.state.Load() == stateClosing {
-		return 0, net.ErrClosed // it came after the decision to close, so its client sends it again
+		return 0, net.ErrClosed // the bytes arrived after the decision to close, so the client sends the request again
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.err = err
 	}
-	// While a request is served net/http reads one single byte, to notice a disconnect.
+	// While a request is served, net/http reads a single byte to detect a disconnect.
 	c.probed = n == 1 && len(p) == 1
-	c.readAheadIfDue()
+	c.readAheadIfNeeded()
 	return n, err
 }
 
-// WatchDisconnect calls disconnected, from another goroutine and at most once, when the client is seen to have disconnected
-// behind bytes that it sent ahead of its response. It ends with stop, before which nothing else may read but net/http's look for a disconnect.
+// WatchDisconnect calls disconnected, from another goroutine and at most once, when the client
+// disconnects behind bytes that it sent before its response. The watch lasts until stop is called;
+// until then nothing but net/http's check for a disconnect may read from the connection.
 func (c *Conn) WatchDisconnect(disconnected func()) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = disconnected
-	c.readAheadIfDue()
+	c.readAheadIfNeeded()
 	return c.stopWatch
 }
 
-// readAheadIfDue begins to read ahead if a watch needs it; c.mu is locked.
-func (c *Conn) readAheadIfDue() {
+// readAheadIfNeeded starts reading ahead if a watch needs it. c.mu must be held.
+func (c *Conn) readAheadIfNeeded() {
 	if c.disconnected == nil || !c.probed || c.readingAhead != nil || c.err != nil {
 		return
 	}
@@ -114,7 +119,8 @@
 	go c.readAhead(c.disconnected, c.readingAhead)
 }
 
-// readAhead reads until the client disconnects, stopWatch ends it, or it holds maxReadAheadBytes.
+// readAhead reads until the client disconnects, stopWatch interrupts it, or maxReadAheadBytes have been
+// read.
 func (c *Conn) readAhead(disconnected func(), ended chan struct{}) {
 	defer close(ended)
 	buf := make([]byte, readAheadBytes)
@@ -143,14 +149,15 @@
 	c.disconnected, c.readingAhead = nil, nil
 	c.mu.Unlock()
 	if readingAhead != nil {
-		c.SetReadDeadline(time.Unix(1, 0)) // in the past: ends the read
+		c.SetReadDeadline(time.Unix(1, 0)) // a time in the past interrupts the read
 		<-readingAhead
 		c.SetReadDeadline(time.Time{})
 	}
 }
 
-// Close ends sending, and then reads into nothing until the client closes too or for closeLingerTimeout: a close over bytes that
-// nobody has read is a reset, which may take the last response along. The capacity is given back after that.
+// Close shuts down sending, and then reads and discards until the client closes too, closeLingerTimeout
+// has passed or maxLingerBytes have been read: closing a connection with unread bytes sends a reset,
+// which may destroy the last response. The capacity is released after that.
 func (c *Conn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
 		return net.ErrClosed
@@ -166,13 +173,13 @@
 	go func() {
 		defer c.release()
 		c.SetReadDeadline(time.Now().Add(closeLingerTimeout))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // an error is an end like any other
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // after an error there is nothing left to discard
 		c.Conn.Close()
 	}()
 	return nil
 }
 
-// evict closes a connection for which beginClose has returned true, at once, to have its capacity.
+// evict closes the connection immediately to free its capacity. beginClose must have returned true.
 func (c *Conn) evict() {
 	if c.closed.CompareAndSwap(false, true) {
 		c.Conn.Close()
@@ -180,16 +187,17 @@
 	}
 }
 
-// Reset makes the connection's close a reset, which cannot pass for the end of a response.
+// Reset makes closing the connection send a reset, which the client cannot mistake for the end of a
+// response.
 func (c *Conn) Reset() {
 	c.resetOnClose.Store(true)
 	if tcp, isTCP := c.Conn.(*net.TCPConn); isTCP {
-		tcp.SetLinger(0) // an error means that it is closed already
+		tcp.SetLinger(0) // an error means that the connection is already closed
 	}
 }
 
-// Disconnected reports whether the client has ended its sending or the connection, as far as the system knows, whatever stands
-// unread before that: the rest of a body that nobody reads yet, say.
+// Disconnected reports whether, according to the kernel, the client has shut down sending or closed the
+// connection. It does so even if unread bytes precede that, such as the rest of a body.
 func (c *Conn) Disconnected() bool {
 	sc, hasDescriptor := c.Conn.(syscall.Conn)
 	if !hasDescriptor {
@@ -209,10 +217,10 @@
 	return err == nil && poll[0].Revents != 0
 }
 
-// CloseWrite ends sending alone, which lets a client that still writes read its response.
+// CloseWrite shuts down sending only, so that a client that is still writing can read its response.
 func (c *Conn) CloseWrite() error {
-	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
--- a/internal/node/clientconn/conn_test.go
+++ b/internal/node/clientconn/conn_test.go
@@ -10,48 +10,49 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The system knows that a client has disconnected before anybody has read that.
+// Disconnected detects a disconnect without reading from the connection.
 func TestDisconnectedWithoutReading(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := nodetest.TCPPair(t)
-			c := newConn(ours, func() {})
+			server, client := nodetest.TCPPair(t)
+			c := newConn(server, func() {})
 			if c.Disconnected() {
-				t.Errorf("disconnected before")
+				t.Errorf("Disconnected returns true for an open connection")
 			}
-			leave(theirs)
+			disconnect(client)
 			nodetest.Eventually(t, name, c.Disconnected)
 		})
 	}
 }
 
-// delayedConn lets a read that has its bytes return only once gate is closed.
+// delayedConn signals on received when a read has received bytes, and lets that read return only once
+// gate is closed.
 type delayedConn struct {
 	net.Conn
-	has, gate chan struct{}
+	received, gate chan struct{}
 }
 
 func (c delayedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.has <- struct{}{}
+		c.received <- struct{}{}
 		<-c.gate
 	}
 	return n, err
 }
 
-// A request comes as its idle connection is closed: read before the decision it keeps the connection, read after the
-// decision it is not handled.
-func TestRequestAsItsConnectionIsClosed(t *testing.T) {
+// A request arrives while its idle connection is being closed. If its bytes are read before the close
+// is decided, the connection stays open. If they are read after, the request is not handled.
+func TestRequestDuringIdleClose(t *testing.T) {
 	t.Parallel()
-	for _, decided := range []bool{false, true} {
-		ours, theirs := nodetest.TCPPair(t)
-		h := delayedConn{ours, make(chan struct{}, 1), make(chan struct{})}
-		c := newConn(h, func() {})
+	for _, closeFirst := range []bool{false, true} {
+		server, client := nodetest.TCPPair(t)
+		delayed := delayedConn{server, make(chan struct{}, 1), make(chan struct{})}
+		c := newConn(delayed, func() {})
 		conns := NewIdleConns()
 		conns.since[c] = time.Now().Add(-time.Minute)
 		read := make(chan int, 1)
@@ -59,68 +60,70 @@
 			n, _ := c.Read(make([]byte, 100))
 			read <- n
 		}()
-		io.WriteString(theirs, "GET /read/1")
-		nodetest.Wait(t, h.has)
-		if decided {
-			conns.Close(time.Second) // its bytes are on their way through the read
+		io.WriteString(client, "GET /read/1")
+		nodetest.Wait(t, delayed.received)
+		if closeFirst {
+			conns.Close(time.Second) // Read has received the bytes and has not returned
 		}
-		close(h.gate)
+		close(delayed.gate)
 		n := nodetest.Wait(t, read)
-		if !decided {
+		if !closeFirst {
 			conns.Close(time.Second)
 		}
-		if want := map[bool]int{false: 11, true: 0}[decided]; n != want || c.closed.Load() != decided {
-			t.Errorf("decided before: %v, %d bytes read, closed %v", decided, n, c.closed.Load())
+		if want := map[bool]int{false: 11, true: 0}[closeFirst]; n != want || c.closed.Load() != closeFirst {
+			t.Errorf("close decided first: %v, %d bytes read, closed %v", closeFirst, n, c.closed.Load())
 		}
 	}
 }
 
-// A close over unread bytes does not reset the connection: the last answer arrives, and its end.
-func TestCloseOverUnreadBytes(t *testing.T) {
+// Closing a connection with unread bytes does not reset it: the client receives the last response and
+// its end.
+func TestCloseWithUnreadBytes(t *testing.T) {
 	t.Parallel()
-	for _, more := range []int{0, 100_000} { // that come while it closes
-		ours, theirs := nodetest.TCPPair(t)
-		left := make(chan struct{})
-		c := newConn(ours, func() { close(left) })
-		io.WriteString(theirs, nodetest.Text(100_000))
-		io.WriteString(c, "the last answer")
+	for _, more := range []int{0, 100_000} { // bytes that arrive during the close
+		server, client := nodetest.TCPPair(t)
+		released := make(chan struct{})
+		c := newConn(server, func() { close(released) })
+		io.WriteString(client, nodetest.Text(100_000))
+		io.WriteString(c, "the last response")
 		c.Close()
-		if _, err := io.WriteString(theirs, nodetest.Text(more)); err != nil {
+		if _, err := io.WriteString(client, nodetest.Text(more)); err != nil {
 			t.Errorf("%d more bytes: %v", more, err)
 		}
-		_ = theirs.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-		if b, err := io.ReadAll(theirs); string(b) != "the last answer" || err != nil {
+		_ = client.SetReadDeadline(time.Now().Add(nodetest.Timeout))
+		if b, err := io.ReadAll(client); string(b) != "the last response" || err != nil {
 			t.Errorf("%d more bytes: %q, %v", more, b, err)
 		}
-		theirs.Close()
-		nodetest.Wait(t, left)
+		client.Close()
+		nodetest.Wait(t, released)
 	}
 }
 
-// A close does not wait forever for a client that stays connected.
-func TestCloseBesideAClientThatStays(t *testing.T) {
+// Close does not wait forever for a client that stays connected.
+func TestCloseWithConnectedClient(t *testing.T) {
 	t.Parallel()
-	ours, _ := nodetest.TCPPair(t)
-	left := make(chan struct{})
-	c := newConn(ours, func() { close(left) })
+	server, _ := nodetest.TCPPair(t)
+	released := make(chan struct{})
+	c := newConn(server, func() { close(released) })
 	c.Close()
-	nodetest.Wait(t, left)
+	nodetest.Wait(t, released)
 	if err := c.Close(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a second close: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 }
 
-func TestListenerFollowsItsLimit(t *testing.T) {
+// A Listener accepts no more connections than its limit, which can change while Accept waits.
+func TestListenerLimit(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ll := NewListener(l, 1, nil)
+	limited := NewListener(l, 1, nil)
 	accepted, failed := make(chan net.Conn, 3), make(chan error, 1)
 	go func() {
 		for {
-			c, err := ll.Accept()
+			c, err := limited.Accept()
 			if err != nil {
 				failed <- err
 				return
@@ -133,16 +136,16 @@
 	}
 	c := nodetest.Wait(t, accepted)
 	c.Close()
-	c.Close() // gives its place back once
+	c.Close() // must not release the capacity a second time
 	nodetest.Wait(t, accepted)
-	ll.SetLimit(2)
+	limited.SetLimit(2)
 	nodetest.Wait(t, accepted)
-	if ll.mu.Lock(); ll.open != 2 {
-		t.Errorf("%d are open, 2 may be", ll.open)
+	if limited.mu.Lock(); limited.open != 2 {
+		t.Errorf("%d connections are open, want 2", limited.open)
 	}
-	ll.mu.Unlock()
-	ll.Close() // while Accept waits for a place
+	limited.mu.Unlock()
+	limited.Close() // while Accept waits for capacity
 	if err := nodetest.Wait(t, failed); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("Accept after Close: %v", err)
 	}
 }
--- a/internal/node/clientconn/drain.go
+++ b/internal/node/clientconn/drain.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// drainInterval is how often a Drainer looks for idle connections.
+	// drainInterval is the interval at which a Drainer closes idle connections.
 	drainInterval = 100 * time.Millisecond
-	// minDrainIdle is how long a connection must have been idle to be closed by a drain. A client that is at work on its
-	// connection uses it by then, and learns from the response that it is the last.
+	// minDrainIdle is how long a connection must have been idle to be closed by a drain. A client that
+	// is actively using its connection sends another request within that time, and its response
+	// announces the close.
 	minDrainIdle = 500 * time.Millisecond
 )
 
-// Drainer closes the idle connections for as long as it is on. Whoever answers requests asks Draining and closes the other
-// connections after a response. Any goroutine may use it.
+// Drainer closes idle connections while a drain is in progress. The code that writes responses must
+// check Draining and close the other connections after their responses. A Drainer is safe for
+// concurrent use.
 type Drainer struct {
 	conns *IdleConns
 
 	mu    sync.Mutex
-	timer *time.Timer // for the next look; nil: not draining
+	timer *time.Timer // fires closeIdle; nil while no drain is in progress
 }
 
-// NewDrainer returns a Drainer that is off.
+// NewDrainer returns a Drainer for the connections that conns tracks. No drain is in progress at first.
 func NewDrainer(conns *IdleConns) *Drainer { return &Drainer{conns: conns} }
 
-// Start begins a drain, unless there is one.
+// Start starts a drain. It does nothing if one is in progress.
 func (d *Drainer) Start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +36,7 @@
 	}
 }
 
-// Stop ends the drain, if there is one.
+// Stop ends the drain. It does nothing if none is in progress.
 func (d *Drainer) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +46,7 @@
 	}
 }
 
-// Draining reports whether there is a drain.
+// Draining reports whether a drain is in progress.
 func (d *Drainer) Draining() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +56,7 @@
 func (d *Drainer) closeIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.timer != nil { // else it was stopped just as it came due
+	if d.timer != nil { // Stop may have been called as the timer fired
 		d.conns.Close(minDrainIdle)
 		d.timer.Reset(drainInterval)
 	}
--- a/internal/node/clientconn/idle.go
+++ b/internal/node/clientconn/idle.go
@@ -7,36 +7,39 @@
 	"time"
 )
 
-// defaultMinEvictIdle is how long a connection must have been idle to be closed for the capacity that it takes.
+// defaultMinEvictIdle is how long a connection must have been idle before Evict closes it to free its
+// capacity.
 const defaultMinEvictIdle = 2 * time.Second
 
-// IdleConns knows which connections carry no request now, and since when. Any goroutine may use it.
+// IdleConns tracks which connections carry no request, and since when. It is safe for concurrent use.
 type IdleConns struct {
 	mu           sync.Mutex
-	since        map[net.Conn]time.Time
+	since        map[net.Conn]time.Time // when each idle connection became idle
 	minEvictIdle time.Duration
 }
 
-// NewIdleConns returns an IdleConns that knows of none.
+// NewIdleConns returns an IdleConns without connections.
 func NewIdleConns() *IdleConns {
 	return &IdleConns{since: map[net.Conn]time.Time{}, minEvictIdle: defaultMinEvictIdle}
 }
 
-// Len is how many connections are idle.
+// Len returns the number of idle connections.
 func (i *IdleConns) Len() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.since)
 }
 
-// SetMinEvictIdle changes how long a connection must have been idle for Evict, which is 2 s at first.
+// SetMinEvictIdle changes how long a connection must have been idle before Evict closes it. The default
+// is 2 s.
 func (i *IdleConns) SetMinEvictIdle(d time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.minEvictIdle = d
 }
 
-// StateChanged takes every change of a connection's state; it is called by http.Server's ConnState.
+// StateChanged records a change of a connection's state. It must be called for every change, as
+// http.Server's ConnState.
 func (i *IdleConns) StateChanged(conn net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -51,7 +54,7 @@
 	}
 }
 
-// Close closes the connections that have been idle for at least so long.
+// Close closes the connections that have been idle for at least minIdle.
 func (i *IdleConns) Close(minIdle time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -66,7 +69,8 @@
 	}
 }
 
-// Evict closes the connection that has been idle for longest, to have its capacity; false: none has been idle for long enough.
+// Evict closes the connection that has been idle for the longest time, to free its capacity. It returns
+// false if no connection has been idle for the minimum time; see SetMinEvictIdle.
 func (i *IdleConns) Evict() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -83,7 +87,8 @@
 	}
 }
 
-// longestIdle is the connection that has been idle for longest; nil: none has been idle for long enough. i.mu is locked.
+// longestIdle returns the connection that has been idle for the longest time, or nil if none has been
+// idle for minEvictIdle. i.mu must be held.
 func (i *IdleConns) longestIdle() *Conn {
 	var longest *Conn
 	oldest := time.Now().Add(-i.minEvictIdle)
--- a/internal/node/clientconn/listener.go
+++ b/internal/node/clientconn/listener.go
@@ -1,8 +1,9 @@
-// Package clientconn has the connections of a node's clients: how many may be open, which of them are idle and may be closed, what
-// a close looks like to a client, how one that disconnects is noticed, and the pace at which a request's body has to come.
+// Package clientconn manages the connections of a node's clients. It limits how many are open, tracks
+// which of them are idle and may be closed, closes them without losing responses, detects disconnects,
+// and enforces a minimum rate for request bodies.
 //
-// net/http reads and writes the connections. It holds a connection for idle until the whole head of a request is there, and looks
-// for a disconnect with single bytes; Conn makes up for both.
+// net/http reads and writes the connections. It considers a connection idle until the whole head of a
+// request has arrived, and checks for a disconnect by reading a single byte. Conn compensates for both.
 package clientconn
 
 import (
@@ -11,30 +12,32 @@
 	"time"
 )
 
-// evictRetryInterval is how often a Listener without capacity looks for a connection that may be closed by now.
+// evictRetryInterval is the interval at which a Listener without capacity tries again to evict a
+// connection.
 const evictRetryInterval = 50 * time.Millisecond
 
-// Listener accepts while fewer than its limit of the accepted connections are open. Any goroutine may use it.
+// Listener accepts connections while fewer than its limit are open. It is safe for concurrent use.
 type Listener struct {
 	net.Listener
 	evict func() bool
 
 	mu       sync.Mutex
-	capacity *sync.Cond // there may be capacity, or the listener is closed
+	capacity *sync.Cond // signalled when there may be capacity or the listener is closed
 	limit    int
 	open     int
 	closed   bool
 }
 
-// NewListener returns a Listener on l. evict closes a connection that may be closed to make room and reports whether there was
-// one; nil: none may.
+// NewListener returns a Listener on l that allows limit open connections. evict closes a connection to
+// free capacity, and reports whether there was one to close. evict may be nil; then no connection is
+// evicted.
 func NewListener(l net.Listener, limit int, evict func() bool) *Listener {
 	limited := &Listener{Listener: l, evict: evict, limit: limit}
 	limited.capacity = sync.NewCond(&limited.mu)
 	return limited
 }
 
-// SetLimit changes how many connections may be open. Those over a lower limit stay.
+// SetLimit changes how many connections may be open. Connections over a lowered limit stay open.
 func (l *Listener) SetLimit(limit int) {
 	l.mu.Lock()
 	l.limit = limit
@@ -42,28 +45,28 @@
 	l.capacity.Broadcast()
 }
 
-// Limit is how many connections may be open.
+// Limit returns how many connections may be open.
 func (l *Listener) Limit() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit
 }
 
-// OpenConnections is how many accepted connections are not closed for good yet.
+// OpenConnections returns the number of accepted connections that are not fully closed.
 func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Closed reports whether the listener was closed.
+// Closed reports whether Close was called.
 func (l *Listener) Closed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
 }
 
-// Accept waits for capacity and then for a connection, which is a *Conn.
+// Accept waits for capacity and then for a connection, which it returns as a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	if !l.reserve() {
 		return nil, net.ErrClosed
@@ -76,7 +79,8 @@
 	return newConn(conn, sync.OnceFunc(l.release)), nil
 }
 
-// reserve waits for capacity and takes it; false: the listener was closed.
+// reserve waits for capacity and reserves it for one connection. It returns false if the listener was
+// closed.
 func (l *Listener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +103,7 @@
 	return true
 }
 
-// release gives the capacity of one connection back.
+// release releases the capacity of one connection.
 func (l *Listener) release() {
 	l.mu.Lock()
 	l.open--
@@ -107,7 +111,7 @@
 	l.capacity.Signal()
 }
 
-// Close ends Accept. Connections that are open stay.
+// Close closes the listener, and Accept returns net.ErrClosed. Open connections stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/node/header/header.go
+++ b/internal/node/header/header.go
@@ -1,4 +1,5 @@
-// Package header has the names of the HTTP headers that clients, nodes and servers exchange, and the forms of their values.
+// Package header defines the names of the HTTP headers that clients, nodes and servers exchange, and
+// the formats of their values.
 package header
 
 import (
@@ -9,21 +10,24 @@
 	"time"
 )
 
-// Names of headers. All but Unprocessed come from clients; TimeLeft goes on to servers with each attempt, with what is left then.
+// Names of headers. Clients send all of them except Unprocessed. TimeLeft is also sent to servers with
+// each attempt, with the time left at that moment.
 const (
 	CorrelationID  = "X-Correlation-Id"
 	TimeLeft       = "X-Time-Left"
-	ClientRetry    = "X-Repeat" // 1: the client has sent the request before
+	ClientRetry    = "X-Repeat" // 1 if the client has sent the request before
 	Facts          = "X-Facts"
 	IdempotencyKey = "Idempotency-Key"
-	// Unprocessed is 1 in a server's response if the server has rejected the request and has not run it.
+	// Unprocessed is 1 in a server's response if the server has rejected the request without running
+	// it.
 	Unprocessed = "X-Unprocessed"
 )
 
-// maxTimeLeft is the longest that a client may be willing to wait.
+// maxTimeLeft is the maximum value of TimeLeft.
 const maxTimeLeft = 24 * time.Hour
 
-// ParseTimeLeft reads a value of TimeLeft: a number and a unit, m for milliseconds or u for microseconds.
+// ParseTimeLeft parses a value of TimeLeft: a number followed by a unit, m for milliseconds or u for
+// microseconds.
 func ParseTimeLeft(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, hasUnit := strings.CutSuffix(s, "m")
@@ -39,15 +43,16 @@
 	return time.Duration(d), nil
 }
 
-// FormatTimeLeft returns a value of TimeLeft: d in microseconds, 1 at the least.
+// FormatTimeLeft formats d as a value of TimeLeft, in microseconds. The result is at least 1 µs.
 func FormatTimeLeft(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
 }
 
-// maxCostHintMS is the first value of effort-ms that is too large to count.
+// maxCostHintMS is the bound, in milliseconds, at and above which values of effort-ms are ignored.
 const maxCostHintMS = 1e9
 
-// ParseCostHint finds the work to expect in a value of Facts, name=value pairs with commas between them; 0: there is none.
+// ParseCostHint returns the expected cost of a request from a value of Facts, which is a
+// comma-separated list of name=value pairs. It returns zero if the value has no valid effort-ms.
 func ParseCostHint(facts string) time.Duration {
 	for _, fact := range strings.Split(facts, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
--- a/internal/node/listener/listener.go
+++ b/internal/node/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener provides the listening sockets of a node: one that survives failed accepts, and one that is inherited
-// from the platform.
+// Package listener provides the listening sockets of a node: a listener that survives failed accepts,
+// and one that is inherited from the platform.
 package listener
 
 import (
@@ -15,8 +15,9 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Persistent is a listener whose Accept fails only once it is closed. On Linux a failed accept also reports what happened to
-// one connection or to the network for a moment, and http.Server gives up on most of these.
+// Persistent is a listener whose Accept fails only once it is closed. On Linux, accept also returns
+// errors of a single connection and transient errors of the network, and http.Server stops serving on
+// most of these.
 type Persistent struct{ net.Listener }
 
 // Accept waits for the next connection. The only error is net.ErrClosed.
@@ -31,11 +32,11 @@
 	}
 }
 
-// Inherit returns the listening TCP socket that the platform holds open for this node under the descriptor fd. Other processes
-// may accept on it too; closing the listener closes this process's copy alone. Inherit closes fd itself once it is known to be a
-// listening socket.
+// Inherit returns a listener on the listening TCP socket that the platform has opened for this node as
+// the descriptor fd. Other processes may accept on the socket too; closing the listener closes only
+// this process's copy. Inherit closes fd itself once it has checked that fd is a listening socket.
 func Inherit(fd int) (net.Listener, error) {
-	// Checked first: a wrong number may be a descriptor of the runtime's own, which must be left alone.
+	// A wrong number may be a descriptor of the Go runtime, which must not be closed.
 	accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor %d: %w", fd, err)
@@ -44,7 +45,7 @@
 		return nil, fmt.Errorf("inherited descriptor %d is no listening socket", fd)
 	}
 	file := os.NewFile(uintptr(fd), "inherited socket")
-	defer file.Close() // FileListener works on a copy
+	defer file.Close() // net.FileListener duplicates the descriptor
 	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor %d: %w", fd, err)
--- a/internal/node/listener/listener_test.go
+++ b/internal/node/listener/listener_test.go
@@ -11,14 +11,14 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// failingListener fails twice before each connection.
+// failingListener returns two errors before each connection.
 type failingListener struct {
 	net.Listener
-	n atomic.Int64
+	accepts atomic.Int64
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	switch l.n.Add(1) % 3 {
+	switch l.accepts.Add(1) % 3 {
 	case 1:
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	case 2:
@@ -27,7 +27,7 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept must not end a server, whatever the reason.
+// A failed accept must not stop a server, whatever its error.
 func TestFailedAccept(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	for range 2 {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+inner.Addr().String()+"/", nil)
 		if resp, _ := nodetest.Do(t, r); resp.StatusCode != http.StatusOK {
-			t.Errorf("answer %d", resp.StatusCode)
+			t.Errorf("status %d, want 200", resp.StatusCode)
 		}
 	}
 	srv.Close()
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -16,41 +16,47 @@
 )
 
 const (
-	// maxHeadBytes is the most that is read of the head of a server's response and any interim responses before it. net/http sets
-	// a client no limit, and one endless head would fill the memory.
+	// maxHeadBytes is the maximum size of the head of a server's response, including the interim
+	// responses before it. net/http sets no limit for a client, so an endless head would exhaust the
+	// memory.
 	maxHeadBytes = 1 << 20
-	// maxFramedBytes is the most that is read of a response's body with its framing: chunks may be of a byte each.
+	// maxFramedBytes is the maximum size of a response's body including its framing: chunks may be one
+	// byte each.
 	maxFramedBytes = 8 * bodybudget.MaxBodyBytes
 )
 
-// Causes with which the context of an attempt ends.
+// Causes for which the context of an attempt is cancelled.
 var (
 	ErrTimedOut  = errors.New("timed out")
 	ErrCancelled = errors.New("cancelled")
 )
 
-// Body is the part of a long request's body that is not buffered, which the client sends while the attempt is made.
+// Body is the part of a long request's body that is not buffered. The client sends it while the attempt
+// is in progress.
 type Body interface {
-	// Consume takes the body for one attempt; false: another has taken it.
+	// Consume claims the body for one attempt. It returns false if another attempt has claimed it.
 	Consume() bool
-	// Complete reports whether the last byte was read.
+	// Complete reports whether the whole body has been read.
 	Complete() bool
-	// Broken reports whether it cannot be read to its end.
+	// Broken reports whether the body cannot be read to its end.
 	Broken() bool
 }
 
-// Call is an attempt to be made, and whom it tells how it goes. The functions are called by goroutines of the attempt.
+// Call describes an attempt and the callbacks that report its progress. Goroutines of the attempt call
+// the callbacks.
 type Call struct {
-	Request      *http.Request // with its body
-	StreamedBody Body          // the part of its body that is not buffered; nil: all is
+	Request      *http.Request // the request to send, with its body
+	StreamedBody Body          // the part of the body that is not buffered; nil if the whole body is
 	Conditions   Conditions
-	// BodySent is called when the last byte of a request with a StreamedBody is written.
+	// BodySent is called when the last byte of a request with a StreamedBody has been written.
 	BodySent func()
-	// ResponseStarted is called when a long response begins. Whoever reads it calls its Finish.
+	// ResponseStarted is called when a long response begins. The reader of the response must call
+	// Finish or Discard.
 	ResponseStarted func(*Response)
 }
 
-// AttemptResult is how an attempt ended. Body and ContentType belong to a Success whose response was short.
+// AttemptResult is the outcome of an attempt. Body and ContentType are set for a Success with a short
+// response.
 type AttemptResult struct {
 	Result      balancer.Result
 	Body        []byte
@@ -59,29 +65,29 @@
 
 func (r AttemptResult) succeeded() bool { return r.Result == balancer.Success }
 
-// lostBeforeResponse reports whether the attempt ended with its connection, of which not a byte came back.
+// lostBeforeResponse reports whether the connection c was lost before a byte of the response arrived.
 func (r AttemptResult) lostBeforeResponse(c *conn) bool {
 	return r.Result == balancer.Unreachable || r.Result == balancer.ConnectionLost && c.limit.N == maxHeadBytes
 }
 
-// Attempt makes a call to an endpoint once and waits for the response until ctx ends. It writes nothing unless the conditions
-// hold at the first byte.
+// Attempt sends a call to an endpoint at most once and waits for the response until ctx ends. It writes
+// nothing unless the conditions hold right before the first byte.
 func (p *Pool) Attempt(ctx context.Context, e *Endpoint, call Call) AttemptResult {
 	r := call.Request
-	if r.Host == "" { // HTTP/1.0 clients need not name one, servers want one
+	if r.Host == "" { // optional for HTTP/1.0 clients, but servers require it
 		r.Host = e.Addr
 	}
 	c, err := p.connect(ctx, e, r, call.StreamedBody != nil)
 	if err != nil && ctx.Err() == nil {
 		return AttemptResult{Result: balancer.Unreachable}
 	} else if err != nil {
-		return AttemptResult{Result: balancer.NotSent} // the dial took the attempt's time or its reason away
+		return AttemptResult{Result: balancer.NotSent} // ctx ended during the dial
 	}
 	if result, ok := call.preSendCheck(ctx, e); !ok {
-		p.put(e, c) // not a byte was written
+		p.put(e, c) // nothing was written
 		return AttemptResult{Result: result}
 	}
-	stop := context.AfterFunc(ctx, c.abort) // the end of ctx aborts the connection, and the exchange with it
+	stop := context.AfterFunc(ctx, c.abort) // aborting the connection also ends the exchange
 	var result AttemptResult
 	var reusable bool
 	if call.StreamedBody == nil {
@@ -98,28 +104,32 @@
 	return result
 }
 
-// connect returns a connection for a request; long: not all of its body is buffered.
+// connect returns a connection for a request. long is true if not all of the request's body is
+// buffered.
 func (p *Pool) connect(ctx context.Context, e *Endpoint, r *http.Request, long bool) (*conn, error) {
 	if (long || !protocolAllowsRetry(r)) && p.reuseIdleLowered() {
-		// Servers drop idle connections, and a reset leaves open whether the request ran.
+		// Servers have been dropping idle connections, and after a reset it is unknown whether the
+		// request ran.
 		return p.dial(ctx, e)
 	}
 	return p.get(ctx, e)
 }
 
-// protocolAllowsRetry reports whether the protocol lets a request run twice: it is a GET or carries a key.
+// protocolAllowsRetry reports whether the protocol allows a request to run twice: it is a GET or has an
+// idempotency key.
 func protocolAllowsRetry(r *http.Request) bool {
 	return r.Method == http.MethodGet || r.Header.Get(header.IdempotencyKey) != ""
 }
 
-// exchange writes one request and reads its response. reusable: the connection can carry another.
+// exchange writes one request and reads its response. reusable reports whether the connection can carry
+// another request.
 func (p *Pool) exchange(ctx context.Context, c *conn, call Call) (result AttemptResult, reusable bool) {
 	var message bytes.Buffer
 	if err := call.Request.Write(&message); err != nil {
 		return AttemptResult{Result: balancer.NotSent}, false
 	}
 	if _, err := c.Write(message.Bytes()); err != nil {
-		// Not all of it was written, so it can't have run.
+		// The request was not written completely, so it cannot have run.
 		if ctx.Err() != nil {
 			return AttemptResult{Result: balancer.NotSent}, false
 		}
@@ -134,8 +144,8 @@
 	return p.receive(ctx, c, resp, call)
 }
 
-// readHead reads the head of a response and skips interim ones. Nobody asked to switch protocols, so 101 is final and means
-// nothing.
+// readHead reads the head of a response and skips interim responses. A 101 is returned as final,
+// because no request asks to switch protocols.
 func readHead(reader *bufio.Reader, r *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(reader, r)
@@ -145,7 +155,8 @@
 	}
 }
 
-// unansweredResult is how an attempt ended that was written and got no complete response.
+// unansweredResult returns the result of an attempt whose request was written and that got no complete
+// response.
 func unansweredResult(ctx context.Context) balancer.Result {
 	cause := context.Cause(ctx)
 	switch {
@@ -157,7 +168,8 @@
 	return balancer.Cancelled
 }
 
-// receive reads the body of a response.
+// receive reads the body of a response. reusable reports whether the connection can carry another
+// request.
 func (p *Pool) receive(ctx context.Context, c *conn, resp *http.Response, call Call) (result AttemptResult, reusable bool) {
 	defer resp.Body.Close()
 	c.limit.N = maxFramedBytes
@@ -177,19 +189,21 @@
 	return result, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// provesUnprocessed reports whether the server says that it has not run the request.
+// provesUnprocessed reports whether a response states that the server has not run the request.
 func provesUnprocessed(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(header.Unprocessed) == "1"
 }
 
-// discard reads a body that nobody wants; false: it was not read to its end.
+// discard reads and discards a body. It returns false if the body was not read to its end, because it
+// failed or was longer than bodybudget.MaxBufferedBytes.
 func discard(body io.Reader) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, bodybudget.MaxBufferedBytes+1))
 	return err == nil && n <= bodybudget.MaxBufferedBytes
 }
 
-// receiveOK reads the body of a 200. complete: to its end, and a long one was passed on to its end.
+// receiveOK reads the body of a 200. complete reports whether the body was read to its end and, if it
+// was streamed, was passed on to its end.
 func (p *Pool) receiveOK(ctx context.Context, c *conn, resp *http.Response, call Call) (result AttemptResult, complete bool) {
 	release, err := p.budget.Responses.Reserve(ctx, resp.ContentLength)
 	if err != nil {
@@ -205,7 +219,7 @@
 	switch {
 	case response.Length > bodybudget.MaxBufferedBytes:
 		start()
-	case response.Length < 0: // it may be long, and then its first bytes are wanted
+	case response.Length < 0: // the response may be long, so its first bytes must not be held back until its end
 		defer time.AfterFunc(gatherTimeout, start).Stop()
 	}
 	err = response.receive(pauseLimitedReader{c.Conn, resp.Body}, start)
@@ -226,7 +240,7 @@
 	return AttemptResult{balancer.Success, response.buffered, response.ContentType}, true
 }
 
-// pauseLimitedReader reads a server's body for as long as the server does not pause for maxServerPause.
+// pauseLimitedReader reads a server's body, and fails if the server pauses for maxServerPause.
 type pauseLimitedReader struct {
 	conn net.Conn
 	body io.Reader
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -21,36 +21,37 @@
 	"umberbank/internal/simwire"
 )
 
-// A reset does not end a response, whether or not its length is known, and wherever it strikes.
-func TestResetIsNoEnd(t *testing.T) {
+// A reset at any point of a response is a lost connection, and does not pass for the end of a response
+// of unknown length.
+func TestResetDoesNotEndResponse(t *testing.T) {
 	t.Parallel()
-	for _, said := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nall of",
+	for _, sent := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nall of",
 		"HTTP/1.0 200 OK\r\n\r\nall of", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nall of\r\n"} {
 		read := make(chan struct{})
 		addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
 				_, _ = io.Copy(io.Discard, req.Body)
-				io.WriteString(c, said)
-				if said != "" {
-					<-read // a reset may overtake what nobody has read
+				io.WriteString(c, sent)
+				if sent != "" {
+					<-read // a reset may overtake bytes that were not read
 				}
 				c.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		u := newTestPool(10)
-		connect := u.Dial
-		u.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-			c, err := connect(ctx, addr, within)
+		p := newTestPool(10)
+		dial := p.Dial
+		p.Dial = func(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+			c, err := dial(ctx, addr, timeout)
 			return notifyingConn{c, sync.OnceFunc(func() { close(read) })}, err
 		}
-		if res := attemptWith(t, u, newReadyEndpoint(addr)); res.Result != balancer.ConnectionLost {
-			t.Errorf("after %q: result %d", said, res.Result)
+		if res := attemptWith(t, p, newReadyEndpoint(addr)); res.Result != balancer.ConnectionLost {
+			t.Errorf("reset after %q: result %d, want ConnectionLost", sent, res.Result)
 		}
 	}
 }
 
-// notifyingConn calls a function when its first bytes are read.
+// notifyingConn calls onRead when bytes are read.
 type notifyingConn struct {
 	net.Conn
 	onRead func()
@@ -64,10 +65,11 @@
 	return n, err
 }
 
-// serverIdleTimeout is after how long servers close idle connections, by the settings of the tests.
+// serverIdleTimeout is the IdleTimeout in the settings of the tests, after which servers close idle
+// connections.
 const serverIdleTimeout = time.Minute
 
-// newTestPool returns a pool of one connection.
+// newTestPool returns a pool of at most limit connections.
 func newTestPool(limit int) *Pool {
 	return NewPool(Options{
 		Connections:    simwire.Connections{IdleTimeout: serverIdleTimeout, ConnectTimeout: nodetest.Timeout},
@@ -77,13 +79,13 @@
 	})
 }
 
-// noTime is the clock of attempts whose conditions have no times.
+// noTime is the clock of attempts whose conditions have no deadlines.
 func noTime() time.Duration { return 0 }
 
 func newReadyEndpoint(addr string) *Endpoint {
-	s := NewEndpoint(addr, 0)
-	s.SetReady(true)
-	return s
+	e := NewEndpoint(addr, 0)
+	e.SetReady(true)
+	return e
 }
 
 func keyedRequest(t *testing.T) *http.Request {
@@ -97,17 +99,17 @@
 	return r
 }
 
-// noConditions hold for every attempt.
+// noConditions are conditions that hold for every attempt to a ready endpoint.
 var noConditions = Conditions{Now: noTime, Wanted: func() bool { return true }}
 
-func attemptWith(t *testing.T, u *Pool, s *Endpoint) AttemptResult {
+func attemptWith(t *testing.T, p *Pool, e *Endpoint) AttemptResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeoutCause(context.Background(), nodetest.Timeout, ErrTimedOut)
 	defer cancel()
-	return u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions, ResponseStarted: func(d *Response) {
+	return p.Attempt(ctx, e, Call{Request: keyedRequest(t), Conditions: noConditions, ResponseStarted: func(response *Response) {
 		go func() {
-			_, err := io.Copy(io.Discard, d)
-			d.Finish(err)
+			_, err := io.Copy(io.Discard, response)
+			response.Finish(err)
 		}()
 	}})
 }
@@ -115,9 +117,9 @@
 func TestResults(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		answer string
-		result balancer.Result
-		kept   bool
+		response string
+		result   balancer.Result
+		reusable bool
 	}{
 		"served":            {nodetest.OKResponse, balancer.Success, true},
 		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + nodetest.OKResponse, balancer.Success, true},
@@ -129,12 +131,12 @@
 		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
 		"rejected":          {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"unprocessed 504":   {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"503 may have run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		"nothing":           {"", balancer.ConnectionLost, false},
-		"no HTTP":           {"hello\r\n\r\n", balancer.ConnectionLost, false},
+		"not HTTP":          {"hello\r\n\r\n", balancer.ConnectionLost, false},
 		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", balancer.ConnectionLost, false},
 		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.ConnectionLost, false},
 		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.ConnectionLost, false},
@@ -156,22 +158,22 @@
 			addr := nodetest.Listen(t, func(conn net.Conn, r *bufio.Reader) {
 				if req, err := http.ReadRequest(r); err == nil {
 					_, _ = io.Copy(io.Discard, req.Body)
-					io.WriteString(conn, c.answer)
-					if c.kept {
+					io.WriteString(conn, c.response)
+					if c.reusable {
 						<-release
 					}
 				}
 			})
-			u := newTestPool(10)
-			res := attemptWith(t, u, newReadyEndpoint(addr))
+			p := newTestPool(10)
+			res := attemptWith(t, p, newReadyEndpoint(addr))
 			if res.Result != c.result {
 				t.Errorf("result %d, want %d", res.Result, c.result)
 			}
 			want := 0
-			if c.kept {
+			if c.reusable {
 				want = 1
 			}
-			if open, idle := u.Connections(); open != want || idle != want {
+			if open, idle := p.Connections(); open != want || idle != want {
 				t.Errorf("%d connections open and %d idle, want %d", open, idle, want)
 			}
 			close(release)
@@ -179,11 +181,11 @@
 	}
 }
 
-// A reused connection that breaks once the request is written is an attempt that may have run: it must not be sent again
-// without the balancer, though it is idempotent.
-func TestNoHiddenResend(t *testing.T) {
+// If a reused connection breaks after the request was written, the request may have run. Even if it is
+// idempotent, only the balancer may decide to send it again.
+func TestNoImplicitRetry(t *testing.T) {
 	t.Parallel()
-	var seen atomic.Int64
+	var received atomic.Int64
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for i := 0; ; i++ {
 			req, err := http.ReadRequest(r)
@@ -191,22 +193,22 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			seen.Add(1)
+			received.Add(1)
 			if i == 1 {
-				return // no answer to a connection's second request
+				return // no response to a connection's second request
 			}
 			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
-	if res := attemptWith(t, u, s); res.Result != balancer.Success {
+	p, e := newTestPool(10), newReadyEndpoint(addr)
+	if res := attemptWith(t, p, e); res.Result != balancer.Success {
 		t.Fatalf("first: %d", res.Result)
 	}
-	if res := attemptWith(t, u, s); res.Result != balancer.ConnectionLost {
+	if res := attemptWith(t, p, e); res.Result != balancer.ConnectionLost {
 		t.Errorf("second: result %d, want ConnectionLost", res.Result)
 	}
-	if n := seen.Load(); n != 2 {
-		t.Errorf("the server saw %d requests of 2", n)
+	if n := received.Load(); n != 2 {
+		t.Errorf("the server received %d requests, want 2", n)
 	}
 }
 
@@ -217,17 +219,17 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	u := newTestPool(10)
-	if res := attemptWith(t, u, newReadyEndpoint(l.Addr().String())); res.Result != balancer.Unreachable {
-		t.Errorf("result %d", res.Result)
+	p := newTestPool(10)
+	if res := attemptWith(t, p, newReadyEndpoint(l.Addr().String())); res.Result != balancer.Unreachable {
+		t.Errorf("result %d, want Unreachable", res.Result)
 	}
-	if open, _ := u.Connections(); open != 0 {
-		t.Errorf("%d connections counted", open)
+	if open, _ := p.Connections(); open != 0 {
+		t.Errorf("%d connections are counted as open, want 0", open)
 	}
 }
 
-// What has changed during a dial is seen before the first byte.
-func TestNothingWrittenAfterTheDial(t *testing.T) {
+// Changes during a dial are noticed before the first byte is written.
+func TestNothingWrittenAfterChangesDuringDial(t *testing.T) {
 	t.Parallel()
 	var bytes atomic.Int64
 	eof := make(chan struct{}, 10)
@@ -236,23 +238,23 @@
 		bytes.Add(n)
 		eof <- struct{}{}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
 	ctx := context.Background()
-	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: func() bool { return false }}}); res.Result != balancer.NotSent {
+	if res := p.Attempt(ctx, e, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: func() bool { return false }}}); res.Result != balancer.NotSent {
 		t.Errorf("request finished: result %d, want NotSent", res.Result)
 	}
-	if _, idle := u.Connections(); idle != 1 {
+	if _, idle := p.Connections(); idle != 1 {
 		t.Error("the new connection was not kept for the next attempt")
 	}
-	gone := func() bool { s.SetReady(false); return true }
-	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: gone}}); res.Result != balancer.Unreachable {
-		t.Errorf("server gone: result %d, want Unreachable", res.Result)
+	becomeUnready := func() bool { e.SetReady(false); return true }
+	if res := p.Attempt(ctx, e, Call{Request: keyedRequest(t), Conditions: Conditions{Now: noTime, Wanted: becomeUnready}}); res.Result != balancer.Unreachable {
+		t.Errorf("endpoint not ready: result %d, want Unreachable", res.Result)
 	}
 	nodetest.Wait(t, eof)
-	s.SetReady(true)
+	e.SetReady(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(ErrCancelled)
-	if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != balancer.NotSent {
+	if res := p.Attempt(ctx, e, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != balancer.NotSent {
 		t.Errorf("cancelled: result %d, want NotSent", res.Result)
 	}
 	if n := bytes.Load(); n > 0 {
@@ -260,8 +262,9 @@
 	}
 }
 
-// A timeout or a cancel ends the attempt and resets its connection, so that what has not left this machine never does.
-func TestTimeoutAndCancelClose(t *testing.T) {
+// A timeout or a cancellation ends the attempt and resets its connection, so that bytes in the send
+// buffer are not sent later.
+func TestTimeoutAndCancelResetConnection(t *testing.T) {
 	t.Parallel()
 	began, ended := make(chan struct{}, 10), make(chan error, 10)
 	addr := nodetest.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -272,7 +275,7 @@
 			ended <- err
 		}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
 	for cause, want := range map[error]balancer.Result{
 		ErrTimedOut: balancer.TimedOut, ErrCancelled: balancer.Cancelled} {
 		t.Run(cause.Error(), func(t *testing.T) {
@@ -281,15 +284,15 @@
 				<-began
 				cancel(cause)
 			}()
-			if res := u.Attempt(ctx, s, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != want {
+			if res := p.Attempt(ctx, e, Call{Request: keyedRequest(t), Conditions: noConditions}); res.Result != want {
 				t.Errorf("%v: result %d, want %d", cause, res.Result, want)
 			}
 			if err := nodetest.Wait(t, ended); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("%v: the server saw %v", cause, err)
+				t.Errorf("%v: the server's read ended with %v, want a reset", cause, err)
 			}
 		})
 	}
-	if open, _ := u.Connections(); open != 0 {
+	if open, _ := p.Connections(); open != 0 {
 		t.Errorf("%d connections open", open)
 	}
 }
--- a/internal/node/upstream/conn.go
+++ b/internal/node/upstream/conn.go
@@ -13,9 +13,9 @@
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
-	limit     *io.LimitedReader // what reader may still read from Conn
+	limit     *io.LimitedReader // limits how much reader may still read from Conn
 	idleSince time.Time
-	wasIdle   time.Duration // how long it was idle before its present use; 0: it is new
+	wasIdle   time.Duration // how long it was idle before its current use; zero if it is new
 }
 
 func newConn(c net.Conn) *conn {
@@ -23,25 +23,27 @@
 	return &conn{Conn: c, reader: bufio.NewReader(limit), limit: limit}
 }
 
-// abort gives the connection up with all that was written to it and has not left this machine. After a plain close the system
-// goes on sending that for minutes, so a request written into a link that is down would arrive, and run, when the link is up
-// again, long after its client was told that it had failed. Bytes that have left this machine cannot be recalled.
+// abort closes the connection with a reset, which discards the bytes in the kernel's send buffer. After
+// a plain close the kernel retransmits them for minutes: a request written while the link is down would
+// arrive and run once the link is up again, long after its client got an error. Bytes that have been
+// transmitted cannot be recalled.
 func (c *conn) abort() {
 	if t, can := c.Conn.(interface{ SetLinger(sec int) error }); can {
-		_ = t.SetLinger(0) // where that cannot be, it is closed all the same
+		_ = t.SetLinger(0) // if this fails, the connection is still closed
 	}
 	c.Conn.Close()
 }
 
-// alive reports whether an idle connection is still open and holds no bytes: a server that closed it would reset the next request,
-// and leftover bytes would pass for that request's response.
+// alive reports whether an idle connection is open and has no unread bytes. A server that has closed it
+// would reset the next request, and unread bytes would be taken for that request's response.
 func (c *conn) alive() bool {
 	_, err := peek(c.Conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peek looks, without waiting, how many bytes stand unread on a connection, one at the most. 0 is its end; EAGAIN says that it is
-// open and holds nothing. It may be called beside a reader.
+// peek checks for unread bytes on a connection without blocking. n is 1 if there are any, and 0 with a
+// nil error at the end of the stream. The error is EAGAIN if the connection is open and has no unread
+// bytes. peek may be called while another goroutine reads.
 func peek(c net.Conn) (n int, err error) {
 	sc, hasDescriptor := c.(syscall.Conn)
 	if !hasDescriptor {
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Endpoint is a listed server as connections know it: one process at one address. A process that starts anew or moves is another
-// Endpoint.
+// Endpoint is the target of connections: one process of a listed server at one address. A process that
+// restarts or moves to another address is a new Endpoint.
 type Endpoint struct {
 	Addr      string        // host:port
-	StartTime time.Duration // Unix time
+	StartTime time.Duration // when the process started, in Unix time
 	ready     atomic.Bool
 }
 
@@ -18,8 +18,9 @@
 	return &Endpoint{Addr: addr, StartTime: startTime}
 }
 
-// SetReady says whether the endpoint list has the endpoint as ready. Nothing is sent to one that is not.
+// SetReady sets whether the endpoint is ready according to the endpoint list. Nothing is sent to an
+// endpoint that is not ready.
 func (e *Endpoint) SetReady(ready bool) { e.ready.Store(ready) }
 
-// Ready reports whether the endpoint list has the endpoint as ready.
+// Ready reports whether the endpoint is ready according to the endpoint list.
 func (e *Endpoint) Ready() bool { return e.ready.Load() }
--- a/internal/node/upstream/long.go
+++ b/internal/node/upstream/long.go
@@ -9,10 +9,11 @@
 	"umberbank/balancer"
 )
 
-// earlyResponseTimeout is how long a server that takes no more of a request may take to say why.
+// earlyResponseTimeout limits the wait for a response after writing a request has failed: the server
+// may have responded early.
 const earlyResponseTimeout = time.Second
 
-// pauseLimitedWriter writes to a server for as long as the server does not pause for maxServerPause.
+// pauseLimitedWriter writes to a server, and fails if the server does not read for maxServerPause.
 type pauseLimitedWriter struct{ net.Conn }
 
 // Write implements io.Writer.
@@ -23,15 +24,15 @@
 	return w.Conn.Write(p)
 }
 
-// exchangeLong writes a request with a StreamedBody as its client sends it, and reads its response. A server may respond before it has
-// read all.
+// exchangeLong writes a request with a StreamedBody while its client sends it, and reads the response,
+// which may begin before the server has read the whole request.
 func (p *Pool) exchangeLong(ctx context.Context, c *conn, call Call) (result AttemptResult, reusable bool) {
 	wrote := make(chan error, 1)
 	go func() { wrote <- p.writeLong(c, call) }()
 	c.limit.N = maxHeadBytes
 	resp, err := readHead(c.reader, call.Request)
 	if !call.StreamedBody.Complete() || err != nil {
-		c.Conn.Close() // ends the writing, should it still go on
+		c.Conn.Close() // stops writeLong if it is still writing
 	}
 	if !call.StreamedBody.Complete() {
 		return AttemptResult{Result: unsentResult(ctx, resp, call)}, false
@@ -46,7 +47,8 @@
 	return p.receive(ctx, c, resp, call)
 }
 
-// writeLong writes a request with a StreamedBody, and sees to it that the reading of its response ends if it cannot be written.
+// writeLong writes a request with a StreamedBody. If that fails, it makes the read of the response end
+// as well.
 func (p *Pool) writeLong(c *conn, call Call) error {
 	err := call.Request.Write(pauseLimitedWriter{c.Conn})
 	switch {
@@ -54,20 +56,21 @@
 		p.metrics.AttemptsSent.Add(1)
 		call.BodySent()
 	case call.StreamedBody.Broken():
-		c.Conn.Close() // no response can come
+		c.Conn.Close() // an incomplete request gets no response
 	default:
 		c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	}
 	return err
 }
 
-// unsentResult is how an attempt ended whose last byte was not written, so that it can't have run.
+// unsentResult returns the result of an attempt whose last byte was not written, so that the request
+// cannot have run.
 func unsentResult(ctx context.Context, resp *http.Response, call Call) balancer.Result {
 	switch {
 	case ctx.Err() != nil || call.StreamedBody.Broken():
-		return balancer.NotSent // not the server's doing
+		return balancer.NotSent // not caused by the server
 	case resp != nil:
-		return balancer.Overloaded // it did not want all of it
+		return balancer.Overloaded // the server responded without reading the whole request
 	}
 	return balancer.Unreachable
 }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream makes attempts of requests to servers, over a pool of connections of its own.
+// Package upstream sends attempts of requests to servers, over its own connection pool.
 //
-// http.Transport is no use here: it sends a request again by itself when a reused connection breaks, which would be an attempt that
-// nobody counted, perhaps to a server that is draining by then. An attempt of this package is sent at most once, and its Result says
-// whether the server can have run it.
+// http.Transport is not suitable: it implicitly sends a request again when a reused connection breaks.
+// Such an attempt would not be counted, and the server might be draining by then. This package sends an
+// attempt at most once, and the Result of the attempt says whether the server can have run it.
 package upstream
 
 import (
@@ -17,32 +17,33 @@
 	"umberbank/internal/simwire"
 )
 
-// ErrNoCapacity says that no descriptor is left for another connection.
+// ErrNoCapacity is returned when the pool is at its limit and has no idle connection to close.
 var ErrNoCapacity = errors.New("no descriptor left for another connection")
 
-// Options are what a Pool needs.
+// Options configure a Pool. All fields must be set.
 type Options struct {
 	Connections    simwire.Connections
-	MaxConnections int // idle ones and dials among them
+	MaxConnections int // includes idle connections and dials in progress
 	Metrics        *metrics.Metrics
 	Budget         *bodybudget.Budget
 }
 
-// Pool has the connections to all endpoints. Any goroutine may use it.
+// Pool manages the connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
-	// Dial opens a connection to an address within a time. It may be replaced before the first attempt.
+	// Dial opens a connection to an address within a timeout. It must not be replaced after the first
+	// attempt.
 	Dial func(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error)
 
 	metrics *metrics.Metrics
 	budget  *bodybudget.Budget
 
 	mu             sync.Mutex
-	idleTimeout    time.Duration // idle connections are closed after so long
+	idleTimeout    time.Duration // maximum idle time of a connection by the settings
 	connectTimeout time.Duration
-	idle           map[*Endpoint][]*conn // the one used last comes last
-	open           int                   // connections there are, idle ones and dials among them
-	limit          int                   // and may be
-	reuseIdle      time.Duration         // idle connections are used again after less than this, idleTimeout at the most
+	idle           map[*Endpoint][]*conn // the most recently used connection is last
+	open           int                   // number of connections, including idle ones and dials in progress
+	limit          int                   // maximum of open
+	reuseIdle      time.Duration         // connections are reused after less idle time than this; at most idleTimeout
 }
 
 // NewPool returns a Pool without connections.
@@ -62,11 +63,11 @@
 	}
 }
 
-// RequestBudget bounds the memory that the bodies of requests hold.
+// RequestBudget returns the limiter of the memory that the bodies of requests hold.
 func (p *Pool) RequestBudget() *bodybudget.Limiter { return p.budget.Requests }
 
-// Reconfigure takes over new settings of connections. The maximum idle time for reuse
-// follows the setting unless it was lowered; see lowerMaxReuseIdle.
+// Reconfigure applies new settings of connections. The maximum idle time for reuse follows the settings
+// unless it was lowered; see lowerMaxReuseIdle.
 func (p *Pool) Reconfigure(c simwire.Connections) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,14 +78,16 @@
 	p.reuseIdle = min(p.reuseIdle, p.idleTimeout)
 }
 
-// SetLimit changes how many connections there may be. Those over a lower limit stay until they are closed.
+// SetLimit changes the maximum number of connections. Connections over a lowered limit stay until they
+// are closed.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	p.limit = limit
 	p.mu.Unlock()
 }
 
-// Connections are how many connections there are, dials among them, and how many of them are idle.
+// Connections returns the number of connections, including dials in progress, and how many of them are
+// idle.
 func (p *Pool) Connections() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +97,7 @@
 	return p.open, idle
 }
 
-// get takes the idle connection to an endpoint that was used last, or dials.
+// get returns the most recently used idle connection to an endpoint, or dials a new one.
 func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
 	for {
 		c := p.popIdle(e)
@@ -113,7 +116,8 @@
 	}
 }
 
-// dial opens a new connection to an endpoint.
+// dial opens a new connection to an endpoint. It returns ErrNoCapacity if the pool has no capacity for
+// it.
 func (p *Pool) dial(ctx context.Context, e *Endpoint) (*conn, error) {
 	if !p.reserve() {
 		return nil, ErrNoCapacity
@@ -129,7 +133,8 @@
 	return newConn(c), nil
 }
 
-// popIdle takes the idle connection to an endpoint that was used last; nil: there is none.
+// popIdle removes and returns the most recently used idle connection to an endpoint, or returns nil if
+// there is none.
 func (p *Pool) popIdle(e *Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,8 +147,8 @@
 	return conns[last]
 }
 
-// reserve counts a connection that is to be dialled. With no capacity left an idle one of any endpoint is closed for it; false:
-// there is none.
+// reserve reserves capacity for a connection that is to be dialled. At the limit it closes an idle
+// connection to any endpoint instead, and returns false if there is none.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,24 +166,25 @@
 	return true
 }
 
-// release counts a connection out.
+// release releases the capacity of one connection.
 func (p *Pool) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// close closes a connection and counts it out.
+// close closes a connection and releases its capacity.
 func (p *Pool) close(c *conn) {
 	c.Conn.Close()
 	p.release()
 }
 
-// put keeps a connection for the next attempt, unless the endpoint is no longer ready.
+// put makes a connection idle, for reuse by a later attempt, or closes it if the endpoint is no longer
+// ready.
 func (p *Pool) put(e *Endpoint, c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
-	ready := e.Ready() // under the lock, so that CloseIdle comes after or is seen here
+	ready := e.Ready() // with p.mu held, so that a concurrent change is either seen here or followed by CloseIdle
 	if ready {
 		p.idle[e] = append(p.idle[e], c)
 	}
@@ -193,13 +199,13 @@
 	p.closeIdle(func(of *Endpoint, _ *conn) bool { return of == e })
 }
 
-// CloseStale closes idle connections that are too old or that their server has closed, lest they hold descriptors until they would
-// be used next.
+// CloseStale closes idle connections that have been idle for too long or that their server has closed.
+// Otherwise they would hold descriptors until get finds them.
 func (p *Pool) CloseStale() {
 	p.closeIdle(func(_ *Endpoint, c *conn) bool { return time.Since(c.idleSince) >= p.reuseIdle || !c.alive() })
 }
 
-// closeIdle closes the idle connections for which stale, which is called with p.mu locked, returns true.
+// closeIdle closes the idle connections for which stale returns true. It calls stale with p.mu held.
 func (p *Pool) closeIdle(stale func(*Endpoint, *conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/upstream/pool_test.go
+++ b/internal/node/upstream/pool_test.go
@@ -15,22 +15,23 @@
 	"umberbank/internal/simwire"
 )
 
-// Trust in idle connections follows a setting that is raised, unless a server has dropped one early.
-func TestTrustFollowsItsSetting(t *testing.T) {
+// The maximum idle time for reuse follows a raised setting, unless it was lowered because a server
+// dropped a connection early.
+func TestReuseIdleFollowsSetting(t *testing.T) {
 	t.Parallel()
-	for _, shaken := range []bool{false, true} {
-		u := newTestPool(10)
-		if shaken {
-			u.lowerMaxReuseIdle(4 * time.Second)
+	for _, lowered := range []bool{false, true} {
+		p := newTestPool(10)
+		if lowered {
+			p.lowerMaxReuseIdle(4 * time.Second)
 		}
-		u.Reconfigure(simwire.Connections{IdleTimeout: time.Hour, ConnectTimeout: time.Second})
-		if u.reuseIdleLowered() != shaken {
-			t.Errorf("shaken %v: trusted for %v of %v", shaken, u.reuseIdle, u.idleTimeout)
+		p.Reconfigure(simwire.Connections{IdleTimeout: time.Hour, ConnectTimeout: time.Second})
+		if p.reuseIdleLowered() != lowered {
+			t.Errorf("lowered before: %v, reuse after up to %v idle, the settings allow %v", lowered, p.reuseIdle, p.idleTimeout)
 		}
 	}
 }
 
-// A server may close an idle connection at any time; a request written to it then would be lost.
+// A server may close an idle connection at any time; a request written to it after that would be lost.
 func TestServerClosesIdle(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 10)
@@ -42,24 +43,24 @@
 			closed <- struct{}{}
 		}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
 	for range 2 {
-		if res := attemptWith(t, u, s); res.Result != balancer.Success {
+		if res := attemptWith(t, p, e); res.Result != balancer.Success {
 			t.Fatalf("result %d", res.Result)
 		}
 		nodetest.Wait(t, closed)
 	}
-	// Nor do such connections hold descriptors for long.
-	if open, idle := u.Connections(); open != 1 || idle != 1 {
+	// CloseStale frees the descriptors of such connections.
+	if open, idle := p.Connections(); open != 1 || idle != 1 {
 		t.Fatalf("%d open, %d idle", open, idle)
 	}
-	u.CloseStale()
-	if open, idle := u.Connections(); open != 0 || idle != 0 {
-		t.Errorf("after the sweep %d open, %d idle", open, idle)
+	p.CloseStale()
+	if open, idle := p.Connections(); open != 0 || idle != 0 {
+		t.Errorf("after CloseStale %d open, %d idle", open, idle)
 	}
 }
 
-// Bytes that come while a connection is idle must not pass for the next request's response.
+// Bytes that arrive while a connection is idle must not be taken for the next request's response.
 func TestBytesWhileIdle(t *testing.T) {
 	t.Parallel()
 	more, sent := make(chan struct{}), make(chan struct{})
@@ -79,96 +80,100 @@
 			}
 		}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
-	attemptWith(t, u, s)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
+	attemptWith(t, p, e)
 	more <- struct{}{}
 	close(more)
 	nodetest.Wait(t, sent)
-	if res := attemptWith(t, u, s); string(res.Body) != "hi" {
+	if res := attemptWith(t, p, e); string(res.Body) != "hi" {
 		t.Errorf("got %q", res.Body)
 	}
 }
 
-// Idle connections are closed before the server would close them, and the one used last is used next.
+// Idle connections are closed before the server would close them, and the most recently used one is
+// reused first.
 func TestIdlePool(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
-	u, s := newTestPool(10), newReadyEndpoint(addr)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
 	ctx := context.Background()
-	a, err := u.get(ctx, s)
+	a, err := p.get(ctx, e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := u.get(ctx, s)
+	b, err := p.get(ctx, e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.put(s, a)
-	u.put(s, b)
-	if c, _ := u.get(ctx, s); c != b {
-		t.Error("not the connection used last")
+	p.put(e, a)
+	p.put(e, b)
+	if c, _ := p.get(ctx, e); c != b {
+		t.Error("get did not return the most recently used connection")
 	} else {
-		u.put(s, c)
+		p.put(e, c)
 	}
 	for _, c := range []*conn{a, b} {
-		c.idleSince = c.idleSince.Add(-u.idleTimeout)
+		c.idleSince = c.idleSince.Add(-p.idleTimeout)
 	}
-	if u.idleTimeout >= serverIdleTimeout {
-		t.Errorf("connections idle for %v", u.idleTimeout)
+	if p.idleTimeout >= serverIdleTimeout {
+		t.Errorf("idle timeout %v, want less than that of the server", p.idleTimeout)
 	}
-	if c, err := u.get(ctx, s); err != nil || c == a || c == b {
-		t.Errorf("reused a connection idle for too long, or %v", err)
+	if c, err := p.get(ctx, e); err != nil || c == a || c == b {
+		t.Errorf("get reused a connection that was idle for too long, or failed: %v", err)
 	}
-	if open, idle := u.Connections(); open != 1 || idle != 0 {
+	if open, idle := p.Connections(); open != 1 || idle != 0 {
 		t.Errorf("%d open, %d idle", open, idle)
 	}
 }
 
-// At the limit an idle connection is closed for another one, else the attempt fails without a dial.
+// At the limit, an idle connection is closed to open a new one. If none is idle, the attempt fails
+// without a dial.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	a, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
 	b, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
-	u, sa, sb := newTestPool(1), newReadyEndpoint(a), newReadyEndpoint(b)
-	for _, s := range []*Endpoint{sa, sb} {
-		if res := attemptWith(t, u, s); res.Result != balancer.Success {
+	p, ea, eb := newTestPool(1), newReadyEndpoint(a), newReadyEndpoint(b)
+	for _, e := range []*Endpoint{ea, eb} {
+		if res := attemptWith(t, p, e); res.Result != balancer.Success {
 			t.Fatalf("result %d", res.Result)
 		}
 	}
-	c, err := u.get(context.Background(), sb) // the only one, busy
+	c, err := p.get(context.Background(), eb) // the only connection is now in use
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res := attemptWith(t, u, sa); res.Result != balancer.Unreachable {
-		t.Errorf("over the budget: result %d, want Unreachable", res.Result)
+	if res := attemptWith(t, p, ea); res.Result != balancer.Unreachable {
+		t.Errorf("at the limit: result %d, want Unreachable", res.Result)
 	}
-	u.close(c)
-	if res := attemptWith(t, u, sa); res.Result != balancer.Success {
-		t.Errorf("with room again: result %d", res.Result)
+	p.close(c)
+	if res := attemptWith(t, p, ea); res.Result != balancer.Success {
+		t.Errorf("below the limit again: result %d, want Success", res.Result)
 	}
 }
 
-// The idle connections to an endpoint that drains are not used, and one in use is not put back.
+// The idle connections to an endpoint that drains are closed, and one that is in use is closed after
+// its use.
 func TestDrainDropsIdle(t *testing.T) {
 	t.Parallel()
 	addr, _ := nodetest.StubServer(t, nodetest.OKResponse, false)
-	u, s := newTestPool(10), newReadyEndpoint(addr)
-	attemptWith(t, u, s)
-	busy, err := u.get(context.Background(), s)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
+	attemptWith(t, p, e)
+	inUse, err := p.get(context.Background(), e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	attemptWith(t, u, s)
-	s.SetReady(false)
-	u.CloseIdle(s)
-	u.put(s, busy)
-	if open, idle := u.Connections(); open != 0 || idle != 0 {
+	attemptWith(t, p, e)
+	e.SetReady(false)
+	p.CloseIdle(e)
+	p.put(e, inUse)
+	if open, idle := p.Connections(); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle", open, idle)
 	}
 }
 
-// Once a server has dropped an idle connection early, a request that must not run twice is sent on a new connection, and
-// others on none that was idle for nearly as long. Successes raise the limit again.
+// Once a server has dropped an idle connection early, a request that must not run twice is sent over a
+// new connection, and other requests only over connections that were idle for at most half as long.
+// Successes raise the maximum idle time again.
 func TestEarlyIdleClose(t *testing.T) {
 	t.Parallel()
 	var dials atomic.Int64
@@ -181,51 +186,51 @@
 			io.WriteString(c, nodetest.OKResponse)
 		}
 	})
-	u, s := newTestPool(10), newReadyEndpoint(addr)
+	p, e := newTestPool(10), newReadyEndpoint(addr)
 	send := func(method string) {
 		t.Helper()
 		r, err := http.NewRequest(method, "/order/1", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res := u.Attempt(context.Background(), s, Call{Request: r, Conditions: noConditions}); res.Result != balancer.Success {
+		if res := p.Attempt(context.Background(), e, Call{Request: r, Conditions: noConditions}); res.Result != balancer.Success {
 			t.Fatalf("%s ended with result %d", method, res.Result)
 		}
 	}
 	send("POST")
 	send("POST")
 	if n := dials.Load(); n != 1 {
-		t.Fatalf("%d connections while idle ones are trusted", n)
+		t.Fatalf("%d connections, want 1 while idle connections are reused", n)
 	}
-	u.adjustMaxReuseIdle(&conn{wasIdle: time.Hour, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.maxReuseIdle() != u.idleTimeout {
-		t.Errorf("a drop after an hour left %v of %v", u.maxReuseIdle(), u.idleTimeout)
+	p.adjustMaxReuseIdle(&conn{wasIdle: time.Hour, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if p.maxReuseIdle() != p.idleTimeout {
+		t.Errorf("a drop after an hour lowered the maximum to %v of %v", p.maxReuseIdle(), p.idleTimeout)
 	}
-	u.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes - 1}}, AttemptResult{Result: balancer.ConnectionLost})
-	u.adjustMaxReuseIdle(&conn{limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.maxReuseIdle() != u.idleTimeout {
-		t.Errorf("an answer cut short, or a new connection's reset, left %v", u.maxReuseIdle())
+	p.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes - 1}}, AttemptResult{Result: balancer.ConnectionLost})
+	p.adjustMaxReuseIdle(&conn{limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if p.maxReuseIdle() != p.idleTimeout {
+		t.Errorf("a truncated response or the reset of a new connection lowered the maximum to %v", p.maxReuseIdle())
 	}
-	u.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
-	if u.maxReuseIdle() != 2*time.Second {
-		t.Errorf("a drop after 4 s left %v", u.maxReuseIdle())
+	p.adjustMaxReuseIdle(&conn{wasIdle: 4 * time.Second, limit: &io.LimitedReader{N: maxHeadBytes}}, AttemptResult{Result: balancer.ConnectionLost})
+	if p.maxReuseIdle() != 2*time.Second {
+		t.Errorf("a drop after 4 s lowered the maximum to %v, want 2 s", p.maxReuseIdle())
 	}
 	send("GET")
 	if n := dials.Load(); n != 1 {
-		t.Errorf("%d connections, though a GET may use one that was idle for a moment", n)
+		t.Errorf("%d connections, want 1, because a GET may reuse one that was idle for a short time", n)
 	}
 	send("POST")
 	if n := dials.Load(); n != 2 {
-		t.Errorf("%d connections after a request that must not run twice, want a new one", n)
+		t.Errorf("%d connections after a request that must not run twice, want 2", n)
 	}
-	u.lowerMaxReuseIdle(time.Microsecond) // a crash
-	if u.maxReuseIdle() != minReuseIdle {
-		t.Errorf("a drop after next to no time left %v", u.maxReuseIdle())
+	p.lowerMaxReuseIdle(time.Microsecond) // as after a crash
+	if p.maxReuseIdle() != minReuseIdle {
+		t.Errorf("a drop after 1 µs lowered the maximum to %v, want minReuseIdle", p.maxReuseIdle())
 	}
 	for range 1000 {
-		u.adjustMaxReuseIdle(&conn{wasIdle: u.idleTimeout}, AttemptResult{Result: balancer.Success})
+		p.adjustMaxReuseIdle(&conn{wasIdle: p.idleTimeout}, AttemptResult{Result: balancer.Success})
 	}
-	if u.maxReuseIdle() != u.idleTimeout {
-		t.Errorf("successes raised the limit of idle reuse to %v only", u.maxReuseIdle())
+	if p.maxReuseIdle() != p.idleTimeout {
+		t.Errorf("1,000 successes raised the maximum only to %v", p.maxReuseIdle())
 	}
 }
--- a/internal/node/upstream/presend.go
+++ b/internal/node/upstream/presend.go
@@ -8,34 +8,38 @@
 	"umberbank/internal/node/header"
 )
 
-// Conditions are what has to hold as an attempt's first byte is written, whatever held when it was decided: a connection may come
-// up late, and the event loop be busy. The request's class and number of attempts are no conditions: they are those of the
-// settings when it was accepted, and change no more. Times are Unix time as Now gives it.
+// Conditions must hold when the first byte of an attempt is written. They may have changed since the
+// balancer decided on the attempt, because a dial can take long and the event loop can be busy. The
+// request's class and number of attempts are not among them: they come from the settings at the time
+// the request was accepted, and do not change. Times are Unix time as returned by Now.
 type Conditions struct {
 	Now func() time.Duration
-	// Wanted reports whether the request is unanswered and its client connected, at this instant.
+	// Wanted reports whether the request has no final response yet and its client is still connected.
 	Wanted func() bool
-	// Deadline is when the attempt's time is over; 0: it has not begun, and the request's headers say already how long it is.
+	// Deadline is the time at which the attempt times out. It is zero if that time starts only once the
+	// request is written; the request's headers then contain its length already.
 	Deadline time.Duration
-	// RetryDeadline is from when on servers may run a retry of the request anew; 0: the request is no such retry.
+	// RetryDeadline is the time from which servers may run a retry of the request a second time. It is
+	// zero if the request is not such a retry.
 	RetryDeadline time.Duration
 }
 
-// preSendCheck runs right before an attempt's first byte, first or retry, over a new connection or a used one, and nothing else
-// comes between. Not ok: the attempt has ended with result, without a byte. Whatever else has to hold at that instant belongs here.
+// preSendCheck runs immediately before the first byte of every attempt, including retries, over new and
+// reused connections. If ok is false, nothing may be written and the attempt ends with result. All
+// conditions for sending must be checked here.
 func (c *Call) preSendCheck(ctx context.Context, e *Endpoint) (result balancer.Result, ok bool) {
 	now := c.Conditions.Now()
 	switch {
 	case ctx.Err() != nil, !c.Conditions.Wanted():
 		return balancer.NotSent, false
 	case c.Conditions.RetryDeadline != 0 && now >= c.Conditions.RetryDeadline:
-		return balancer.NotSent, false // it would run twice
+		return balancer.NotSent, false // the request might run twice
 	case c.Conditions.Deadline != 0 && now >= c.Conditions.Deadline:
 		return balancer.NotSent, false
 	case !e.Ready():
-		return balancer.Unreachable, false // the list has named it draining or removed since
+		return balancer.Unreachable, false // it has become draining or was removed from the list
 	case c.StreamedBody != nil && !c.StreamedBody.Consume():
-		return balancer.NotSent, false // its client's last byte could never follow
+		return balancer.NotSent, false // another attempt has read part of the body, so this one could not be completed
 	case c.Conditions.Deadline != 0:
 		c.Request.Header.Set(header.TimeLeft, header.FormatTimeLeft(c.Conditions.Deadline-now))
 	}
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// gatherTimeout is how long a response of unknown length is gathered before it is passed on in pieces.
+	// gatherTimeout is how long a response of unknown length is buffered before it is streamed.
 	gatherTimeout = 250 * time.Millisecond
-	// maxServerPause is how long a server may pause amid a long body, either way.
+	// maxServerPause is how long a server may pause within a long body, in either direction.
 	maxServerPause = 10 * time.Second
-	// ChunkBytes is the most that is read or written at once of a long body.
+	// ChunkBytes is the maximum size of one read or write of a long body.
 	ChunkBytes = 32 << 10
-	// minChunkBytes is the least that is read at once: most responses are shorter.
+	// minChunkBytes is the minimum size of a read buffer; most responses are shorter.
 	minChunkBytes = 1 << 10
 )
 
 var (
-	errAbandoned = errors.New("the reader of the response has left")
-	errTooLong   = errors.New("the response is too long")
+	errAbandoned = errors.New("the response was abandoned by its reader")
+	errTooLong   = errors.New("the response body exceeds the maximum length")
 )
 
-// Response is a server's response on its way to the client. The attempt's goroutine receives it and one other reads it; it buffers
-// bodybudget.MaxBufferedBytes at the most. Until it is streamed it is only gathered: one that is complete by then is short.
+// Response is a server's response that is passed on to the client. The attempt's goroutine receives it,
+// and one other goroutine reads it. It buffers at most bodybudget.MaxBufferedBytes. A response that is
+// complete before streaming starts is short: its body is in the AttemptResult.
 type Response struct {
 	ContentType string
-	Length      int64 // in bytes; -1: not known
+	Length      int64 // in bytes; -1 if unknown
 
-	finished chan error // how streaming it to the client went; nil: to its end
-	stop     func()     // ends receiving it
+	finished chan error // receives the result of streaming to the client; nil if it was complete
+	stop     func()     // makes receive end
 
 	mu        sync.Mutex
-	changed   *sync.Cond // any of what follows
+	changed   *sync.Cond // signalled when any field below changes
 	buffered  []byte
 	streaming bool
 	ended     bool
-	err       error // why it ended; nil: it is complete
+	err       error // why receiving ended; nil if the response is complete
 	abandoned bool
 }
 
@@ -52,7 +53,8 @@
 	return r
 }
 
-// startStreaming makes the response one that is passed on as it comes. False: it is one already, or is short.
+// startStreaming starts streaming the response. It returns false if the response is streamed already or
+// is short.
 func (r *Response) startStreaming() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +66,8 @@
 	return true
 }
 
-// receive reads the response to its end, and returns the reason of the end; nil: it is complete. It calls start when it has
-// buffered all that it may and there is more.
+// receive reads the response to its end. It returns nil if the response is complete. It calls start
+// when the buffer is full and there is more to buffer.
 func (r *Response) receive(body io.Reader, start func()) error {
 	buf := make([]byte, r.firstChunkBytes())
 	total := int64(0)
@@ -84,12 +86,13 @@
 			return r.end(err)
 		}
 		if n == len(buf) && n < ChunkBytes {
-			buf = make([]byte, min(ChunkBytes, 4*n)) // there is more of it than was thought
+			buf = make([]byte, min(ChunkBytes, 4*n)) // the response is longer than expected
 		}
 	}
 }
 
-// firstChunkBytes is how much is read at once at first. A buffer for a long response costs more than everything else of a short one.
+// firstChunkBytes returns the size of the first read buffer. A buffer for a long response would cost
+// more than everything else that a short response needs.
 func (r *Response) firstChunkBytes() int64 {
 	if r.Length < 0 {
 		return minChunkBytes
@@ -97,7 +100,7 @@
 	return min(ChunkBytes, max(minChunkBytes, r.Length))
 }
 
-// addAll adds a piece of the body, and waits for its reader where it has to.
+// addAll buffers a piece of the body. While the buffer is full it waits for the reader.
 func (r *Response) addAll(piece []byte, start func()) error {
 	for len(piece) > 0 {
 		n, err := r.add(piece)
@@ -112,7 +115,7 @@
 	return nil
 }
 
-// add adds as much of a piece as may be buffered.
+// add buffers as much of a piece as there is capacity for, and returns how many bytes that is.
 func (r *Response) add(piece []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +128,7 @@
 	return n, nil
 }
 
-// awaitCapacity waits until more may be buffered.
+// awaitCapacity waits until the buffer has capacity or the response is abandoned.
 func (r *Response) awaitCapacity() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,14 +145,15 @@
 	return err
 }
 
-// state reports whether the response is passed on as it comes, and whether its reader has left.
+// state reports whether the response is streamed, and whether it was abandoned.
 func (r *Response) state() (streaming, abandoned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.streaming, r.abandoned
 }
 
-// Read reads what has come; io.EOF says that the response is complete.
+// Read implements io.Reader. It waits until bytes are buffered, and returns io.EOF only if the response
+// is complete.
 func (r *Response) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +174,8 @@
 	return 0, io.EOF
 }
 
-// Abandon ends receiving and reading: nobody wants what follows. Any goroutine may call it.
+// Abandon ends receiving and reading the response, of which the rest is not needed. It may be called
+// from any goroutine.
 func (r *Response) Abandon() {
 	r.mu.Lock()
 	r.abandoned = true
@@ -179,10 +184,11 @@
 	r.stop()
 }
 
-// Finish says how streaming a response to the client went; nil: to its end. It must be called exactly once.
+// Finish reports the result of streaming the response to the client, nil if it was complete. It must be
+// called exactly once.
 func (r *Response) Finish(err error) { r.finished <- err }
 
-// Discard abandons a response that is streamed and that nobody is to read.
+// Discard abandons and finishes a streamed response that is not going to be read.
 func (r *Response) Discard() {
 	r.Abandon()
 	r.Finish(errAbandoned)
--- a/internal/node/upstream/response_test.go
+++ b/internal/node/upstream/response_test.go
@@ -11,34 +11,35 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// A response buffers no more than it may, and its two ends wait for each other.
-func TestResponseIsBounded(t *testing.T) {
+// A response buffers a limited amount, and its receiver and its reader wait for each other.
+func TestResponseBufferIsBounded(t *testing.T) {
 	t.Parallel()
 	const size = 10 * bodybudget.MaxBufferedBytes
-	begun := make(chan struct{})
-	d := newResponse("", -1, func() {})
-	filled := make(chan error, 1)
+	started := make(chan struct{})
+	response := newResponse("", -1, func() {})
+	received := make(chan error, 1)
 	source := &countingReader{r: strings.NewReader(nodetest.Text(size))}
 	go func() {
-		filled <- d.receive(source, func() {
-			if d.startStreaming() {
-				close(begun)
+		received <- response.receive(source, func() {
+			if response.startStreaming() {
+				close(started)
 			}
 		})
 	}()
-	nodetest.Wait(t, begun)
-	if n := source.read(); n > bodybudget.MaxBufferedBytes+2*ChunkBytes {
-		t.Errorf("%d bytes were read that nobody has asked for", n)
+	nodetest.Wait(t, started)
+	if n := source.count(); n > bodybudget.MaxBufferedBytes+2*ChunkBytes {
+		t.Errorf("%d bytes were received before the first read", n)
 	}
 	var out bytes.Buffer
-	if _, err := io.Copy(&out, d); err != nil || out.String() != nodetest.Text(size) {
-		t.Errorf("%d bytes came, %v", out.Len(), err)
+	if _, err := io.Copy(&out, response); err != nil || out.String() != nodetest.Text(size) {
+		t.Errorf("read %d bytes, which are incomplete or wrong: %v", out.Len(), err)
 	}
-	if err := nodetest.Wait(t, filled); err != nil {
+	if err := nodetest.Wait(t, received); err != nil {
 		t.Error(err)
 	}
 }
 
+// countingReader counts the bytes that are read from r.
 type countingReader struct {
 	r  io.Reader
 	mu sync.Mutex
@@ -53,7 +54,7 @@
 	return n, err
 }
 
-func (c *countingReader) read() int {
+func (c *countingReader) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.n
