--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -1,7 +1,8 @@
-// Package config reads the configuration of a node: a JSON file that the platform writes, read at the start and again at each
-// SIGHUP. docs/oncall/settings.md says what a reload takes over.
+// Package config reads the configuration of a node: a JSON file that the platform writes. It is read at
+// startup and again on each SIGHUP. docs/oncall/settings.md describes which keys a reload applies.
 //
-// Every fault of a file is one line that names the key and the reason. Keys that are not known are ignored.
+// An error in a file is reported in one line that names the key and the reason. Unknown keys are
+// ignored.
 package config
 
 import (
@@ -18,7 +19,7 @@
 	"umberbank/internal/simwire"
 )
 
-// Used where the configuration does not say.
+// Defaults for keys that are missing or zero.
 const (
 	defaultSockets        = 1024
 	defaultIdleTimeout    = 15 * time.Second
@@ -30,49 +31,52 @@
 	Name        string
 	Listen      string           // host:port for clients
 	Discovery   string           // host:port of the discovery service
-	Control     string           // host:port for operators' commands; "": none
-	AcceptFD    int              // descriptor of an inherited listening socket for clients; 0: none, listen on Listen
-	Seed        uint64           // of the random numbers of the balancer
-	Cores       float64          // processor cores that the process may use; 0: no limit
-	MemoryMB    float64          // memory limit in MiB; 0: none
+	Control     string           // host:port for operators' commands; empty to accept none
+	AcceptFD    int              // descriptor of an inherited listening socket for clients; zero to listen on Listen
+	Seed        uint64           // seed of the balancer's random numbers
+	Cores       float64          // processor cores that the process may use; zero if there is no limit
+	MemoryMB    float64          // memory limit in MiB; zero if there is no limit
 	Sockets     int              // file descriptors that the process may hold
-	InitialList discovery.Update // the endpoint list as this node last had it
+	InitialList discovery.Update // the endpoint list that this node last received
 	Registry    Registry
 	Snapshots   Snapshots
 	Rollout     Rollout
 	Settings    balancer.Settings
 	Connections simwire.Connections // to servers
 
-	// document is the file as decoded, for a later one to be compared with; nil: the Config was not read from a file.
+	// document is the decoded file, which CheckReload compares with a later one. It is nil if the
+	// Config was not read from a file.
 	document any
-	// text is the file as it stands, where its settings can be replaced by those of a rollout.
+	// text is the content of the file, for WithSettings. It is nil unless settings come from rollouts.
 	text json.RawMessage
 }
 
-// Registry says which registry a node follows, over all its replicas, in place of discovery. Without endpoints it follows
-// discovery.
+// Registry names the replicas of the registry that a node watches instead of discovery. Without
+// endpoints it watches discovery.
 type Registry struct {
 	Endpoints []string `json:"endpoints"` // host:port of each replica
-	// Cache is a directory of this node alone that keeps the last endpoint list over restarts; "": none.
+	// Cache is a directory, used by this node only, that keeps the last endpoint list across restarts.
+	// Empty to keep none.
 	Cache string `json:"cache"`
 }
 
-// Rollout says that a node takes its settings from a site's registry, in versions that a quorum of its nodes has acknowledged.
-// Without endpoints it takes them from its file.
+// Rollout configures a node to take its settings from a site's registry, in versions that a quorum of
+// the site's nodes has acknowledged. Without endpoints the node takes its settings from its file.
 type Rollout struct {
 	Endpoints []string `json:"endpoints"` // host:port of each replica of the registry
-	Tier      string   `json:"tier"`      // in whose disruption budget the process counts
+	Tier      string   `json:"tier"`      // the tier whose disruption budget the node counts against
 	Zone      string   `json:"zone"`
 	Region    string   `json:"region"`
-	SendsTo   string   `json:"sends_to"` // the tier that it sends to
-	Capacity  float64  `json:"capacity"` // 0: 1
-	TTLMS     int64    `json:"ttl_ms"`   // of its lease, in milliseconds; 0: 2,000
-	ByAgent   bool     `json:"by_agent"` // an agent beside the node holds its registry entry
-	// PersistPath is a file that keeps the version over restarts; "": none.
+	SendsTo   string   `json:"sends_to"` // the tier that the node sends requests to
+	Capacity  float64  `json:"capacity"` // zero for the default of 1
+	TTLMS     int64    `json:"ttl_ms"`   // time to live of the node's lease in milliseconds; zero for the default of 2,000
+	ByAgent   bool     `json:"by_agent"` // an agent on the same machine holds the node's registry entry
+	// PersistPath is a file that keeps the running version across restarts. Empty to keep none.
 	PersistPath string `json:"keep"`
 }
 
-// file is the form of the configuration file. It is an alias so that errors of encoding/json name the key and no Go type.
+// file is the format of the configuration file. It is an alias so that errors of encoding/json name the
+// key and no Go type.
 type file = struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -91,7 +95,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration file at a path.
+// Load reads and checks the configuration file at path. Errors of its content name the path.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -104,7 +108,7 @@
 	return c, nil
 }
 
-// Parse reads the text of a configuration file.
+// Parse reads and checks the text of a configuration file.
 func Parse(text []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -150,7 +154,7 @@
 	return c, c.Settings.Validate()
 }
 
-// checkAddresses says which address is none.
+// checkAddresses returns an error that names the first address that is not host:port.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if err := checkAddress(a.key, a.addr); err != nil {
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// checkAddress checks the value of a key that is to be host:port.
+// checkAddress returns an error if addr, the value of key, is not host:port.
 func checkAddress(key, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return fmt.Errorf("%s: %q is no host:port", key, addr)
@@ -175,7 +179,7 @@
 	return nil
 }
 
-// check says what is wrong with the keys of a rollout.
+// check returns an error that names the first invalid key of a rollout.
 func (r *Rollout) check() error {
 	switch {
 	case len(r.Endpoints) == 0:
@@ -188,7 +192,7 @@
 	return nil
 }
 
-// parseSeedAndLimits reads the seed and checks the process's limits.
+// parseSeedAndLimits parses the seed and checks the limits of the process.
 func (c *Config) parseSeedAndLimits(seed string) (err error) {
 	if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", seed)
@@ -202,7 +206,7 @@
 	return nil
 }
 
-// parseKnown reads the endpoint list as the node last had it.
+// parseKnown parses the endpoint list that the node last received, and makes it a full list.
 func (c *Config) parseKnown(text json.RawMessage) (err error) {
 	if len(text) > 0 {
 		if c.InitialList, err = discovery.ParseUpdate(text); err != nil {
@@ -213,7 +217,7 @@
 	return nil
 }
 
-// parseSettings reads the settings of the balancer and of connections.
+// parseSettings parses the settings of the balancer and of connections to servers.
 func (c *Config) parseSettings(text json.RawMessage) (err error) {
 	if len(text) == 0 {
 		return errors.New("settings: missing")
@@ -230,8 +234,9 @@
 	return nil
 }
 
-// WithSettings is the configuration with other settings, as if its file had held them. Control and AcceptFD, which do not come
-// from the file alone, stay.
+// WithSettings returns the configuration with other settings, as if its file contained them. Control
+// and AcceptFD, which may have other sources than the file, keep their values. WithSettings fails
+// unless settings come from rollouts.
 func (c Config) WithSettings(settings json.RawMessage) (Config, error) {
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(c.text, &keys); err != nil {
--- a/internal/node/config/config_test.go
+++ b/internal/node/config/config_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-func TestParseFaults(t *testing.T) {
+// Each test case is named by a part of its error, and every error is one line.
+func TestParseErrors(t *testing.T) {
 	for name, replace := range map[string][2]string{
 		"listen":    {`"127.0.0.1:3000"`, `"here"`},
 		"discovery": {`"discovery"`, `"d"`},
@@ -42,15 +43,15 @@
 	}
 }
 
-// The key "state" of the configuration, and the errors of its faults.
+// The key "state" of the configuration, and the errors for invalid values.
 func TestParseSnapshots(t *testing.T) {
 	for text, want := range map[string]struct {
-		state Snapshots
-		fault string
+		snapshots Snapshots
+		err       string // prefix of the error; empty if there is none
 	}{
 		"":                 {Snapshots{}, ""},
 		"null":             {Snapshots{}, ""},
-		`{"every_ms": 50}`: {Snapshots{}, ""}, // nowhere to keep it
+		`{"every_ms": 50}`: {Snapshots{}, ""}, // no directory
 		`{"dir": "d"}`:     {Snapshots{"d", time.Second, time.Minute}, ""},
 		`{"dir":"d","every_ms":250,"max_age_ms":1500.5}`: {Snapshots{"d", 250 * time.Millisecond, 1500500 * time.Microsecond}, ""},
 		`{"dir":"d","every_ms":0}`:                       {Snapshots{}, "state.every_ms: 0 is no time"},
@@ -60,7 +61,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			got, err := parseSnapshots([]byte(text))
-			if got != want.state || (err == nil) != (want.fault == "") || err != nil && !strings.HasPrefix(err.Error(), want.fault) {
+			if got != want.snapshots || (err == nil) != (want.err == "") || err != nil && !strings.HasPrefix(err.Error(), want.err) {
 				t.Errorf("%+v, %v", got, err)
 			}
 		})
--- a/internal/node/config/golden_test.go
+++ b/internal/node/config/golden_test.go
@@ -14,7 +14,7 @@
 
 const fullTarget = `{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":3,"state":"DRAINING","capacity_hint":2.5,"boot_ms":1500.5}`
 
-// fullConfig has every key that a configuration may have, none with its default.
+// fullConfig has every key of a configuration, each with a value other than its default.
 const fullConfig = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","control":"127.0.0.1:3001","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.5,"memory_mb":192,"sockets":512},"peers":["127.0.0.1:1"],
  "known":{"rev":41,"all":true,"targets":[` + fullTarget + `]},
@@ -27,19 +27,21 @@
   "registry-mode":"on_request","rules":{"ask-within-ms":70,"cold-from":0.4,"fall-ms":80,"fall-multiple":3,"warm-after-ms":900},
   "me":2,"tick-ms":5,"tier":1,"weights":"live"}}`
 
-// goType matches what an error of encoding/json says of Go types.
+// goType matches the parts of an error of encoding/json that name Go types.
 var goType = regexp.MustCompile(`(?:Go struct field \w*\.|Go value)|(?: of type .*$)`)
 
-// settingFault matches an error of balancer.Settings.Validate, whose wording is that package's.
-var settingFault = regexp.MustCompile(`^\w+: setting .*$`)
+// settingError matches an error of balancer.Settings.Validate, whose wording belongs to that package.
+var settingError = regexp.MustCompile(`^\w+: setting .*$`)
 
-// faultOf returns an error of a configuration without Go types and without the wording of balancer.Settings.Validate.
-func faultOf(err error) string {
-	return settingFault.ReplaceAllString(goType.ReplaceAllString(err.Error(), ""), "a setting is missing or out of range")
+// errorText returns the text of a configuration error without Go types and without the wording of
+// balancer.Settings.Validate.
+func errorText(err error) string {
+	return settingError.ReplaceAllString(goType.ReplaceAllString(err.Error(), ""), "a setting is missing or out of range")
 }
 
-// Each key of a configuration in turn is left out, and then has a value of another kind: what that does at the start and at
-// a reload. A key that is read under another name shows as one that changes nothing.
+// The golden file records the effect at startup and on a reload when each key of a configuration in
+// turn is left out, and when it has a value of another type. If a key is read under another name, its
+// lines show that it changes nothing.
 func TestGoldenKeys(t *testing.T) {
 	t.Parallel()
 	complete, err := Parse([]byte(fullConfig))
@@ -55,7 +57,7 @@
 		cfg, err := Parse(text)
 		start, reload := "changes nothing", "taken"
 		if err != nil {
-			start, reload = faultOf(err), "-"
+			start, reload = errorText(err), "-"
 		} else {
 			if err := complete.CheckReload(cfg); err != nil {
 				reload = err.Error()
@@ -80,7 +82,7 @@
 		try(path+" left out", file)
 		file = decode()
 		object, key = locate(file, path)
-		if _, is := object[key].(string); is {
+		if _, isString := object[key].(string); isString {
 			object[key] = 7
 		} else {
 			object[key] = "text"
@@ -90,7 +92,8 @@
 	nodetest.Golden(t, "keys.golden", b.String())
 }
 
-// keyPaths returns the paths of all keys of an object, in order; of a list, those of its first entry.
+// keyPaths returns the sorted paths of all keys of an object, prefixed with path. A list contributes
+// the keys of its first entry.
 func keyPaths(path string, object map[string]any) (paths []string) {
 	keys := make([]string, 0, len(object))
 	for key := range object {
@@ -98,33 +101,34 @@
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		at := strings.TrimPrefix(path+"."+key, ".")
-		paths = append(paths, at)
-		paths = append(paths, keyPaths(at, inner(object[key]))...)
+		keyPath := strings.TrimPrefix(path+"."+key, ".")
+		paths = append(paths, keyPath)
+		paths = append(paths, keyPaths(keyPath, asObject(object[key]))...)
 	}
 	return paths
 }
 
-// inner is the object that a value is, or that is its first entry; nil: none.
-func inner(v any) map[string]any {
-	if list, is := v.([]any); is && len(list) > 0 {
+// asObject returns a value, or its first entry if it is a list, as an object. It returns nil if that is
+// not an object.
+func asObject(v any) map[string]any {
+	if list, isList := v.([]any); isList && len(list) > 0 {
 		v = list[0]
 	}
 	object, _ := v.(map[string]any)
 	return object
 }
 
-// locate finds the object with the last key of a path.
+// locate returns the object that contains the last key of a path, and that key.
 func locate(file map[string]any, path string) (object map[string]any, key string) {
 	keys := strings.Split(path, ".")
 	for _, key := range keys[:len(keys)-1] {
-		file = inner(file[key])
+		file = asObject(file[key])
 	}
 	return file, keys[len(keys)-1]
 }
 
-// Bad values of single keys, and the error that each gives.
-func TestGoldenFaults(t *testing.T) {
+// The errors for invalid values of single keys.
+func TestGoldenErrors(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
 	for _, replace := range [][2]string{
@@ -135,11 +139,11 @@
 		{`"deadline-ms":400`, `"deadline-ms":0`}, {`"target-ms":100`, `"target-ms":0`}, {`{"name"`, `name`},
 	} {
 		_, err := Parse([]byte(strings.Replace(fullConfig, replace[0], replace[1], 1)))
-		fault := "none"
+		result := "none"
 		if err != nil {
-			fault = faultOf(err)
+			result = errorText(err)
 		}
-		fmt.Fprintf(&b, "%s -> %s\n%s\n", replace[0], replace[1], fault)
+		fmt.Fprintf(&b, "%s -> %s\n%s\n", replace[0], replace[1], result)
 	}
 	nodetest.Golden(t, "faults.golden", b.String())
 }
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -10,11 +10,12 @@
 	"umberbank/balancer"
 )
 
-// optionalKeys are keys that the platform may leave out. The node reads none of them.
+// optionalKeys are keys that the platform may leave out of a later file. The node reads none of them.
 var optionalKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true, "fleet": true}
 
-// CheckReload says why next cannot take the place of c while the node runs; nil: it can. It is stricter than a start, which has
-// nothing to compare with: every key that c's file has must be in next's, with a value of the same kind.
+// CheckReload returns an error if next cannot replace c while the node runs. It is stricter than a
+// start, where there is no earlier file to compare with: every key in c's file must be in next's, with
+// a value of the same JSON type.
 func (c Config) CheckReload(next Config) error {
 	if err := checkSameKeys("", c.document, next.document); err != nil {
 		return err
@@ -26,7 +27,7 @@
 		return errors.New("settings.limits.max-attempts is not over 0")
 	}
 	if hasDuplicateClass(next.Settings.Classes) {
-		return errors.New("settings.lanes: a name comes twice")
+		return errors.New("settings.lanes: duplicate name")
 	}
 	return nil
 }
@@ -39,17 +40,18 @@
 	return len(names) < len(classes)
 }
 
-// checkSameKeys says which key of the value was is missing in next or of another kind there. The objects of a list must have the
-// keys that the objects of the list before had in common. path is that of the value, "" for the whole document.
-func checkSameKeys(path string, was, next any) error {
-	if was != nil && reflect.TypeOf(was) != reflect.TypeOf(next) {
+// checkSameKeys returns an error that names the first key of the value current that is missing in next
+// or has another type there. Each object of a list in next must have the keys that all objects of the
+// current list have in common. path is the path of the value, which is empty for the whole document.
+func checkSameKeys(path string, current, next any) error {
+	if current != nil && reflect.TypeOf(current) != reflect.TypeOf(next) {
 		return fmt.Errorf("%s is missing or no longer of the kind it was", path)
 	}
-	switch was := was.(type) {
+	switch current := current.(type) {
 	case map[string]any:
-		return checkSameObject(path, was, next.(map[string]any))
+		return checkSameObject(path, current, next.(map[string]any))
 	case []any:
-		common := commonKeys(was)
+		common := commonKeys(current)
 		for i, entry := range next.([]any) {
 			if err := checkSameKeys(fmt.Sprintf("%s[%d]", path, i), common, entry); err != nil {
 				return err
@@ -59,24 +61,25 @@
 	return nil
 }
 
-// checkSameObject is checkSameKeys of two objects.
-func checkSameObject(path string, was, next map[string]any) error {
-	for _, key := range slices.Sorted(maps.Keys(was)) {
+// checkSameObject implements checkSameKeys for two objects.
+func checkSameObject(path string, current, next map[string]any) error {
+	for _, key := range slices.Sorted(maps.Keys(current)) {
 		_, present := next[key]
 		if !present && optionalKeys[key] {
 			continue
 		}
 		if path == "" && key == "known" && present {
-			continue // the servers differ from file to file
+			continue // the list of servers may differ between files
 		}
-		if err := checkSameKeys(path+"."+key, was[key], next[key]); err != nil {
+		if err := checkSameKeys(path+"."+key, current[key], next[key]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// commonKeys is the object of the keys that all objects of a list have; nil if the list has anything but objects, or nothing.
+// commonKeys returns the entries of a list's first object whose keys all objects of the list have. It
+// returns nil if the list is empty or contains anything but objects.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for _, entry := range list {
--- a/internal/node/config/snapshots.go
+++ b/internal/node/config/snapshots.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Used where the configuration names a directory for snapshots and says nothing of the times.
+// Defaults for a configuration that names a directory for snapshots and does not set the times.
 const (
 	defaultSnapshotInterval = time.Second
 	defaultSnapshotMaxAge   = time.Minute
 )
 
-// Snapshots say where a node saves what the balancer has learned, for the process after it. They are read at the start alone.
+// Snapshots configures where and how often a node saves the state of its balancer, which a restarted
+// process restores. A reload does not change it.
 type Snapshots struct {
-	Dir      string        // of this node alone, on a disk that survives; "": nothing is saved
-	Interval time.Duration // between snapshots
-	MaxAge   time.Duration // what is older counts for nothing; see balancer.Settings
+	Dir      string        // used by this node only, on a persistent disk; empty to save nothing
+	Interval time.Duration // time between snapshots
+	MaxAge   time.Duration // older state is ignored; see balancer.Settings
 }
 
-// parseSnapshots reads the key "state" of the configuration.
+// parseSnapshots parses the key "state" of the configuration.
 func parseSnapshots(text json.RawMessage) (Snapshots, error) {
 	state := struct {
 		Dir      string  `json:"dir"`
--- a/internal/node/control/control.go
+++ b/internal/node/control/control.go
@@ -1,8 +1,9 @@
-// Package control answers operators at an address of their own: a connection carries one line, a command, and gets one
-// answer. docs/oncall/control.md describes it for operators.
+// Package control serves operators' commands at a separate address. Each connection carries one
+// command, which is one line, and gets one line in response. docs/oncall/control.md describes the
+// commands for operators.
 //
-// A command never waits for another one or for the clients' side: every connection has a goroutine of its own, and those that
-// finish no command are closed to make room.
+// A command never waits for another command or for client traffic: each connection has its own
+// goroutine, and stalled connections are closed to make room for new ones.
 package control
 
 import (
@@ -19,32 +20,34 @@
 )
 
 const (
-	// MaxConnections is how many operators' connections are open at once, each with a descriptor.
+	// MaxConnections is the maximum number of open operators' connections, each of which uses one file
+	// descriptor.
 	MaxConnections = 16
-	// maxLineBytes is the longest line that a command may be.
+	// maxLineBytes is the maximum length of a command's line.
 	maxLineBytes = 256
-	// maxUnreadBytes is how much more than its line is read of a connection before it is reset.
+	// maxUnreadBytes is how much is read and discarded after the line before the connection is reset.
 	maxUnreadBytes = 64 << 10
-	// readTimeout is how long an operator may take to send its line, or to close after its answer.
+	// readTimeout limits the time to receive the line, and the time until the operator closes the
+	// connection after the response.
 	readTimeout = 2 * time.Second
-	// writeTimeout is how long writing an answer may take.
+	// writeTimeout limits the time to write a response.
 	writeTimeout = time.Second
 )
 
-// Commands maps each command to what answers it. An answer has no newline at its end. The functions are called by several
-// goroutines at once and must not block.
+// Commands maps each command to the function that returns its response, without a trailing newline. The
+// functions are called concurrently and must not block.
 type Commands map[string]func() string
 
-// Server answers commands at one address. Its methods may be called by any goroutine.
+// Server serves commands at one address. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	commands Commands
 
 	mu   sync.Mutex
-	open []net.Conn // in the order in which they came
+	open []net.Conn // oldest first
 }
 
-// Listen returns a Server that listens on addr and does not serve yet.
+// Listen returns a Server that listens on addr. Commands are served once Serve is called.
 func Listen(addr string, commands Commands) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -53,15 +56,15 @@
 	return &Server{listener: listener.Persistent{Listener: l}, commands: commands}, nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers commands until Close.
+// Serve serves commands until Close is called.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			return // closed: listener.Persistent survives all else
+			return // the listener was closed: listener.Persistent returns no other error
 		}
 		s.add(conn)
 		go func() {
@@ -71,17 +74,18 @@
 	}
 }
 
-// Close ends Serve. Connections that are open are served to their end.
+// Close stops Serve from accepting connections. Open connections are still served.
 func (s *Server) Close() error { return s.listener.Close() }
 
-// OpenConnections is how many connections are open now.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// add registers a connection. With too many, the oldest is closed: a command takes no time, so that one has stalled.
+// add registers a connection. At MaxConnections it closes the oldest one, which must have stalled, as
+// commands do not block.
 func (s *Server) add(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +96,7 @@
 	s.open = append(s.open, conn)
 }
 
-// remove closes a connection and forgets it.
+// remove closes and unregisters a connection.
 func (s *Server) remove(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -105,24 +109,25 @@
 	}
 }
 
-// serveConn reads one line and answers it.
+// serveConn reads one line and writes its response.
 func (s *Server) serveConn(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := bufio.NewReader(io.LimitReader(conn, maxLineBytes)).ReadString('\n')
-	answer := s.answer(strings.TrimRight(line, "\r\n"), err)
+	response := s.respond(strings.TrimRight(line, "\r\n"), err)
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
-		return // the operator has disconnected
+	if _, err := io.WriteString(conn, response+"\n"); err != nil {
+		return // the operator has disconnected or does not read
 	}
-	// A close over bytes that were not read would reset the connection, and the answer might be lost with it.
-	if half, can := conn.(interface{ CloseWrite() error }); can && half.CloseWrite() == nil {
+	// Closing a connection with unread bytes would reset it, and the response might be lost.
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		conn.SetReadDeadline(time.Now().Add(readTimeout))
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxUnreadBytes)) // until the operator closes
 	}
 }
 
-// answer returns the answer to a line; readErr is why the line was not read to its end, if it was not.
-func (s *Server) answer(line string, readErr error) string {
+// respond returns the response to a line. readErr is the error that ended the line early, nil if the
+// line is complete.
+func (s *Server) respond(line string, readErr error) string {
 	command, known := s.commands[line]
 	switch {
 	case errors.Is(readErr, os.ErrDeadlineExceeded):
--- a/internal/node/control/control_test.go
+++ b/internal/node/control/control_test.go
@@ -10,11 +10,11 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The answers to lines that were not read to their end.
+// The responses to incomplete lines.
 func TestGoldenUnfinishedLines(t *testing.T) {
 	s := &Server{commands: Commands{"check": func() string { return "ok" }}}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%q -> %q\n", "(took too long)", s.answer("che", os.ErrDeadlineExceeded))
-	fmt.Fprintf(&b, "%q -> %q\n", "(no end)", s.answer("check", io.EOF))
+	fmt.Fprintf(&b, "%q -> %q\n", "(took too long)", s.respond("che", os.ErrDeadlineExceeded))
+	fmt.Fprintf(&b, "%q -> %q\n", "(no end)", s.respond("check", io.EOF))
 	nodetest.Golden(t, "unfinished.golden", b.String())
 }
--- a/internal/node/discovery/assembler.go
+++ b/internal/node/discovery/assembler.go
@@ -6,15 +6,15 @@
 	"errors"
 )
 
-// maxMessageBytes is the longest that a message may be.
+// maxMessageBytes is the maximum length of a message.
 const maxMessageBytes = 16 << 20
 
-// assembler gathers a message line by line: discovery writes it in one line or, indented, in many. The zero value is ready for
-// the first line of a message.
+// assembler assembles a message from lines: discovery sends a message on one line or, indented, on
+// many. The zero value is ready for the first line of a message.
 type assembler struct{ buffered []byte }
 
-// add takes one more line, without its end. complete reports that the line ended a message, which is the update. After an error
-// or a complete message it is ready for the next one.
+// add adds a line, without its line ending. If the line completes a message, complete is true and u is
+// the message. After an error or a complete message the assembler is ready for the next message.
 func (a *assembler) add(line []byte) (u Update, complete bool, err error) {
 	if len(line) == 0 {
 		return Update{}, false, nil
@@ -22,7 +22,7 @@
 	first := len(a.buffered) == 0
 	a.buffered = append(append(a.buffered, line...), '\n')
 	if !first && line[len(line)-1] != '}' && len(a.buffered) <= maxMessageBytes {
-		return Update{}, false, nil // it cannot be the last
+		return Update{}, false, nil // not the last line of a message, so parsing is pointless
 	}
 	u, err = ParseUpdate(a.buffered)
 	unfinished := new(json.SyntaxError)
@@ -33,11 +33,12 @@
 	return u, err == nil, err
 }
 
-// pending reports that a message has begun and not ended.
+// pending reports whether a message is incomplete.
 func (a *assembler) pending() bool { return len(a.buffered) > 0 }
 
-// splitLines returns a bufio.SplitFunc that gives lines without their ends. It calls partial when it has a part of a line and
-// needs more, and fails with errTruncated if the input ends amid one.
+// splitLines returns a bufio.SplitFunc that returns lines without their line endings. It calls partial
+// when it needs more input to complete a line, and fails with errTruncated if the input ends within a
+// line.
 func splitLines(partial func()) func(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	return func(data []byte, atEOF bool) (int, []byte, error) {
 		end := bytes.IndexByte(data, '\n')
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -1,7 +1,8 @@
-// Package discovery follows the endpoint list of a site's discovery service over HTTP: by a watch, an answer that never ends and
-// brings each change, and by polls, which fetch the complete list. docs/oncall/discovery.md describes it for operators.
+// Package discovery is a client of a site's discovery service, which serves the endpoint list over
+// HTTP. A watch is a response that does not end and that carries each change; a poll fetches the
+// complete list. docs/oncall/discovery.md describes discovery for operators.
 //
-// A Client keeps no connection between calls and holds no list; what an update means for the node is its caller's to decide.
+// A Client keeps no connections between requests and stores no list. Its caller applies the updates.
 package discovery
 
 import (
@@ -18,47 +19,51 @@
 )
 
 const (
-	// SilenceTimeout is how long an open watch may be silent: one heartbeat, every 2 s, and some for a busy core. A watch that
-	// is silent for longer is broken.
+	// SilenceTimeout is how long an open watch may receive nothing before it is considered broken. It
+	// is the heartbeat interval of 2 s plus a margin for a busy core.
 	SilenceTimeout = 2500 * time.Millisecond
-	// FetchTimeout is how long one poll may take to its last byte.
+	// FetchTimeout limits the duration of one poll, including its body.
 	FetchTimeout = 2 * time.Second
-	// defaultLineTimeout is how long a message that has begun may pause: discovery writes one in one go. One that goes on without
-	// an end is given up after SilenceTimeout, as a part of a message resets no timer but this.
+	// defaultLineTimeout is how long an incomplete message may pause; discovery sends each message
+	// without a pause. A message that never ends is given up after SilenceTimeout, because an
+	// incomplete message resets no other timer than this one.
 	defaultLineTimeout = time.Second
 )
 
-// responseTimeouts are how long a new watch may take to begin its answer, by the number of watches before it that never
-// did. The agent answers at once, so the first timeouts are short. The last equals that of an open watch, for an agent whose
-// answer begins with its first heartbeat; then the first applies again.
+// responseTimeouts limit the time until the response to a new watch begins, by the number of preceding
+// watches without a response. The agent responds at once, so the first timeouts are short. The last one
+// equals the timeout of an open watch, for an agent whose response begins with its first heartbeat.
+// After the last, the first applies again.
 var responseTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, SilenceTimeout}
 
-// serializedResponseTimeouts are the same where discovery serves the calls of all nodes one after the other. A watch that is given
-// up while it waits has still to be served, and the next one waits behind it, so that none would ever be answered. Three in a
-// row still leave the 6 s within which a change has to be known.
+// serializedResponseTimeouts replace responseTimeouts if discovery serves the requests of all nodes one
+// at a time. A watch that is given up while it waits must still be served, and the next one waits
+// behind it, so with shorter timeouts none might ever get a response. Three timeouts in a row still fit
+// into the 6 s within which a node must learn of a change.
 var serializedResponseTimeouts = []time.Duration{time.Second, time.Second, time.Second, SilenceTimeout}
 
-// Why a watch or a poll ended.
+// Errors that end a watch or a poll.
 var (
 	ErrSilent    = errors.New("silent for too long")
 	ErrMalformed = errors.New("malformed message")
 	errTruncated = errors.New("a line was cut short")
 )
 
-// Client calls discovery at one address. Any goroutine may use it.
+// Client sends requests to discovery at one address. It is safe for concurrent use.
 type Client struct {
 	// Addr is the host:port of discovery.
 	Addr string
-	// SilenceTimeout and LineTimeout end a watch; see the constants. They may be changed before the first call alone.
+	// SilenceTimeout and LineTimeout override the constants SilenceTimeout and defaultLineTimeout. They
+	// must not be changed after the first request.
 	SilenceTimeout, LineTimeout time.Duration
 
 	http       *http.Client
-	unanswered atomic.Int32 // watches in a row that never began to answer
-	serialized atomic.Bool  // discovery serves the calls of all nodes one after the other
-	overloaded atomic.Bool  // it has rejected a watch for its load, and none has been answered since
+	unanswered atomic.Int32 // consecutive watches without a response
+	serialized atomic.Bool  // discovery serves the requests of all nodes one at a time
+	overloaded atomic.Bool  // the last response to a watch was a 503
 }
 
-// NewClient returns a client of discovery at an address.
+// NewClient returns a client of discovery at addr.
 func NewClient(addr string) *Client {
 	return &Client{
 		Addr:           addr,
@@ -68,11 +73,13 @@
 	}
 }
 
-// SetSerialized says whether discovery serves the calls of all nodes one after the other, as it does where lists are polled.
+// SetSerialized sets whether discovery serves the requests of all nodes one at a time, as it does where
+// lists are polled.
 func (c *Client) SetSerialized(serialized bool) { c.serialized.Store(serialized) }
 
-// responseTimeout is how long the next watch may take to begin its answer. A discovery that has rejected a call for its load is
-// given all the time that there is: it is alive, and a call given up early would only add to the load.
+// responseTimeout returns the time within which the response to the next watch must begin. It is the
+// longest one after discovery has rejected a watch because of its load: discovery is alive, and giving
+// up a request early would only add to the load.
 func (c *Client) responseTimeout() time.Duration {
 	switch n := int(c.unanswered.Load()); {
 	case c.overloaded.Load():
@@ -84,7 +91,7 @@
 	}
 }
 
-// get sends a GET request for a path with its query.
+// get sends a GET request. path includes the query.
 func (c *Client) get(ctx context.Context, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Addr+path, nil)
 	if err != nil {
@@ -93,7 +100,8 @@
 	return c.http.Do(req)
 }
 
-// Fetch polls for the complete list, once. The error wraps ErrMalformed if what came is none.
+// Fetch fetches the complete list with one poll. The error wraps ErrMalformed if the response is not a
+// complete list, and is ErrSilent if the poll takes longer than FetchTimeout.
 func (c *Client) Fetch(ctx context.Context) (Update, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, FetchTimeout, ErrSilent)
 	defer cancel()
@@ -111,7 +119,7 @@
 	}
 	u, err := ParseUpdate(text)
 	if err == nil && !u.Full {
-		err = errors.New("not the whole list")
+		err = errors.New("not a complete list")
 	}
 	if err != nil {
 		return Update{}, fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -119,15 +127,17 @@
 	return u, nil
 }
 
-// Handler takes what a watch brings. Its functions are called one at a time, by the goroutine that called Watch.
+// Handler receives the events of a watch. Its functions are called one at a time, by the goroutine that
+// called Watch.
 type Handler struct {
-	Opened    func()       // discovery has begun to answer
-	Heartbeat func()       // it has confirmed that nothing has changed
-	Update    func(Update) // in the order of the watch
+	Opened    func()       // the response to the watch has begun
+	Heartbeat func()       // discovery has confirmed that nothing has changed
+	Update    func(Update) // updates arrive in the order of the watch
 }
 
-// Watch follows the list from a revision on until ctx ends or the watch does. The error is never nil: it is the reason of the end,
-// which is ErrSilent after a silence and wraps ErrMalformed if what came was no update.
+// Watch watches the list from a revision on, until ctx ends or the watch fails. The error is never nil.
+// It is ErrSilent if the watch was silent for too long, and wraps ErrMalformed if a message was not a
+// valid update.
 func (c *Client) Watch(ctx context.Context, revision int64, h Handler) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -152,8 +162,8 @@
 	return c.readUpdates(ctx, resp.Body, h, silence, func() { cancel(errTruncated) })
 }
 
-// readUpdates passes on the updates and heartbeats in body until it ends. Each resets the silence timer; truncated is called
-// when a message that has begun pauses for too long.
+// readUpdates passes the updates and heartbeats in body to h until the body ends. Each of them resets
+// the silence timer. truncated is called when an incomplete message pauses for longer than LineTimeout.
 func (c *Client) readUpdates(ctx context.Context, body io.Reader, h Handler, silence *time.Timer, truncated func()) error {
 	pause := time.AfterFunc(time.Hour, truncated)
 	defer pause.Stop()
@@ -186,7 +196,7 @@
 	return errors.New("discovery ended the watch")
 }
 
-// causeOr is why ctx ended, if it has, else err.
+// causeOr returns the cause of ctx if it has ended, and err otherwise.
 func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// However a message is laid out, it is complete with the end of its last line, and not before.
+// A message is complete at the end of its last line and not before, however it is split into lines.
 func TestAssembler(t *testing.T) {
 	t.Parallel()
 	plain := nodetest.Message(9, true, nodetest.Target("a", "SERVING"), nodetest.Target("b", "DRAINING"))
@@ -24,31 +24,31 @@
 	}
 	for name, text := range map[string]string{
 		"one line": plain, "indented": indented.String(), "with empty lines": strings.ReplaceAll(indented.String(), "\n", "\n\n"),
-		"a bracket a line": strings.NewReplacer("{", "{\n", "}", "\n}").Replace(plain),
+		"one brace per line": strings.NewReplacer("{", "{\n", "}", "\n}").Replace(plain),
 	} {
 		t.Run(name, func(t *testing.T) {
 			var m assembler
 			lines := strings.Split(text, "\n")
 			for i, line := range lines {
-				l, complete, err := m.add(bytes.TrimSpace([]byte(line)))
-				if last := i == len(lines)-1; err != nil || complete != last || last && (l.Revision != 9 || len(l.Entries) != 2) {
-					t.Fatalf("%s, line %d %q: %+v, whole %v, %v", name, i, line, l, complete, err)
+				u, complete, err := m.add(bytes.TrimSpace([]byte(line)))
+				if last := i == len(lines)-1; err != nil || complete != last || last && (u.Revision != 9 || len(u.Entries) != 2) {
+					t.Fatalf("%s, line %d %q: %+v, complete %v, %v", name, i, line, u, complete, err)
 				}
 			}
 			if m.pending() {
-				t.Errorf("%q is left over", m.buffered)
+				t.Errorf("%q is still buffered after the message", m.buffered)
 			}
 		})
 	}
 	for _, bad := range []string{"no list", `{"rev":1}x`, `{"rev":,`, `{"rev":1,"targets":[]]`} {
 		var m assembler
 		if _, _, err := m.add([]byte(bad)); err == nil {
-			t.Errorf("%s was taken for the beginning of a message", bad)
+			t.Errorf("%s is accepted as the beginning of a message", bad)
 		}
 	}
 }
 
-// A watch that is silent ends.
+// A watch that is silent for SilenceTimeout ends.
 func TestWatchSilence(t *testing.T) {
 	t.Parallel()
 	addr, lines, _ := nodetest.StubDiscovery(t)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Heartbeats keep a watch open whose list does not change.
+// Heartbeats keep a watch open while the list does not change.
 func TestHeartbeats(t *testing.T) {
 	t.Parallel()
 	addr, lines, _ := nodetest.StubDiscovery(t)
@@ -72,7 +72,7 @@
 	d.SilenceTimeout = time.Second
 	ended := make(chan error, 1)
 	go func() { ended <- d.Watch(context.Background(), 0, handler(nil)) }()
-	longest := time.Duration(0) // between two beats; this machine may stall
+	longest := time.Duration(0) // between two heartbeats; the machine that runs the test may stall
 	for start, last := time.Now(), time.Now(); time.Since(start) < 2*d.SilenceTimeout; {
 		select {
 		case lines <- "":
@@ -80,14 +80,14 @@
 			time.Sleep(d.SilenceTimeout / 20)
 		case err := <-ended:
 			if longest = max(longest, time.Since(last)); longest < d.SilenceTimeout/2 {
-				t.Fatalf("ended with %v though a beat came every %v", err, longest)
+				t.Fatalf("ended with %v, though a heartbeat was sent at least every %v", err, longest)
 			}
 			return
 		}
 	}
 	lines <- "end"
 	if err := nodetest.Wait(t, ended); err == nil {
-		t.Error("a watch ended without a reason")
+		t.Error("a watch ended without an error")
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// handler takes the updates of a watch alone.
+// handler returns a Handler that passes on updates and ignores other events.
 func handler(update func(Update)) Handler {
 	return Handler{Opened: func() {}, Heartbeat: func() {}, Update: update}
 }
--- a/internal/node/discovery/golden_test.go
+++ b/internal/node/discovery/golden_test.go
@@ -42,21 +42,21 @@
 	nodetest.Golden(t, "requests.golden", b.String())
 }
 
-// What is read of discovery's messages, each key of them, and the errors of bad messages.
+// Every key of a message is parsed, and the golden file has the errors of invalid messages.
 func TestGoldenMessages(t *testing.T) {
 	t.Parallel()
 	complete := `{"rev":42,"all":true,"targets":[` + fullTarget + `]}`
-	l, err := ParseUpdate([]byte(complete))
-	if err != nil || l.Revision != 42 || !l.Full || len(l.Entries) != 1 {
-		t.Fatalf("%+v, %v", l, err)
+	u, err := ParseUpdate([]byte(complete))
+	if err != nil || u.Revision != 42 || !u.Full || len(u.Entries) != 1 {
+		t.Fatalf("%+v, %v", u, err)
 	}
 	want := balancer.Endpoint{ID: "s-1", Zone: "a", Cell: 3, State: balancer.Draining, Weight: 2.5, StartTime: 1500500 * time.Microsecond}
-	if got := l.Entries[0].Endpoint(); !reflect.DeepEqual(got, want) || l.Entries[0].Address != "127.0.0.1:9" {
-		t.Errorf("got %+v, want %+v", l.Entries[0], want)
+	if got := u.Entries[0].Endpoint(); !reflect.DeepEqual(got, want) || u.Entries[0].Address != "127.0.0.1:9" {
+		t.Errorf("got %+v, want %+v", u.Entries[0], want)
 	}
 	for name, state := range map[string]balancer.EndpointState{"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed} {
-		if l, err := ParseUpdate([]byte(strings.Replace(complete, "DRAINING", name, 1))); err != nil || l.Entries[0].Endpoint().State != state {
-			t.Errorf("%s: %+v, %v", name, l, err)
+		if u, err := ParseUpdate([]byte(strings.Replace(complete, "DRAINING", name, 1))); err != nil || u.Entries[0].Endpoint().State != state {
+			t.Errorf("%s: %+v, %v", name, u, err)
 		}
 	}
 	var b strings.Builder
--- a/internal/node/discovery/update.go
+++ b/internal/node/discovery/update.go
@@ -10,10 +10,11 @@
 	"umberbank/balancer"
 )
 
-// Update is a message of discovery: the complete endpoint list, or the entries that changed. It is immutable once parsed.
+// Update is a message from discovery: the complete endpoint list, or the entries that changed. It must
+// not be modified after it was parsed.
 type Update struct {
-	Revision int64   `json:"rev"` // of the list as it is after this update
-	Full     bool    `json:"all"` // what is not named is gone
+	Revision int64   `json:"rev"` // revision of the list after this update
+	Full     bool    `json:"all"` // the list is complete: endpoints without an entry were removed
 	Entries  []Entry `json:"targets"`
 }
 
@@ -25,56 +26,57 @@
 	Cell        int     `json:"pod_group"`
 	State       string  `json:"state"` // SERVING, DRAINING or DELETED
 	Weight      float64 `json:"capacity_hint"`
-	StartTimeMS float64 `json:"boot_ms"` // Unix time in milliseconds; 0: not known
+	StartTimeMS float64 `json:"boot_ms"` // Unix time in milliseconds; zero if unknown
 }
 
-// endpointStates are the states of targets, and what the balancer calls them.
+// endpointStates maps the states in messages to those of the balancer.
 var endpointStates = map[string]balancer.EndpointState{
 	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
 }
 
-// ParseUpdate reads one message. A message with any bad entry is bad as a whole: half a list would pass for a complete one.
+// ParseUpdate parses one message. An invalid entry makes the whole message invalid, because a list
+// without that entry could be mistaken for a complete one.
 func ParseUpdate(text []byte) (Update, error) {
 	var u Update
 	if err := json.Unmarshal(text, &u); err != nil {
 		return Update{}, err
 	}
 	if u.Entries == nil {
-		// In a complete list, what is not named is gone.
+		// Without this check, a complete list without this key would remove every endpoint.
 		return Update{}, errors.New("no targets")
 	}
-	for i, t := range u.Entries {
-		if err := t.validate(i); err != nil {
+	for i, e := range u.Entries {
+		if err := e.validate(i); err != nil {
 			return Update{}, err
 		}
 	}
 	return u, nil
 }
 
-// validate says what is wrong with the target of an index; nil: nothing.
-func (t Entry) validate(index int) error {
-	if t.UID == "" {
+// validate returns an error if the entry is invalid. index is the entry's position in its message.
+func (e Entry) validate(index int) error {
+	if e.UID == "" {
 		return fmt.Errorf("target %d has no uid", index)
 	}
-	if _, known := endpointStates[t.State]; !known {
-		return fmt.Errorf("target %d has the unknown state %q", index, t.State)
+	if _, known := endpointStates[e.State]; !known {
+		return fmt.Errorf("target %d has the unknown state %q", index, e.State)
 	}
-	_, _, err := net.SplitHostPort(t.Address)
-	if err != nil && t.State != "DELETED" { // what is gone needs no address
-		return fmt.Errorf("target %d: endpoint %q is no host:port", index, t.Address)
+	_, _, err := net.SplitHostPort(e.Address)
+	if err != nil && e.State != "DELETED" { // a removed endpoint needs no address
+		return fmt.Errorf("target %d: endpoint %q is no host:port", index, e.Address)
 	}
 	return nil
 }
 
-// Endpoint is the entry in the form of the balancer. Its clock is Unix time, so start times need no conversion but of their
-// unit.
-func (t Entry) Endpoint() balancer.Endpoint {
+// Endpoint converts the entry to the balancer's type. The balancer's clock is Unix time, so only the
+// unit of the start time changes.
+func (e Entry) Endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
-		ID:        t.UID,
-		Zone:      t.Zone,
-		Cell:      t.Cell,
-		State:     endpointStates[t.State],
-		Weight:    t.Weight,
-		StartTime: time.Duration(t.StartTimeMS * float64(time.Millisecond)),
+		ID:        e.UID,
+		Zone:      e.Zone,
+		Cell:      e.Cell,
+		State:     endpointStates[e.State],
+		Weight:    e.Weight,
+		StartTime: time.Duration(e.StartTimeMS * float64(time.Millisecond)),
 	}
 }
--- a/internal/node/follower/cost_test.go
+++ b/internal/node/follower/cost_test.go
@@ -15,16 +15,16 @@
 	"umberbank/internal/registry/state"
 )
 
-// roundRegistry is a registry in this process without a clock: in each round it answers every node that has an older
-// revision, and then applies all their writes together.
+// roundRegistry is an in-process registry without a clock, which works in rounds: in each round it
+// responds to every node that has an older revision, and then applies all of their writes.
 type roundRegistry struct {
 	st    *state.State
-	mu    sync.Mutex // of ops and counts
+	mu    sync.Mutex // protects ops, bytes and messages
 	ops   []state.Op
 	nodes []*Follower
-	revs  []int64
+	revs  []int64 // the revision that each node has
 
-	bytes, messages map[string]int // by node, both ways, without headers
+	bytes, messages map[string]int // sent and received by each node, without headers
 }
 
 // ServeHTTP queues writes for the end of the round.
@@ -41,9 +41,9 @@
 	r.mu.Lock()
 	r.ops = append(r.ops, c.Ops...)
 	r.mu.Unlock()
-	answer := `{"answers":[{"rev":` + strconv.FormatInt(r.st.Revision(), 10) + `}]}`
-	r.count(c.Ops[0].UID, len(text)+len(answer))
-	io.WriteString(w, answer)
+	response := `{"answers":[{"rev":` + strconv.FormatInt(r.st.Revision(), 10) + `}]}`
+	r.count(c.Ops[0].UID, len(text)+len(response))
+	io.WriteString(w, response)
 }
 
 func (r *roundRegistry) count(node string, bytes int) {
@@ -53,8 +53,9 @@
 	r.messages[node]++
 }
 
-// play plays rounds until no node has anything to receive or write, and returns how many there were.
-func (r *roundRegistry) play(t *testing.T) (rounds int) {
+// runRounds runs rounds until no node has anything to receive or write, and returns the number of
+// rounds.
+func (r *roundRegistry) runRounds(t *testing.T) (rounds int) {
 	t.Helper()
 	for ; ; rounds++ {
 		updated := false
@@ -63,25 +64,25 @@
 				continue
 			}
 			updated = true
-			has := map[int64]bool{}
+			known := map[int64]bool{}
 			for _, text := range strings.Split(f.knownVersions(), ",") {
 				n, err := strconv.ParseInt(text, 10, 64)
 				if err != nil {
 					t.Fatal(err)
 				}
-				has[n] = true
+				known[n] = true
 			}
-			text, err := json.Marshal(r.st.NodeView(f.Name, has))
+			text, err := json.Marshal(r.st.NodeView(f.Name, known))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.count(f.Name, len(text))
-			var a state.CoordinationView
-			if err := json.Unmarshal(text, &a); err != nil {
+			var view state.CoordinationView
+			if err := json.Unmarshal(text, &view); err != nil {
 				t.Fatal(err)
 			}
-			r.revs[i] = a.Revision
-			f.handle(t.Context(), a.NodeSettings, a.Revision)
+			r.revs[i] = view.Revision
+			f.handle(t.Context(), view.NodeSettings, view.Revision)
 		}
 		if !updated {
 			return rounds
@@ -98,8 +99,9 @@
 	}
 }
 
-// A version costs each node as many messages and bytes whether there are 10 nodes, 100 or 1,000.
-func TestVersionCostsNoMoreWithNodes(t *testing.T) {
+// A rollout of a version costs each node the same number of messages and bytes with 10, 100 and 1,000
+// nodes.
+func TestRolloutCostIndependentOfNodes(t *testing.T) {
 	t.Parallel()
 	type cost struct{ bytes, messages, rounds int }
 	costs := map[int]cost{}
@@ -120,26 +122,26 @@
 			}
 			r.nodes = append(r.nodes, f)
 		}
-		r.play(t) // they say what they run
+		r.runRounds(t) // each node reports its running version
 		clear(r.bytes)
 		clear(r.messages)
 		a, _ := r.st.Apply(state.Op{Kind: state.OpPropose, Value: json.RawMessage(`{"limits":{"max-attempts":4}}`), Stages: []float64{1}})
-		rounds := r.play(t)
+		rounds := r.runRounds(t)
 		if a, _ := r.st.Apply(state.Op{Kind: state.OpAdvance, Number: a.Token}); a.Code != "" {
 			t.Fatalf("%d nodes: %s %s", n, a.Code, a.Reason)
 		}
-		rounds += r.play(t)
+		rounds += r.runRounds(t)
 		if !r.st.Rollout().Converged() || r.st.Rollout().Committed.Number != a.Token {
-			t.Fatalf("%d nodes: version %d is not in force", n, a.Token)
+			t.Fatalf("%d nodes: version %d is not committed and running on all nodes", n, a.Token)
 		}
-		most := cost{rounds: rounds}
+		highest := cost{rounds: rounds}
 		for _, f := range r.nodes {
-			most.bytes, most.messages = max(most.bytes, r.bytes[f.Name]), max(most.messages, r.messages[f.Name])
+			highest.bytes, highest.messages = max(highest.bytes, r.bytes[f.Name]), max(highest.messages, r.messages[f.Name])
 		}
-		costs[n] = most
+		costs[n] = highest
 	}
 	if costs[10].messages < 4 || costs[100] != costs[10] || costs[1000] != costs[10] {
-		t.Errorf("a version costs a node %+v", costs)
+		t.Errorf("highest cost of a version for one node, by number of nodes: %+v", costs)
 	}
-	t.Logf("a version costs a node %+v", costs)
+	t.Logf("highest cost of a version for one node, by number of nodes: %+v", costs)
 }
--- a/internal/node/follower/event.go
+++ b/internal/node/follower/event.go
@@ -8,28 +8,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// EventKind is what a node does with a version.
+// EventKind says what has changed about a node or one of its versions of settings.
 type EventKind int
 
 // Kinds of events.
 const (
-	Running   EventKind = iota // it runs the version from now on
-	Validated                  // it could run the version, which is proposed
-	InSync                     // the registry counts it as in sync, running the version
-	OutOfSync                  // the registry no longer counts it as in sync
-	Serving                    // it serves clients from now on; there is no version
+	Running   EventKind = iota // the node runs the version from now on
+	Validated                  // the node has validated the version, which is proposed, and could run it
+	InSync                     // the registry counts the node, which runs the version, as in sync
+	OutOfSync                  // the registry no longer counts the node as in sync
+	Serving                    // the node serves clients from now on; there is no version
 )
 
-// Event tells those who judge a rollout from outside, as the fault-injection tests do, what a node does and when.
+// Event describes what a node does and when. The fault-injection tests check rollouts with it.
 type Event struct {
 	Kind           EventKind
-	Incarnation    int64         // InSync, OutOfSync: the registry's token of this start of the node
-	LongestRenewal time.Duration // OutOfSync: the longest time between two renewals of its lease while it was in sync
+	Incarnation    int64         // InSync and OutOfSync only: the registry's token of this start of the node
+	LongestRenewal time.Duration // OutOfSync only: the longest time between two lease renewals while the node was in sync
 	Version        Version
-	Time           int64 // by the machine's monotonic clock, in nanoseconds
+	Time           int64 // machine's monotonic clock, in nanoseconds
 }
 
-// String is the line that a node logs. The fault-injection tests read it, so its form stays.
+// String returns the line that a node logs for the event. The fault-injection tests parse it, so its
+// format must not change.
 func (e Event) String() string {
 	var what string
 	switch e.Kind {
@@ -47,12 +48,12 @@
 	return fmt.Sprintf("agreed: %s version %d %.12s at %d", what, e.Version.Number, cmp.Or(e.Version.Hash, "-"), e.Time)
 }
 
-// NewServingEvent is the event of a node that serves clients from now on.
+// NewServingEvent returns an event of kind Serving with the current time.
 func NewServingEvent() Event { return Event{Kind: Serving, Time: monotonicTime()} }
 
-// monotonicTime is the machine's monotonic clock, in nanoseconds.
+// monotonicTime returns the machine's monotonic clock in nanoseconds.
 func monotonicTime() int64 {
 	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // it exists on every Linux
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // every Linux kernel has this clock
 	return t.Nano()
 }
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -1,17 +1,17 @@
-// Package follower makes a node run the versions of settings that its site has committed. docs/oncall/settings-by-agreement.md
-// describes rollouts for operators.
+// Package follower makes a node run the versions of settings that its site has committed.
+// docs/oncall/settings-by-agreement.md describes rollouts for operators.
 //
-// A Follower registers its node, validates each version that is proposed and acknowledges or rejects it, and runs what the node
-// is to run. Its invariants:
+// A Follower registers its node, validates each proposed version and acknowledges or rejects it, and
+// runs the node's target version. Its invariants:
 //
-//   - It never runs a version with a lower number than the one that it runs.
+//   - It never replaces a version with one that has a lower number.
 //   - A version is saved before it is run, so that a process that dies in between starts with it. A save that
-//     fails is logged, and the version runs all the same.
-//   - It is in sync only by the registry's view after its own report of the version that it runs; what the registry knew before
-//     that was about an earlier process.
+//     fails is logged, and the version runs nevertheless.
+//   - It counts the node as in sync only after it has received a view of the registry that includes this
+//     process's own report of its running version. Any earlier view describes an earlier process.
 //
-// It runs beside the node's event loop on a goroutine of its own; traffic never waits for it. While the registry cannot be reached
-// the node goes on with its last target, for as long as that lasts.
+// It runs on its own goroutine beside the node's event loop, and traffic never waits for it. While the
+// registry cannot be reached, the node keeps running its last target.
 package follower
 
 import (
@@ -30,42 +30,45 @@
 )
 
 const (
-	// pollTimeout is how long the registry may delay its response to a poll while there is nothing new.
+	// pollTimeout is how long the registry may hold a poll while nothing has changed.
 	pollTimeout = time.Second
-	// retryDelay is the pause after a registration that failed.
+	// retryDelay is the pause after a failed registration.
 	retryDelay = 300 * time.Millisecond
-	// maxBackoff is the longest pause between calls that fail.
+	// maxBackoff is the maximum pause between failed requests to the registry.
 	maxBackoff = 300 * time.Millisecond
 )
 
-// Options say whose settings a Follower follows: a node's, or what stands for one in a test. All but Log and Dial must be set.
+// Options configure a Follower for a node, or for an emulated node in a test. All fields but Log and
+// Dial must be set.
 type Options struct {
 	Name     string
-	Addr     func() string // where the node listens
+	Addr     func() string // returns the address that the node listens on
 	Rollout  config.Rollout
-	Validate func(settings json.RawMessage) error // why the node cannot run settings; nil: it can
-	Apply    func(settings json.RawMessage) error // runs settings from now on
+	Validate func(settings json.RawMessage) error // returns an error if the node cannot run settings
+	Apply    func(settings json.RawMessage) error // makes the node run settings
 	Notify   func(Event)
-	Log      *slog.Logger    // nil: slog.Default
-	Dial     client.DialFunc // nil: the system's
+	Log      *slog.Logger    // nil for slog.Default
+	Dial     client.DialFunc // nil for the default of the registry's client
 }
 
-// Follower follows the versions of one node. Its methods but InSync belong to the goroutine of Run.
+// Follower follows the versions of one node. All methods but InSync must be called from the goroutine
+// of Run.
 type Follower struct {
 	Options
 	writer *client.Client
-	lease  *client.LeaseHolder // of the node's entry; nil: not registered, or an agent holds the entry
+	lease  *client.LeaseHolder // holds the node's entry; nil if it is not registered yet or an agent holds the entry
 
 	running   Version
-	proposed  Version // the version that was validated last
-	rejection string  // why that cannot be run; "": it can
+	proposed  Version // the last version that was validated
+	rejection string  // why proposed cannot be run; empty if it can
 
-	reportedAt  int64         // revision of the registry's log with this process's report of what it runs; 0: there is none
-	inSync      bool          // by the registry's view since then
-	firstInSync chan struct{} // closed when inSync is true for the first time
+	reportedAt  int64         // registry revision of this process's last report of its running version; zero before the first
+	inSync      bool          // whether a view at or after reportedAt has the node in sync
+	firstInSync chan struct{} // closed when inSync becomes true for the first time
 }
 
-// New returns a Follower of a node that runs a version, which is zero if it runs what it was started with.
+// New returns a Follower of a node. running is the version that the node runs, which is zero if it runs
+// the settings that it was started with.
 func New(options Options, running Version) (*Follower, error) {
 	writer, err := client.New(client.Options{Endpoints: options.Rollout.Endpoints, MaxBackoff: maxBackoff, Dial: options.Dial})
 	if err != nil {
@@ -75,8 +78,9 @@
 	return &Follower{Options: options, writer: writer, running: running, firstInSync: make(chan struct{})}, nil
 }
 
-// RunStandalone runs a new Follower without a saved version, as hollow nodes of the lab do. It returns when ctx ends or another process
-// has registered the node's name.
+// RunStandalone runs a new Follower without a saved version, for the lab's hollow nodes. It returns
+// when ctx ends, with the error of ctx, or with a nil error when another process has registered the
+// node's name.
 func RunStandalone(ctx context.Context, options Options) error {
 	f, err := New(options, Version{})
 	if err != nil {
@@ -86,16 +90,19 @@
 	return ctx.Err()
 }
 
-// InSync is closed once the registry has counted the node as in sync for the first time. Any goroutine may wait for it.
+// InSync returns a channel that is closed once the registry has counted the node as in sync for the
+// first time. It may be called from any goroutine.
 func (f *Follower) InSync() <-chan struct{} { return f.firstInSync }
 
-// RunningVersion is the version that the node runs.
+// RunningVersion returns the version that the node runs, which is zero for the settings that it was
+// started with.
 func (f *Follower) RunningVersion() Version { return f.running }
 
-// Run follows until ctx ends, or until another process has registered the node's name, which is logged.
+// Run follows the node's versions until ctx ends or another process has registered the node's name. It
+// logs the latter.
 func (f *Follower) Run(ctx context.Context) {
 	f.notify(Event{Kind: Running, Version: f.running})
-	var revision int64 // of the registry's log, as last seen; 0: ask anew
+	var revision int64 // registry revision of the last view; zero makes the registry respond at once
 	for ctx.Err() == nil {
 		if err := f.register(ctx); err != nil {
 			if errors.Is(err, client.ErrFenced) {
@@ -105,29 +112,32 @@
 			sleep(ctx, retryDelay)
 			continue
 		}
-		agreed, err := f.writer.PollCoordination(ctx, url.Values{"node": {f.Name}, "has": {f.knownVersions()}}, revision, pollTimeout)
+		view, err := f.writer.PollCoordination(ctx, url.Values{"node": {f.Name}, "has": {f.knownVersions()}}, revision, pollTimeout)
 		if err != nil {
 			revision = 0
 			continue
 		}
-		revision = agreed.Revision
-		if f.isThisIncarnation(agreed.NodeSettings) {
-			f.handle(ctx, agreed.NodeSettings, revision)
+		revision = view.Revision
+		if f.isThisIncarnation(view.NodeSettings) {
+			f.handle(ctx, view.NodeSettings, revision)
 		}
 	}
 }
 
-// isThisIncarnation reports whether the registry's view is of this start of the node, and not of an earlier process.
+// isThisIncarnation reports whether the registry's view describes this start of the node, and not an
+// earlier process.
 func (f *Follower) isThisIncarnation(view *state.NodeSettings) bool {
 	return view != nil && view.Node != nil && (f.lease == nil || view.Node.Incarnation == f.lease.Token(f.Name))
 }
 
-// knownVersions returns the numbers of the versions whose settings it has, which the registry need not send.
+// knownVersions returns the numbers, separated by a comma, of the versions whose settings the registry
+// need not send.
 func (f *Follower) knownVersions() string {
 	return strconv.FormatInt(f.running.Number, 10) + "," + strconv.FormatInt(f.proposed.Number, 10)
 }
 
-// handle does what the registry's view of this node asks for, as of a revision, and reports what came of it.
+// handle acts on the registry's view of this node at a revision: it runs the target version, reports
+// the running version, and validates the proposed version.
 func (f *Follower) handle(ctx context.Context, view *state.NodeSettings, revision int64) {
 	incarnation := view.Node.Incarnation
 	f.updateInSync(view, revision)
@@ -138,20 +148,21 @@
 	f.validateProposed(ctx, view, incarnation)
 }
 
-// report tells the registry which version the node runs, unless it knows.
+// report reports the running version to the registry, unless the view shows that the registry has it.
 func (f *Follower) report(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	node := view.Node
 	hasCaughtUp := node.Syncing && !node.Unreachable && node.Violation == "" && view.Target.Number == f.running.Number
 	if node.Reported && !hasCaughtUp && node.RunningVersion == f.running.Number && f.reportedAt != 0 {
 		return
 	}
-	answer, err := f.writer.WriteOne(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: incarnation, Number: f.running.Number, Hash: f.running.Hash})
-	if err == nil && answer.Code == "" {
-		f.reportedAt = answer.Revision
-	} // else another view tells whether it was heard
+	result, err := f.writer.WriteOne(ctx, state.Op{Kind: state.OpReport, UID: f.Name, Token: incarnation, Number: f.running.Number, Hash: f.running.Hash})
+	if err == nil && result.Code == "" {
+		f.reportedAt = result.Revision
+	} // otherwise a later view shows whether the report was applied
 }
 
-// validateProposed validates the version that is proposed, and acknowledges or rejects it, unless that is done.
+// validateProposed validates the proposed version and acknowledges or rejects it, unless the view shows
+// that this is done.
 func (f *Follower) validateProposed(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	p := view.Pending
 	if p == nil || view.Node.AcknowledgedVersion == p.Number || view.Node.RejectReason != "" || p.Number <= f.running.Number {
@@ -167,12 +178,12 @@
 	if f.rejection == "" {
 		f.notify(Event{Kind: Validated, Version: f.proposed})
 	}
-	// Whether it was heard shows in the next view.
+	// The next view shows whether the write was applied.
 	_, _ = f.writer.WriteOne(ctx, state.Op{Kind: state.OpAcknowledge, UID: f.Name, Token: incarnation, Number: p.Number, Hash: p.Hash,
 		RejectReason: f.rejection})
 }
 
-// validate says why the node cannot run a version; "": it can.
+// validate returns the reason why the node cannot run a version, or an empty string if it can.
 func (f *Follower) validate(v Version) string {
 	err := f.Validate(v.Settings)
 	if err == nil {
@@ -184,12 +195,13 @@
 	return ""
 }
 
-// updateInSync notes whether the registry counts this node as in sync, and closes firstInSync the first time that it does.
+// updateInSync updates inSync from the registry's view at a revision, and closes firstInSync when the
+// node is first in sync.
 func (f *Follower) updateInSync(view *state.NodeSettings, revision int64) {
 	node := view.Node
 	confirmed := node.InSync() && node.Reported && node.RunningVersion == f.running.Number && f.reportedAt > 0 && revision >= f.reportedAt
 	if confirmed && !f.inSync {
-		f.longestRenewal() // it is counted anew from here
+		f.longestRenewal() // resets the measurement
 		f.notify(Event{Kind: InSync, Incarnation: node.Incarnation, Version: f.running})
 		select {
 		case <-f.firstInSync:
@@ -203,8 +215,8 @@
 	f.inSync = confirmed || f.inSync && node.InSync()
 }
 
-// Activate saves a version for the process after this one and runs it. It ignores content that is missing or has another hash. Errors
-// are logged.
+// Activate saves a version, for a restarted process, and runs it. It ignores a version without settings
+// or whose hash does not match its settings. Errors are logged.
 func (f *Follower) Activate(content state.VersionContent) {
 	next := Version{content.Number, content.Hash, content.Settings}
 	if next.Settings == nil && f.proposed.Number == next.Number {
@@ -226,13 +238,13 @@
 	f.notify(Event{Kind: Running, Version: next})
 }
 
-// notify tells of an event that happens now.
+// notify calls Notify with an event and the current time.
 func (f *Follower) notify(e Event) {
 	e.Time = monotonicTime()
 	f.Notify(e)
 }
 
-// sleep waits for a duration or until ctx ends.
+// sleep waits until d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/node/follower/golden_test.go
+++ b/internal/node/follower/golden_test.go
@@ -15,33 +15,34 @@
 	"umberbank/internal/registry/state"
 )
 
-// The version of settings that an earlier process saved is what the next one starts with, and is saved in the same bytes.
-func TestGoldenKeptVersion(t *testing.T) {
+// A process starts with the version of settings that an earlier process saved, and saves the same
+// version in the same bytes.
+func TestGoldenSavedVersion(t *testing.T) {
 	t.Parallel()
 	const stored = "testdata/kept-version.json"
 	settings := settingsWith(t, 4)
 	content := state.VersionContent{Number: 12, Hash: state.ContentHash(settings), Settings: settings}
-	keep := filepath.Join(t.TempDir(), "kept")
-	f, err := New(Options{Name: "n3", Rollout: config.Rollout{Endpoints: []string{"127.0.0.1:1"}, PersistPath: keep}, Notify: func(Event) {},
+	path := filepath.Join(t.TempDir(), "version.json")
+	f, err := New(Options{Name: "n3", Rollout: config.Rollout{Endpoints: []string{"127.0.0.1:1"}, PersistPath: path}, Notify: func(Event) {},
 		Apply: func(json.RawMessage) error { return nil }}, Version{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Activate(content)
-	text, err := os.ReadFile(keep)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	nodetest.Golden(t, filepath.Base(stored), string(text))
-	cfg, k := Restore(configWith(t, stored))
-	if k.Number != 12 || k.Hash != content.Hash || string(k.Settings) != string(settings) || cfg.Settings.MaxAttempts != 4 {
-		t.Errorf("read %+v, %d attempts", k, cfg.Settings.MaxAttempts)
+	cfg, v := Restore(configWith(t, stored))
+	if v.Number != 12 || v.Hash != content.Hash || string(v.Settings) != string(settings) || cfg.Settings.MaxAttempts != 4 {
+		t.Errorf("restored %+v, %d attempts", v, cfg.Settings.MaxAttempts)
 	}
 }
 
 var timeAtEnd = regexp.MustCompile(` at \d+$`)
 
-// The lines about versions in the log, which the fault-injection tests read.
+// The log lines about versions, which the fault-injection tests parse.
 func TestGoldenVersionLog(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
@@ -55,18 +56,18 @@
 	settings := settingsWith(t, 4)
 	f.Activate(state.VersionContent{Number: 12, Hash: state.ContentHash(settings), Settings: settings})
 	f.reportedAt = 5
-	c := &state.NodeSettings{Node: &rollout.Node{Incarnation: 77, Reported: true, RunningVersion: 12}}
-	f.updateInSync(c, 6)
-	c.Node.Unreachable = true
-	f.updateInSync(c, 7)
+	view := &state.NodeSettings{Node: &rollout.Node{Incarnation: 77, Reported: true, RunningVersion: 12}}
+	f.updateInSync(view, 6)
+	view.Node.Unreachable = true
+	f.updateInSync(view, 7)
 	f.notify(Event{Kind: Validated, Version: f.running})
 	nodetest.Golden(t, "version-log.golden", b.String())
 }
 
-// configWith is a configuration that saves its version in a file.
-func configWith(t *testing.T, keep string) config.Config {
+// configWith returns a configuration with a PersistPath.
+func configWith(t *testing.T, persistPath string) config.Config {
 	t.Helper()
-	text := strings.Replace(nodetest.Config, `"peers"`, `"agreed":{"endpoints":["127.0.0.1:1"],"tier":"front","keep":"`+keep+`"},"peers"`, 1)
+	text := strings.Replace(nodetest.Config, `"peers"`, `"agreed":{"endpoints":["127.0.0.1:1"],"tier":"front","keep":"`+persistPath+`"},"peers"`, 1)
 	cfg, err := config.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +75,7 @@
 	return cfg
 }
 
-// settingsWith are the settings of nodetest.Config with a number of attempts.
+// settingsWith returns the settings of nodetest.Config with a maximum number of attempts.
 func settingsWith(t *testing.T, maxAttempts int) json.RawMessage {
 	t.Helper()
 	var file struct {
--- a/internal/node/follower/register.go
+++ b/internal/node/follower/register.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// defaultLeaseTTL is the time to live of a node's lease where the configuration does not say.
+	// defaultLeaseTTL is the time to live of a node's lease if the configuration does not set it.
 	defaultLeaseTTL = 2 * time.Second
-	// registerTimeout bounds one try to register.
+	// registerTimeout limits one attempt to register.
 	registerTimeout = time.Second
 )
 
-// register enters this start of the node's process in the registry, once, and then renews its lease until ctx ends. It returns
-// client.ErrFenced once another process is the node.
+// register registers this start of the node's process, once, and starts renewing its lease until ctx
+// ends. It returns client.ErrFenced if another process has registered the node's name since. It does
+// nothing if an agent holds the entry.
 func (f *Follower) register(ctx context.Context) error {
 	if f.Rollout.ByAgent {
 		return nil
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// entry is the node's entry in the registry. startTime is Unix time in milliseconds.
+// entry returns the node's entry in the registry. startTime is Unix time in milliseconds.
 func (f *Follower) entry(startTime float64, ttl time.Duration) *state.Instance {
 	return &state.Instance{
 		UID:         f.Name,
@@ -64,8 +65,8 @@
 	}
 }
 
-// longestRenewal is the longest time between two renewals of this node's lease since it was last asked for; 0: an agent renews
-// it.
+// longestRenewal returns the longest time between two renewals of this node's lease since the last
+// call, and starts a new measurement. It returns zero if an agent renews the lease.
 func (f *Follower) longestRenewal() time.Duration {
 	if f.lease == nil {
 		return 0
--- a/internal/node/follower/version.go
+++ b/internal/node/follower/version.go
@@ -12,17 +12,17 @@
 	"umberbank/internal/registry/state"
 )
 
-// Version is a version of settings, and the form in which a node keeps the one that it runs on its disk. Number 0 is what the
-// node was started with, and has no settings.
+// Version is a version of settings. A node stores its running version on disk in this format. The zero
+// Version stands for the settings that the node was started with; its Settings are nil.
 type Version struct {
 	Number   int64           `json:"number"`
 	Hash     string          `json:"hash"` // of Settings
 	Settings json.RawMessage `json:"settings"`
 }
 
-var errWrongHash = errors.New("its hash is another")
+var errWrongHash = errors.New("hash does not match the settings")
 
-// verify says that the settings are not those of the version; nil: they are.
+// verify returns errWrongHash if the hash does not match the settings.
 func (v Version) verify() error {
 	if state.ContentHash(v.Settings) != v.Hash {
 		return errWrongHash
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// save writes the version to a file, which holds either it or what it held before, whenever the process dies.
+// save replaces the file at path with the version. The file is replaced atomically: if the process
+// dies, it has either the old or the new content.
 func (v Version) save(path string) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return renameio.WriteFile(path, text, 0o600)
 }
 
-// load reads a version that was saved. The error wraps os.ErrNotExist if there is none.
+// load reads and verifies a saved version. The error wraps os.ErrNotExist if there is none.
 func load(path string) (Version, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,8 +53,9 @@
 	return v, v.verify()
 }
 
-// Restore returns the configuration with the version that an earlier process of the node kept, and that version. One that
-// cannot be read or run is logged and passed over: then the configuration is returned as it is, with the zero Version.
+// Restore returns the configuration with the settings of the version that an earlier process of the
+// node saved, and that version. It returns cfg unchanged and the zero Version if there is no saved
+// version, or if the saved one is unusable, which it logs.
 func Restore(cfg config.Config) (config.Config, Version) {
 	path := cfg.Rollout.PersistPath
 	if path == "" {
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts what operators read with the command "vars": docs/oncall/figures.md describes each figure.
+// Package metrics holds the metrics that operators read with the command "vars". docs/oncall/figures.md
+// describes each of them.
 package metrics
 
 import (
@@ -8,28 +9,29 @@
 	"sync/atomic"
 )
 
-// Metrics are the figures of one process, counted from its start. Any goroutine may count and read; nobody waits for long. The
-// zero value is ready to use.
+// Metrics are the metrics of one process since its start. They are safe for concurrent use, and no call
+// blocks for long. The zero value is ready to use.
 type Metrics struct {
-	AttemptsSent     atomic.Int64 // attempts whose request was written to a server to its last byte
+	AttemptsSent     atomic.Int64 // attempts whose request was written to a server completely
 	InFlight         atomic.Int64 // client requests that were accepted and have not ended
-	EndpointsListed  atomic.Int64 // servers in the endpoint list, draining ones among them
-	EndpointsEjected atomic.Int64 // of these, the ones that are ejected now
-	ReloadsApplied   atomic.Int64 // configurations that were taken over
-	ReloadsRejected  atomic.Int64 // configurations that were rejected
+	EndpointsListed  atomic.Int64 // servers in the endpoint list, including draining ones
+	EndpointsEjected atomic.Int64 // listed servers that are currently ejected
+	ReloadsApplied   atomic.Int64 // configurations that were applied by a reload
+	ReloadsRejected  atomic.Int64 // configurations that were rejected by a reload
 
 	mu      sync.Mutex
 	results map[string]*ClassResults
 }
 
-// ClassResults count the final answers to the requests of one class. Requests whose client disconnected are in none.
+// ClassResults count the final responses to the requests of one class. Requests whose client
+// disconnected are not counted.
 type ClassResults struct {
 	Succeeded int64 `json:"succeeded"`
 	Rejected  int64 `json:"declined"`
 	Failed    int64 `json:"aborted"`
 }
 
-// report is the form in which operators get the figures.
+// report is the JSON format of the metrics.
 type report struct {
 	Results          map[string]*ClassResults `json:"results"`
 	InFlight         int64                    `json:"outstanding"`
@@ -40,15 +42,15 @@
 	ReloadsRejected  int64                    `json:"sighup_rejected"`
 }
 
-// AddClass makes a class show, with zeros if nothing has happened to it yet.
+// AddClass adds a class to the report, with zero counts until its first response.
 func (m *Metrics) AddClass(class string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.resultsOf(class)
 }
 
-// CountResponse counts the final answer to a request of a class, by its HTTP status. An incomplete answer, one that was not
-// written to its end, counts as failed whatever its status.
+// CountResponse counts the final response to a request of a class, by its HTTP status. An incomplete
+// response, which was not written to its end, counts as failed whatever its status.
 func (m *Metrics) CountResponse(class string, status int, incomplete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,7 +65,7 @@
 	}
 }
 
-// resultsOf returns the results of a class, which it adds if they are missing; m.mu is locked.
+// resultsOf returns the results of a class, and adds them if they are missing. m.mu must be held.
 func (m *Metrics) resultsOf(class string) *ClassResults {
 	if m.results == nil {
 		m.results = map[string]*ClassResults{}
@@ -76,7 +78,7 @@
 	return r
 }
 
-// JSON returns the figures as one line of JSON, or "fail" and the reason.
+// JSON returns the metrics as one line of JSON, or "fail" and the reason.
 func (m *Metrics) JSON() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/metrics/metrics_test.go
+++ b/internal/node/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The keys of the operators' figures, each with a value of its own.
+// The report has all keys, each with a distinct value.
 func TestGoldenMetrics(t *testing.T) {
 	m := &Metrics{}
 	m.AddClass("idle")
--- a/internal/node/nodetest/golden.go
+++ b/internal/node/nodetest/golden.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// update rewrites the golden files. It is for a stored or sent form that changes on purpose.
+// update makes Golden rewrite the golden files, for intended changes of a stored or sent format.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Golden compares got with the file of this name under testdata, byte for byte.
+// Golden compares got with the named file under testdata, byte for byte. With the flag -update it
+// rewrites the file instead.
 func Golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,10 +32,10 @@
 	if got == string(text) {
 		return
 	}
-	want, have := strings.Split(string(text), "\n"), strings.Split(got, "\n")
-	for i := range max(len(want), len(have)) {
-		if w, h := lineAt(want, i), lineAt(have, i); w != h {
-			t.Errorf("%s:%d:\n  want %s\n   got %s", path, i+1, w, h)
+	wantLines, gotLines := strings.Split(string(text), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		if w, g := lineAt(wantLines, i), lineAt(gotLines, i); w != g {
+			t.Errorf("%s:%d:\n  want %s\n   got %s", path, i+1, w, g)
 		}
 	}
 }
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -1,5 +1,5 @@
-// Package nodetest has what the tests of a node and of the packages below it share: waits with a bound, servers that do what a test
-// says, and messages of discovery.
+// Package nodetest provides helpers for the tests of package node and of the packages below it: bounded
+// waits, scripted servers, golden files and messages from discovery.
 package nodetest
 
 import (
@@ -12,22 +12,23 @@
 	"time"
 )
 
-// Timeout bounds every wait of the tests; none passes by waiting.
+// Timeout limits every wait of the tests. A test that succeeds never waits until it expires.
 const Timeout = 20 * time.Second
 
-// Wait returns what comes on a channel, and fails the test if nothing does.
+// Wait returns the next value from a channel, and fails the test if there is none within Timeout.
 func Wait[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Timeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing was received on the channel")
 		panic("unreachable")
 	}
 }
 
-// Eventually asks again and again until ok says yes, and fails the test if it never does.
+// Eventually polls ok until it returns true, and fails the test if it does not within Timeout. what
+// names the condition.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
@@ -37,7 +38,8 @@
 	}
 }
 
-// Dial connects to addr until the test ends; nothing on the connection waits for longer than Limit.
+// Dial connects to addr and closes the connection when the test ends. Reads and writes fail once
+// Timeout has passed since Dial.
 func Dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -49,7 +51,8 @@
 	return c
 }
 
-// TCPPair returns both ends of a connection.
+// TCPPair returns both ends of a TCP connection: a is the accepting end and b the dialling end. They
+// are closed when the test ends.
 func TCPPair(t *testing.T) (a, b *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,7 +72,8 @@
 	return in.(*net.TCPConn), out.(*net.TCPConn)
 }
 
-// Listen serves each connection of a server with serve, until the test ends.
+// Listen starts a server that calls serve for each connection and closes the connection afterwards. It
+// listens until the test ends.
 func Listen(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,18 +96,18 @@
 	return l.Addr().String()
 }
 
-// Received is a request as a server saw it.
+// Received is a request that a server received.
 type Received struct {
 	*http.Request
-	Content string // of its body
+	Content string // of the body
 }
 
-// OKResponse is a complete response.
+// OKResponse is a complete response with the body "hi".
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: a/b\r\n\r\nhi"
 
-// StubServer answers every request with answer, raw; closeAfter says that it closes the connection then. got tells of each request before
-// its answer.
-func StubServer(t *testing.T, answer string, closeAfter bool) (addr string, got chan Received) {
+// StubServer starts a server that sends each request to got and then writes response, the raw bytes, to
+// the connection. If closeAfter is true, it closes the connection after the response.
+func StubServer(t *testing.T, response string, closeAfter bool) (addr string, got chan Received) {
 	t.Helper()
 	got = make(chan Received, 100)
 	return Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -114,10 +118,10 @@
 			}
 			b, err := io.ReadAll(req.Body)
 			if err != nil {
-				return // a server begins a request with its last byte, so this is none
+				return // a server processes a request only once its last byte has arrived
 			}
 			got <- Received{req, string(b)}
-			io.WriteString(c, answer)
+			io.WriteString(c, response)
 			if closeAfter {
 				return
 			}
@@ -125,7 +129,7 @@
 	}), got
 }
 
-// Text is n bytes in which every piece can be told from another.
+// Text returns n bytes without repeating parts, so that lost or reordered bytes are detected.
 func Text(n int) string {
 	b := make([]byte, 0, n+8)
 	for i := int64(0); len(b) < n; i++ {
@@ -134,7 +138,7 @@
 	return string(b[:n])
 }
 
-// Do sends a request over a connection of its own, and returns the response and its body.
+// Do sends a request over a new connection, and returns the response and its body.
 func Do(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	c := &http.Client{Timeout: Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -150,7 +154,7 @@
 	return resp, string(b)
 }
 
-// Config is the text of a configuration with one server.
+// Config is the text of a configuration file with one server.
 const Config = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["127.0.0.1:1"],
  "known":{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":3,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]},
--- a/internal/node/processlock/processlock.go
+++ b/internal/node/processlock/processlock.go
@@ -1,5 +1,6 @@
-// Package processlock provides the lock by which the processes of one node take over from each other. The serving process
-// holds it until it ends; one that starts beside it waits for it, and knows by it that no predecessor is left.
+// Package processlock provides the lock with which successive processes of one node take over from each
+// other. The serving process holds it until it ends. A process that starts in the meantime waits for
+// it, and holds it only once no predecessor is left.
 package processlock
 
 import (
@@ -12,15 +13,15 @@
 	"time"
 )
 
-// pollInterval is the time between two tries of Acquire.
+// pollInterval is the interval at which Acquire tries to take the lock.
 const pollInterval = 100 * time.Millisecond
 
-// Lock is an exclusive advisory lock (flock) on a file. The kernel releases it when the process that holds it ends, however
-// it ends. A Lock must not be used by several goroutines at once.
+// Lock is an exclusive advisory lock (flock) on a file. The kernel releases it when the process that
+// holds it ends, for whatever reason. A Lock is not safe for concurrent use.
 type Lock struct{ file *os.File }
 
-// Open opens the lock file of the named node in dir, and makes it if it is missing. It does not take the lock. The file's name
-// holds the name of the node in hexadecimal, so that nodes may share dir.
+// Open opens the lock file of the named node in dir, and creates it if it is missing. It does not take
+// the lock. The file's name contains the name of the node in hexadecimal, so that nodes may share dir.
 func Open(dir, node string) (*Lock, error) {
 	file, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("umberbank-%x.lock", node)), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -38,7 +39,8 @@
 	return err == nil, err
 }
 
-// Acquire waits until the lock is taken or ctx ends. Any error but that of ctx means that the lock can never be taken.
+// Acquire takes the lock, and waits for it until ctx ends. Any error other than that of ctx is
+// permanent.
 func (l *Lock) Acquire(ctx context.Context) error {
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
--- a/internal/node/processlock/processlock_test.go
+++ b/internal/node/processlock/processlock_test.go
@@ -7,7 +7,8 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The name of the lock file: processes of two builds of the program must use one lock.
+// The name of the lock file must not change, because processes of different builds of the program must
+// use the same lock.
 func TestGoldenLockName(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/node/snapshotter/golden_test.go
+++ b/internal/node/snapshotter/golden_test.go
@@ -13,13 +13,14 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// storedDir has the snapshots that a node saved under traffic, with endpoints that were slow, failing and new.
+// storedDir contains snapshots that a node saved under traffic, with slow, failing and new endpoints.
 const storedDir = "testdata"
 
-// Snapshots that an earlier process saved are found, read completely, and encoded again in the same bytes.
+// Snapshots that an earlier process saved are found and read completely, and are encoded to the same
+// bytes again.
 func TestGoldenSnapshots(t *testing.T) {
 	t.Parallel()
-	dir := t.TempDir() // loading may write beside them
+	dir := t.TempDir() // loading may write to the directory
 	if err := os.CopyFS(dir, os.DirFS(storedDir)); err != nil {
 		t.Fatal(err)
 	}
@@ -31,21 +32,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := New(dir, time.Second)
-	recalled, found := k.Restore(newest.Taken.Add(1500 * time.Millisecond))
-	if !found || recalled.Age != 1500*time.Millisecond {
-		t.Fatalf("found %v, age %v", found, recalled.Age)
+	s := New(dir, time.Second)
+	restored, found := s.Restore(newest.Taken.Add(1500 * time.Millisecond))
+	if !found || restored.Age != 1500*time.Millisecond {
+		t.Fatalf("found %v, age %v", found, restored.Age)
 	}
-	text, err := json.Marshal(recalled.Snapshot)
+	text, err := json.Marshal(restored.Snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, newest.Payload) {
-		t.Errorf("read, and written again:\n%s\nwant\n%s", text, newest.Payload)
+		t.Errorf("the restored snapshot is encoded as\n%s\nwant\n%s", text, newest.Payload)
 	}
-	words, err := Describe(newest)
+	description, err := Describe(newest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodetest.Golden(t, "described.golden", fmt.Sprintf("%s %d %d\n%s\n", newest.Kind, newest.Schema, newest.Seq, words))
+	nodetest.Golden(t, "described.golden", fmt.Sprintf("%s %d %d\n%s\n", newest.Kind, newest.Schema, newest.Seq, description))
 }
--- a/internal/node/snapshotter/snapshotter.go
+++ b/internal/node/snapshotter/snapshotter.go
@@ -1,5 +1,6 @@
-// Package snapshotter saves what the balancer of a node has learned, beside its event loop, and restores it in the process after
-// it. docs/durability.md says what is promised, docs/oncall/state.md describes it for operators.
+// Package snapshotter saves the state that the balancer of a node has learned, without blocking the
+// event loop, and restores it after a restart. docs/durability.md describes the guarantees,
+// docs/oncall/state.md describes the files for operators.
 package snapshotter
 
 import (
@@ -14,28 +15,29 @@
 	"umberbank/internal/durable"
 )
 
-// Kind names the snapshots of nodes in the files of package durable.
+// Kind is the kind of a node's snapshots in the files of package durable.
 const Kind = "node"
 
 const (
-	// schema is the version of the payload's form; another form of balancer.Snapshot needs another.
+	// schema is the version of the payload's format. It must change when the format of
+	// balancer.Snapshot changes.
 	schema = 1
-	// maxPayloadBytes bounds a snapshot: a server takes some 100 bytes.
+	// maxPayloadBytes is the maximum size of a snapshot, which takes about 100 bytes per server.
 	maxPayloadBytes = 8 << 20
-	// pauseFactor keeps snapshots from taking more than 1/200 of a core's time: after each one the snapshotter rests for so many
-	// times as long as it took.
+	// pauseFactor limits encoding to 1/200 of a core's time: after each snapshot the Snapshotter pauses
+	// for at least pauseFactor times as long as encoding took.
 	pauseFactor = 200
 )
 
-// Snapshotter saves snapshots to one directory. It belongs to one goroutine at a time.
+// Snapshotter saves snapshots to one directory. It is not safe for concurrent use.
 type Snapshotter struct {
 	options   durable.Options
 	interval  time.Duration
-	store     *durable.Store // nil: the directory could not be opened so far
-	lastError string         // as it was logged; the same one is not logged again
+	store     *durable.Store // nil until the directory has been opened
+	lastError string         // the last logged error, which is not logged again; empty after a successful save
 }
 
-// New returns a Snapshotter that saves to a directory at an interval. It opens nothing yet.
+// New returns a Snapshotter that saves to dir at the given interval. It does not open dir.
 func New(dir string, interval time.Duration) *Snapshotter {
 	return &Snapshotter{
 		options:  durable.Options{Dir: dir, Kind: Kind, Schema: schema, MaxPayload: maxPayloadBytes},
@@ -43,8 +45,8 @@
 	}
 }
 
-// Restore reads the newest snapshot of an earlier process that is usable; false: there is none. Files that are not usable are
-// logged and never a reason not to start.
+// Restore returns the newest usable snapshot of an earlier process. found is false if there is none.
+// Unusable files are logged and skipped, and never prevent a start.
 func (s *Snapshotter) Restore(now time.Time) (event balancer.Restore, found bool) {
 	snapshot, skipped := durable.Load(s.options, func(stored durable.Snapshot) error {
 		event = balancer.Restore{Age: now.Sub(stored.Taken)}
@@ -65,7 +67,8 @@
 	return event, snapshot != nil
 }
 
-// Run saves what takeSnapshot returns until ctx ends. takeSnapshot asks the event loop for a snapshot; false: the loop has ended.
+// Run saves the snapshots that takeSnapshot returns until ctx ends. takeSnapshot gets a snapshot from
+// the event loop, and returns false if the loop has ended.
 func (s *Snapshotter) Run(ctx context.Context, takeSnapshot func() (balancer.Snapshot, bool)) {
 	defer func() {
 		if s.store != nil {
@@ -84,11 +87,12 @@
 	}
 }
 
-// save saves once, and returns how long it took to encode the snapshot, which is no waiting for the disk.
+// save saves one snapshot. It returns how long encoding took, without the time spent waiting for the
+// disk.
 func (s *Snapshotter) save(takeSnapshot func() (balancer.Snapshot, bool)) (encoding time.Duration, err error) {
 	if s.store == nil {
 		if s.store, err = durable.Open(s.options); err != nil {
-			s.store = nil // a predecessor that has not ended, or the disk: it is tried again
+			s.store = nil // a predecessor is still running or the disk failed; the next save tries again
 			return 0, err
 		}
 	}
@@ -105,7 +109,7 @@
 	return encoding, s.store.Save(text, began)
 }
 
-// logError logs the outcome of a save, unless the one before was the same.
+// logError logs the error of a save, unless the previous save failed with the same error.
 func (s *Snapshotter) logError(err error) {
 	switch {
 	case err == nil:
@@ -116,7 +120,7 @@
 	}
 }
 
-// The texts of these lines are in docs/oncall/state.md, and operators search for them.
+// docs/oncall/state.md quotes these log lines, and operators search for them.
 
 func logSkipped(file durable.SkippedFile) {
 	slog.Warn(fmt.Sprintf("state: passed over: %v", file))
@@ -127,10 +131,11 @@
 		len(event.Snapshot.Endpoints)))
 }
 
-// Describe returns what a snapshot of a node holds as indented JSON, for a person. The error says what is wrong with it.
+// Describe returns the content of a node's snapshot as indented JSON, for people to read. It fails if
+// the snapshot is of another kind, of a newer schema, or invalid.
 func Describe(stored durable.Snapshot) ([]byte, error) {
 	if stored.Kind != Kind || stored.Schema > schema {
-		return nil, errors.New("no state of a node that this version knows")
+		return nil, errors.New("not a node snapshot of a schema that this version supports")
 	}
 	var snapshot balancer.Snapshot
 	if err := json.Unmarshal(stored.Payload, &snapshot); err != nil {
--- a/internal/node/snapshotter/snapshotter_test.go
+++ b/internal/node/snapshotter/snapshotter_test.go
@@ -8,22 +8,23 @@
 	"umberbank/balancer"
 )
 
-// The cost of one snapshot of 10,000 endpoints, without the disk; the node pauses for pauseFactor times as long after it.
+// BenchmarkSave measures the time to encode one snapshot of 10,000 endpoints, without the disk, and the
+// share of a core that snapshots take with the pauses in between.
 func BenchmarkSave(b *testing.B) {
-	m := balancer.Snapshot{LimitPerEndpoint: 4}
+	snapshot := balancer.Snapshot{LimitPerEndpoint: 4}
 	for i := range 10_000 {
-		m.Endpoints = append(m.Endpoints, balancer.EndpointSnapshot{ID: fmt.Sprintf("s-%08x", i*7919), Slowness: 0.1 + float64(i)/1e5, LatencySamples: 3})
+		snapshot.Endpoints = append(snapshot.Endpoints, balancer.EndpointSnapshot{ID: fmt.Sprintf("s-%08x", i*7919), Slowness: 0.1 + float64(i)/1e5, LatencySamples: 3})
 	}
-	k := New(b.TempDir(), time.Second)
-	var took time.Duration
+	s := New(b.TempDir(), time.Second)
+	var encoding time.Duration
 	for range b.N {
-		d, err := k.save(func() (balancer.Snapshot, bool) { return m, true })
+		d, err := s.save(func() (balancer.Snapshot, bool) { return snapshot, true })
 		if err != nil {
 			b.Fatal(err)
 		}
-		took += d
+		encoding += d
 	}
-	per := took.Seconds() / float64(b.N)
-	b.ReportMetric(per*1000, "ms-words/op")
-	b.ReportMetric(100*per/max(time.Second.Seconds(), pauseFactor*per), "%core")
+	secondsPerOp := encoding.Seconds() / float64(b.N)
+	b.ReportMetric(secondsPerOp*1000, "ms-words/op")
+	b.ReportMetric(100*secondsPerOp/max(time.Second.Seconds(), pauseFactor*secondsPerOp), "%core")
 }
