--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -103,7 +103,7 @@
 	}
 	l.lastCheck = time.Now()
 	if d := l.logStore.syncs.pending(); d > hungSyncTicks*l.cfg.Tick {
-		l.fail(fmt.Errorf("%s: log sync has taken %v and has not completed", l.cfg.DataDir, d.Round(time.Millisecond)))
+		l.fail(fmt.Errorf("%s: a sync has not ended for %v", l.cfg.DataDir, d.Round(time.Millisecond)))
 		return false
 	}
 	return true
@@ -114,7 +114,7 @@
 func (l *leaderLoop) checkLeases() {
 	if l.logStore.syncs.consecutiveSlow() >= slowSyncsToTransfer && time.Since(l.lastTransfer) > transferCooldownTicks*l.cfg.Tick {
 		l.lastTransfer = time.Now()
-		l.cfg.Logger.Warn("disk is slow, transferring leadership")
+		l.cfg.Logger.Warn("this replica's disk is slow, transferring leadership")
 		l.raft.LeadershipTransfer() // LeaderCh reports the change; if no replica can take over, this one keeps leading
 	}
 	now := l.now()
