--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -1,98 +1,101 @@
-// Package api is the HTTP API of the registry as replicas and clients share it: paths, headers and the JSON of bodies. What
-// writes and views of the state look like is in package state.
+// Package api defines the HTTP API between replicas of the registry and its clients: the paths, headers and JSON bodies. The
+// types of writes and views of the state are in package state.
 //
-// Every replica serves every path. Calls that write, and reads with consistent=1, are forwarded to the leader. An answer
-// other than 200 has an Error as its body: 400 for a bad request, 503 for one that may succeed if it is repeated.
+// Every replica serves every path. Writes, and reads with consistent=1, are forwarded to the leader. A response with a status
+// other than 200 has an Error as its body. Status 400 means an invalid request, 503 a request that may succeed if it is
+// retried.
 package api
 
 import "umberbank/internal/registry/state"
 
 // Paths.
 const (
-	// PathInstances is the list of servers, in discovery's form. Parameters of a GET: follow=1 for a watch, since=REV for
-	// where it begins; at_least=REV waits for a revision; consistent=1 reads what was committed when the call came.
+	// PathInstances returns the list of servers in response to a GET, in the format of a discovery service. Parameters:
+	// follow=1 starts a watch, from the revision in since=REV; at_least=REV waits for a revision; consistent=1 reads the
+	// state that was committed when the request arrived.
 	PathInstances = "/registry/instances"
-	// PathCoordination is the state.CoordinationView. Parameters of a GET: after=REV waits until there is a later revision, for
-	// wait_ms=MS at most; unit=UID, node=UID with has=N,M, units=1 and lead=UID select a part; consistent=1 as above.
+	// PathCoordination returns the state.CoordinationView in response to a GET. Parameters: after=REV waits for a later
+	// revision, for at most wait_ms=MS; unit=UID, node=UID with has=N,M, units=1 and lead=UID select a part of the view;
+	// consistent=1 is as for PathInstances.
 	PathCoordination = "/registry/agreed"
-	// PathStatus is a GET of a replica's Status.
+	// PathStatus returns the Status of a replica in response to a GET.
 	PathStatus = "/registry/status"
-	// PathBackup is a GET of the whole state.
+	// PathBackup returns a backup of the complete state in response to a GET.
 	PathBackup = "/registry/backup"
 	// PathWrite takes a POST of a WriteRequest.
 	PathWrite = "/registry/write"
 	// PathRenew takes a POST of a RenewRequest.
 	PathRenew = "/registry/renew"
-	// PathRestore takes a POST of a backup, which replaces the state in a new epoch.
+	// PathRestore takes a POST of a backup, which replaces the state and begins a new epoch.
 	PathRestore = "/registry/restore"
-	// PathMembers takes a POST of a change of the replicas.
+	// PathMembers takes a POST that adds or removes a replica.
 	PathMembers = "/registry/members"
-	// PathMetrics is a GET of a replica's metrics, in the form of Prometheus.
+	// PathMetrics returns the metrics of a replica in response to a GET, in the Prometheus text format.
 	PathMetrics = "/metrics"
 )
 
 // Headers.
 const (
-	// HeaderRevision is the revision of what was read.
+	// HeaderRevision is the revision of the state that a response contains.
 	HeaderRevision = "X-Registry-Revision"
-	// HeaderStaleness is how long ago, in milliseconds, the replica last heard from its leader: what it returns is no older
-	// than that and one heartbeat of raft.
+	// HeaderStaleness is the time in milliseconds since the replica last had contact with its leader. The state that it returns
+	// is at most that time plus one raft heartbeat old.
 	HeaderStaleness = "X-Registry-Stale-Ms"
-	// HeaderForwarded is the id of the replica that forwarded a call to the leader. Such a call is not forwarded again.
+	// HeaderForwarded is the id of the replica that forwarded a request to the leader. Such a request is not forwarded again.
 	HeaderForwarded = "X-Registry-Forwarded"
 )
 
-// WatchEvent is the full list, or a line of a watch: the full list again, or the instances that have changed, deleted ones
-// among them. An empty line is a heartbeat.
+// WatchEvent is the response to a read of the list, or a line of a watch. It contains the full list, or the instances that
+// have changed, including the deleted ones. An empty line of a watch is a heartbeat.
 type WatchEvent struct {
 	Revision  int64             `json:"rev"`
 	FullList  bool              `json:"all"`
-	Instances []*state.Instance `json:"targets"` // an event without this field is not valid
+	Instances []*state.Instance `json:"targets"` // an event without this field is invalid
 }
 
-// WriteRequest has writes that are carried out together, in their order.
+// WriteRequest contains writes that are applied together, in their order.
 type WriteRequest struct {
 	Ops []state.Op `json:"ops"`
 }
 
-// WriteResponse has what became of each write.
+// WriteResponse contains the result of each write, in the order of the request.
 type WriteResponse struct {
 	Results []state.Result `json:"answers"`
 }
 
-// Lease names a lease, by its instance and the token that the instance's registration got.
+// Lease identifies a lease by its instance and the token that the registration of the instance returned.
 type Lease struct {
 	UID   string `json:"uid"`
 	Token int64  `json:"token"`
 }
 
-// RenewRequest has the leases to renew.
+// RenewRequest contains the leases to renew.
 type RenewRequest struct {
 	Leases []Lease `json:"leases"`
 }
 
-// RenewResponse has the uids whose leases the leader does not know by their tokens.
+// RenewResponse contains the uids of those leases that the leader has not found, or has found with another token.
 type RenewResponse struct {
 	Unknown []string `json:"unknown"`
 }
 
-// Status is what a replica reports of itself.
+// Status describes a replica, as seen by that replica.
 type Status struct {
 	ID              string            `json:"id"`
 	IsLeader        bool              `json:"leads"`
-	LeaderID        string            `json:"leader"` // "" without a leader
-	Term            string            `json:"term"`   // of raft
+	LeaderID        string            `json:"leader"` // empty if there is no leader
+	Term            string            `json:"term"`   // raft term, a decimal number
 	Revision        int64             `json:"rev"`
 	Epoch           int64             `json:"epoch"`
-	Entries         int               `json:"entries"`  // instances, of every role
-	Suspects        int               `json:"suspects"` // whose leases have expired and are not believed
+	Entries         int               `json:"entries"`  // number of instances, of all roles
+	Suspects        int               `json:"suspects"` // instances that stay in the list although their leases have expired
 	Watchers        int64             `json:"watchers"`
-	StalenessMS     int64             `json:"stale_ms"` // since it last heard from its leader
-	ClientAddresses map[string]string `json:"members"`  // by the replicas' ids
-	RaftAddresses   map[string]string `json:"replicas"` // likewise
+	StalenessMS     int64             `json:"stale_ms"` // time since the last contact with the leader
+	ClientAddresses map[string]string `json:"members"`  // by replica id
+	RaftAddresses   map[string]string `json:"replicas"` // by replica id
 }
 
-// Error is the body of an answer that is an error.
+// Error is the body of a response with a status other than 200.
 type Error struct {
 	Error string `json:"error"`
 }
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -11,34 +11,35 @@
 	"umberbank/internal/durable"
 )
 
-// Kind, schema and limits of the cache's files.
+// Parameters of the cache files.
 const (
 	cacheKind             = "registry-list"
 	cacheSchema           = 1
-	cacheSnapshots        = 2       // number of snapshots retained
-	maxPendingEvents      = 1024    // beyond that the full list is written
-	minLogToCompact       = 1 << 18 // bytes; a shorter log is never worth another snapshot
-	minLogToSnapshotRatio = 2       // the log is compacted once it is this many times the snapshot
+	cacheSnapshots        = 2       // snapshots to retain
+	maxPendingEvents      = 1024    // if more events are pending, the full list is written instead
+	minCompactLogBytes    = 1 << 18 // a shorter log is not worth a new snapshot
+	minLogToSnapshotRatio = 2       // the log is compacted when it is larger than the snapshot by this factor
 )
 
 var (
-	errNotFullList = errors.New("no whole list")
-	errNotFollowUp = errors.New("no change that follows the one before")
+	errNotFullList  = errors.New("snapshot is not a full list")
+	errNotSuccessor = errors.New("record is not a change that follows the previous one")
 )
 
-// cache keeps a Watcher's list in a folder: a snapshot of it, and a log of the events since, so that what an event costs does
-// not depend on the list's length. One goroutine writes it, and no event waits for the disk.
+// cache stores the list of a Watcher in a directory, as a snapshot and a log of the events since the snapshot, so that the
+// cost of an event does not depend on the length of the list. A single goroutine writes the files, so applying an event
+// never waits for the disk.
 type cache struct {
 	opt       durable.Options
 	logger    *slog.Logger
-	store     *durable.Store // nil: the folder could not be opened so far
-	lastError string         // is not logged again
-
-	mu       *sync.Mutex       // the Watcher's, so that pending events fit the list
-	list     func() WatchEvent // the full list, with mu held
-	pending  []WatchEvent      // not written yet
-	fullList bool              // the list itself has to be written, not what has changed
-	dirty    chan struct{}     // has a value while there is something to write
+	store     *durable.Store // nil until the directory has been opened
+	lastError string         // the error that was logged last; it is not logged twice in a row
+
+	mu       *sync.Mutex       // the Watcher's lock, so that pending and list are consistent
+	list     func() WatchEvent // returns the full list; mu must be held
+	pending  []WatchEvent      // events that are not written yet
+	fullList bool              // the full list must be written next, instead of pending
+	dirty    chan struct{}     // holds a value while there is something to write
 }
 
 func newCache(dir string, logger *slog.Logger, mu *sync.Mutex, list func() WatchEvent) *cache {
@@ -52,7 +53,8 @@
 	}
 }
 
-// load applies what the folder has, as far as it is intact. apply says whether an event follows what was applied before.
+// load applies the newest intact snapshot and the intact part of its log. apply reports whether an event follows those that
+// were applied before.
 func (c *cache) load(apply func(WatchEvent) bool) {
 	found, skipped := durable.Load(c.opt, func(s durable.Snapshot) error {
 		var event WatchEvent
@@ -72,7 +74,7 @@
 				return err
 			}
 			if event.FullList || event.Instances == nil || !apply(event) {
-				return errNotFollowUp
+				return errNotSuccessor
 			}
 			return nil
 		})
@@ -85,7 +87,7 @@
 	}
 }
 
-// add notes an event that the Watcher has applied. c.mu is held.
+// add queues an event that the Watcher has applied. c.mu must be held.
 func (c *cache) add(event WatchEvent) {
 	if c.fullList || event.FullList || len(c.pending) == maxPendingEvents {
 		c.fullList, c.pending = true, nil
@@ -94,11 +96,11 @@
 	}
 	select {
 	case c.dirty <- struct{}{}:
-	default: // the writer is about to look
+	default: // the writer has already been notified
 	}
 }
 
-// run writes what there is to write until ctx ends, and then once more.
+// run writes queued events until ctx is done, and then writes the remaining ones.
 func (c *cache) run(ctx context.Context) {
 	defer func() {
 		if c.store != nil {
@@ -115,7 +117,7 @@
 	}
 }
 
-// logError logs an error unless it is the last one again.
+// logError logs an error unless it repeats the previous one.
 func (c *cache) logError(err error) {
 	if err == nil {
 		c.lastError = ""
@@ -127,11 +129,11 @@
 	}
 }
 
-// write writes what has changed since the last time. After an error the list itself is written with the next event.
+// write writes the changes since the last write. After an error, the next write stores the full list.
 func (c *cache) write() error {
 	list, pending := c.takePending()
-	if list != nil && list.Revision == 0 { // nothing was received yet
-		c.writeListNext()
+	if list != nil && list.Revision == 0 { // no event has been received yet
+		c.scheduleFullList()
 		return nil
 	}
 	if list == nil && len(pending) == 0 {
@@ -139,12 +141,12 @@
 	}
 	err := c.save(list, pending)
 	if err != nil {
-		c.writeListNext()
+		c.scheduleFullList()
 	}
 	return err
 }
 
-// takePending takes what is to be written: the list, or if that is nil events.
+// takePending returns what must be written and resets it: the full list, or the pending events if list is nil.
 func (c *cache) takePending() (list *WatchEvent, pending []WatchEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,32 +159,32 @@
 	return list, pending
 }
 
-// needsCompaction says whether the log has grown so long that a snapshot pays.
+// needsCompaction reports whether the log is so large that a new snapshot must replace it. c.mu must be held.
 func (c *cache) needsCompaction() bool {
-	return c.store != nil && c.store.LogSize() > max(minLogToCompact, minLogToSnapshotRatio*c.store.SnapshotSize())
+	return c.store != nil && c.store.LogSize() > max(minCompactLogBytes, minLogToSnapshotRatio*c.store.SnapshotSize())
 }
 
-func (c *cache) writeListNext() {
+func (c *cache) scheduleFullList() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending, c.fullList = nil, true
 }
 
-// save writes the list as a snapshot, or events behind the last one.
+// save writes the list as a snapshot, or if list is nil appends events to the log.
 func (c *cache) save(list *WatchEvent, pending []WatchEvent) error {
 	if c.store == nil {
 		store, err := durable.Open(c.opt)
 		if err != nil {
-			return err // another process that has not ended yet, or the disk
+			return err // for example the previous process has not exited yet, or a disk error
 		}
 		c.store = store
 	}
 	if list != nil {
-		text, err := json.Marshal(list)
+		payload, err := json.Marshal(list)
 		if err != nil {
 			return err
 		}
-		return c.store.Save(text, time.Now())
+		return c.store.Save(payload, time.Now())
 	}
 	records := make([][]byte, len(pending))
 	for i, event := range pending {
--- a/internal/registry/client/cache_test.go
+++ b/internal/registry/client/cache_test.go
@@ -15,13 +15,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// The cache brings the last list over a restart, a snapshot with the changes since. However it is damaged, what is read
-// from it is a list that the registry once had.
+// After a restart, the Watcher has the last list, from a snapshot and the changes logged since. Whatever byte of the cache is
+// cut off or corrupted, the list that is loaded is one that the registry had at that revision.
 func TestCache(t *testing.T) {
 	cache := filepath.Join(t.TempDir(), "cache")
-	had := map[int64]string{7: "a b", 8: "a b c", 9: "b c", 0: ""}
+	listAt := map[int64]string{7: "a b", 8: "a b c", 9: "b c", 0: ""}
 	f := &fakeReplica{scripts: [][]string{
-		{list(7, true, "a", "b") + "\n", "hang"}, // a silence each, so that what came is written by itself
+		{list(7, true, "a", "b") + "\n", "hang"}, // each script ends with an idle time-out, so that its event is written separately
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}}
@@ -34,8 +34,8 @@
 		}
 		return w.View()
 	}
-	if v := restart(); v.Revision != 9 || uids(v) != had[9] || !v.LastContact.IsZero() || v.FullLists != 0 {
-		t.Errorf("after a restart: %+v", v)
+	if v := restart(); v.Revision != 9 || uids(v) != listAt[9] || !v.LastContact.IsZero() || v.FullLists != 0 {
+		t.Errorf("view after a restart: %+v, want the list of revision 9 without contact", v)
 	}
 	files, err := filepath.Glob(filepath.Join(cache, "registry-list-*"))
 	if err != nil || len(files) == 0 {
@@ -51,8 +51,8 @@
 				if err := os.WriteFile(path, damaged, 0o600); err != nil {
 					t.Fatal(err)
 				}
-				if v := restart(); uids(v) != had[v.Revision] {
-					t.Fatalf("%s damaged at byte %d: revision %d of %q", path, i, v.Revision, uids(v))
+				if v := restart(); uids(v) != listAt[v.Revision] {
+					t.Fatalf("%s damaged at byte %d: loaded revision %d with %q", path, i, v.Revision, uids(v))
 				}
 			}
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-// logBuffer holds what is logged, from any goroutine.
+// logBuffer collects log output from several goroutines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -80,7 +80,8 @@
 	return b.text.String()
 }
 
-// A folder that cannot be opened, or is another process's, costs the cache and nothing else, and is logged.
+// If the cache directory cannot be opened, or another process has locked it, the Watcher works without a cache and logs the
+// reason.
 func TestCacheUnavailable(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
@@ -98,12 +99,12 @@
 		f := &fakeReplica{scripts: [][]string{{list(7, true, "a") + "\n", list(8, false, "b") + "\n", "hang"}}}
 		follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: cache, Logger: slog.New(slog.NewTextHandler(&logged, nil))}, func(v View) bool { return v.Revision == 8 })
 		if text := logged.String(); !strings.Contains(text, want) {
-			t.Errorf("%s: logged %q", cache, text)
+			t.Errorf("%s: logged %q without the reason", cache, text)
 		}
 	}
 }
 
-// What caching one change costs, by the list's length.
+// BenchmarkCacheChange measures the cost of caching one change, for two lengths of the list.
 func BenchmarkCacheChange(b *testing.B) {
 	for _, n := range []int{10, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -18,63 +18,63 @@
 	"umberbank/internal/registry/state"
 )
 
-// callTimeout is how long one replica may take to answer a call.
+// callTimeout limits a request to one replica, including its response.
 const callTimeout = 4 * time.Second
 
-// opIDBytes is the length of the id that is drawn for a write.
+// opIDBytes is the length of a generated write id before it is encoded.
 const opIDBytes = 12
 
-// Client calls the registry over several replicas.
+// Client sends requests to the registry and fails over between its replicas. It is safe for concurrent use.
 type Client struct {
 	opt  Options
 	http *http.Client
 
 	mu      sync.Mutex
-	current int // index, modulo the endpoints, of the replica to call first; it moves on after each failure
+	current int // replica to call first, as an index modulo the number of endpoints; each failed request increments it
 }
 
-// New returns a Client.
+// New returns a Client that starts with a random replica. It fails if opt has no endpoints.
 func New(opt Options) (*Client, error) {
 	if err := opt.setDefaults(); err != nil {
 		return nil, err
 	}
 	c := &Client{opt: opt, http: &http.Client{Timeout: callTimeout}, current: mathrand.IntN(len(opt.Endpoints))}
 	if opt.Dial != nil {
-		own := http.DefaultTransport.(*http.Transport).Clone() // nothing replaces the default
-		own.DialContext = opt.Dial
-		c.http.Transport = own
+		transport := http.DefaultTransport.(*http.Transport).Clone() // no code replaces the default transport
+		transport.DialContext = opt.Dial
+		c.http.Transport = transport
 	}
 	return c, nil
 }
 
-// rejectedError is an error that a retry does not change.
+// rejectedError is an error for which a retry is pointless.
 type rejectedError struct{ err error }
 
-// Error is the text of the underlying error.
+// Error implements error.
 func (e rejectedError) Error() string { return e.err.Error() }
 
-// Unwrap returns the underlying error.
+// Unwrap returns the underlying error, for errors.Is and errors.As.
 func (e rejectedError) Unwrap() error { return e.err }
 
-// Call calls replicas in turn until one succeeds or rejects the call (status 400 to 499), or ctx ends. The JSON of body is sent, and
-// what comes back is decoded into the value that result points to.
+// Call sends a request with body, encoded as JSON, to one replica after another until one succeeds or rejects the request
+// (status 400 to 499), or ctx is done. The response is decoded into the value that result points to.
 func (c *Client) Call(ctx context.Context, method, path string, body, result any) error {
-	text, err := json.Marshal(body)
+	payload, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	pauses := c.opt.newBackoff()
+	backoff := c.opt.newBackoff()
 	for {
 		replica := c.currentReplica()
-		err := c.callReplica(ctx, c.opt.Endpoints[replica%len(c.opt.Endpoints)], method, path, text, result)
+		err := c.callReplica(ctx, c.opt.Endpoints[replica%len(c.opt.Endpoints)], method, path, payload, result)
 		if rejected := (rejectedError{}); err == nil || errors.As(err, &rejected) {
 			return err
 		}
 		c.skipReplica(replica)
 		select {
-		case <-time.After(pauses.NextBackOff()):
+		case <-time.After(backoff.NextBackOff()):
 		case <-ctx.Done():
-			return fmt.Errorf("%w; the last answer: %w", ctx.Err(), err)
+			return fmt.Errorf("%w; last error: %w", ctx.Err(), err)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	return c.current
 }
 
-// skipReplica makes the next replica the current one, unless another call has done so.
+// skipReplica advances to the next replica, unless another request has already done so.
 func (c *Client) skipReplica(replica int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// callReplica calls one replica once.
+// callReplica sends one request to one replica, without retries.
 func (c *Client) callReplica(ctx context.Context, endpoint, method, path string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+endpoint+path, bytes.NewReader(body))
 	if err != nil {
@@ -105,20 +105,21 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return responseError(endpoint, resp, text)
+		return responseError(endpoint, resp, data)
 	}
-	return json.Unmarshal(text, result)
+	return json.Unmarshal(data, result)
 }
 
-// responseError is the error that a replica answered with.
-func responseError(endpoint string, resp *http.Response, text []byte) error {
+// responseError returns the error that a response describes, or its HTTP status if the body has no error message. For
+// statuses 400 to 499 it is a rejectedError.
+func responseError(endpoint string, resp *http.Response, data []byte) error {
 	var body api.Error
-	if json.Unmarshal(text, &body) != nil || body.Error == "" {
+	if json.Unmarshal(data, &body) != nil || body.Error == "" {
 		body.Error = resp.Status
 	}
 	err := fmt.Errorf("%s: %s", endpoint, body.Error)
@@ -128,8 +129,9 @@
 	return err
 }
 
-// Write has ops carried out, in their order and each once, and returns what became of each. It retries until a replica
-// answers or ctx ends; in the latter case it is unknown whether they were carried out.
+// Write applies ops in their order, each at most once, and returns the result of each. It sets the ID of each op that has
+// none. Write retries until a replica responds or ctx is done; in the latter case it is unknown whether the ops have been
+// applied.
 func (c *Client) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
 	for i := range ops {
 		if ops[i].ID == "" {
@@ -141,7 +143,7 @@
 		return nil, err
 	}
 	if len(response.Results) != len(ops) {
-		return nil, fmt.Errorf("%d answers to %d writes", len(response.Results), len(ops))
+		return nil, fmt.Errorf("got %d results for %d writes", len(response.Results), len(ops))
 	}
 	return response.Results, nil
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -11,7 +11,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// A write whose answer is lost is repeated with the same id, at another replica; what the registry rejects is not.
+// A write whose response is lost, or that fails with status 503, is retried with the same id. A write that the registry
+// rejects with status 400 is not retried.
 func TestClientRetries(t *testing.T) {
 	var ids []string
 	calls := 0
@@ -42,14 +43,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	a, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"})
 	if err != nil || a[0].Revision != 3 || len(ids) != 3 || ids[0] == "" || ids[0] != ids[1] || ids[1] != ids[2] {
-		t.Errorf("%+v, %v, ids %q", a, err, ids)
+		t.Errorf("got results %+v, error %v, ids %q; want revision 3 and the same id three times", a, err, ids)
 	}
 	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}); err == nil || !strings.Contains(err.Error(), "no") || calls != 4 {
-		t.Errorf("rejected: %v after %d calls", err, calls)
+		t.Errorf("rejected write: error %v after %d requests, want the replica's error after 4", err, calls)
 	}
 	w.http.CloseIdleConnections()
 }
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -23,14 +23,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// recorder is a registry that writes down what it is asked and answers by path.
+// recorder is a fake registry that records each request and returns a fixed response for each path.
 type recorder struct {
 	mu      sync.Mutex
 	out     bytes.Buffer
 	answers map[string]string
 }
 
-// idPattern finds the id that a client draws for a write.
+// idPattern matches the id that a client generates for a write.
 var idPattern = regexp.MustCompile(`"id":"[0-9a-f]{24}"`)
 
 func (r *recorder) ServeHTTP(w http.ResponseWriter, q *http.Request) {
@@ -57,7 +57,7 @@
 	io.WriteString(w, r.answers[q.URL.Path])
 }
 
-// What a client sends keeps its form, as replicas of other versions read it, and so does what it reads.
+// The encodings of requests and responses do not change, because clients and replicas of different versions exchange them.
 func TestRequestsGolden(t *testing.T) {
 	r := &recorder{answers: map[string]string{
 		"/registry/write":     `{"answers":[{"rev":3,"token":4},{"rev":5,"fault":"conflict","why":"because"}]}`,
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	defer w.http.CloseIdleConnections()
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	answers, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}, state.Op{Kind: state.OpNoop, ID: "own"})
 	if err != nil {
@@ -79,14 +79,14 @@
 	}
 	text, err := json.Marshal(answers)
 	if err != nil || string(text) != `[{"rev":3,"token":4},{"rev":5,"fault":"conflict","why":"because"}]` {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("results encode as %s, error %v", text, err)
 	}
 	if _, err := w.PollCoordination(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	boot, err := w.NextStartTime(ctx, "u1", time.UnixMilli(1000))
-	if err != nil || boot != 2001 {
-		t.Errorf("%v, %v", boot, err)
+	startTime, err := w.NextStartTime(ctx, "u1", time.UnixMilli(1000))
+	if err != nil || startTime != 2001 {
+		t.Errorf("got start time %v, error %v; want 2001", startTime, err)
 	}
 	r.answers["/registry/write"] = `{"answers":[{"rev":3,"token":4}]}`
 	if _, err := w.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: "u1", Token: 4}); err != nil {
@@ -119,7 +119,7 @@
 	golden.Check(t, "requests.golden", r.out.Bytes())
 }
 
-// failOnWrite fails the test with whatever is logged.
+// failOnWrite is a log writer that fails the test on any output.
 type failOnWrite struct{ t *testing.T }
 
 func (w failOnWrite) Write(line []byte) (int, error) {
@@ -127,13 +127,13 @@
 	return len(line), nil
 }
 
-// A cache folder that an earlier version wrote gives the list that it held.
+// A cache directory written by an earlier version loads without errors, and gives the list that was stored.
 func TestStoredCache(t *testing.T) {
-	r, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Logger: slog.New(slog.NewTextHandler(failOnWrite{t}, nil))})
+	w, err := NewWatcher(Options{Endpoints: []string{"127.0.0.1:1"}, CacheDir: golden.CopyDir(t, "cache"), Logger: slog.New(slog.NewTextHandler(failOnWrite{t}, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := r.View()
+	v := w.View()
 	entries, err := json.Marshal(v.Instances)
 	if err != nil {
 		t.Fatal(err)
@@ -141,42 +141,42 @@
 	golden.Check(t, "cache.golden", fmt.Appendf(nil, "%d %s\n", v.Revision, entries))
 }
 
-// cacheScript is what a registry says while a cache is written: the list, and changes one by one.
+// cacheScript returns the scripts of a fake registry for writing a cache: the full list, and two changes one by one.
 func cacheScript() [][]string {
-	const entry = `{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1.5,"boot_ms":1,` +
+	const instance = `{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1.5,"boot_ms":1,` +
 		`"role":"node","tier":"web","region":"north","version":"v1","ttl_ms":2000,"token":3,"mod":7,"suspect":true,"cold":0.5}`
 	return [][]string{
-		{`{"rev":7,"all":true,"targets":[` + entry + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // a silence each, so that what came is written by itself
+		{`{"rev":7,"all":true,"targets":[` + instance + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // each script ends with an idle time-out, so that its event is written separately
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}
 }
 
-// writeCache has a Watcher write its cache.
+// writeCache runs a Watcher that writes its cache to dir.
 func writeCache(t *testing.T, dir string) {
 	t.Helper()
 	f := &fakeReplica{scripts: cacheScript()}
 	follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: dir, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 9 })
 }
 
-// What a cache's files hold keeps its form, for an older version that is started again on them.
+// The format of the cache files does not change, because an older version may be started on them after a rollback.
 func TestCacheGolden(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "cache")
 	writeCache(t, dir)
 	opt := durable.Options{Dir: dir, Kind: "registry-list", Schema: 1}
 	var out bytes.Buffer
-	found, thrown := durable.Load(opt, func(s durable.Snapshot) error {
+	snapshot, skipped := durable.Load(opt, func(s durable.Snapshot) error {
 		fmt.Fprintf(&out, "%s %d %d\n%s\n", s.Kind, s.Schema, s.Seq, s.Payload)
 		return nil
 	})
-	if found == nil || len(thrown) > 0 {
-		t.Fatal(found, thrown)
+	if snapshot == nil || len(skipped) > 0 {
+		t.Fatal(snapshot, skipped)
 	}
-	if bad := durable.Replay(opt, found.Seq, func(record []byte) error {
+	if damaged := durable.Replay(opt, snapshot.Seq, func(record []byte) error {
 		fmt.Fprintf(&out, "%s\n", record)
 		return nil
-	}); bad != nil {
-		t.Fatal(bad)
+	}); damaged != nil {
+		t.Fatal(damaged)
 	}
 	golden.Check(t, "cachefiles.golden", out.Bytes())
 }
--- a/internal/registry/client/coordination.go
+++ b/internal/registry/client/coordination.go
@@ -11,41 +11,41 @@
 	"umberbank/internal/registry/state"
 )
 
-// answerTimeout is how long an answer may take beyond the time that its call waits for a change.
-const answerTimeout = time.Second
+// responseTimeout limits the time of a response, in addition to the time for which a request waits for a change.
+const responseTimeout = time.Second
 
-// PollCoordination polls for the coordination view, as of a later revision than after if there is one within wait. query says
-// which part; see api.PathCoordination. It sets after and wait_ms in query.
+// PollCoordination returns the coordination view. It waits up to wait for a revision later than after. query selects a part
+// of the view, see api.PathCoordination; PollCoordination sets its parameters after and wait_ms.
 func (c *Client) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
 	var view state.CoordinationView
 	return &view, c.Call(ctx, http.MethodGet, api.PathCoordination+"?"+query.Encode(), nil, &view)
 }
 
-// WriteOne has one write carried out, within a second.
+// WriteOne applies a single write. It retries for at most one second; see Write for what an error means.
 func (c *Client) WriteOne(ctx context.Context, op state.Op) (state.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	answers, err := c.Write(ctx, op)
+	results, err := c.Write(ctx, op)
 	if err != nil {
 		return state.Result{}, err
 	}
-	return answers[0], nil
+	return results[0], nil
 }
 
-// NextStartTime returns the time of a unit's start, in Unix milliseconds: by the wall clock, which may have been set back,
-// and later than any start of the unit that the registry knows.
-func (c *Client) NextStartTime(ctx context.Context, uid string, wall time.Time) (float64, error) {
-	known, err := c.PollCoordination(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
+// NextStartTime returns the start time to register a unit with, in Unix milliseconds. It is now, but at least 1 ms later
+// than any start time of the unit in the registry, because the wall clock may have been set back.
+func (c *Client) NextStartTime(ctx context.Context, uid string, now time.Time) (float64, error) {
+	view, err := c.PollCoordination(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
 	if err != nil {
 		return 0, err
 	}
-	start := float64(wall.UnixMilli())
-	for _, e := range known.Units {
-		start = max(start, e.StartTimeMS+1)
+	start := float64(now.UnixMilli())
+	for _, unit := range view.Units {
+		start = max(start, unit.StartTimeMS+1)
 	}
 	return start, nil
 }
--- a/internal/registry/client/doc.go
+++ b/internal/registry/client/doc.go
@@ -1,12 +1,13 @@
-// Package client reads and writes the registry over several replicas.
+// Package client is a client of the registry that fails over between several replicas.
 //
-// A Watcher follows the list of instances. It goes on from the last list that it held for as long as the registry is
-// unreachable, never applies an older revision or half a list, and leaves a replica that is silent, behind or has gone
-// back to an older revision. Its list can be cached on disk over restarts.
+// A Watcher follows the list of instances. It keeps the last list while the registry is unreachable, and never applies an
+// older revision or an incomplete event. It switches to another replica when the current one sends nothing, is behind, or
+// has gone back to an older revision. The list can be cached on disk so that it survives a restart.
 //
-// A Client calls replicas until one answers. Writes carry ids, so that a retry of a write that was carried out is harmless.
+// A Client sends a request to one replica after another until one responds. Writes carry ids, so it is safe to retry a write
+// that may already have been applied.
 //
 // A LeaseHolder keeps instances registered by renewing their leases.
 //
-// Methods may be called from any goroutine, except Run of a Watcher and of a LeaseHolder, which are for one.
+// Methods are safe for concurrent use, except that only one goroutine may call Run of a Watcher or a LeaseHolder.
 package client
--- a/internal/registry/client/helpers_test.go
+++ b/internal/registry/client/helpers_test.go
@@ -18,14 +18,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// limit is how long anything may take that has to happen.
-const limit = 20 * time.Second
+// testTimeout limits the wait for any event that a test expects.
+const testTimeout = 20 * time.Second
 
-// fakeReplica answers watches by scripts, one for each watch in turn. The line "hang" keeps a watch open.
+// fakeReplica responds to each watch with the lines of the next script. The line "hang" keeps the watch open without data.
 type fakeReplica struct {
 	mu      sync.Mutex
 	scripts [][]string
-	since   []string // the revisions that watches began from
+	since   []string // the revision that each watch started from
 }
 
 func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
@@ -65,7 +65,7 @@
 	return fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, rev, all, strings.Join(l, ","))
 }
 
-// follow runs a Watcher until it holds what is wanted.
+// follow runs a Watcher until want returns true for its view, and returns the view.
 func follow(t *testing.T, opt Options, want func(View) bool) View {
 	t.Helper()
 	opt.InitialBackoff, opt.MaxBackoff = time.Millisecond, 5*time.Millisecond
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	done := make(chan error, 1)
 	reached := false
@@ -86,10 +86,10 @@
 		})
 	}()
 	if err := <-done; !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 	if !reached {
-		t.Errorf("holds %+v", w.View())
+		t.Errorf("the wanted view was not reached: %+v", w.View())
 	}
 	return w.View()
 }
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -13,34 +13,36 @@
 	"umberbank/internal/registry/state"
 )
 
-// Renewals are sent every third of a lease's time to live, times a random factor from 0.8 to 1.2.
+// The interval between renewals is a third of the lease's time to live, times a random factor from 0.8 to 1.2.
 const (
 	renewalsPerTTL     = 3
-	minRenewalFraction = 0.8
-	renewalSpread      = 0.4
+	minRenewalFactor   = 0.8
+	renewalFactorRange = 0.4
 )
 
-// ErrFenced says that another process has taken an instance over.
-var ErrFenced = errors.New("another process holds the entry")
+// ErrFenced is returned when a later process has registered the same instance.
+var ErrFenced = errors.New("another process has registered the instance")
 
-// LeaseHolder keeps instances registered: it renews their leases together, and registers again what the registry does not
-// know.
+// LeaseHolder keeps instances registered. It renews all their leases in one request, and registers an instance again when
+// the registry reports its lease as unknown.
 type LeaseHolder struct {
 	client *Client
 
 	mu         sync.Mutex
 	instances  map[string]*state.Instance
 	tokens     map[string]int64
-	lastSent   time.Time     // when the last renewal that was answered was sent
+	lastSent   time.Time     // when the last successful renewal was sent; zero before the first
 	longestGap time.Duration // see MaxRenewalGap
 }
 
-// NewLeaseHolder returns a LeaseHolder without instances.
+// NewLeaseHolder returns a LeaseHolder that holds no leases until Register is called.
 func NewLeaseHolder(c *Client) *LeaseHolder {
 	return &LeaseHolder{client: c, instances: map[string]*state.Instance{}, tokens: map[string]int64{}}
 }
 
-// Register registers instances and keeps them from then on. ErrFenced: a later process has registered one of them.
+// Register registers instances, and renews their leases from then on. The error wraps ErrFenced if a later process has
+// registered one of them; that instance is no longer renewed. Instances that are registered successfully are kept even if
+// others fail.
 func (h *LeaseHolder) Register(ctx context.Context, instances ...*state.Instance) error {
 	var ops []state.Op
 	for _, e := range instances {
@@ -52,30 +54,31 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for i, a := range results {
+	for i, result := range results {
 		uid := instances[i].UID
-		switch a.Code {
+		switch result.Code {
 		case "":
-			h.instances[uid], h.tokens[uid] = instances[i], a.Token
+			h.instances[uid], h.tokens[uid] = instances[i], result.Token
 		case state.CodeFenced:
 			delete(h.instances, uid)
 			delete(h.tokens, uid)
 			err = errors.Join(err, fmt.Errorf("%s: %w", uid, ErrFenced))
 		default:
-			err = errors.Join(err, fmt.Errorf("%s: %s", uid, a.Code))
+			err = errors.Join(err, fmt.Errorf("%s: %s", uid, result.Code))
 		}
 	}
 	return err
 }
 
-// Token returns the token that an instance is held by; 0: it is not held.
+// Token returns the token of the lease of an instance, or 0 if the LeaseHolder has none.
 func (h *LeaseHolder) Token(uid string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tokens[uid]
 }
 
-// Renew renews all leases once, and registers again what the registry does not know.
+// Renew renews all leases once, and registers again the instances whose leases are unknown to the registry. It sends nothing
+// if there are no leases.
 func (h *LeaseHolder) Renew(ctx context.Context) error {
 	leases := h.leases()
 	if len(leases) == 0 {
@@ -86,14 +89,14 @@
 	if err := h.client.Call(ctx, http.MethodPost, api.PathRenew, api.RenewRequest{Leases: leases}, &response); err != nil {
 		return err
 	}
-	unknown := h.noteRenewal(sent, response.Unknown)
+	unknown := h.recordRenewal(sent, response.Unknown)
 	if len(unknown) == 0 {
 		return nil
 	}
 	return h.Register(ctx, unknown...)
 }
 
-// leases are those that are held.
+// leases returns all current leases.
 func (h *LeaseHolder) leases() (l []api.Lease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,8 +106,9 @@
 	return l
 }
 
-// noteRenewal notes a renewal that was answered, and returns the held instances among those that the registry does not know.
-func (h *LeaseHolder) noteRenewal(sent time.Time, unknown []string) (instances []*state.Instance) {
+// recordRenewal records a successful renewal that was sent at the given time. It returns those instances of this LeaseHolder
+// whose leases the registry has reported as unknown.
+func (h *LeaseHolder) recordRenewal(sent time.Time, unknown []string) (instances []*state.Instance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.lastSent.IsZero() {
@@ -119,9 +123,9 @@
 	return instances
 }
 
-// MaxRenewalGap returns the longest time, since it was last called, from sending one renewal to the answer to the next, or to
-// now. A lease whose time to live is longer than this plus the interval of the leader's checks must not have
-// expired.
+// MaxRenewalGap returns the longest time from sending one successful renewal to the response to the next, or to now, since
+// the previous call of MaxRenewalGap. A lease whose time to live is longer than this gap plus the interval of the leader's
+// checks must not have expired.
 func (h *LeaseHolder) MaxRenewalGap() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,17 +137,18 @@
 	return gap
 }
 
-// Run renews until ctx ends: about each third of ttl, with a jitter so that many holders do not call together.
+// Run renews all leases until ctx is done, at intervals of about a third of ttl. The intervals have a jitter, so that many
+// holders do not send their renewals at the same time.
 func (h *LeaseHolder) Run(ctx context.Context, ttl time.Duration) {
 	for {
-		wait := time.Duration((minRenewalFraction + renewalSpread*rand.Float64()) * float64(ttl) / renewalsPerTTL)
+		wait := time.Duration((minRenewalFactor + renewalFactorRange*rand.Float64()) * float64(ttl) / renewalsPerTTL)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return
 		}
-		renewing, cancel := context.WithTimeout(ctx, ttl)
-		h.Renew(renewing) //nolint:errcheck // what failed is retried with the next renewal
+		renewCtx, cancel := context.WithTimeout(ctx, ttl)
+		h.Renew(renewCtx) //nolint:errcheck // a failed renewal is retried by the next one
 		cancel()
 	}
 }
--- a/internal/registry/client/options.go
+++ b/internal/registry/client/options.go
@@ -13,21 +13,25 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options say which registry a client is for, and its times.
+// Options configure a Client or a Watcher.
 type Options struct {
-	// Endpoints are the replicas, as host:port; at least one.
+	// Endpoints are the addresses of the replicas, as host:port. At least one is required.
 	Endpoints []string
-	// CacheDir is a folder that keeps the last list of a Watcher over restarts, for this watcher alone; "" is no cache.
+	// CacheDir is the directory in which a Watcher stores its last list for the next start. No other Watcher may use it. If
+	// empty, the list is not cached.
 	CacheDir string
-	// Logger is told what is wrong with the cache; nil discards.
+	// Logger receives the errors of the cache. Nil discards them.
 	Logger *slog.Logger
-	// IdleTimeout ends a watch that is silent for so long; 0 is 5 s, which is over two heartbeats.
+	// IdleTimeout is the time without any data, heartbeats included, after which a watch is closed. Zero means 5 s, which is
+	// more than two heartbeat intervals.
 	IdleTimeout time.Duration
-	// InitialBackoff is the pause before the first retry, with a jitter of half of it; 0 is 50 ms. It grows up to MaxBackoff.
+	// InitialBackoff is the mean delay before the first retry. Each delay has a jitter of half its length in both directions,
+	// and the delays grow up to MaxBackoff. Zero means 50 ms.
 	InitialBackoff time.Duration
-	// MaxBackoff is the longest pause between retries; 0 is 2 s.
+	// MaxBackoff is the maximum delay between retries, before jitter. Zero means 2 s.
 	MaxBackoff time.Duration
-	// Dial opens connections, which are then not shared with other clients; nil is the system's.
+	// Dial opens connections. A Client with its own Dial does not share connections with other clients. Nil means the
+	// default dialer.
 	Dial DialFunc
 }
 
@@ -35,12 +39,12 @@
 	defaultIdleTimeout    = 5 * time.Second
 	defaultInitialBackoff = 50 * time.Millisecond
 	defaultMaxBackoff     = 2 * time.Second
-	backoffJitter         = 0.5 // share of a pause by which it is drawn shorter or longer
+	backoffJitter         = 0.5 // as a fraction of the delay, in both directions
 )
 
-var errNoEndpoint = errors.New("no endpoint of a registry")
+var errNoEndpoint = errors.New("no registry endpoints given")
 
-// setDefaults fills in what is missing.
+// setDefaults replaces zero values by defaults. It fails if there are no endpoints.
 func (o *Options) setDefaults() error {
 	if len(o.Endpoints) == 0 {
 		return errNoEndpoint
@@ -60,7 +64,7 @@
 	return nil
 }
 
-// newBackoff returns the pauses between retries.
+// newBackoff returns a generator of the delays between retries.
 func (o *Options) newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = o.InitialBackoff, o.MaxBackoff, backoffJitter
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -20,31 +20,32 @@
 	"umberbank/internal/registry/state"
 )
 
-// WatchEvent is an event of a watch.
+// WatchEvent is an event of a watch: the full list of instances, or a change to it.
 type WatchEvent = api.WatchEvent
 
-// Why a watch was left.
+// Reasons for which a watch is closed.
 var (
-	errIdle        = errors.New("the registry is silent")
-	errOlder       = errors.New("the registry has gone back to an older revision")
-	errNoInstances = errors.New("a list without targets")
+	errIdle          = errors.New("no data received within the idle timeout")
+	errOlderRevision = errors.New("event is older than the current list")
+	errNoInstances   = errors.New("event has no targets")
 )
 
-// Watcher follows the registry.
+// Watcher maintains a copy of the registry's list of instances. It must be created by NewWatcher.
 type Watcher struct {
 	opt   Options
 	http  *http.Client
-	cache *cache // nil: none
+	cache *cache // nil if there is none, and while it is loaded
 
 	mu          sync.Mutex
 	revision    int64
 	instances   map[string]*state.Instance
-	lastContact time.Time // when a replica last sent anything; zero: never, the list is from the cache
-	fullLists   int       // applied
-	changes     int       // applied
+	lastContact time.Time // when a replica last sent data; zero if none has, in which case any list is from the cache
+	fullLists   int       // full lists applied
+	changes     int       // changes applied
 }
 
-// NewWatcher returns a Watcher that holds what its cache has, if that is complete.
+// NewWatcher returns a Watcher with the list from its cache, or with an empty list at revision 0 if there is no intact
+// cache. Run must be called to follow the registry.
 func NewWatcher(opt Options) (*Watcher, error) {
 	if err := opt.setDefaults(); err != nil {
 		return nil, err
@@ -62,16 +63,16 @@
 	return w, nil
 }
 
-// View is what a Watcher holds.
+// View is a snapshot of the list of a Watcher. The instances are shared and must not be modified.
 type View struct {
 	Revision    int64
-	Instances   []*state.Instance // in the order of their uids
-	LastContact time.Time         // when the registry last sent anything; zero: not since the start
-	FullLists   int               // applied since the start
-	Changes     int               // applied since the start
+	Instances   []*state.Instance // sorted by UID
+	LastContact time.Time         // when a replica last sent data; zero if none has since the start
+	FullLists   int               // full lists applied since the start
+	Changes     int               // changes applied since the start
 }
 
-// View returns what the Watcher holds now.
+// View returns the current list. It may be called while Run runs, also from the callback of Run.
 func (w *Watcher) View() View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,18 +85,18 @@
 	}
 }
 
-// sortedInstances is the list in the order of uids. w.mu is held.
+// sortedInstances returns the instances sorted by UID. w.mu must be held.
 func (w *Watcher) sortedInstances() []*state.Instance {
 	return slices.SortedFunc(maps.Values(w.instances), func(a, b *state.Instance) int { return strings.Compare(a.UID, b.UID) })
 }
 
-// fullListEvent is the list as an event. w.mu is held.
+// fullListEvent returns the list as an event. w.mu must be held.
 func (w *Watcher) fullListEvent() WatchEvent {
 	return WatchEvent{Revision: w.revision, FullList: true, Instances: w.sortedInstances()}
 }
 
-// Run follows the registry until ctx ends, and calls changed with each event, once it is applied. Whatever ends a watch, Run
-// goes on at another replica after a backoff.
+// Run follows the registry until ctx is done, and returns the error of ctx. It calls changed with each event after the event
+// has been applied. When a watch ends for any reason, Run starts one at the next replica after a backoff.
 func (w *Watcher) Run(ctx context.Context, changed func(WatchEvent)) error {
 	if w.cache != nil {
 		var writing sync.WaitGroup
@@ -103,23 +104,23 @@
 		defer writing.Wait()
 	}
 	next := rand.IntN(len(w.opt.Endpoints))
-	pauses := w.opt.newBackoff()
+	backoff := w.opt.newBackoff()
 	for ctx.Err() == nil {
-		began := time.Now()
-		w.watch(ctx, w.opt.Endpoints[next%len(w.opt.Endpoints)], changed) //nolint:errcheck // any error leads to the next replica
+		start := time.Now()
+		w.watch(ctx, w.opt.Endpoints[next%len(w.opt.Endpoints)], changed) //nolint:errcheck // the next replica is tried after any error
 		next++
-		if time.Since(began) > w.opt.MaxBackoff {
-			pauses.Reset()
+		if time.Since(start) > w.opt.MaxBackoff {
+			backoff.Reset()
 		}
 		select {
-		case <-time.After(pauses.NextBackOff()):
+		case <-time.After(backoff.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
 	return ctx.Err()
 }
 
-// watch follows one replica and returns why that ended.
+// watch follows one replica and returns the error that ended the watch.
 func (w *Watcher) watch(ctx context.Context, endpoint string, changed func(WatchEvent)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -131,12 +132,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s", endpoint, resp.Status)
+		return fmt.Errorf("%s returned status %s", endpoint, resp.Status)
 	}
 	for lines := bufio.NewReader(resp.Body); ; {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return err // a line without its end is dropped
+			return err // an incomplete line is dropped
 		}
 		idle.Reset(w.opt.IdleTimeout)
 		if err := w.receive(line, changed); err != nil {
@@ -145,7 +146,7 @@
 	}
 }
 
-// open asks a replica for a watch from the Watcher's revision on.
+// open starts a watch at a replica from the current revision of the Watcher.
 func (w *Watcher) open(ctx context.Context, endpoint string) (*http.Response, error) {
 	w.mu.Lock()
 	since := w.revision
@@ -158,10 +159,10 @@
 	return w.http.Do(req)
 }
 
-// receive applies a line of a watch. An empty one is a heartbeat.
+// receive applies a line of a watch. An empty line is a heartbeat.
 func (w *Watcher) receive(line []byte, changed func(WatchEvent)) error {
 	if len(bytes.TrimSpace(line)) == 0 {
-		w.noteContact()
+		w.recordContact()
 		return nil
 	}
 	var event WatchEvent
@@ -172,20 +173,21 @@
 		return errNoInstances
 	}
 	if !w.apply(event) {
-		return errOlder
+		return errOlderRevision
 	}
-	w.noteContact()
+	w.recordContact()
 	changed(event)
 	return nil
 }
 
-func (w *Watcher) noteContact() {
+func (w *Watcher) recordContact() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastContact = time.Now()
 }
 
-// apply applies an event; false: it is older than what is held.
+// apply applies an event. It returns false, and changes nothing, if the event is older than the current list, or is a change
+// at the same revision.
 func (w *Watcher) apply(event WatchEvent) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Lines cut short, nonsense, older revisions, silence and half a list change nothing that is held, and the Watcher goes on
-// from its own revision.
+// Incomplete lines, invalid JSON, older revisions, a watch without data and a list without targets do not change the list.
+// After each of them, the Watcher resumes from its own revision.
 func TestWatcher(t *testing.T) {
 	f := &fakeReplica{scripts: [][]string{
-		{list(10, true, "a", "b") + "\n", list(11, false, "c") + "\n", list(12, false, "-a")}, // no end
+		{list(10, true, "a", "b") + "\n", list(11, false, "c") + "\n", list(12, false, "-a")}, // the last line is incomplete
 		{"nonsense\n"},
 		{list(9, true, "old") + "\n"},
 		{list(11, false, "old") + "\n"},
@@ -21,22 +21,22 @@
 	}}
 	v := follow(t, Options{Endpoints: []string{serve(t, f)}, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 13 })
 	if uids(v) != "b c d" || v.FullLists != 1 || v.LastContact.IsZero() {
-		t.Errorf("holds %q: %+v", uids(v), v)
+		t.Errorf("got instances %q, want \"b c d\": %+v", uids(v), v)
 	}
 	if got := strings.Join(f.since[:7], " "); got != "0 11 11 11 11 11 11" {
-		t.Errorf("watches began from %s", got)
+		t.Errorf("watches started from revisions %s", got)
 	}
 }
 
-// One replica is unreachable, another silent: the third is found.
+// A Watcher finds the healthy replica when one other replica is unreachable and another sends no data.
 func TestWatcherChangesReplica(t *testing.T) {
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	unreachable := httptest.NewServer(nil)
+	unreachable.Close()
 	silent := &fakeReplica{scripts: [][]string{{"hang"}, {"hang"}, {"hang"}, {"hang"}}}
-	good := &fakeReplica{}
+	healthy := &fakeReplica{}
 	for range 20 {
-		good.scripts = append(good.scripts, []string{list(5, true, "a") + "\n", "hang"})
+		healthy.scripts = append(healthy.scripts, []string{list(5, true, "a") + "\n", "hang"})
 	}
-	follow(t, Options{Endpoints: []string{strings.TrimPrefix(gone.URL, "http://"), serve(t, silent), serve(t, good)}, IdleTimeout: 50 * time.Millisecond},
+	follow(t, Options{Endpoints: []string{strings.TrimPrefix(unreachable.URL, "http://"), serve(t, silent), serve(t, healthy)}, IdleTimeout: 50 * time.Millisecond},
 		func(v View) bool { return v.Revision == 5 })
 }
--- a/internal/registry/golden/golden.go
+++ b/internal/registry/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what tests of the registry produce with files under testdata. The files hold the stored and
-// sent forms that other versions of the program read and write; -update rewrites them, which is right only for a
-// deliberate change of such a form.
+// Package golden compares the output of registry tests with files under testdata. The files contain encodings that other
+// versions of the program store and send. The flag -update rewrites them, which is correct only for a deliberate change of
+// such an encoding.
 package golden
 
 import (
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files under testdata")
 
-// Check fails the test unless got equals the content of testdata/name.
+// Check fails the test unless got equals the content of testdata/name. With -update it writes got to the file instead.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -43,12 +43,12 @@
 			w = wantLines[i]
 		}
 		if !bytes.Equal(g, w) {
-			t.Fatalf("%s differs first at line %d:\n got: %s\nwant: %s", path, i+1, g, w)
+			t.Fatalf("%s: first difference at line %d:\n got: %s\nwant: %s", path, i+1, g, w)
 		}
 	}
 }
 
-// CopyDir copies a folder under testdata to a temporary one, so that the test may change it.
+// CopyDir copies the directory testdata/name to a temporary directory, which the test may modify, and returns its path.
 func CopyDir(t *testing.T, name string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "copy")
