--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -1,9 +1,9 @@
-// Package bench measures a registry of three real processes: how soon changes reach thousands of watches, what a watch
-// costs, durable writes, decisions about disruption permits, and how soon the registry serves again after a leader's death
-// and after all watches reconnect.
+// Package bench measures a registry of three real processes: the propagation of changes to thousands of watches, the memory
+// per watch, durable writes, decisions about disruption permits, the failover after the leader is killed, and the time until
+// all watches have reconnected.
 //
-// Its figures mean something only on a machine that does nothing else. Each measurement runs on a registry of its own, from
-// one goroutine.
+// The results are meaningful only on an otherwise idle machine. Each measurement starts a registry of its own. Run one
+// measurement at a time.
 package bench
 
 import (
@@ -20,68 +20,69 @@
 	"umberbank/internal/registry/state"
 )
 
-// Options say what is measured.
+// Options configure a measurement.
 type Options struct {
-	Instances      int          // in the list
-	Watches        int          // of the list
-	Changes        int          // that are timed; 0 is 100
-	ReplicaCommand []string     // of a replica, which takes --config FILE; without one, this program's own
-	Progress       func(string) // called with the name of each step; may be nil
+	Instances      int          // instances in the list, at least 1
+	Watches        int          // watches of the list, at least 1
+	Changes        int          // changes whose propagation is timed; zero means 100
+	ReplicaCommand []string     // command that runs a replica and takes --config FILE; if empty, the command of this program
+	Progress       func(string) // called with the name of each step when it begins; may be nil
 }
 
-// Result is what was measured.
+// Result contains the figures of a measurement. A figure is zero if the measurement does not include it.
 type Result struct {
 	Instances             int     `json:"instances"`
 	Watches               int     `json:"watches"`
-	PropagationP50MS      float64 `json:"propagation_p50_ms"` // from a write's start to a watch's event
+	PropagationP50MS      float64 `json:"propagation_p50_ms"` // from the start of a write to the event on a watch
 	PropagationP99MS      float64 `json:"propagation_p99_ms"`
 	WritesPerSecond       float64 `json:"writes_per_s"`
-	BytesPerWatch         float64 `json:"bytes_per_watch"` // of the replicas' memory
-	FailoverMS            float64 `json:"failover_ms"`     // from the leader's death to the next write that is answered
+	BytesPerWatch         float64 `json:"bytes_per_watch"` // growth of the replicas' resident memory per watch
+	FailoverMS            float64 `json:"failover_ms"`     // from killing the leader until a write succeeds
 	ReconnectStormSeconds float64 `json:"reconnect_storm_s"`
-	ResumedFraction       float64 `json:"resumed_share"`     // of the storm's watches, without a full list
-	WriteMeanMS           float64 `json:"write_mean_ms"`     // of the changes, one at a time
-	CPUPerChangeMS        float64 `json:"cpu_per_change_ms"` // of all replicas together, in steps of 10 ms over all changes
+	ResumedFraction       float64 `json:"resumed_share"` // fraction of the reconnected watches that got no full list
+	WriteMeanMS           float64 `json:"write_mean_ms"` // mean time of a change, written one at a time
+	// CPUPerChangeMS is the CPU time of all replicas per change. The total over all changes is measured in steps of 10 ms.
+	CPUPerChangeMS float64 `json:"cpu_per_change_ms"`
 }
 
 const (
-	replicaCount   = 3
-	defaultChanges = 100
-	writeBatch     = 500 // instances that are registered by one call
-	writers        = 4   // calls at once
-	stepTimeout    = time.Minute
-	initialBackoff = 5 * time.Millisecond
-	maxBackoff     = 50 * time.Millisecond
-	benchTier      = "web"
-	// gcPercent is GOGC of the replicas. Much of a process's memory is garbage that waits to be collected; little of it with
-	// this, so that the memory of watches shows.
+	replicaCount     = 3
+	defaultChanges   = 100
+	writeBatch       = 500 // instances that one request registers
+	concurrentWrites = 4   // limit of concurrent requests
+	stepTimeout      = time.Minute
+	initialBackoff   = 5 * time.Millisecond
+	maxBackoff       = 50 * time.Millisecond
+	benchTier        = "web"
+	// gcPercent is GOGC of the replicas. With the default, much of the resident memory is uncollected garbage, which would hide
+	// the memory of the watches.
 	gcPercent = "25"
 )
 
 // Zones, racks and addresses of the instances that are registered.
 const (
-	zoneCount = 3
-	rackSize  = 20
-	hostsPer  = 250 // in each part of an address
+	zoneCount      = 3
+	rackSize       = 20
+	valuesPerOctet = 250 // number of values used of each octet of an address
 )
 
-var errNothingToMeasure = errors.New("wants at least one instance and one watch")
+var errNothingToMeasure = errors.New("at least one instance and one watch are required")
 
-// Measure measures writes, propagation, a reconnect storm and failover.
+// Measure measures writes, propagation, a reconnect storm and failover, in this order, on one registry.
 func Measure(ctx context.Context, o Options) (*Result, error) {
 	return measure(ctx, o, (*measurement).registerInstances, (*measurement).propagateAndReconnect, (*measurement).failover)
 }
 
-// measurement is a measurement under way.
+// measurement is a running measurement.
 type measurement struct {
 	options Options
 	cluster *cluster.Cluster
 	client  *client.Client
 	result  *Result
-	step    string // under way
+	step    string // name of the current step
 }
 
-// measure runs steps on a registry of its own.
+// measure runs steps on a new registry and closes it.
 func measure(ctx context.Context, o Options, steps ...func(*measurement, context.Context) error) (*Result, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// run runs one step.
+// run runs one step with a time limit.
 func (m *measurement) run(ctx context.Context, step func(*measurement, context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
@@ -140,23 +141,23 @@
 	return nil
 }
 
-// begin notes which step is under way.
-func (m *measurement) begin(step string) {
+// beginStep records and reports the name of the current step.
+func (m *measurement) beginStep(step string) {
 	m.step = step
 	m.options.Progress(step)
 }
 
 func uid(i int) string { return fmt.Sprintf("s%05d", i) }
 
-// registerInstances registers all instances, in batches side by side.
+// registerInstances registers all instances in concurrent batches.
 func (m *measurement) registerInstances(ctx context.Context) error {
-	m.begin("writes")
+	m.beginStep("writes")
 	if err := m.cluster.AwaitReady(ctx); err != nil {
 		return err
 	}
 	began := time.Now()
 	var calls errgroup.Group
-	calls.SetLimit(writers)
+	calls.SetLimit(concurrentWrites)
 	for from := 0; from < m.options.Instances; from += writeBatch {
 		calls.Go(func() error { return m.registerBatch(ctx, from, min(from+writeBatch, m.options.Instances)) })
 	}
@@ -167,13 +168,13 @@
 	return nil
 }
 
-// registerBatch registers instances from one number up to another.
+// registerBatch registers the instances with numbers from (inclusive) to to (exclusive).
 func (m *measurement) registerBatch(ctx context.Context, from, to int) error {
 	var ops []state.Op
 	for i := from; i < to; i++ {
 		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{
 			UID:      uid(i),
-			Endpoint: fmt.Sprintf("10.%d.%d.1:3000", i/hostsPer, i%hostsPer),
+			Endpoint: fmt.Sprintf("10.%d.%d.1:3000", i/valuesPerOctet, i%valuesPerOctet),
 			Tier:     benchTier,
 			Zone:     fmt.Sprint("z", i%zoneCount),
 			Rack:     i / rackSize,
@@ -185,18 +186,18 @@
 	return err
 }
 
-// currentRevision is the registry's revision now.
+// currentRevision returns the current revision of the registry.
 func (m *measurement) currentRevision(ctx context.Context) (int64, error) {
 	return m.writeOne(ctx, state.Op{Kind: state.OpNoop})
 }
 
-// changeInstance changes one instance, which moves the revision on by one, and returns the revision.
+// changeInstance changes one instance, which increases the revision by one, and returns the new revision.
 func (m *measurement) changeInstance(ctx context.Context, i int) (int64, error) {
 	capacity := float64(i + 2)
 	return m.writeOne(ctx, state.Op{Kind: state.OpUpdate, UID: uid(i % m.options.Instances), Capacity: &capacity})
 }
 
-// writeOne has one write carried out and returns the revision after it.
+// writeOne applies one write and returns the revision after it.
 func (m *measurement) writeOne(ctx context.Context, op state.Op) (int64, error) {
 	results, err := m.client.Write(ctx, op)
 	if err != nil {
@@ -205,9 +206,9 @@
 	return results[0].Revision, nil
 }
 
-// failover kills the leader and writes until that is answered.
+// failover kills the leader and measures the time until a write succeeds.
 func (m *measurement) failover(ctx context.Context) error {
-	m.begin("failover")
+	m.beginStep("failover")
 	m.cluster.Kill(m.cluster.Leader(0))
 	began := time.Now()
 	if _, err := m.changeInstance(ctx, failoverChange); err != nil {
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/registry/replica"
 )
 
-// The test binary is the replicas too.
+// TestMain runs a replica instead of the tests if REGISTRYBENCH_REPLICA is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("REGISTRYBENCH_REPLICA") == "" {
 		os.Exit(m.Run())
@@ -24,7 +24,7 @@
 	}
 }
 
-// A small measurement of real processes gives every figure.
+// A small measurement with real processes fills in every figure of the result.
 func TestMeasure(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if r.PropagationP50MS <= 0 || r.PropagationP99MS < r.PropagationP50MS || r.WritesPerSecond <= 0 || r.FailoverMS <= 0 || r.ReconnectStormSeconds <= 0 || r.ResumedFraction != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("a figure is missing or out of range: %+v", r)
 	}
 }
 
@@ -49,7 +49,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if revision, fullList, ok := parseEventHead([]byte(text)); revision != want.revision || fullList != want.fullList || ok != want.ok {
-				t.Errorf("%d, %v, %v", revision, fullList, ok)
+				t.Errorf("got revision %d, full list %v, ok %v", revision, fullList, ok)
 			}
 		})
 	}
--- a/internal/registry/bench/listlengths.go
+++ b/internal/registry/bench/listlengths.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// MeasureListLengths measures what a change costs over lists of several lengths, each on a registry of its own. The Results
-// have only what changes show.
+// MeasureListLengths measures the cost of a change for several lengths of the list, each on a registry of its own. The
+// Results are in the order of lengths and contain the figures of writes and propagation.
 func MeasureListLengths(ctx context.Context, o Options, lengths []int) ([]*Result, error) {
 	var results []*Result
 	for _, n := range lengths {
@@ -29,7 +29,7 @@
 	return results, nil
 }
 
-// propagateOnly times changes to all watches.
+// propagateOnly times the propagation of changes to all watches.
 func (m *measurement) propagateOnly(ctx context.Context) error {
 	w, err := m.propagate(ctx)
 	if err != nil {
@@ -39,16 +39,16 @@
 	return nil
 }
 
-// Of the plot.
+// Layout of the plot.
 const (
 	plotWidth    = 14 * vg.Centimeter
 	plotHeight   = 8 * vg.Centimeter
-	legendFactor = 1.5 // of the highest value, so that the legend has room above it
+	legendFactor = 1.5 // height of the Y axis relative to the highest value; leaves room for the legend
 )
 
-var errNothingMeasured = errors.New("nothing was measured")
+var errNothingMeasured = errors.New("no results to plot")
 
-// Plot draws what a change costs over the list's length, as SVG.
+// Plot writes an SVG plot of the cost of a change over the length of the list. It fails if results is empty.
 func Plot(w io.Writer, results []*Result) error {
 	if len(results) == 0 {
 		return errNothingMeasured
@@ -63,9 +63,9 @@
 		name  string
 		value func(*Result) float64
 	}{
-		{"written durably", func(r *Result) float64 { return r.WriteMeanMS }},
-		{"with half of the watchers", func(r *Result) float64 { return r.PropagationP50MS }},
-		{"processor time of three replicas", func(r *Result) float64 { return r.CPUPerChangeMS }},
+		{"durable write, mean", func(r *Result) float64 { return r.WriteMeanMS }},
+		{"propagation to half of the watchers", func(r *Result) float64 { return r.PropagationP50MS }},
+		{"CPU time of three replicas", func(r *Result) float64 { return r.CPUPerChangeMS }},
 	} {
 		var xy plotter.XYs
 		for _, r := range results {
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -15,12 +15,12 @@
 	"umberbank/internal/registry/state"
 )
 
-// PermitResult is what decisions about disruption permits cost.
+// PermitResult contains the rate and latency of decisions about disruption permits.
 type PermitResult struct {
 	Units              int     `json:"units"`
-	RequestedPerSecond float64 `json:"asked_per_s"` // by an open loop
+	RequestedPerSecond float64 `json:"asked_per_s"` // rate of the open-loop load
 	DecidedPerSecond   float64 `json:"decided_per_s"`
-	P50MS              float64 `json:"p50_ms"` // from when a decision was due until its answer
+	P50MS              float64 `json:"p50_ms"` // from the scheduled time of a request to its response
 	P99MS              float64 `json:"p99_ms"`
 	Granted            int     `json:"granted"`
 	Returned           int     `json:"returned"`
@@ -28,14 +28,14 @@
 
 const (
 	maxPermitWorkers     = 512
-	permitTierFraction   = 0.5    // of the tier, and of each zone, may be out at once
-	permitExpiryMS       = 60_000 // no permit expires meanwhile
+	permitTierFraction   = 0.5    // fraction of the tier, and of each zone, that may be disrupted at once
+	permitExpiryMS       = 60_000 // long enough that no permit expires during a measurement
 	permitHolder         = "bench"
 	permitMinimalWatches = 1
 )
 
-// MeasurePermits requests permits and returns them, at a rate per second and one write each, beside as many units as there
-// are instances.
+// MeasurePermits requests and returns disruption permits at a fixed rate per second, with one write for each decision. Every
+// instance of the list is a unit.
 func MeasurePermits(ctx context.Context, o Options, rate int, duration time.Duration) (*PermitResult, error) {
 	o.Watches = permitMinimalWatches
 	var result *PermitResult
@@ -50,7 +50,7 @@
 }
 
 func (m *measurement) permits(ctx context.Context, rate int, duration time.Duration) (*PermitResult, error) {
-	m.begin("permits")
+	m.beginStep("permits")
 	if err := m.setLimits(ctx); err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	count := int(duration.Seconds() * float64(rate))
 	took, err := l.run(ctx, rate, count)
 	if err != nil {
-		return nil, fmt.Errorf("a decision: %w", err)
+		return nil, fmt.Errorf("request or return a permit: %w", err)
 	}
 	return &PermitResult{
 		Units:              m.options.Instances,
@@ -75,7 +75,7 @@
 	}, nil
 }
 
-// setLimits sets limits under which permits are granted.
+// setLimits sets disruption limits that allow permits to be granted.
 func (m *measurement) setLimits(ctx context.Context) error {
 	share := permitTierFraction
 	limits := &disruption.Limits{
@@ -86,7 +86,7 @@
 	return err
 }
 
-// permitLoad is an open loop of decisions about permits.
+// permitLoad is an open-loop load of decisions about permits.
 type permitLoad struct {
 	*measurement
 	units    []*state.Instance
@@ -96,15 +96,15 @@
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
-	err     error // the first
+	err     error // first error
 }
 
-// run makes so many decisions at a rate per second, and returns how long that took.
+// run makes count decisions at a fixed rate per second, and returns the time until all of them have a response.
 func (l *permitLoad) run(ctx context.Context, rate, count int) (time.Duration, error) {
 	due := make(chan time.Time, rate)
 	var workers sync.WaitGroup
 	for range min(rate, maxPermitWorkers) {
-		workers.Go(func() { l.work(ctx, due) })
+		workers.Go(func() { l.runWorker(ctx, due) })
 	}
 	began := time.Now()
 	for i := range count {
@@ -117,8 +117,8 @@
 	return time.Since(began), l.err
 }
 
-// work requests a permit with one decision, and returns it with the next.
-func (l *permitLoad) work(ctx context.Context, due <-chan time.Time) {
+// runWorker makes decisions at the due times: it requests a permit, and returns a granted permit with the next decision.
+func (l *permitLoad) runWorker(ctx context.Context, due <-chan time.Time) {
 	var toReturn *state.Op
 	for at := range due {
 		op := toReturn
@@ -139,13 +139,13 @@
 	}
 }
 
-// nextRequest requests a permit for the next unit.
+// nextRequest returns a request for a permit of the next unit.
 func (l *permitLoad) nextRequest() *state.Op {
 	unit := l.units[int(l.nextUnit.Add(1))%len(l.units)]
 	return &state.Op{Kind: state.OpGrantPermit, UID: unit.UID, Incarnation: unit.Token, Holder: permitHolder}
 }
 
-// record records a decision.
+// record records the latency of a decision, and the first error.
 func (l *permitLoad) record(latency time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/bench/propagation.go
+++ b/internal/registry/bench/propagation.go
@@ -16,48 +16,50 @@
 	maxLatencyMS        = 60_000
 	latencyDigits       = 3
 	stormChanges        = 20
-	// Changes are numbered so that those of different steps have different capacities.
+	// Each step numbers its changes from a different start, so that no two steps set the same capacities.
 	firstStormChange = 1000
 	failoverChange   = 5000
-	// eventsPerStormWatch is how many events of one watch a storm's channel holds, more than the storm has changes.
+	// eventsPerStormWatch is the capacity per watch of the channel for the events of a storm. It exceeds the number of changes,
+	// so that sending an event never blocks.
 	eventsPerStormWatch = 32
 )
 
-// newLatency returns a histogram of latencies in µs.
+// newLatency returns a histogram of latencies in microseconds.
 func newLatency() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyMS*1000, latencyDigits)
 }
 
-// recordLatency records a latency of at least 1 µs. One above the histogram's range is left out: steps end before.
+// recordLatency records a latency, rounded up to 1 µs if it is shorter. A latency beyond the range of the histogram cannot
+// occur, because a step times out before.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(max(1, d.Microseconds())) //nolint:errcheck // see above
 }
 
-// quantileMS is a quantile of latencies in ms.
+// quantileMS returns a quantile, given in percent, of latencies in milliseconds.
 func quantileMS(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
 // watches are the open watches of a measurement.
 type watches struct {
-	all       []*watch
-	addresses []string
-	running   sync.WaitGroup
-	wanted    atomic.Int64   // the revision that is waited for
-	received  chan time.Time // when a watch received it
+	all             []*watch
+	addresses       []string
+	running         sync.WaitGroup
+	awaitedRevision atomic.Int64   // revision whose events are timed
+	received        chan time.Time // times at which watches received that revision
 }
 
-// openWatches opens watches from a revision, evenly over the replicas.
+// openWatches opens the watches from a revision, spread evenly over the replicas.
 func (m *measurement) openWatches(ctx context.Context, revision int64) (*watches, error) {
 	w := &watches{addresses: m.cluster.Addresses(), received: make(chan time.Time, m.options.Watches)}
-	note := func(revision int64) {
-		if revision == w.wanted.Load() {
+	onEvent := func(revision int64) {
+		if revision == w.awaitedRevision.Load() {
 			w.received <- time.Now()
 		}
 	}
 	for i := range m.options.Watches {
 		x := &watch{}
-		if err := x.open(ctx, w.addresses[i%len(w.addresses)], revision, note, &w.running); err != nil {
+		if err := x.open(ctx, w.addresses[i%len(w.addresses)], revision, onEvent, &w.running); err != nil {
 			w.close()
 			return nil, err
 		}
@@ -66,7 +68,7 @@
 	return w, nil
 }
 
-// close ends all watches and waits for their goroutines.
+// close closes all watches and waits for their goroutines.
 func (w *watches) close() {
 	for _, x := range w.all {
 		x.conn.Close()
@@ -74,7 +76,7 @@
 	w.running.Wait()
 }
 
-// propagateAndReconnect times changes to all watches, and then lets these all reconnect at once.
+// propagateAndReconnect times the propagation of changes to all watches, and then a reconnect of all of them at once.
 func (m *measurement) propagateAndReconnect(ctx context.Context) error {
 	w, err := m.propagate(ctx)
 	if err != nil {
@@ -84,9 +86,9 @@
 	return m.reconnectStorm(ctx, w)
 }
 
-// propagate times changes to all watches, which it returns open.
+// propagate times the propagation of changes to all watches. It returns the watches, which are open.
 func (m *measurement) propagate(ctx context.Context) (*watches, error) {
-	m.begin("propagation")
+	m.beginStep("propagation")
 	revision, err := m.currentRevision(ctx)
 	if err != nil {
 		return nil, err
@@ -103,11 +105,12 @@
 	return w, nil
 }
 
-// timeChanges makes changes from a revision on. memory is that of the replicas before there were watches.
+// timeChanges makes the changes after a revision and fills in the result. memory is the memory of the replicas, in bytes,
+// before the watches were opened.
 func (m *measurement) timeChanges(ctx context.Context, w *watches, revision int64, memory float64) error {
 	latency := newLatency()
-	w.wanted.Store(revision)
-	// The first change tells that all watches are open, and is not timed.
+	w.awaitedRevision.Store(revision)
+	// The first change ensures that all watches are open, and is not timed.
 	if _, err := m.timeChange(ctx, w, 0, nil); err != nil {
 		return err
 	}
@@ -129,10 +132,10 @@
 	return nil
 }
 
-// timeChange makes a change, waits until all watches have received it, and records their latencies. It returns how long the
-// write took. Without a histogram nothing is recorded.
+// timeChange makes a change, waits until all watches have received it, and records their latencies unless latency is nil. It
+// returns the duration of the write.
 func (m *measurement) timeChange(ctx context.Context, w *watches, i int, latency *hdrhistogram.Histogram) (time.Duration, error) {
-	w.wanted.Add(1)
+	w.awaitedRevision.Add(1)
 	began := time.Now()
 	if _, err := m.changeInstance(ctx, i); err != nil {
 		return 0, err
@@ -145,15 +148,15 @@
 				recordLatency(latency, at.Sub(began))
 			}
 		case <-ctx.Done():
-			return 0, fmt.Errorf("change %d did not come to all watchers: %w", i, ctx.Err())
+			return 0, fmt.Errorf("change %d did not reach all watches: %w", i, ctx.Err())
 		}
 	}
 	return took, nil
 }
 
-// reconnectStorm breaks all watches, changes something, and lets all reconnect at once.
+// reconnectStorm closes all watches, makes changes, and measures the time until all watches have reconnected and caught up.
 func (m *measurement) reconnectStorm(ctx context.Context, w *watches) error {
-	m.begin("storm")
+	m.beginStep("storm")
 	w.close()
 	last := int64(0)
 	for i := range stormChanges {
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// reopen opens all watches at once, each at another replica than before, from the revision that it has.
+// reopen opens all watches at once, each at another replica than before and from the last revision that it has received.
 func (w *watches) reopen(ctx context.Context, received func(revision int64)) error {
 	var opening errgroup.Group
 	for i, x := range w.all {
@@ -196,7 +199,7 @@
 	return opening.Wait()
 }
 
-// resumedFraction is the share of the watches that were reopened and needed no full list.
+// resumedFraction returns the fraction of the reopened watches that received no full list.
 func (w *watches) resumedFraction() float64 {
 	fullLists := 0
 	for _, x := range w.all {
--- a/internal/registry/bench/watch.go
+++ b/internal/registry/bench/watch.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	watchHeadBuffer = 4096
-	watchReadBuffer = 16 << 10
-	eventHead       = 64 // bytes of an event that are looked at
+	responseBufferBytes = 4096
+	readBufferBytes     = 16 << 10
+	eventHeadBytes      = 64 // length of the prefix of an event that is parsed
 )
 
-// watch is one watch. It reads no more of an event than its revision, as the benchmark runs beside the replicas.
+// watch is a minimal client of a watch. It parses only the head of an event, to leave CPU time to the replicas on the same
+// machine.
 type watch struct {
 	conn      net.Conn
 	revision  atomic.Int64
 	fullLists atomic.Int64
 }
 
-// open starts the watch from a revision. received is called with each revision that an event leads to, by a goroutine that
-// running waits for.
+// open starts the watch from a revision. A goroutine, which is added to running, calls received with the revision of each
+// event.
 func (w *watch) open(ctx context.Context, address string, since int64, received func(revision int64), running *sync.WaitGroup) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -42,7 +43,7 @@
 		return err
 	}
 	running.Go(func() {
-		resp, err := http.ReadResponse(bufio.NewReaderSize(conn, watchHeadBuffer), nil)
+		resp, err := http.ReadResponse(bufio.NewReaderSize(conn, responseBufferBytes), nil)
 		if err != nil {
 			return
 		}
@@ -52,16 +53,16 @@
 	return nil
 }
 
-// follow reads events until the connection ends.
+// follow reads events until the connection is closed.
 func (w *watch) follow(body io.Reader, received func(revision int64)) {
-	buf := make([]byte, watchReadBuffer)
+	buf := make([]byte, readBufferBytes)
 	var head []byte
 	for {
 		n, err := body.Read(buf)
 		for rest := buf[:n]; len(rest) > 0; {
 			line, after, ended := bytes.Cut(rest, []byte{'\n'})
-			if len(head) < eventHead {
-				head = append(head, line[:min(len(line), eventHead-len(head))]...)
+			if len(head) < eventHeadBytes {
+				head = append(head, line[:min(len(line), eventHeadBytes-len(head))]...)
 			}
 			rest = after
 			if ended {
@@ -75,7 +76,7 @@
 	}
 }
 
-// receive notes an event by its head. A heartbeat is none.
+// receive records an event, given its head. It ignores heartbeats.
 func (w *watch) receive(head []byte, received func(revision int64)) {
 	revision, fullList, ok := parseEventHead(head)
 	if !ok {
@@ -88,7 +89,8 @@
 	received(revision)
 }
 
-// parseEventHead reads the revision of an event, and whether it is a full list.
+// parseEventHead returns the revision of an event and whether it is a full list. ok is false if head does not begin with a
+// valid revision.
 func parseEventHead(head []byte) (revision int64, fullList, ok bool) {
 	text, found := bytes.CutPrefix(head, []byte(`{"rev":`))
 	if !found {
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -1,7 +1,8 @@
-// Package cluster runs the replicas of a registry as processes on loopback, with a relay from each replica to each other, for
-// tests, benchmarks and the lab. Replicas are named by their index, from 0.
+// Package cluster runs the replicas of a registry as processes on loopback for tests, benchmarks and the lab. The raft
+// connections from each replica to each other go through a relay of their own. Replicas are identified by their index,
+// starting at 0.
 //
-// Methods may be called from any goroutine, except that Close must be the last call.
+// Methods are safe for concurrent use, except that Close must be the last call.
 package cluster
 
 import (
@@ -17,7 +18,7 @@
 	"umberbank/internal/process/relay"
 )
 
-// Cluster is the processes, and the relays between them.
+// Cluster is a set of replica processes and the relays between them. The caller must Close it.
 type Cluster struct {
 	dir      string
 	launcher *process.Launcher
@@ -25,23 +26,24 @@
 	links    map[link]*relay.Relay
 }
 
-// member is one replica's process.
+// member is the process of one replica.
 type member struct {
 	process.Process
 	id, raftAddress, clientAddress string
 	configFile                     string
 }
 
-// link is the direction from one replica to another, by which the first calls the second.
+// link is the path of the connections that one replica opens to another.
 type link struct{ from, to int }
 
-// tick is the replicas' tick. It is shorter than the default, so that elections are.
+// tick is the raft tick of the replicas. It is shorter than the default, so that elections take less time.
 const tick = "60ms"
 
-var errNoCommand = errors.New("no command of a replica")
+var errNoCommand = errors.New("replica command is empty")
 
-// FreeAddress returns an address on loopback that nobody listens on now, on a host drawn from many: on 127.0.0.1 the system
-// might give its port to a connection before it is used.
+// FreeAddress returns a loopback address, as host:port, on which no process listens at the time of the call. The host is
+// chosen at random from many, because on 127.0.0.1 the system might assign the port to an outgoing connection before the
+// caller listens on it.
 func FreeAddress() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 220+rand.IntN(30), rand.IntN(250), 1+rand.IntN(250))
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -52,8 +54,8 @@
 	return ln.Addr().String(), nil
 }
 
-// New makes the replicas' files and relays; nothing runs yet. The command of a replica takes --config FILE. extraConfig is
-// appended to each configuration file.
+// New creates the configuration files and relays of the replicas, and starts none of them. The command that runs a replica
+// takes --config FILE. extraConfig is appended to each configuration file.
 func New(command []string, replicas int, extraConfig string) (*Cluster, error) {
 	if len(command) == 0 {
 		return nil, errNoCommand
@@ -77,7 +79,7 @@
 		}
 	}
 	for from := range c.members {
-		if err := c.connect(from); err != nil {
+		if err := c.listenLinks(from); err != nil {
 			return err
 		}
 		text := c.config(from) + extraConfig
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// addMember makes replica i, with addresses of its own.
+// addMember creates replica i with free addresses.
 func (c *Cluster) addMember(i int, command []string) error {
 	id := fmt.Sprintf("r%d", i)
 	m := &member{id: id, configFile: filepath.Join(c.dir, id+".toml")}
@@ -106,8 +108,8 @@
 	return nil
 }
 
-// connect makes the relays from one replica to the others.
-func (c *Cluster) connect(from int) error {
+// listenLinks starts the relays from one replica to the others.
+func (c *Cluster) listenLinks(from int) error {
 	for to, m := range c.members {
 		if to == from {
 			continue
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// config is the configuration file of replica i.
+// config returns the configuration file of replica i.
 func (c *Cluster) config(i int) string {
 	var b strings.Builder
 	m := c.members[i]
@@ -137,7 +139,7 @@
 	return b.String()
 }
 
-// Close kills what runs and removes the data.
+// Close kills the running replicas and removes all data.
 func (c *Cluster) Close() {
 	for i := range c.members {
 		c.Kill(i)
@@ -151,16 +153,16 @@
 	}
 }
 
-// Len returns how many replicas there are.
+// Len returns the number of replicas, running or not.
 func (c *Cluster) Len() int { return len(c.members) }
 
-// ID returns a replica's id.
+// ID returns the id of a replica in the registry's configuration.
 func (c *Cluster) ID(i int) string { return c.members[i].id }
 
-// DataDir returns the folder of a replica's data.
+// DataDir returns the data directory of a replica.
 func (c *Cluster) DataDir(i int) string { return filepath.Join(c.dir, c.members[i].id) }
 
-// Addresses returns where clients call, by replica.
+// Addresses returns the client addresses of the replicas, as host:port, in the order of the replicas.
 func (c *Cluster) Addresses() []string {
 	var l []string
 	for _, m := range c.members {
@@ -169,7 +171,7 @@
 	return l
 }
 
-// EachLink calls visit with the relay from each replica to each other.
+// EachLink calls visit with the relay of each ordered pair of replicas.
 func (c *Cluster) EachLink(visit func(from, to int, r *relay.Relay)) {
 	for l, r := range c.links {
 		visit(l.from, l.to, r)
--- a/internal/registry/cluster/control.go
+++ b/internal/registry/cluster/control.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	statusTimeout    = 200 * time.Millisecond // of a replica that is asked whether it leads
+	statusTimeout    = 200 * time.Millisecond // limit of a status request that looks for the leader
 	readyMaxBackoff  = 50 * time.Millisecond
 	leaderPollPeriod = 10 * time.Millisecond
 )
 
-// Start starts a replica that does not run.
+// Start starts a replica unless it is running.
 func (c *Cluster) Start(i int) error { return c.members[i].Start() }
 
-// Kill kills a replica, as a crash does.
+// Kill kills a replica without a graceful shutdown, like a crash.
 func (c *Cluster) Kill(i int) { c.members[i].Kill() }
 
-// Signal sends a signal to a replica that runs.
+// Signal sends a signal to a running replica.
 func (c *Cluster) Signal(i int, s syscall.Signal) { c.members[i].Signal(s) }
 
-// ResumeAll lets every replica run again. One that cannot start is found by whoever calls it next.
+// ResumeAll resumes all suspended replicas and starts all that have exited. If a replica cannot start, the next request to
+// it fails.
 func (c *Cluster) ResumeAll() {
 	for i := range c.members {
 		c.Signal(i, syscall.SIGCONT)
@@ -37,27 +38,27 @@
 	}
 }
 
-// SetCommand gives a replica a command of its own from its next start on.
+// SetCommand sets the command of one replica from its next start on.
 func (c *Cluster) SetCommand(i int, command []string) { c.members[i].SetCommand(command) }
 
-// SetSyncDelay makes each sync of a replica's log wait from now on; 0 ends that.
+// SetSyncDelay delays each sync of a replica's log from now on. Zero removes the delay.
 func (c *Cluster) SetSyncDelay(i int, delay time.Duration) error {
 	return renameio.WriteFile(c.syncDelayFile(i), []byte(delay.String()), 0o600)
 }
 
 func (c *Cluster) syncDelayFile(i int) string { return filepath.Join(c.dir, c.members[i].id+".sync") }
 
-// Exited is closed when a replica's process has ended; nil: it does not run.
+// Exited returns a channel that is closed when the process of a replica has exited. It is nil if the replica is not running.
 func (c *Cluster) Exited(i int) <-chan struct{} { return c.members[i].Done() }
 
-// Logs returns the end of what a replica has logged.
+// Logs returns the end of the log output of a replica.
 func (c *Cluster) Logs(i int) string { return c.members[i].LogTail() }
 
-// PID returns the id of a replica's process; 0: it does not run.
+// PID returns the process id of a replica, or 0 if it is not running.
 func (c *Cluster) PID(i int) int { return c.members[i].Pid() }
 
-// AwaitReady waits until every replica answers and knows a leader. Two of three serve without the third, which may still be
-// starting, or never be ready.
+// AwaitReady waits until every replica responds and has a leader, and fails if ctx is done first. It checks every replica
+// because two of three serve requests while the third is still starting or never becomes ready.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
 	for i, m := range c.members {
 		for {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// Leader returns the replica that says that it leads, or fallback if none does.
+// Leader returns the replica that reports itself as the leader, or fallback if none does.
 func (c *Cluster) Leader(fallback int) int {
 	for i, m := range c.members {
 		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
@@ -87,7 +88,7 @@
 	return fallback
 }
 
-// status asks a replica for its status until it answers or ctx ends. maxBackoff is as in client.Options.
+// status requests the status of a replica until it responds or ctx is done. maxBackoff is as in client.Options.
 func (m *member) status(ctx context.Context, maxBackoff time.Duration) (status api.Status, err error) {
 	c, err := client.New(client.Options{Endpoints: []string{m.clientAddress}, MaxBackoff: maxBackoff})
 	if err != nil {
