--- a/internal/registry/client/cache_test.go
+++ b/internal/registry/client/cache_test.go
@@ -15,13 +15,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// After a restart, the Watcher has the last list, from a snapshot and the changes logged since. Whatever byte of the cache is
-// cut off or corrupted, the list that is loaded is one that the registry had at that revision.
+// After a restart, the Watcher loads the last list from a snapshot and the log of the changes since. Wherever a cache file is
+// truncated or has a corrupted byte, the loaded list is still one that the registry had at its revision.
 func TestCache(t *testing.T) {
 	cache := filepath.Join(t.TempDir(), "cache")
 	listAt := map[int64]string{7: "a b", 8: "a b c", 9: "b c", 0: ""}
 	f := &fakeReplica{scripts: [][]string{
-		{list(7, true, "a", "b") + "\n", "hang"}, // each script ends with an idle time-out, so that its event is written separately
+		{list(7, true, "a", "b") + "\n", "hang"}, // the idle time-out of each makes its event a separate write
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}}
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -146,7 +146,7 @@
 	const instance = `{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1.5,"boot_ms":1,` +
 		`"role":"node","tier":"web","region":"north","version":"v1","ttl_ms":2000,"token":3,"mod":7,"suspect":true,"cold":0.5}`
 	return [][]string{
-		{`{"rev":7,"all":true,"targets":[` + instance + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // each script ends with an idle time-out, so that its event is written separately
+		{`{"rev":7,"all":true,"targets":[` + instance + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // the idle time-out of each makes its event a separate write
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -107,7 +107,7 @@
 	backoff := w.opt.newBackoff()
 	for ctx.Err() == nil {
 		start := time.Now()
-		w.watch(ctx, w.opt.Endpoints[next%len(w.opt.Endpoints)], changed) //nolint:errcheck // the next replica is tried after any error
+		w.watch(ctx, w.opt.Endpoints[next%len(w.opt.Endpoints)], changed) //nolint:errcheck // any error leads to the next replica
 		next++
 		if time.Since(start) > w.opt.MaxBackoff {
 			backoff.Reset()
