--- a/internal/registry/faulttest/check.go
+++ b/internal/registry/faulttest/check.go
@@ -12,51 +12,51 @@
 	"umberbank/internal/registry/state"
 )
 
-// maxLinearizabilityCheck bounds porcupine's search.
+// maxLinearizabilityCheck limits the time of porcupine's search.
 const maxLinearizabilityCheck = 20 * time.Second
 
-// maxListedViolations is how many violations a result lists one by one.
+// maxListedViolations is the number of violations that a result lists; the others are only counted.
 const maxListedViolations = 5
 
-// input and output are those of an operation on one instance, for porcupine.
+// input and output describe an operation on one instance for porcupine.
 type (
 	input struct {
 		uid           string
 		write         bool
 		value         float64
-		ifModRevision int64 // 0: whatever it is
+		ifModRevision int64 // zero for an unconditional write
 	}
 	output struct {
-		known       bool // false: no answer came; the operation may be carried out at any time from its call on, or never
+		responded   bool // if false, the operation may be applied at any time after its call, or never
 		code        state.Code
 		value       float64
 		modRevision int64
 	}
 )
 
-// unknownRevision is the revision of an instance after a write without an answer.
+// unknownRevision is the revision of an instance after a write without a response.
 const unknownRevision = -1
 
-// instanceState is an instance as porcupine follows it.
+// instanceState is the state of an instance in the model.
 type instanceState struct {
 	value       float64
 	modRevision int64
 }
 
-// hasRevision says whether the instance may be of a revision.
-func (s instanceState) hasRevision(revision int64) bool {
+// mayHaveRevision reports whether the instance can have this revision.
+func (s instanceState) mayHaveRevision(revision int64) bool {
 	return s.modRevision == revision || s.modRevision == unknownRevision
 }
 
-// model is what one instance may do.
-var model = porcupine.Model{
+// instanceModel is the sequential specification of an instance.
+var instanceModel = porcupine.Model{
 	Partition:         partitionByUID,
 	Init:              func() any { return instanceState{0, unknownRevision} },
 	Step:              func(s, in, out any) (bool, any) { return stepInstance(s.(instanceState), in.(input), out.(output)) },
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// partitionByUID splits operations by instance, as instances do not depend on each other.
+// partitionByUID splits operations by instance, because instances are independent of each other.
 func partitionByUID(ops []porcupine.Operation) [][]porcupine.Operation {
 	byUID := map[string][]porcupine.Operation{}
 	for _, op := range ops {
@@ -70,15 +70,15 @@
 	return parts
 }
 
-// stepInstance says whether an operation on an instance may have had this output, and what the instance is afterwards.
+// stepInstance reports whether an operation on an instance can have this output, and returns the state after it.
 func stepInstance(s instanceState, in input, result output) (bool, instanceState) {
-	applies := in.ifModRevision == 0 || s.hasRevision(in.ifModRevision)
+	applies := in.ifModRevision == 0 || s.mayHaveRevision(in.ifModRevision)
 	switch {
 	case !in.write:
-		return s.value == result.value && s.hasRevision(result.modRevision), instanceState{result.value, result.modRevision}
-	case !result.known && applies:
+		return s.value == result.value && s.mayHaveRevision(result.modRevision), instanceState{result.value, result.modRevision}
+	case !result.responded && applies:
 		return true, instanceState{in.value, unknownRevision}
-	case !result.known:
+	case !result.responded:
 		return true, s
 	case result.code == state.CodeConflict:
 		return in.ifModRevision != 0 && (s.modRevision != in.ifModRevision || s.modRevision == unknownRevision), s
@@ -86,12 +86,13 @@
 	return applies, instanceState{in.value, result.modRevision}
 }
 
-// check completes a result by what was seen. final is the registry's list in the end; nil: it is not known.
+// check adds the counts and violations of the history to a result. final is the registry's list at the end of the run, or nil
+// if it is unknown.
 func (h *history) check(res *Result, final *api.WatchEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res.Writes, res.UnknownWrites, res.Reads, res.WatchEvents = h.writes, h.unanswered, h.reads, len(h.views)
-	switch porcupine.CheckOperationsTimeout(model, h.ops, maxLinearizabilityCheck) {
+	res.Writes, res.UnknownWrites, res.Reads, res.WatchEvents = h.writes, h.unknownWrites, h.reads, len(h.views)
+	switch porcupine.CheckOperationsTimeout(instanceModel, h.ops, maxLinearizabilityCheck) {
 	case porcupine.Illegal:
 		res.Violations = append(res.Violations, "writes and consistent reads are not linearizable")
 	case porcupine.Unknown:
@@ -109,13 +110,14 @@
 	}
 }
 
-// viewViolations finds acknowledged writes that a watcher passed without seeing, and instances that are later than its list.
+// viewViolations finds acknowledged writes that are missing from a view although it has a later revision, and instances that
+// are newer than the revision of the view.
 func (h *history) viewViolations(v client.View) (found []string) {
 	revisions := map[string]int64{}
 	for _, e := range v.Instances {
 		revisions[e.UID] = e.ModRevision
 		if e.ModRevision > v.Revision {
-			found = append(found, fmt.Sprintf("a watcher at revision %d holds %s of %d", v.Revision, e.UID, e.ModRevision))
+			found = append(found, fmt.Sprintf("a watcher at revision %d has %s at %d", v.Revision, e.UID, e.ModRevision))
 		}
 	}
 	for _, w := range h.acknowledged {
@@ -126,11 +128,11 @@
 	return found
 }
 
-// finalViolations finds that a watcher held another list at the registry's last revision.
+// finalViolations reports a violation if a watcher had a list other than the registry's at the registry's last revision.
 func (h *history) finalViolations(final *api.WatchEvent) []string {
-	text, err := json.Marshal(final.Instances)
-	if held, known := h.lists[final.Revision]; err != nil || known && held != string(text) {
-		return []string{fmt.Sprintf("at revision %d the registry and a watcher hold different lists", final.Revision)}
+	data, err := json.Marshal(final.Instances)
+	if held, known := h.lists[final.Revision]; err != nil || known && held != string(data) {
+		return []string{fmt.Sprintf("the registry and a watcher have different lists at revision %d", final.Revision)}
 	}
 	return nil
 }
--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -15,21 +15,21 @@
 	"umberbank/internal/registry/state"
 )
 
-// The leader's disk is full: its files cannot grow beyond a bound. The others go on without it, no acknowledged write is
-// lost, and once there is capacity again it catches up.
+// The disk of the leader is full, simulated by a limit on the size of its files. The other replicas continue, no acknowledged
+// write is lost, and the replica catches up when it is restarted with free space.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
-	c, w := started(t)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*limit)
+	c, w := startCluster(t)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 	defer cancel()
-	written := map[string]bool{}
+	registered := map[string]bool{}
 	write := func(name string, n int) {
 		for i := range n {
 			var ops []state.Op
 			for k := range 20 {
 				uid := fmt.Sprint(name, "-", i, "-", k)
 				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "a:1", State: state.Serving}})
-				written[uid] = true
+				registered[uid] = true
 			}
 			if _, err := w.Write(ctx, ops...); err != nil {
 				t.Fatalf("%s %d: %v", name, i, err)
@@ -37,10 +37,10 @@
 		}
 	}
 	write("before", 5)
-	// In blocks of 512 bytes: a little more than its log has now.
+	// The limit is in blocks of 512 bytes. It is a little larger than the current log of the replica.
 	full := c.Leader(0)
 	c.Kill(full)
-	c.SetCommand(full, append([]string{"/bin/sh", "-c", `ulimit -f 512; exec "$@"`, "sh"}, command(t)...))
+	c.SetCommand(full, append([]string{"/bin/sh", "-c", `ulimit -f 512; exec "$@"`, "sh"}, replicaCommand(t)...))
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 	if log := c.Logs(full); !strings.Contains(log, "file too large") {
 		t.Errorf("the disk was not full: %s", log)
 	}
-	// Whether it ended or rejected entries, it starts again with capacity.
+	// The replica has either exited or rejected entries. In both cases it must start again with free space.
 	c.Kill(full)
-	c.SetCommand(full, command(t))
+	c.SetCommand(full, replicaCommand(t))
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
@@ -59,22 +59,22 @@
 	if err := w.Call(ctx, "GET", api.PathInstances+"?consistent=1", nil, &all); err != nil {
 		t.Fatal(err)
 	}
-	recovered, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
+	reader, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var recoveredList api.WatchEvent
-	if err := recovered.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", all.Revision), nil, &recoveredList); err != nil {
+	if err := reader.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", all.Revision), nil, &recoveredList); err != nil {
 		t.Fatalf("%v: %s", err, c.Logs(full))
 	}
 	for name, l := range map[string]api.WatchEvent{"the registry": all, "the replica that was full": recoveredList} {
-		if len(l.Instances) != len(written) {
-			t.Errorf("%s has %d entries, %d were acknowledged", name, len(l.Instances), len(written))
+		if len(l.Instances) != len(registered) {
+			t.Errorf("%s has %d instances, %d were acknowledged", name, len(l.Instances), len(registered))
 		}
 	}
 }
 
-// meanWriteTime is the mean time of some writes, one after another.
+// meanWriteTime returns the mean time of n sequential writes.
 func meanWriteTime(ctx context.Context, t *testing.T, w *client.Client, n int) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -86,86 +86,87 @@
 	return time.Since(began) / time.Duration(n)
 }
 
-// The leader's disk becomes slow, and later hangs. Its heartbeats would go on and nobody stand against it; another
-// leads instead, and writes take what they take there.
+// The disk of the leader becomes slow or hangs. The leader's heartbeats continue, so no other replica would start an
+// election; the leader must give up leadership itself, and writes must then be fast at the new leader. A replica whose disk
+// hangs must exit.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	for name, wait := range map[string]time.Duration{"slow": 600 * time.Millisecond, "hung": time.Hour} {
+	for name, delay := range map[string]time.Duration{"slow": 600 * time.Millisecond, "hung": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, w := started(t)
-			ctx, cancel := context.WithTimeout(t.Context(), 2*limit)
+			c, w := startCluster(t)
+			ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 			defer cancel()
 			meanWriteTime(ctx, t, w, 5)
 			slow := c.Leader(0)
 			ended := c.Exited(slow)
-			if err := c.SetSyncDelay(slow, wait); err != nil {
+			if err := c.SetSyncDelay(slow, delay); err != nil {
 				t.Fatal(err)
 			}
-			for c.Leader(slow) == slow { // who leads only knows its disk by writing
+			for c.Leader(slow) == slow { // the leader detects a slow disk only while it writes
 				meanWriteTime(ctx, t, w, 1)
 			}
-			if took := meanWriteTime(ctx, t, w, 10); took > wait/2 {
-				t.Errorf("writes still take %v", took)
+			if took := meanWriteTime(ctx, t, w, 10); took > delay/2 {
+				t.Errorf("a write takes %v after the leader's disk became slow", took)
 			}
-			if wait == time.Hour {
+			if delay == time.Hour {
 				select {
 				case <-ended:
 				case <-ctx.Done():
-					t.Errorf("the replica whose disk hangs goes on: %s", c.Logs(slow))
+					t.Errorf("the replica whose disk hangs has not exited: %s", c.Logs(slow))
 				}
 			}
 		})
 	}
 }
 
-// An entry of the leader's log is corrupted while it runs, and a replica needs it. The leader ends and logs why; the others
-// go on with all that was acknowledged.
+// An entry of the leader's log is corrupted while the leader runs, and a lagging replica needs that entry. The leader must
+// exit and log the reason; the others must continue with all acknowledged writes.
 func TestCorruptEntryWhileRunning(t *testing.T) {
 	t.Parallel()
-	c, w := started(t)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*limit)
+	c, w := startCluster(t)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 	defer cancel()
 	meanWriteTime(ctx, t, w, 5)
 	leader := c.Leader(0)
-	behind := (leader + 1) % c.Len()
-	c.Kill(behind)
+	lagging := (leader + 1) % c.Len()
+	c.Kill(lagging)
 	ended := c.Exited(leader)
-	const mark = "corrupt-this-entry"
-	e := &state.Instance{UID: mark, Endpoint: "a:1", State: state.Serving}
-	a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
+	const marker = "corrupt-this-entry"
+	e := &state.Instance{UID: marker, Endpoint: "a:1", State: state.Serving}
+	results, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := corruptText(t, filepath.Join(c.DataDir(leader), "log.db"), mark); n == 0 {
+	if n := corruptText(t, filepath.Join(c.DataDir(leader), "log.db"), marker); n == 0 {
 		t.Fatal("the entry is not in the log")
 	}
-	if err := c.Start(behind); err != nil {
+	if err := c.Start(lagging); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-ended:
 	case <-ctx.Done():
-		t.Fatalf("the leader goes on: %s", c.Logs(leader))
+		t.Fatalf("the leader has not exited: %s", c.Logs(leader))
 	}
 	if log := c.Logs(leader); !strings.Contains(log, "is not what was written") {
-		t.Errorf("the leader does not log why: %s", log)
+		t.Errorf("the leader has not logged the corrupt entry: %s", log)
 	}
-	late, err := client.New(client.Options{Endpoints: []string{c.Addresses()[behind]}})
+	reader, err := client.New(client.Options{Endpoints: []string{c.Addresses()[lagging]}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var l api.WatchEvent
-	if err := late.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", a[0].Revision), nil, &l); err != nil {
-		t.Fatalf("%v: %s", err, c.Logs(behind))
+	if err := reader.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", results[0].Revision), nil, &l); err != nil {
+		t.Fatalf("%v: %s", err, c.Logs(lagging))
 	}
-	if len(l.Instances) != 1 || l.Instances[0].UID != mark {
-		t.Errorf("the others hold %v", l.Instances)
+	if len(l.Instances) != 1 || l.Instances[0].UID != marker {
+		t.Errorf("the lagging replica has %v", l.Instances)
 	}
 }
 
-// corruptText flips a byte wherever a file holds a text, in place, and returns how often.
-func corruptText(t *testing.T, path, mark string) (n int) {
+// corruptText flips a bit of each occurrence of marker in a file, in place, and returns the number of occurrences.
+func corruptText(t *testing.T, path, marker string) (n int) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -177,7 +178,7 @@
 	}
 	defer f.Close()
 	for at := 0; ; at++ {
-		next := bytes.Index(text[at:], []byte(mark))
+		next := bytes.Index(text[at:], []byte(marker))
 		if next < 0 {
 			return n
 		}
--- a/internal/registry/faulttest/faults.go
+++ b/internal/registry/faulttest/faults.go
@@ -12,7 +12,7 @@
 	"umberbank/internal/registry/cluster"
 )
 
-// faultKind is what is done to a replica.
+// faultKind is a kind of fault. Its value appears in Result.Faults and in the log.
 type faultKind string
 
 // Kinds of faults.
@@ -20,20 +20,20 @@
 	killReplica    faultKind = "kill"
 	killAll        faultKind = "kill-all"
 	suspendReplica faultKind = "stop"
-	isolate        faultKind = "isolate" // nothing passes between it and the other replicas
-	blockIncoming  faultKind = "deaf"    // nothing from the other replicas reaches it
-	blockOutgoing  faultKind = "mute"    // nothing from it reaches the other replicas
-	cutOneLink     faultKind = "cut"     // nothing passes between it and one other replica
+	isolate        faultKind = "isolate" // block all traffic between the replica and the others
+	blockIncoming  faultKind = "deaf"    // block the connections that the other replicas open to it
+	blockOutgoing  faultKind = "mute"    // block the connections that it opens to the other replicas
+	cutOneLink     faultKind = "cut"     // block all traffic between the replica and one other
 	delayLinks     faultKind = "slow"
 	delaySyncs     faultKind = "slow-disk"
 )
 
-// faultKinds are all kinds, in the order in which they are drawn.
+// faultKinds lists all kinds. A run chooses a kind by its index, so the order is part of what a seed determines.
 var faultKinds = []faultKind{
 	killReplica, suspendReplica, isolate, blockIncoming, blockOutgoing, cutOneLink, killAll, delayLinks, delaySyncs,
 }
 
-// Bounds of what is drawn.
+// Bounds of the random durations and delays. A spread is the width of the range above the minimum.
 const (
 	minFaultDuration    = 200 * time.Millisecond
 	faultDurationSpread = 1000 // ms
@@ -45,30 +45,31 @@
 	linkJitter          = 50 * time.Millisecond
 )
 
-// injector injects faults into a cluster, one after another and over each other.
+// injector injects faults into a cluster. Faults start one after another and may overlap.
 type injector struct {
 	cluster *cluster.Cluster
 	rand    *rand.Rand
 	reverts sync.WaitGroup
 }
 
-// injectFaults injects faults drawn by the seed for the run's duration, and returns when all have ended.
+// injectFaults injects random faults, determined by the seed, for the duration of the run. It returns when all of them have
+// ended.
 func injectFaults(ctx context.Context, c *cluster.Cluster, opt Options, res *Result) error {
-	in := &injector{cluster: c, rand: rand.New(rand.NewPCG(opt.Seed, faultStream))}
-	defer in.reverts.Wait()
+	inj := &injector{cluster: c, rand: rand.New(rand.NewPCG(opt.Seed, faultStream))}
+	defer inj.reverts.Wait()
 	for end := time.Now().Add(opt.Duration); time.Now().Before(end); {
-		replica := in.drawReplica()
-		duration := in.drawDuration(minFaultDuration, faultDurationSpread)
-		kind := faultKinds[in.rand.IntN(len(faultKinds))]
+		replica := inj.drawReplica()
+		duration := inj.drawDuration(minFaultDuration, faultDurationSpread)
+		kind := faultKinds[inj.rand.IntN(len(faultKinds))]
 		res.Faults = append(res.Faults, fmt.Sprintf("%s %s %v", kind, c.ID(replica), duration))
 		opt.Logf("%s %s for %v", kind, c.ID(replica), duration)
-		revert, err := in.inject(kind, replica)
+		revert, err := inj.inject(kind, replica)
 		if err != nil {
 			return err
 		}
-		in.revertAfter(ctx, duration, revert)
+		inj.revertAfter(ctx, duration, revert)
 		select {
-		case <-time.After(in.drawDuration(minPause, pauseSpread)):
+		case <-time.After(inj.drawDuration(minPause, pauseSpread)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -76,23 +77,24 @@
 	return nil
 }
 
-// drawReplica draws a replica, half of the time the leader, whose loss hurts.
-func (in *injector) drawReplica() int {
-	replica := in.rand.IntN(in.cluster.Len())
-	if in.rand.IntN(2) == 0 {
-		return in.cluster.Leader(replica)
+// drawReplica returns a random replica. In half of the draws it returns the leader instead, because losing the leader has the
+// largest effect.
+func (inj *injector) drawReplica() int {
+	replica := inj.rand.IntN(inj.cluster.Len())
+	if inj.rand.IntN(2) == 0 {
+		return inj.cluster.Leader(replica)
 	}
 	return replica
 }
 
-// drawDuration draws a duration of shortest and up to spread milliseconds more.
-func (in *injector) drawDuration(shortest time.Duration, spread int) time.Duration {
-	return shortest + time.Duration(in.rand.IntN(spread))*time.Millisecond
+// drawDuration returns a random duration from shortest to less than spread milliseconds above it.
+func (inj *injector) drawDuration(shortest time.Duration, spread int) time.Duration {
+	return shortest + time.Duration(inj.rand.IntN(spread))*time.Millisecond
 }
 
-// revertAfter ends a fault after a time, or with ctx.
-func (in *injector) revertAfter(ctx context.Context, duration time.Duration, revert func()) {
-	in.reverts.Go(func() {
+// revertAfter ends a fault after its duration, or when ctx is done.
+func (inj *injector) revertAfter(ctx context.Context, duration time.Duration, revert func()) {
+	inj.reverts.Go(func() {
 		select {
 		case <-time.After(duration):
 		case <-ctx.Done():
@@ -101,10 +103,10 @@
 	})
 }
 
-// inject begins a fault, and returns what ends it. A replica that then does not start, or a delay that stays, shows in what
-// follows.
-func (in *injector) inject(kind faultKind, replica int) (revert func(), err error) {
-	c := in.cluster
+// inject starts a fault and returns a function that ends it. Errors while ending it are ignored, because a replica that does
+// not start, or a delay that is not removed, shows in the result of the run.
+func (inj *injector) inject(kind faultKind, replica int) (revert func(), err error) {
+	c := inj.cluster
 	switch kind {
 	case killReplica:
 		c.Kill(replica)
@@ -122,20 +124,20 @@
 		c.Signal(replica, syscall.SIGSTOP)
 		return func() { c.Signal(replica, syscall.SIGCONT) }, nil
 	case delaySyncs:
-		delay := in.drawDuration(minSyncDelay, syncDelaySpread)
+		delay := inj.drawDuration(minSyncDelay, syncDelaySpread)
 		return func() { c.SetSyncDelay(replica, 0) }, c.SetSyncDelay(replica, delay) //nolint:errcheck // see above
 	default:
-		return in.impairLinks(kind, replica)
+		return inj.impairLinks(kind, replica)
 	}
 }
 
-// impairLinks stalls or delays the links of a fault.
-func (in *injector) impairLinks(kind faultKind, replica int) (revert func(), err error) {
+// impairLinks stalls or delays the links that a fault affects.
+func (inj *injector) impairLinks(kind faultKind, replica int) (revert func(), err error) {
 	impairment := &relay.Impairment{Stall: kind != delayLinks, ToTarget: true, FromTarget: true}
 	if kind == delayLinks {
 		impairment.Delay, impairment.Jitter = linkDelay, linkJitter
 	}
-	links := affectedLinks(in.cluster, kind, replica, in.rand.IntN(in.cluster.Len()))
+	links := affectedLinks(inj.cluster, kind, replica, inj.rand.IntN(inj.cluster.Len()))
 	for _, l := range links {
 		if err := l.Add(impairment); err != nil {
 			return nil, err
@@ -143,13 +145,13 @@
 	}
 	return func() {
 		for _, l := range links {
-			l.Remove(impairment) //nolint:errcheck // no listener is opened again
+			l.Remove(impairment) //nolint:errcheck // it fails only if it reopens a listener, which stays open here
 		}
 	}, nil
 }
 
-// affectedLinks are the links of a fault: all of a replica's, those by which it is called or calls others, or those to and
-// from one other.
+// affectedLinks returns the links that a fault affects. Depending on its kind, these are all links of the replica, its
+// incoming links, its outgoing links, or its links to and from one other replica.
 func affectedLinks(c *cluster.Cluster, kind faultKind, replica, other int) []*relay.Relay {
 	var links []*relay.Relay
 	c.EachLink(func(from, to int, r *relay.Relay) {
--- a/internal/registry/faulttest/history.go
+++ b/internal/registry/faulttest/history.go
@@ -17,58 +17,58 @@
 )
 
 const (
-	opTimeout          = 1500 * time.Millisecond // of a user's operation
+	opTimeout          = 1500 * time.Millisecond // limit of one operation of a user
 	userInitialBackoff = 10 * time.Millisecond
 	userMaxBackoff     = 200 * time.Millisecond
-	// neverReturned is the return time of a write without an answer: it may be carried out at any time after its call.
+	// neverReturned is the return time of a write without a response, which may be applied at any time after it was sent.
 	neverReturned = 1 << 60
 )
 
-// history is what users and watchers saw. Any goroutine may add to it.
+// history records what users and watchers observed. It is safe for concurrent use.
 type history struct {
-	began time.Time
+	start time.Time
 
-	mu           sync.Mutex
-	ops          []porcupine.Operation
-	acknowledged []acknowledgedWrite
-	lists        map[int64]string // what watchers held, by revision
-	lastRevision map[int]int64    // by watcher
-	views        []client.View
-	violations   []string
-	lastValue    float64
-	writes       int
-	unanswered   int // of writes
-	reads        int
+	mu            sync.Mutex
+	ops           []porcupine.Operation
+	acknowledged  []acknowledgedWrite
+	lists         map[int64]string // lists that watchers reached, as JSON, by revision
+	lastRevision  map[int]int64    // last revision that each watcher reached
+	views         []client.View
+	violations    []string
+	lastValue     float64
+	writes        int
+	unknownWrites int // number of writes without a response
+	reads         int
 }
 
-// acknowledgedWrite is a write that was carried out.
+// acknowledgedWrite is a write that the registry has confirmed.
 type acknowledgedWrite struct {
 	uid         string
 	modRevision int64
 }
 
 func newHistory() *history {
-	return &history{began: time.Now(), lists: map[int64]string{}, lastRevision: map[int]int64{}}
+	return &history{start: time.Now(), lists: map[int64]string{}, lastRevision: map[int]int64{}}
 }
 
-// runUser writes and reads until ctx ends. Each write has a value of its own, and half of them compare the revision that the
-// user has read last.
+// runUser writes and reads until ctx is done. Each write has a unique value. Half of the writes are conditional on the
+// revision that the user read last.
 func (h *history) runUser(ctx context.Context, user int, seed uint64, endpoints []string) {
 	c, err := client.New(client.Options{Endpoints: endpoints, InitialBackoff: userInitialBackoff, MaxBackoff: userMaxBackoff})
 	if err != nil {
-		return // there are endpoints
+		return // cannot happen, as there are endpoints
 	}
-	draw := rand.New(rand.NewPCG(seed, uint64(user)))
-	seen := map[string]int64{}
+	rng := rand.New(rand.NewPCG(seed, uint64(user)))
+	lastRead := map[string]int64{}
 	for ctx.Err() == nil {
-		key := uid(draw.IntN(keyCount))
-		if draw.IntN(2) == 0 {
-			h.read(ctx, c, user, key, seen)
+		key := uid(rng.IntN(keyCount))
+		if rng.IntN(2) == 0 {
+			h.read(ctx, c, user, key, lastRead)
 			continue
 		}
 		write := input{uid: key, write: true, value: h.nextValue()}
-		if draw.IntN(2) == 0 {
-			write.ifModRevision = seen[key]
+		if rng.IntN(2) == 0 {
+			write.ifModRevision = lastRead[key]
 		}
 		h.write(ctx, c, user, write)
 	}
@@ -81,9 +81,9 @@
 	return h.lastValue
 }
 
-// write writes one instance's value.
+// write writes the value of one instance and records the outcome.
 func (h *history) write(ctx context.Context, c *client.Client, user int, in input) {
-	called := time.Since(h.began)
+	called := time.Since(h.start)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
 	defer cancel()
 	results, err := c.Write(ctx, state.Op{Kind: state.OpUpdate, UID: in.uid, Capacity: &in.value, IfModRevision: in.ifModRevision})
@@ -91,13 +91,14 @@
 		h.add(user, in, output{}, called, neverReturned)
 		return
 	}
-	result := output{known: true, code: results[0].Code, modRevision: results[0].Revision}
-	h.add(user, in, result, called, time.Since(h.began))
+	result := output{responded: true, code: results[0].Code, modRevision: results[0].Revision}
+	h.add(user, in, result, called, time.Since(h.start))
 }
 
-// read reads one instance consistently, and notes its revision in seen. A read without an answer says nothing.
+// read reads one instance consistently and stores its revision in lastRead. A read without a response is not recorded,
+// because it has no effect to check.
 func (h *history) read(ctx context.Context, c *client.Client, user int, key string, seen map[string]int64) {
-	called := time.Since(h.began)
+	called := time.Since(h.start)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
 	defer cancel()
 	var l api.WatchEvent
@@ -107,7 +108,7 @@
 	for _, e := range l.Instances {
 		if e.UID == key {
 			seen[key] = e.ModRevision
-			h.add(user, input{uid: key}, output{known: true, value: e.Capacity, modRevision: e.ModRevision}, called, time.Since(h.began))
+			h.add(user, input{uid: key}, output{responded: true, value: e.Capacity, modRevision: e.ModRevision}, called, time.Since(h.start))
 			return
 		}
 	}
@@ -116,7 +117,7 @@
 	h.violations = append(h.violations, fmt.Sprintf("%s is missing from the list at revision %d", key, l.Revision))
 }
 
-// add notes a user's operation.
+// add records an operation of a user.
 func (h *history) add(user int, in input, result output, called, returned time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,25 +128,26 @@
 	}
 	h.writes++
 	switch {
-	case !result.known:
-		h.unanswered++
+	case !result.responded:
+		h.unknownWrites++
 	case result.code == "":
 		h.acknowledged = append(h.acknowledged, acknowledgedWrite{in.uid, result.modRevision})
 	}
 }
 
-// addView records a view that a watcher has reached.
+// addView records a view that a watcher has reached. It records a violation if the revision is older than the watcher's last
+// one, or if two lists differ at the same revision.
 func (h *history) addView(watcher int, v client.View) {
-	text, err := json.Marshal(v.Instances)
+	data, err := json.Marshal(v.Instances)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if last := h.lastRevision[watcher]; err != nil || v.Revision < last {
 		h.violations = append(h.violations, fmt.Sprintf("watcher %d went from revision %d back to %d (%v)", watcher, last, v.Revision, err))
 	}
 	h.lastRevision[watcher] = v.Revision
-	if held, known := h.lists[v.Revision]; known && held != string(text) {
-		h.violations = append(h.violations, fmt.Sprintf("two watchers hold different lists at revision %d", v.Revision))
+	if held, known := h.lists[v.Revision]; known && held != string(data) {
+		h.violations = append(h.violations, fmt.Sprintf("two watchers have different lists at revision %d", v.Revision))
 	}
-	h.lists[v.Revision] = string(text)
+	h.lists[v.Revision] = string(data)
 	h.views = append(h.views, v)
 }
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -15,8 +15,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// A replica is replaced while others write: the new one is added and catches up, the old one is removed and killed, and all
-// that was acknowledged is there, with revisions that go on.
+// The leader is replaced between writes: a new replica is added and catches up, the old leader is removed and killed. No
+// acknowledged write may be lost, and revisions must keep increasing.
 func TestReplaceMember(t *testing.T) {
 	t.Parallel()
 	raft, err := cluster.FreeAddress()
@@ -33,22 +33,22 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	c, w := started(t, address)
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	c, w := startCluster(t, address)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	written, last := 0, int64(0)
 	write := func(n int) {
 		for range n {
-			a, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
-			if err != nil || a[0].Code != "" || a[0].Revision <= last {
-				t.Fatalf("write %d: %+v after %d, %v", written, a, last, err)
+			res, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
+			if err != nil || res[0].Code != "" || res[0].Revision <= last {
+				t.Fatalf("write %d: %+v after %d, %v", written, res, last, err)
 			}
-			last = a[0].Revision
+			last = res[0].Revision
 			written++
 		}
 	}
 	write(50)
-	old := c.Leader(0) // the one whose loss hurts most
+	old := c.Leader(0) // the leader, whose loss has the largest effect
 	for _, change := range []map[string]any{{"add": replica.Peer{ID: "r9", RaftAddress: raft, ClientAddress: address}}, {"remove": c.ID(old)}} {
 		if err := w.Call(ctx, "POST", "/registry/members", change, &struct{}{}); err != nil {
 			t.Fatal(err)
@@ -60,15 +60,15 @@
 		t.Fatal(err)
 	}
 	write(20)
-	only, err := client.New(client.Options{Endpoints: []string{address}})
+	newReplicaClient, err := client.New(client.Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var l api.WatchEvent
-	if err := only.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", last), nil, &l); err != nil {
+	if err := newReplicaClient.Call(ctx, "GET", fmt.Sprintf("/registry/instances?at_least=%d", last), nil, &l); err != nil {
 		t.Fatal(err)
 	}
 	if len(l.Instances) != written || l.Revision < last {
-		t.Errorf("the new replica has %d entries of %d, at %d of %d", len(l.Instances), written, l.Revision, last)
+		t.Errorf("the new replica has %d instances of %d, at revision %d of %d", len(l.Instances), written, l.Revision, last)
 	}
 }
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -19,46 +19,46 @@
 	"umberbank/internal/registry/state"
 )
 
-// limit is how long anything may take that has to happen.
-const limit = 30 * time.Second
+// testTimeout limits the wait for any event that a test expects.
+const testTimeout = 30 * time.Second
 
-// A node follows the registry as its discovery service: it takes servers from it, serves on while all replicas are
-// unreachable, and is sent what has changed once they are back.
+// A node uses the registry as its discovery service. It gets its servers from the registry, keeps serving while all replicas
+// are unreachable, and receives the changes when they are reachable again.
 func TestNodeFollowsRegistry(t *testing.T) {
 	t.Parallel()
-	c, w := started(t)
+	c, w := startCluster(t)
 	server := func(name string) *state.Instance {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, name) }))
 		t.Cleanup(s.Close)
 		return &state.Instance{UID: name, Endpoint: strings.TrimPrefix(s.URL, "http://"), Zone: "a", State: state.Serving, Capacity: 1}
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if _, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: server("one")}); err != nil {
 		t.Fatal(err)
 	}
-	follow := map[string]map[string]any{
+	configs := map[string]map[string]any{
 		"as discovery": {"discovery": c.Addresses()[0]},
 		"as registry":  {"discovery": "127.0.0.1:1", "registry": map[string]any{"endpoints": c.Addresses()}},
 	}
 	nodes := map[string]string{}
-	for name, keys := range follow {
+	for name, keys := range configs {
 		nodes[name] = startNode(t, keys)
-		await(t, nodes[name], "one")
+		awaitResponse(t, nodes[name], "one")
 	}
-	// One with all endpoints is sent changes while any replica serves.
+	// A node that is configured with all endpoints receives changes as long as any replica serves.
 	c.Kill(0)
 	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "one"}, state.Op{Kind: state.OpRegister, Instance: server("more")}); err != nil {
 		t.Fatal(err)
 	}
-	await(t, nodes["as registry"], "more")
+	awaitResponse(t, nodes["as registry"], "more")
 	for i := range c.Len() {
 		c.Kill(i)
 	}
 	for range 20 {
 		for name, want := range map[string]string{"as discovery": "200 one", "as registry": "200 more"} {
 			if got := get(nodes[name]); got != want {
-				t.Fatalf("%s, without a registry: %q", name, got)
+				t.Fatalf("node configured %s, without a registry: got %q", name, got)
 			}
 		}
 	}
@@ -70,13 +70,13 @@
 	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "more"}, state.Op{Kind: state.OpRegister, Instance: server("two")}); err != nil {
 		t.Fatal(err)
 	}
-	for name := range follow {
-		await(t, nodes[name], "two")
+	for name := range configs {
+		awaitResponse(t, nodes[name], "two")
 	}
 }
 
-// startNode runs bin/umberbank-node's program with the keys that say whom it follows, and gives where it listens.
-func startNode(t *testing.T, follow map[string]any) string {
+// startNode builds and starts umberbank-node with discoveryKeys added to its configuration, and returns its listen address.
+func startNode(t *testing.T, discoveryKeys map[string]any) string {
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "umberbank-node")
@@ -90,7 +90,7 @@
 	keys := map[string]any{"name": "n0", "listen": listen, "seed": "1f",
 		"settings": map[string]any{"registry-mode": "pushed", "lanes": []any{map[string]any{"name": "read", "effect": "read_like", "target-ms": 1000, "deadline-ms": 2000}},
 			"limits": map[string]any{"max-attempts": 3}}}
-	maps.Copy(keys, follow)
+	maps.Copy(keys, discoveryKeys)
 	config, err := json.Marshal(keys)
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	}
 	t.Cleanup(func() {
 		cmd.Process.Kill()
-		cmd.Wait() //nolint:errcheck // it was killed
+		cmd.Wait() //nolint:errcheck // the process was killed
 	})
 	return listen
 }
@@ -118,7 +118,7 @@
 	}
 	req.Header.Set("X-Correlation-Id", "c-1")
 	req.Header.Set("X-Time-Left", "2000m")
-	resp, err := (&http.Client{Timeout: limit}).Do(req)
+	resp, err := (&http.Client{Timeout: testTimeout}).Do(req)
 	if err != nil {
 		return err.Error()
 	}
@@ -130,14 +130,14 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
 
-// await asks until a server's answer comes.
-func await(t *testing.T, listen, name string) {
+// awaitResponse repeats a request to a node until the response is that of the named server.
+func awaitResponse(t *testing.T, listen, name string) {
 	t.Helper()
 	got := ""
-	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if got = get(listen); got == "200 "+name {
 			return
 		}
 	}
-	t.Fatalf("the node never came to %s: %q", name, got)
+	t.Fatalf("the node did not respond with server %s in time, last response %q", name, got)
 }
--- a/internal/registry/faulttest/run.go
+++ b/internal/registry/faulttest/run.go
@@ -1,7 +1,7 @@
-// Package faulttest injects faults into a registry of real processes while clients write, read and watch, and checks what
-// these saw: writes and consistent reads by porcupine, for linearizability; watches for gaps and for going back. The faults
-// and the clients' calls are drawn by a seed, but processes and networks run by the clock, so that a run does not repeat
-// another exactly.
+// Package faulttest injects faults into a registry of real processes while clients write, read and watch, and checks what the
+// clients observed. Porcupine checks that writes and consistent reads are linearizable. Watches must have no gaps and must
+// never go back to an older revision. A seed determines the faults and the requests of the clients, but their timing depends
+// on the scheduling of processes and the network, so two runs with the same seed can differ.
 package faulttest
 
 import (
@@ -20,31 +20,32 @@
 	"umberbank/internal/registry/state"
 )
 
-// Options say what a run plays.
+// Options configure a run.
 type Options struct {
 	Seed           uint64
 	Replicas       int           // 1, 3 or 5
-	Duration       time.Duration // of faults; 0 is 3 s
-	ReplicaCommand []string      // of a replica, which takes --config FILE; without one, this program's own
-	// Proxy returns an address that stands in for a replica's towards clients. Tests let it lie. nil: there is none.
+	Duration       time.Duration // time during which faults are injected; zero means 3 s
+	ReplicaCommand []string      // command that runs a replica and takes --config FILE; if empty, the command of this program
+	// Proxy returns the address that clients use instead of a replica's address. Tests use it to corrupt responses. If nil,
+	// clients connect to the replicas.
 	Proxy func(address string) string
-	Logf  func(format string, args ...any) // may be nil
+	Logf  func(format string, args ...any) // logs each fault; may be nil
 }
 
-// Result is what came of a run.
+// Result contains the counts and violations of a run. The run has passed if there are no Violations.
 type Result struct {
 	Seed            uint64   `json:"seed"`
 	Writes          int      `json:"writes"`
-	UnknownWrites   int      `json:"unknown"` // that were not answered
+	UnknownWrites   int      `json:"unknown"` // writes without a response, which may have been applied
 	Reads           int      `json:"reads"`
-	WatchEvents     int      `json:"watched"` // that watchers applied
-	Faults          []string `json:"faults"`
-	Violations      []string `json:"broken"`    // of what must hold
-	RecoverySeconds float64  `json:"recover_s"` // from the end of the faults until all watchers had a write that came after it
+	WatchEvents     int      `json:"watched"`   // events that watchers applied
+	Faults          []string `json:"faults"`    // kind, replica and duration of each fault
+	Violations      []string `json:"broken"`    // violations of the guarantees
+	RecoverySeconds float64  `json:"recover_s"` // from the end of the faults until all watchers have a later write
 }
 
 const (
-	keyCount         = 3 // instances that are written and read
+	keyCount         = 3 // number of instances that users write and read
 	userCount        = 4
 	watcherCount     = 3
 	defaultDuration  = 3 * time.Second
@@ -55,13 +56,13 @@
 	watchMaxBackoff  = 300 * time.Millisecond
 )
 
-// Streams of random numbers of a run, beside its seed.
+// Stream numbers of the random generators of a run, in addition to its seed.
 const (
 	userStream  = 1
 	faultStream = 2
 )
 
-var errWatcherBehind = errors.New("a watcher never came to the last revision")
+var errWatcherBehind = errors.New("a watcher did not reach the last revision")
 
 func uid(key int) string { return fmt.Sprintf("s%d", key) }
 
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// addresses are where clients call: replicas, or what stands in for them.
+// addresses returns the addresses that clients use, which are those of the replicas or of their proxies.
 func (o *Options) addresses(c *cluster.Cluster) []string {
 	l := c.Addresses()
 	for i := range l {
@@ -93,7 +94,7 @@
 	return l
 }
 
-// Run plays one run. An error says that it could not be played; what did not hold is in the result.
+// Run runs the test once. It returns an error only if the run could not be completed; violations are in the Result.
 func Run(ctx context.Context, opt Options) (*Result, error) {
 	if err := opt.setDefaults(); err != nil {
 		return nil, err
@@ -135,7 +136,7 @@
 	return res, ctx.Err()
 }
 
-// registerKeys registers the instances that are written and read.
+// registerKeys registers the instances that users write and read.
 func registerKeys(ctx context.Context, w *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -148,19 +149,19 @@
 	return err
 }
 
-// tasks are goroutines that are stopped together.
+// tasks is a group of goroutines that are stopped together.
 type tasks struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// stop ends the goroutines and waits for them.
+// stop cancels the goroutines and waits for them.
 func (t *tasks) stop() {
 	t.cancel()
 	t.running.Wait()
 }
 
-// startUsers lets users write and read.
+// startUsers starts users that write and read.
 func startUsers(ctx context.Context, h *history, seed uint64, addresses []string) *tasks {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &tasks{cancel: cancel}
@@ -172,13 +173,13 @@
 	return t
 }
 
-// watchers follow the list.
+// watchers is a group of Watchers that follow the list.
 type watchers struct {
 	tasks
 	all []*client.Watcher
 }
 
-// startWatchers lets watchers follow the list and note what they come to.
+// startWatchers starts watchers that follow the list and record their views in h.
 func startWatchers(ctx context.Context, h *history, addresses []string) (*watchers, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &watchers{tasks: tasks{cancel: cancel}}
@@ -190,28 +191,28 @@
 		}
 		t.all = append(t.all, w)
 		t.running.Go(func() {
-			w.Run(ctx, func(client.WatchEvent) { h.addView(i, w.View()) }) //nolint:errcheck // it ends with ctx
+			w.Run(ctx, func(client.WatchEvent) { h.addView(i, w.View()) }) //nolint:errcheck // the only error is that of ctx
 		})
 	}
 	return t, nil
 }
 
-// recoverAll ends what faults have left, waits until the registry serves again, and returns the list that it holds then; nil
-// if it does not serve, which is a violation.
+// recoverAll restarts or resumes all replicas, waits until the registry has recovered, and returns its list. It returns nil,
+// and records a violation, if the registry does not recover in time.
 func recoverAll(ctx context.Context, c *cluster.Cluster, w *client.Client, watchers *watchers, res *Result) *api.WatchEvent {
-	began := time.Now()
+	start := time.Now()
 	c.ResumeAll()
 	final, err := awaitRecovery(ctx, w, watchers.all)
 	if err != nil {
 		res.Violations = append(res.Violations, "after the faults: "+err.Error())
 		return nil
 	}
-	res.RecoverySeconds = time.Since(began).Seconds()
+	res.RecoverySeconds = time.Since(start).Seconds()
 	return final
 }
 
-// awaitRecovery waits until the registry is written to again and all watchers have that write, and returns the list that the
-// registry holds.
+// awaitRecovery waits until the registry accepts a write and all watchers have received it, and returns the list of the
+// registry.
 func awaitRecovery(ctx context.Context, w *client.Client, watchers []*client.Watcher) (*api.WatchEvent, error) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -220,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for !allAt(watchers, results[0].Revision) {
+	for !allReached(watchers, results[0].Revision) {
 		select {
 		case <-ctx.Done():
 			return nil, errWatcherBehind
@@ -234,8 +235,8 @@
 	return &l, nil
 }
 
-// allAt says whether all watchers have come to a revision.
-func allAt(watchers []*client.Watcher, revision int64) bool {
+// allReached reports whether all watchers have reached a revision.
+func allReached(watchers []*client.Watcher, revision int64) bool {
 	for _, w := range watchers {
 		if w.View().Revision < revision {
 			return false
--- a/internal/registry/faulttest/run_test.go
+++ b/internal/registry/faulttest/run_test.go
@@ -25,7 +25,7 @@
 	"umberbank/internal/registry/replica"
 )
 
-// The test binary is the replicas too.
+// TestMain runs a replica instead of the tests if FAULTTEST_REPLICA is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("FAULTTEST_REPLICA") == "" {
 		os.Exit(m.Run())
@@ -38,7 +38,7 @@
 	}
 }
 
-func command(t *testing.T) []string {
+func replicaCommand(t *testing.T) []string {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -47,10 +47,11 @@
 	return []string{"/usr/bin/env", "FAULTTEST_REPLICA=1", self}
 }
 
-// started is a cluster of three that runs, with a writer over all of them and more, until the test's end.
-func started(t *testing.T, more ...string) (*cluster.Cluster, *client.Client) {
+// startCluster starts a cluster of three replicas, which is closed at the end of the test. The returned client uses all of
+// them and the addresses in more.
+func startCluster(t *testing.T, more ...string) (*cluster.Cluster, *client.Client) {
 	t.Helper()
-	c, err := cluster.New(command(t), 3, "")
+	c, err := cluster.New(replicaCommand(t), 3, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,9 +68,9 @@
 	return c, w
 }
 
-func run(t *testing.T, opt Options) *Result {
+func runFaults(t *testing.T, opt Options) *Result {
 	t.Helper()
-	opt.ReplicaCommand = command(t)
+	opt.ReplicaCommand = replicaCommand(t)
 	r, err := Run(t.Context(), opt)
 	if err != nil {
 		t.Fatal(err)
@@ -77,25 +78,26 @@
 	return r
 }
 
-// Three replicas, and one alone, under faults: writes and consistent reads are linearizable, watches have no gaps and
-// never go back, and the registry is written to again afterwards.
+// With one, three and five replicas under faults, writes and consistent reads are linearizable, watches have no gaps and
+// never go back, and the registry accepts writes afterwards.
 func TestFaults(t *testing.T) {
 	for seed, replicas := range map[uint64]int{1: 3, 2: 3, 3: 1, 4: 5} {
 		t.Run(fmt.Sprint(replicas, " replicas, seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Seed: seed, Replicas: replicas})
+			r := runFaults(t, Options{Seed: seed, Replicas: replicas})
 			if len(r.Violations) > 0 {
-				t.Errorf("%v, after %v", r.Violations, r.Faults)
+				t.Errorf("violations %v, after the faults %v", r.Violations, r.Faults)
 			}
 			if r.Writes-r.UnknownWrites < 10 || r.Reads < 10 || r.WatchEvents < 10 {
-				t.Errorf("too little to judge: %+v", r)
+				t.Errorf("too few operations for a meaningful check: %+v", r)
 			}
 		})
 	}
 }
 
-// lyingProxy returns a proxy before a replica that changes what it answers.
-func lyingProxy(t *testing.T, corrupt func(q *http.Request, body []byte) []byte) func(string) string {
+// corruptingProxy returns a function for Options.Proxy. It starts a proxy in front of a replica, which passes each response
+// body, or each line of a watch, through corrupt.
+func corruptingProxy(t *testing.T, corrupt func(q *http.Request, body []byte) []byte) func(string) string {
 	t.Helper()
 	return func(address string) string {
 		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
@@ -122,7 +124,7 @@
 	}
 }
 
-// corruptLines copies lines, changed, until either end is closed.
+// corruptLines copies lines through corrupt until either end is closed.
 func corruptLines(to *io.PipeWriter, from io.ReadCloser, corrupt func(line []byte) []byte) {
 	defer from.Close()
 	for lines := bufio.NewReader(from); ; {
@@ -137,7 +139,7 @@
 	}
 }
 
-// The checks find a replica that answers consistent reads from an old state, and one that drops changes from its watches.
+// The checks detect a replica that returns an old state for consistent reads, and one that drops changes from its watches.
 func TestChecksFindViolations(t *testing.T) {
 	var mu sync.Mutex
 	var old []byte
@@ -170,7 +172,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Seed: 9, Replicas: 1, Duration: time.Second, Proxy: lyingProxy(t, c.corrupt)})
+			r := runFaults(t, Options{Seed: 9, Replicas: 1, Duration: time.Second, Proxy: corruptingProxy(t, c.corrupt)})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), c.want) {
 				t.Errorf("want %q, got %v", c.want, r.Violations)
 			}
