--- a/ci_test.go
+++ b/ci_test.go
@@ -9,28 +9,28 @@
 	"testing"
 )
 
-// .ci/known-red leaves out exactly the tests that its file names, and takes no line that it does not understand.
+// .ci/known-red skips exactly the tests that its file lists, and rejects any line that is not in the documented form.
 func TestKnownRed(t *testing.T) {
 	t.Parallel()
 	const tests = "TestA\nTestAB\nTestB\nTestC\nTestD\nTestTwice\nTestTwice\n"
 	line := func(name string) string { return name + " | go test . -seed 3 | what was seen | issue 7\n" }
-	for name, c := range map[string]struct{ file, flag, says string }{
-		"empty":              {"", "", ""},
-		"one":                {line("TestA"), "-skip=^(TestA)$", "left out: TestA | go test . -seed 3 | what was seen | issue 7"},
-		"three, no last end": {line("TestA") + line("TestB") + strings.TrimSpace(line("TestC")), "-skip=^(TestA|TestB|TestC)$", "TestC"},
-		"four":               {line("TestA") + line("TestB") + line("TestC") + line("TestD"), "", "line 4: a fourth"},
-		"unknown":            {line("TestNone"), "", "line 1: there is no test TestNone"},
-		"a part of a name":   {line("TestT"), "", "line 1: there is no test TestT"},
-		"of two packages":    {line("TestTwice"), "", "line 1: more than one test"},
-		"the same again":     {line("TestA") + line("TestA"), "", "line 2: TestA comes twice"},
-		"no command":         {"TestA |  | what was seen | issue 7\n", "", "line 1: not of the form"},
-		"nothing seen":       {"TestA | go test . | | issue 7\n", "", "line 1: not of the form"},
-		"blank observation":  {"TestA | go test . |   | issue 7\n", "", "line 1: not of the form"},
-		"no issue":           {"TestA | go test . | what was seen\n", "", "line 1: not of the form"},
-		"a field too many":   {"TestA | go test . | what was seen | more | issue 7\n", "", "line 1: not of the form"},
-		"the earlier form":   {"TestA | the cause | issue 7\n", "", "line 1: not of the form"},
-		"a pattern":          {"Test.* | go test . | what was seen | issue 7\n", "", "line 1: not of the form"},
-		"an empty line":      {line("TestA") + "\n", "", "line 2: not of the form"},
+	for name, c := range map[string]struct{ file, flag, message string }{
+		"empty":                   {"", "", ""},
+		"one":                     {line("TestA"), "-skip=^(TestA)$", "left out: TestA | go test . -seed 3 | what was seen | issue 7"},
+		"three, no final newline": {line("TestA") + line("TestB") + strings.TrimSpace(line("TestC")), "-skip=^(TestA|TestB|TestC)$", "TestC"},
+		"four":                    {line("TestA") + line("TestB") + line("TestC") + line("TestD"), "", "line 4: a fourth"},
+		"unknown":                 {line("TestNone"), "", "line 1: there is no test TestNone"},
+		"part of a name":          {line("TestT"), "", "line 1: there is no test TestT"},
+		"in two packages":         {line("TestTwice"), "", "line 1: more than one test"},
+		"same test twice":         {line("TestA") + line("TestA"), "", "line 2: TestA comes twice"},
+		"no command":              {"TestA |  | what was seen | issue 7\n", "", "line 1: not of the form"},
+		"nothing seen":            {"TestA | go test . | | issue 7\n", "", "line 1: not of the form"},
+		"blank observation":       {"TestA | go test . |   | issue 7\n", "", "line 1: not of the form"},
+		"no issue":                {"TestA | go test . | what was seen\n", "", "line 1: not of the form"},
+		"too many fields":         {"TestA | go test . | what was seen | more | issue 7\n", "", "line 1: not of the form"},
+		"earlier form":            {"TestA | the cause | issue 7\n", "", "line 1: not of the form"},
+		"a pattern":               {"Test.* | go test . | what was seen | issue 7\n", "", "line 1: not of the form"},
+		"an empty line":           {line("TestA") + "\n", "", "line 2: not of the form"},
 	} {
 		dir := t.TempDir()
 		file, list := filepath.Join(dir, "KNOWN-RED.txt"), filepath.Join(dir, "tests")
@@ -44,7 +44,7 @@
 		cmd.Stdout, cmd.Stderr = &out, &errs
 		err := cmd.Run()
 		failed := c.flag == "" && c.file != ""
-		if (err != nil) != failed || strings.TrimSpace(out.String()) != c.flag || !strings.Contains(errs.String(), c.says) ||
+		if (err != nil) != failed || strings.TrimSpace(out.String()) != c.flag || !strings.Contains(errs.String(), c.message) ||
 			failed && strings.Count(errs.String()[strings.Index(errs.String(), ": line"):], "\n") != 1 {
 			t.Errorf("%s: %v, %q, %q", name, err, out.String(), errs.String())
 		}
--- a/cmd/umberbank-node/main.go
+++ b/cmd/umberbank-node/main.go
@@ -1,6 +1,6 @@
-// Command umberbank-node runs one node of the load balancer. The environment variable ROUTER_CONFIG names its configuration;
-// SIGHUP makes it read that again, and SIGTERM ends it once all that it has accepted is answered. It exits with 0 then, and with
-// 1 after one line on standard error if it cannot start or serve.
+// Command umberbank-node runs one node of the load balancer. The environment variable ROUTER_CONFIG names its configuration
+// file. At SIGHUP the node reloads the file. At SIGTERM it exits with code 0 once all accepted requests are answered. If the node
+// cannot start or serve, it prints one line on standard error and exits with code 1.
 package main
 
 import (
--- a/cmd/umberbank-node/main_test.go
+++ b/cmd/umberbank-node/main_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// The program gets ready, serves a request, reloads, and exits with 0 on SIGTERM.
+// The program becomes ready, serves a request, reloads at SIGHUP, and exits with code 0 at SIGTERM.
 func TestProgram(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("X-Correlation-Id"))
@@ -28,7 +28,7 @@
 	if got := p.get("/read/1"); got != "200 c-1" {
 		t.Errorf("request: %q", got)
 	}
-	// A hangup moves the node to another discovery; it serves on. A file that makes no sense changes nothing.
+	// SIGHUP switches the node to another discovery service while it serves. An invalid file changes nothing.
 	for _, next := range []struct{ text, logged string }{
 		{"nonsense", "reload: "},
 		{strings.Replace(text, "127.0.0.1:1", "127.0.0.1:2", 1), "reloaded: discovery at 127.0.0.1:2"},
@@ -54,18 +54,18 @@
 		if err != nil {
 			t.Errorf("after SIGTERM: %v", err)
 		}
-	case <-time.After(limit):
+	case <-time.After(testTimeout):
 		t.Error("still running after SIGTERM")
 	}
 }
 
-// Signals cross: stopped twice, with a reload in between, the program answers its request in flight and exits with 0; so it
-// does when it is stopped before it is ready.
+// The program gets SIGTERM and SIGHUP twice each during a request: it completes the request and exits with code 0. It also exits
+// with code 0 if it gets SIGTERM before it is ready.
 func TestProgramSignalsCross(t *testing.T) {
-	came, hold := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		close(came)
-		<-hold
+		close(received)
+		<-release
 		io.WriteString(w, "late")
 	}))
 	defer server.Close()
@@ -73,7 +73,7 @@
 	defer silent.Close()
 	defer silent.CloseClientConnections()
 	for name, signals := range map[string][]syscall.Signal{
-		"before it is ready": {syscall.SIGTERM}, "amid a request": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
+		"before it is ready": {syscall.SIGTERM}, "during a request": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config, _ := configFor(t, server, strings.TrimPrefix(silent.URL, "http://"), "pushed")
@@ -81,7 +81,7 @@
 			got := make(chan string, 1)
 			if len(signals) > 1 {
 				go func() { got <- p.get("/read/1") }()
-				<-came
+				<-received
 			} else {
 				got <- "200 late"
 			}
@@ -92,30 +92,30 @@
 			}
 			if len(signals) > 1 {
 				eventually(t, "a new configuration in the log", func() bool { return strings.Contains(p.log(), "reloaded: ") })
-				close(hold)
+				close(release)
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- p.cmd.Wait() }()
 			select {
 			case err := <-ended:
-				if answer := <-got; err != nil || answer != "200 late" {
-					t.Errorf("%v, answer %q", err, answer)
+				if response := <-got; err != nil || response != "200 late" {
+					t.Errorf("exit: %v, response %q", err, response)
 				}
-			case <-time.After(limit):
-				t.Errorf("still running")
+			case <-time.After(testTimeout):
+				t.Errorf("still running after the signals")
 			}
 		})
 	}
 }
 
-// Clients have as many idle connections as the limit of descriptors allows, and discovery is silent: polls of discovery, an
-// attempt, the second address and another request still get descriptors.
+// Clients hold more idle connections than the limit of descriptors allows, and the discovery service does not respond. The program
+// still has descriptors for polls of discovery, for the control address, and for a new request and its attempt.
 func TestProgramDescriptorsRunShort(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "served") }))
 	defer server.Close()
-	var asked atomic.Int64
+	var polls atomic.Int64
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		polls.Add(1)
 		<-r.Context().Done()
 	}))
 	defer silent.Close()
@@ -134,11 +134,11 @@
 		}
 		defer c.Close()
 	}
-	before := asked.Load()
+	before := polls.Load()
 	if got := p.get("/read/1"); got != "200 served" {
-		t.Errorf("a true request: %q", got)
+		t.Errorf("request: %q", got)
 	}
-	eventually(t, "more questions to discovery", func() bool { return asked.Load() > before+10 })
+	eventually(t, "more polls of discovery", func() bool { return polls.Load() > before+10 })
 	if strings.Contains(p.log(), "too many open files") {
 		t.Errorf("descriptors ran out: %s", p.log())
 	}
--- a/cmd/umberbank-node/program_test.go
+++ b/cmd/umberbank-node/program_test.go
@@ -17,10 +17,11 @@
 	"umberbank/internal/durable"
 )
 
-const limit = 60 * time.Second
+// testTimeout limits each request and each wait for an effect.
+const testTimeout = 60 * time.Second
 
-// program returns the shell command that runs the program: the one in NODE_RUN, which .ci/run takes from the deploy file,
-// or a build that is made once.
+// program returns the shell command that runs the program. It is the value of NODE_RUN, which .ci/run takes from the deploy file,
+// or else runs a binary that the first call builds.
 var program = sync.OnceValues(func() (string, error) {
 	if run := os.Getenv("NODE_RUN"); run != "" {
 		return run, nil
@@ -37,7 +38,7 @@
 	return "exec " + bin, nil
 })
 
-// builtDir is the directory of the build; "": there is none.
+// builtDir is the directory of the binary, empty if none was built.
 var builtDir string
 
 func TestMain(m *testing.M) {
@@ -48,7 +49,7 @@
 	os.Exit(code)
 }
 
-// programCommand returns a command that runs the program with a configuration, after the shell commands of first.
+// programCommand returns a command that executes the shell commands in first and then runs the program with a configuration.
 func programCommand(t *testing.T, config string, first ...string) *exec.Cmd {
 	t.Helper()
 	run, err := program()
@@ -75,7 +76,7 @@
 	return path, text
 }
 
-// process is a running program and what it has logged.
+// process is a running program and the lines that it has logged.
 type process struct {
 	cmd    *exec.Cmd
 	listen string
@@ -84,7 +85,7 @@
 	lines []string
 }
 
-// startProgram starts the program, after shell commands if there are any, and waits until it listens.
+// startProgram executes the shell commands in first, starts the program and waits until it listens.
 func startProgram(t *testing.T, config string, first ...string) *process {
 	t.Helper()
 	p := &process{cmd: programCommand(t, config, first...)}
@@ -103,7 +104,7 @@
 			p.mu.Lock()
 			p.lines = append(p.lines, lines.Text())
 			p.mu.Unlock()
-			if _, listen, is := strings.Cut(lines.Text(), "listening on "); is {
+			if _, listen, found := strings.Cut(lines.Text(), "listening on "); found {
 				listens <- listen
 			}
 		}
@@ -116,7 +117,7 @@
 
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	_ = p.cmd.Wait() // killed
+	_ = p.cmd.Wait() // always an error, as the process was killed
 }
 
 func (p *process) log() string {
@@ -132,7 +133,7 @@
 	}
 	r.Header.Set("X-Correlation-Id", "c-1")
 	r.Header.Set("X-Time-Left", "30000m")
-	resp, err := (&http.Client{Timeout: limit}).Do(r)
+	resp, err := (&http.Client{Timeout: testTimeout}).Do(r)
 	if err != nil {
 		return err.Error()
 	}
@@ -144,17 +145,17 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
 
-// eventually waits until ok returns true.
+// eventually waits until ok returns true, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, limit)
+			t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
 }
 
-// savedSnapshots returns the snapshot files in a directory, the newest last.
+// savedSnapshots returns the snapshot files in a directory, from oldest to newest.
 func savedSnapshots(t *testing.T, dir string) []string {
 	t.Helper()
 	l, err := filepath.Glob(filepath.Join(dir, "*"+durable.SnapshotSuffix))
--- a/cmd/umberbank-node/start_test.go
+++ b/cmd/umberbank-node/start_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// Faults that keep the program from starting: the line on standard error, and the exit code.
+// If the program cannot start, it prints one line with the reason on standard error and exits with code 1.
 func TestProgramStartFaults(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	whole, _ := configFor(t, server, "127.0.0.1:1", "pushed")
+	valid, _ := configFor(t, server, "127.0.0.1:1", "pushed")
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"listen":7}`), 0o600); err != nil {
@@ -30,10 +30,10 @@
 		"no configuration":   {"", nil, "ROUTER_CONFIG is not set"},
 		"no such file":       {filepath.Join(dir, "none"), nil, "open " + filepath.Join(dir, "none") + ": no such file or directory"},
 		"a bad file":         {bad, nil, bad + ": json: cannot unmarshal number into Go struct field .listen of type string"},
-		"no descriptor":      {whole, []string{"ROUTER_ACCEPT_FD=x"}, `ROUTER_ACCEPT_FD: "x" is no inherited descriptor`},
-		"a standard stream":  {whole, []string{"ROUTER_ACCEPT_FD=2"}, `ROUTER_ACCEPT_FD: "2" is no inherited descriptor`},
-		"closed descriptor":  {whole, []string{"ROUTER_ACCEPT_FD=99"}, "inherited descriptor 99: bad file descriptor"},
-		"bad second address": {whole, []string{"ROUTER_CONTROL=nowhere"}, "control: listen tcp: address nowhere: missing port in address"},
+		"no descriptor":      {valid, []string{"ROUTER_ACCEPT_FD=x"}, `ROUTER_ACCEPT_FD: "x" is no inherited descriptor`},
+		"a standard stream":  {valid, []string{"ROUTER_ACCEPT_FD=2"}, `ROUTER_ACCEPT_FD: "2" is no inherited descriptor`},
+		"closed descriptor":  {valid, []string{"ROUTER_ACCEPT_FD=99"}, "inherited descriptor 99: bad file descriptor"},
+		"bad second address": {valid, []string{"ROUTER_CONTROL=nowhere"}, "control: listen tcp: address nowhere: missing port in address"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := programCommand(t, c.config)
@@ -52,7 +52,7 @@
 	}
 }
 
-// A configuration that is missing or malformed: one line on standard error and exit code 1.
+// With a missing or malformed configuration the program prints one line on standard error and exits with code 1.
 func TestProgramBadConfig(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(bad, []byte(`{"listen":7}`), 0o600); err != nil {
@@ -74,7 +74,8 @@
 	}
 }
 
-// An inherited descriptor that is not open, or no listening socket: one line on standard error and exit code 1.
+// With an inherited descriptor that is not open or not a listening socket the program prints one line on standard error and exits
+// with code 1.
 func TestProgramBadDescriptor(t *testing.T) {
 	config := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
--- a/cmd/umberbank-node/state_test.go
+++ b/cmd/umberbank-node/state_test.go
@@ -15,8 +15,8 @@
 	"umberbank/internal/durable"
 )
 
-// A process is killed and another starts on its snapshots, in whatever condition they are: it always serves, and logs which
-// one it has restored and which it has ignored.
+// A process is killed and another one starts with its snapshots, which may be damaged, missing or locked. The new process always
+// serves, and logs which snapshot it has restored and which it has ignored.
 func TestProgramKeepsState(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") }))
 	defer server.Close()
@@ -47,9 +47,9 @@
 		between func(t *testing.T, files []string)
 		want    []string // in the log
 	}{
-		{"whole", func(*testing.T, []string) {}, []string{"knows 1 servers"}},
-		{"newest flipped", func(t *testing.T, l []string) { corrupt(t, l[len(l)-1]) }, []string{"passed over", "the checksum does not fit", "knows 1 servers"}},
-		{"all flipped", func(t *testing.T, l []string) { corrupt(t, l...) }, []string{"passed over"}},
+		{"intact", func(*testing.T, []string) {}, []string{"knows 1 servers"}},
+		{"newest corrupt", func(t *testing.T, l []string) { corrupt(t, l[len(l)-1]) }, []string{"passed over", "the checksum does not fit", "knows 1 servers"}},
+		{"all corrupt", func(t *testing.T, l []string) { corrupt(t, l...) }, []string{"passed over"}},
 		{"newest empty", func(t *testing.T, l []string) {
 			if err := os.Truncate(l[len(l)-1], 0); err != nil {
 				t.Fatal(err)
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 		}, []string{"newer version", "knows 1 servers"}},
-		{"of tomorrow", func(t *testing.T, l []string) {
+		{"from the future", func(t *testing.T, l []string) {
 			s, err := durable.Open(durable.Options{Dir: state, Kind: "node", Schema: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 		}, []string{"the clock has gone back", "knows 1 servers"}},
-		{"the folder is a file", func(t *testing.T, l []string) {
+		{"directory is a file", func(t *testing.T, l []string) {
 			if err := errors.Join(os.RemoveAll(state), os.WriteFile(state, nil, 0o600)); err != nil {
 				t.Fatal(err)
 			}
@@ -91,12 +91,12 @@
 				t.Fatal(err)
 			}
 			first := startProgram(t, config)
-			for range 4 { // as many answers as it takes to know a server
+			for range 4 { // enough responses for the node to have data on the server
 				if got := first.get("/read/1"); got != "200 served" {
 					t.Fatalf("before: %q", got)
 				}
 			}
-			learned := func() bool { // the last two know the server, as one of them may be spoilt
+			learned := func() bool { // the last two contain the server, as the test may damage one of them
 				l := savedSnapshots(t, state)
 				if len(l) < 3 {
 					return false
@@ -109,7 +109,7 @@
 				}
 				return true
 			}
-			eventually(t, "two snapshots that know the server", learned)
+			eventually(t, "two snapshots that contain the server", learned)
 			first.kill()
 			c.between(t, savedSnapshots(t, state))
 			second := startProgram(t, config)
--- a/cmd/umberbank-sim/main.go
+++ b/cmd/umberbank-sim/main.go
@@ -1,6 +1,6 @@
-// Command umberbank-sim hosts Balancers for the simulator: it reads batches of events from standard input and
-// writes one reply for each to standard output. It exits with 0 at the end of the input, and with 1 at an
-// input that it cannot read.
+// Command umberbank-sim runs Balancers for the simulator. It reads batches of events from standard input and
+// writes one reply for each batch to standard output. It exits with code 0 at the end of the input, and with
+// code 1 if a message is invalid or a read or write fails.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written whole or not at all.
+// run handles batches until the end of the input. A reply is written only once its batch is complete.
 func run(input io.Reader, output io.Writer) error {
 	decoder := simwire.NewDecoder(input)
 	h := newHost(output)
@@ -40,12 +40,12 @@
 	}
 }
 
-// host holds the Balancers of the instances that run.
+// host holds the Balancers of the running instances.
 type host struct {
 	balancers map[int]*balancer.Balancer
-	now       time.Duration // clock time of the batch in hand
+	now       time.Duration // clock time of the current batch
 	encoder   *simwire.Encoder
-	reply     *bytes.Buffer // of the batch in hand
+	reply     *bytes.Buffer // to the current batch
 	output    io.Writer
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// handle carries out one message.
+// handle handles one message.
 func (h *host) handle(m simwire.Message) error {
 	switch m.Kind {
 	case simwire.BatchStart:
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// addInstance begins a new instance; an earlier one of its number is forgotten.
+// addInstance creates the Balancer of an instance. It replaces an earlier instance of the same number.
 func (h *host) addInstance(m simwire.Message) error {
 	b, err := balancer.New(m.Settings, m.Seed)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// handleEvent gives an event to its instance and adds the actions to the reply.
+// handleEvent passes an event to its instance and adds the resulting actions to the reply.
 func (h *host) handleEvent(m simwire.Message) error {
 	b := h.balancers[m.Instance]
 	if b == nil {
--- a/cmd/umberbank-sim/main_test.go
+++ b/cmd/umberbank-sim/main_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// A killed instance forgets everything: what comes after its new start for an old request is ignored, and with
-// an empty endpoint list a new request stays pending.
+// A killed instance loses its state. After a restart, events for a request of the earlier instance are ignored,
+// and with an empty endpoint list a new request stays pending.
 func TestRestartedInstanceForgetsRequests(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
