--- a/internal/coordination/rollout/acknowledge.go
+++ b/internal/coordination/rollout/acknowledge.go
@@ -65,7 +65,7 @@
 
 // Acknowledge records that an incarnation of a node can run the pending version. A non-empty rejectReason records instead that
 // it cannot, and halts the version. Acknowledge fails if the incarnation is not the node's current one, if no version with this
-// number and hash is pending, and if the node is not in sync.
+// number and hash is pending, or if the node is not in sync.
 func (s *State) Acknowledge(id string, incarnation, number int64, hash, rejectReason string) error {
 	n := s.Nodes[id]
 	switch {
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// acknowledgements is the number of nodes, and the number of those that are in sync and have acknowledged the pending version.
-type acknowledgements struct{ nodes, acknowledged int }
+// acknowledgementCount counts nodes, and those of them that are in sync and have acknowledged the pending version.
+type acknowledgementCount struct{ nodes, acknowledged int }
 
-func (a *acknowledgements) add(acknowledged bool) {
+func (a *acknowledgementCount) add(acknowledged bool) {
 	a.nodes++
 	if acknowledged {
 		a.acknowledged++
@@ -95,13 +95,14 @@
 }
 
 // isQuorum reports whether more than half of the nodes have acknowledged.
-func (a *acknowledgements) isQuorum() bool { return 2*a.acknowledged > a.nodes }
+func (a *acknowledgementCount) isQuorum() bool { return 2*a.acknowledged > a.nodes }
 
 // needed returns the smallest number of acknowledgements that is a quorum.
-func (a *acknowledgements) needed() int { return a.nodes/2 + 1 }
+func (a *acknowledgementCount) needed() int { return a.nodes/2 + 1 }
 
 // CheckQuorum returns nil if the pending version has a quorum in every zone that is not lost, and among all nodes. Otherwise the
-// error names the first zone without a quorum, or the number of acknowledgements that are missing among all nodes.
+// error names the first zone without a quorum. If every such zone has one, the error names the number of acknowledgements among
+// all nodes and the number that is needed.
 func (s *State) CheckQuorum() error {
 	if s.Pending == nil {
 		return errors.New("no version is under way")
@@ -124,11 +125,11 @@
 }
 
 // countAcknowledgements counts the acknowledgements of the pending version by zone and over all nodes.
-func (s *State) countAcknowledgements() (zones map[string]*acknowledgements, all acknowledgements) {
-	zones = map[string]*acknowledgements{}
+func (s *State) countAcknowledgements() (zones map[string]*acknowledgementCount, all acknowledgementCount) {
+	zones = map[string]*acknowledgementCount{}
 	for _, n := range s.Nodes {
 		if zones[n.Zone] == nil {
-			zones[n.Zone] = &acknowledgements{}
+			zones[n.Zone] = &acknowledgementCount{}
 		}
 		acknowledged := n.AcknowledgedVersion == s.Pending.Number && n.InSync()
 		zones[n.Zone].add(acknowledged)
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -6,13 +6,14 @@
 	"math"
 )
 
-// roundingSlack absorbs the floating-point error of a fraction times a number of nodes, so that 0.1 of 30 nodes is 3 and not 4.
-const roundingSlack = 1e-9
+// roundingTolerance allows for the floating-point error of a fraction times a number of nodes. Without it, 0.55 of 100 nodes
+// would be rounded up to 56, because 0.55*100 is 55.00000000000001.
+const roundingTolerance = 1e-9
 
 // Advance starts the next stage of the pending version, which becomes the target of more nodes. The last stage makes it the
-// target of all nodes and commits it. Advance fails if [State.CheckReady] does, and if the version is halted. stage is the
-// number of started stages that the caller has seen, so that a repeated call has no further effect. If only one node has the
-// version as its target and that node is out of sync, Advance makes it the target of one more node instead of starting a stage.
+// target of all nodes and commits it. Advance fails if [State.CheckReady] returns an error or if the version is halted. stage is
+// the number of started stages that the caller has seen, so that a repeated call has no further effect. If only one node has the
+// version as its target and that node is out of sync, Advance starts no stage. It makes the version the target of one more node.
 func (s *State) Advance(number int64, stage int) error {
 	if s.Pending == nil || s.Pending.Number != number {
 		if number <= s.Committed.Number {
@@ -56,7 +57,7 @@
 			targeted++
 		}
 	}
-	want := int(math.Ceil(s.Pending.Stages[s.StartedStages]*float64(len(ids))-roundingSlack)) - targeted
+	want := int(math.Ceil(s.Pending.Stages[s.StartedStages]*float64(len(ids))-roundingTolerance)) - targeted
 	s.setTargets(remaining, want)
 	s.StartedStages++
 }
@@ -76,8 +77,8 @@
 	}
 }
 
-// untargeted returns the given nodes whose target is not the pending version, in the given order. Nodes whose target is a
-// version that a rollback replaces come before those with the committed version.
+// untargeted returns the given nodes whose target is not the pending version. Nodes whose target is a version that the pending
+// rollback undoes come before nodes whose target is the committed version. Within both groups, the given order is kept.
 func (s *State) untargeted(ids []string) []string {
 	var replaced, committed []string
 	for _, id := range ids {
@@ -112,8 +113,8 @@
 }
 
 // checkTargetedNodes checks the nodes whose target is the pending version. It returns an error that names the first one that is
-// in sync and not known to run the version, or an error if fewer than half of them are in sync. A single node that is out of
-// sync is no error; see [State.Advance].
+// in sync and not known to run the version, or an error if fewer than half of them are in sync. It returns no error if there is
+// only one such node and that node is out of sync; see [State.Advance].
 func (s *State) checkTargetedNodes() error {
 	if s.StartedStages == 0 {
 		return nil
@@ -141,8 +142,8 @@
 }
 
 // onlyTargetedNodeOutOfSync reports whether a stage has started, only one node has the pending version as its target, and that
-// node is out of sync. One more node then gets the version, so that it has run on a node before the next stage starts. If that
-// node goes out of sync too, the rollout waits.
+// node is out of sync. One more node then gets the version, so that the version has run on a node before the next stage starts.
+// If that node goes out of sync too, no stage starts until one of the two is in sync again or is decommissioned.
 func (s *State) onlyTargetedNodeOutOfSync() bool {
 	var targeted []*Node
 	for _, n := range s.Nodes {
--- a/internal/coordination/rollout/bake.go
+++ b/internal/coordination/rollout/bake.go
@@ -12,7 +12,7 @@
 }
 
 // StageDue reports whether the next stage of the pending version should start now. The first stage is due as soon as it is
-// ready, each later one when it has been ready for the version's bake time. now is the time on a monotonic clock of the
+// ready, and each later one when it has been ready for the version's bake time. now is the time on a monotonic clock of the
 // controller. s is nil on a site without nodes; then no stage is due.
 func (t *BakeTimer) StageDue(s *State, now time.Duration) bool {
 	if s == nil || s.Pending == nil || s.HaltReason != "" || s.CheckReady() != nil {
--- a/internal/coordination/rollout/model_test.go
+++ b/internal/coordination/rollout/model_test.go
@@ -12,7 +12,7 @@
 	id, zone     string
 	incarnation  int64
 	running      int64  // version number
-	content      string // hash of the version that runs
+	hash         string // of the version that runs
 	unreachable  bool   // as last written by the registry's leader
 	inSync       bool   // reachable, and has reported its target version since it last restarted or became reachable
 	acknowledged int64  // version that this incarnation acknowledged while it was in sync
@@ -27,12 +27,12 @@
 	nodes     map[string]*process
 	ids       []string
 	lost      map[string]bool
-	contents  map[int64]string // hash by number, as proposed
+	hashes    map[int64]string // by version number, as proposed
 	withdrawn map[int64]bool
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, state: New(), nodes: map[string]*process{}, lost: map[string]bool{}, contents: map[int64]string{0: ""}, withdrawn: map[int64]bool{}}
+	m := &model{t: t, state: New(), nodes: map[string]*process{}, lost: map[string]bool{}, hashes: map[int64]string{0: ""}, withdrawn: map[int64]bool{}}
 	zones := rapid.IntRange(1, 3).Draw(t, "zones")
 	for i := range rapid.IntRange(zones, 7).Draw(t, "nodes") {
 		p := &process{id: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%zones), incarnation: 1}
@@ -61,14 +61,14 @@
 		if m.withdrawn[n.TargetVersion] {
 			m.t.Fatalf("target version %d was withdrawn", n.TargetVersion)
 		}
-		p.running, p.content = n.TargetVersion, m.contents[n.TargetVersion]
+		p.running, p.hash = n.TargetVersion, m.hashes[n.TargetVersion]
 	}
 	m.report(p)
 }
 
 // report makes a process report the version that it runs.
 func (m *model) report(p *process) {
-	if err := m.state.Report(p.id, p.incarnation, p.running, p.content); err != nil || m.state.Nodes[p.id].Violation != "" {
+	if err := m.state.Report(p.id, p.incarnation, p.running, p.hash); err != nil || m.state.Nodes[p.id].Violation != "" {
 		m.t.Fatalf("report rejected: %v, violation %q", err, m.state.Nodes[p.id].Violation)
 	}
 	if !p.unreachable && p.running == m.state.Nodes[p.id].TargetVersion {
@@ -78,36 +78,36 @@
 
 // isQuorum reports whether a version has a quorum by the model's own count of acknowledgements.
 func (m *model) isQuorum(number int64) bool {
-	acknowledged, all := map[string]int{}, map[string]int{}
+	acknowledged, all := map[string]int{}, map[string]int{} // by zone; the empty name stands for all nodes
 	for _, p := range m.nodes {
-		for _, of := range []string{p.zone, ""} {
-			all[of]++
+		for _, scope := range []string{p.zone, ""} {
+			all[scope]++
 			if p.acknowledged == number && p.inSync {
-				acknowledged[of]++
+				acknowledged[scope]++
 			}
 		}
 	}
-	for of := range all {
-		if 2*acknowledged[of] <= all[of] && !m.lost[of] {
+	for scope := range all {
+		if 2*acknowledged[scope] <= all[scope] && !m.lost[scope] {
 			return false
 		}
 	}
 	return true
 }
 
-// canBeQuorum reports whether the reachable nodes suffice for a quorum.
-func (m *model) canBeQuorum() bool {
-	reachable, all := map[string]int{}, map[string]int{}
+// quorumPossible reports whether the reachable nodes are a quorum of all nodes and of every zone that has a reachable node.
+func (m *model) quorumPossible() bool {
+	reachable, all := map[string]int{}, map[string]int{} // by zone; the empty name stands for all nodes
 	for _, p := range m.nodes {
-		for _, of := range []string{p.zone, ""} {
-			all[of]++
+		for _, scope := range []string{p.zone, ""} {
+			all[scope]++
 			if !p.unreachable {
-				reachable[of]++
+				reachable[scope]++
 			}
 		}
 	}
-	for of := range all {
-		if 2*reachable[of] <= all[of] && (of == "" || reachable[of] > 0) {
+	for scope := range all {
+		if 2*reachable[scope] <= all[scope] && (scope == "" || reachable[scope] > 0) {
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 	switch rapid.IntRange(0, 18).Draw(t, "event") {
 	case 0:
 		if v, err := s.Propose(fmt.Sprint("c", s.HighestNumber+1), s.Committed.Number, []float64{0.4, 1}); err == nil {
-			m.contents[v.Number] = v.Hash
+			m.hashes[v.Number] = v.Hash
 			for _, o := range m.nodes {
 				if o.inSync && o.running != s.Committed.Number {
 					t.Fatalf("version %d was proposed while %s is in sync and runs version %d", v.Number, o.id, o.running)
@@ -139,7 +139,7 @@
 			}
 		}
 	case 4, 5:
-		_ = m.advance() // it may have no quorum
+		_ = m.advance() // fails if the next stage cannot start yet
 	case 6, 7, 8:
 		m.applyTarget(p)
 	case 9: // a restart, after which the node runs the same version
@@ -158,7 +158,7 @@
 		}
 	case 12:
 		if v, err := s.Rollback(); err == nil {
-			m.contents[v.Number] = v.Hash
+			m.hashes[v.Number] = v.Hash
 		}
 	case 14:
 		m.report(p) // without having applied its target
@@ -166,7 +166,7 @@
 		m.syncReachable()
 	case 18:
 		m.syncReachable()
-		_ = m.advance() // it may have no quorum
+		_ = m.advance() // fails if the next stage cannot start yet
 	}
 }
 
@@ -206,7 +206,7 @@
 	for id, n := range m.state.Nodes {
 		p := m.nodes[id]
 		if p.inSync {
-			contents[p.content] = true
+			contents[p.hash] = true
 		}
 		if n.InSync() != p.inSync || n.InSync() != (n.OutOfSyncSince == nil) {
 			m.t.Fatalf("node %s: in sync %v by the model, but the State has %+v", id, p.inSync, n)
@@ -252,7 +252,7 @@
 		if _, err := s.Propose("c1", 0, []float64{1}); err != nil {
 			t.Fatal(err)
 		}
-		m.contents[1] = "c1"
+		m.hashes[1] = "c1"
 		m.syncReachable()
 		if err := m.advance(); err != nil {
 			t.Fatal(err)
@@ -261,7 +261,7 @@
 			m.step()
 		}
 		for _, id := range m.ids { // make nodes reachable until a quorum is possible
-			if p := m.nodes[id]; p.unreachable && !m.canBeQuorum() {
+			if p := m.nodes[id]; p.unreachable && !m.quorumPossible() {
 				p.unreachable = false
 				m.set(p)
 			}
@@ -281,7 +281,7 @@
 		if s.Pending != nil { // withdraw, roll back or complete it
 			if s.Withdraw(s.Pending.Number) != nil {
 				if v, err := s.Rollback(); err == nil {
-					m.contents[v.Number] = v.Hash
+					m.hashes[v.Number] = v.Hash
 				}
 			}
 			if err := complete(); err != nil {
@@ -293,7 +293,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.contents[v.Number] = v.Hash
+			m.hashes[v.Number] = v.Hash
 			if err := complete(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/coordination/rollout/propose.go
+++ b/internal/coordination/rollout/propose.go
@@ -7,7 +7,7 @@
 
 // Propose makes a version with the given content hash and stages pending, and returns it. The caller may set its BakeMS.
 // replaces must be the number of the committed version. Propose fails while another version is pending, while a node in sync
-// is not known to run the committed version, if no node is in sync, and if stages do not increase to 1.
+// is not known to run the committed version, if no node is in sync, or if stages do not increase to 1.
 func (s *State) Propose(hash string, replaces int64, stages []float64) (*Version, error) {
 	if s.Pending != nil {
 		return nil, fmt.Errorf("version %d is under way", s.Pending.Number)
@@ -28,8 +28,9 @@
 }
 
 // Rollback proposes the committed content as a new version, which replaces the pending one. Its single stage makes it the
-// target of all nodes. Rollback fails unless a stage of the pending version has started or the pending version is a rollback
-// and some node still has a version that it replaces as its target. It also fails if version 0 is committed.
+// target of all nodes. Rollback fails if no version is pending. It also fails if no stage of the pending version has started,
+// except if the pending version is a rollback and the target of some node is still newer than the committed version. It always
+// fails while version 0 is committed, because the registry does not have the content of version 0.
 func (s *State) Rollback() (*Version, error) {
 	if s.Pending == nil || s.StartedStages == 0 && !s.partiallyApplied() {
 		return nil, errors.New("no version was told to nodes and not to all")
@@ -40,8 +41,8 @@
 	return s.setPending(s.Hashes[s.Committed.Number], s.Pending.Number, []float64{1}), nil
 }
 
-// Withdraw drops the pending version with this number, which is not assigned again. It fails if a stage of the version has
-// started, or if the version is a rollback and some node still has a version that it replaces as its target.
+// Withdraw drops the pending version with this number. The number is not assigned again. Withdraw fails if a stage of the version
+// has started. It also fails if the version is a rollback and the target of some node is still newer than the committed version.
 func (s *State) Withdraw(number int64) error {
 	switch {
 	case s.Pending == nil || s.Pending.Number != number:
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// If the only node with the pending version as its target is out of sync, one more node gets the version. If that one is out of
-// sync too, or more than half of several are, the rollout waits until they are in sync again or decommissioned, or until it is
-// rolled back.
+// If the only node with the pending version as its target is out of sync, one more node gets the version. If several nodes have
+// the version as their target and more than half of them are out of sync, the rollout waits until enough of them are in sync
+// again. A rollback ends the wait.
 func TestTargetedNodesOutOfSync(t *testing.T) {
 	const all = "a0 a1 a2 a3 a4 b0 b1 b2 b3 b4"
 	returnInSync := func(t *testing.T, s *State, id string) {
@@ -197,8 +197,8 @@
 	}
 }
 
-// After a State from a build without the fields on synchronization is migrated, a node that had reported is in sync, one that
-// had not is syncing, and a zone without a reachable node is lost.
+// A State is migrated from a build without the fields that MigrateLegacy sets. Afterwards a reachable node that had reported is
+// in sync, a reachable node that had not is syncing, and a zone without a reachable node is lost.
 func TestMigrateLegacy(t *testing.T) {
 	var s State
 	if err := json.Unmarshal([]byte(`{"committed":{"number":3,"hash":"c3","replaces":2,"stages":[1]},"hashes":{"3":"c3"},"highest":3,"nodes":{
@@ -304,7 +304,7 @@
 	checkError(t, err, "version 0 is what each node was started with")
 }
 
-// A halted rollback cannot be withdrawn, because some nodes have the version that it replaces as their target. Another rollback
+// A halted rollback cannot be withdrawn, because the version that it undoes is still the target of some nodes. Another rollback
 // can replace it.
 func TestHaltedRollback(t *testing.T) {
 	s := New()
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -32,10 +32,12 @@
 	Zone        string `json:"zone"`
 	Incarnation int64  `json:"start"`             // fencing token of its current process
 	Unreachable bool   `json:"missing,omitempty"` // its lease has ended
-	// OutOfSyncSince is when the node went out of sync, or when it first registered. It is nil while the node is in sync.
+	// OutOfSyncSince is when the node went out of sync, or when it first registered. It is nil while the node is in sync, and may
+	// be nil for a syncing node after MigrateLegacy.
 	OutOfSyncSince *Timestamp `json:"since,omitempty"`
-	// HighestPossibleVersion is the target version that the node had at OutOfSyncSince. While the node is not in sync, it may
-	// run RunningVersion, HighestPossibleVersion, or a version between them that was its target.
+	// HighestPossibleVersion is the target version that the node had at OutOfSyncSince. It is zero while the node is in sync.
+	// A node that has received no later target runs RunningVersion, HighestPossibleVersion, or a version between them that
+	// was its target.
 	HighestPossibleVersion int64 `json:"may_run,omitempty"`
 	// Syncing is set when the node is new, has restarted or is reachable again. It is cleared when this incarnation reports
 	// that it runs its target version.
@@ -64,7 +66,7 @@
 	HighestNumber int64            `json:"highest"`           // highest version number assigned so far
 	Nodes         map[string]*Node `json:"nodes"`             // by ID
 	// LostZones are the zones in which all nodes became unreachable and none has been in sync since, with the time at which
-	// the last of them became unreachable.
+	// the last of them became unreachable. The time is zero if the zone was lost by a decommission or by MigrateLegacy.
 	LostZones map[string]Timestamp `json:"lost,omitempty"`
 }
 
@@ -89,8 +91,9 @@
 	return &c
 }
 
-// MigrateLegacy sets the fields on synchronization in a State that was stored by a build without them. A reachable node that has
-// not reported becomes syncing, and a zone without a reachable node becomes lost. A second call has no effect.
+// MigrateLegacy sets Syncing, OutOfSyncSince, HighestPossibleVersion and LostZones in a State that was stored by a build without
+// these fields. A reachable node that has not reported becomes syncing; its OutOfSyncSince stays nil. An unreachable node gets an
+// OutOfSyncSince of zero. A zone without a reachable node becomes lost. A second call has no effect.
 func (s *State) MigrateLegacy() {
 	for _, n := range s.Nodes {
 		n.Syncing = n.Syncing || !n.Reported && !n.Unreachable
