--- a/internal/coordination/faulttest/faults.go
+++ b/internal/coordination/faulttest/faults.go
@@ -15,9 +15,9 @@
 // Kinds of faults.
 const (
 	faultKill        = "kill"    // kills an agent, node or controller
-	faultStop        = "stop"    // stops one with SIGSTOP
-	faultCut         = "cut"     // stalls its links in both directions
-	faultOneWay      = "one-way" // stalls its links towards the registry
+	faultStop        = "stop"    // stops an agent, node or controller with SIGSTOP
+	faultCut         = "cut"     // stalls the links of an agent, node or controller in both directions
+	faultOneWay      = "one-way" // stalls the links of an agent, node or controller towards the registry only
 	faultReplicaKill = "replica-kill"
 	faultReplicaStop = "replica-stop"
 	faultSlowDisk    = "slow-disk" // delays the syncs of a replica's log
@@ -31,8 +31,9 @@
 	return kind == faultReplicaKill || kind == faultReplicaStop || kind == faultSlowDisk
 }
 
-// injectFault injects a random fault into a process, a replica or the registry, and schedules its end. The order of the
-// random draws is fixed, so that a seed always gives the same faults.
+// injectFault injects a random fault into a process, a replica or the registry, and schedules its end. The random draws
+// have a fixed order, so that runs with the same seed inject similar faults. The faults are not always equal: their number, and
+// the draw with which killPermanently selects a node, depend on time.
 func (s *site) injectFault() error {
 	duration := time.Duration(200+s.random.IntN(1500)) * time.Millisecond
 	p := s.controllers[s.random.IntN(len(s.controllers))]
@@ -40,7 +41,7 @@
 	if isUnit {
 		p = s.units[s.random.IntN(len(s.units))]
 		if s.random.IntN(3) == 0 {
-			duration += 3 * time.Second // long enough for the lease to end and others to react
+			duration += 3 * time.Second // long enough for the lease to end and for controllers to act on it
 		}
 	}
 	replica := s.random.IntN(s.cluster.Len())
@@ -65,7 +66,7 @@
 	s.opt.Log("%s for %v", description, duration)
 }
 
-// runAfter calls undo after d. The run waits for it through background.
+// runAfter calls undo after d on a goroutine of s.background, so that the run waits for the call.
 func (s *site) runAfter(d time.Duration, undo func()) {
 	s.background.Go(func() {
 		time.Sleep(d)
--- a/internal/coordination/faulttest/faulttest.go
+++ b/internal/coordination/faulttest/faulttest.go
@@ -33,7 +33,7 @@
 	DeadUnits   []string // units that Run kills before the release and does not start again until the faults are over
 }
 
-// Result describes a run: counts of what was checked, the injected faults, and the violations.
+// Result holds the outcome and the counts of a run, the injected faults, and the violations.
 type Result struct {
 	Seed               uint64   `json:"seed"`
 	Permits            int      `json:"permits"`     // used by agents or operators
@@ -88,7 +88,8 @@
 	tierLimit = 0.25
 )
 
-// zoneLimits holds the limits per zone in limitsFile by tier, as fractions of the zone's units.
+// zoneLimits holds the zone limits of limitsFile by tier, as fractions of the zone's units. limitsFile has no zone limit for the
+// tier front; 1 allows all of its units to be unavailable.
 var zoneLimits = map[string]float64{"web": 0.34, "front": 1}
 
 // unit is one of the units that Run starts.
@@ -107,7 +108,7 @@
 	return units
 }
 
-// Timeouts.
+// Durations and timeouts of a run.
 const (
 	defaultDuration  = 6 * time.Second
 	startTimeout     = 30 * time.Second
--- a/internal/coordination/faulttest/nodelog.go
+++ b/internal/coordination/faulttest/nodelog.go
@@ -14,7 +14,8 @@
 // incarnation, 3 the longest time between renewals in ms, 4 the version, 5 its hash, 6 "serves", 7 the monotonic time in ns.
 var nodeLogLine = regexp.MustCompile(`agreed: (?:(runs|could run|in touch|out of touch)(?: by start (\d+)(?:, renewed within (\d+) ms,)? with)? version (\d+) (\S+)|(serves)) at (\d+)`)
 
-// readNodeLogs adds the events in the logs of nodes.
+// readNodeLogs adds the events in the logs of nodes. The reading of a log ends without an error at a line that is too long for a
+// bufio.Scanner.
 func (r *record) readNodeLogs(nodes []*siteProcess) error {
 	for _, p := range nodes {
 		if err := r.readNodeLog(p); err != nil {
--- a/internal/coordination/faulttest/record.go
+++ b/internal/coordination/faulttest/record.go
@@ -64,8 +64,9 @@
 	slices.SortStableFunc(r.events, func(a, b eventlog.Event) int { return cmp.Compare(a.At, b.At) })
 }
 
-// readLogs adds the events of the logs whose paths match pattern. It skips a line that is incomplete because the process was
-// killed.
+// readLogs adds the events of the logs whose paths match pattern. It skips lines that are not valid JSON, because a process that
+// is killed may leave an incomplete line. The reading of a log ends without an error at a line that is too long for a
+// bufio.Scanner.
 func (r *record) readLogs(pattern string) error {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// violations collects the violations that a check has found.
+// violations adds the violations that a check finds to a Result.
 type violations struct{ result *Result }
 
 // maxViolations is the maximum number of descriptions in a result. All violations are counted.
--- a/internal/coordination/faulttest/releasecheck.go
+++ b/internal/coordination/faulttest/releasecheck.go
@@ -27,7 +27,7 @@
 	takenOut  bool          // a permit has taken it out of service, and it has not started since
 	drained   bool          // an operator has drained it
 	killedAt  time.Duration // zero if it was not killed since its last start
-	startedAt time.Duration // of its last start, zero if that did not follow from a permit
+	startedAt time.Duration // time of its last start; zero if no permit had taken it out of service before
 }
 
 // unavailableFraction returns the fraction of the unit's capacity that every decision at the given time must count as
@@ -53,7 +53,7 @@
 	haltedAt             map[string]time.Duration // by plan
 	registryHealthySince time.Duration            // when the last fault that affected the registry ended
 	registryFaults       int                      // number of faults that affect the registry now
-	leader               eventlog.Event           // the first write with the highest token so far
+	leaderWrite          eventlog.Event           // the first write with the highest token so far
 }
 
 // checkReleases checks the actions of agents, operators and controllers, and adds the violations to result.
@@ -87,14 +87,14 @@
 		delete(c.haltedAt, e.Plan)
 	case eventlog.WriteApplied:
 		c.result.AppliedWrites++
-		checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
+		checkLeader(&c.leaderWrite, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
 	}
 }
 
 func (c *releaseCheck) handleUnitEvent(e eventlog.Event, u *checkedUnit) {
 	switch e.Kind {
 	case eventlog.UnitStarted:
-		u.startedAt = 0 // decisions need not take a start without a permit into account yet
+		u.startedAt = 0 // the check does not count the warm-up after a start without a permit
 		if u.takenOut {
 			u.startedAt = e.At // the permit counts until the unit has warmed up
 		}
@@ -117,17 +117,17 @@
 	}
 }
 
-// checkLeader checks a write of a controller against leader, the first write with the highest token so far, and updates
-// leader. Once a write with a higher token was applied, a write with a lower token that is sent later must not be applied.
-func checkLeader(leader *eventlog.Event, e eventlog.Event, violation func(string)) {
+// checkLeader checks a write of a controller against leaderWrite, the first write with the highest token so far, and updates
+// leaderWrite. Once a write with a higher token was applied, a write with a lower token that is sent later must not be applied.
+func checkLeader(leaderWrite *eventlog.Event, e eventlog.Event, violation func(string)) {
 	if e.Token == 0 {
 		violation(e.Process + " made a write without the leader lease")
-	} else if e.Token < leader.Token && e.SentAt > leader.At {
+	} else if e.Token < leaderWrite.Token && e.SentAt > leaderWrite.At {
 		violation(fmt.Sprintf("%s made a write with lease token %d after %s had made one with token %d",
-			e.Process, e.Token, leader.Process, leader.Token))
+			e.Process, e.Token, leaderWrite.Process, leaderWrite.Token))
 	}
-	if e.Token > leader.Token {
-		*leader = e
+	if e.Token > leaderWrite.Token {
+		*leaderWrite = e
 	}
 }
 
--- a/internal/coordination/faulttest/releases.go
+++ b/internal/coordination/faulttest/releases.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// releaseOperator is an operator who runs random commands. settleRelease makes up for commands that failed.
+// releaseOperator is an operator who runs random commands. Commands may fail because of the faults. settleRelease once more runs
+// the rollback, or else the resume, and the undrain of every server.
 type releaseOperator struct {
 	site               *site
 	halted, rolledBack bool
@@ -138,7 +139,7 @@
 			}
 			time.Sleep(drainedFor)
 			s.record.addNow(serverUndrained, id)
-			s.tryFleetCommand(ctx, "undrain", id) // settleRelease makes up for a failure
+			s.tryFleetCommand(ctx, "undrain", id) // settleRelease runs it once more
 		})
 	}
 }
--- a/internal/coordination/faulttest/settings.go
+++ b/internal/coordination/faulttest/settings.go
@@ -19,11 +19,11 @@
 type SettingsResult struct {
 	Result
 	Versions         int     `json:"versions"`             // versions that at least one node ran
-	Uncommitted      int     `json:"versions_uncommitted"` // times that a version ran without a requested stage or a quorum
+	Uncommitted      int     `json:"versions_uncommitted"` // times that a version ran with no requested stage or no quorum
 	MaxContents      int     `json:"versions_at_once_max"` // most contents that nodes in sync ran at the same time
 	VersionDecreases int     `json:"went_back"`            // times that a node ran a lower version than before
 	ServedEarly      int     `json:"served_early"`         // times that a node served too early, or was in sync with an old version
-	OldIncarnations  int     `json:"old_starts"`           // times that a process was in sync by an earlier incarnation
+	OldIncarnations  int     `json:"old_starts"`           // times that a node was in sync with an earlier process's incarnation
 	WronglyOutOfSync int     `json:"called_dead"`          // times that a node was out of sync while no fault affected it
 	OutOfSync        int     `json:"out_of_touch"`         // times that a node logged that it was out of sync
 	ZoneFaults       int     `json:"zones_lost"`           // faults that affected a whole zone
@@ -233,7 +233,7 @@
 }
 
 // runRandomConfigCommand runs a random command as an operator does, and reports whether it has proposed the settings with the
-// attempts next. settleSettings makes up for commands that failed.
+// attempts next. Commands may fail because of the faults. settleSettings does not depend on their success.
 func (s *site) runRandomConfigCommand(ctx context.Context, next int) (proposed bool) {
 	switch n := s.random.IntN(10); {
 	case n < 4:
@@ -268,8 +268,8 @@
 	if err := s.cluster.AwaitReady(ctx); err != nil {
 		return err
 	}
-	last := s.proposeLast(ctx)
-	return s.await(ctx, "all nodes to run the last version, last error: "+last, func(v *state.CoordinationView) bool {
+	lastError := s.proposeLast(ctx)
+	return s.await(ctx, "all nodes to run the last version; last error, if any: "+lastError, func(v *state.CoordinationView) bool {
 		r := v.Rollout
 		return r != nil && len(r.Nodes)-len(r.OutOfSync()) == nodes && r.Converged() && r.Committed.Hash == lastHash
 	})
--- a/internal/coordination/faulttest/settingscheck.go
+++ b/internal/coordination/faulttest/settingscheck.go
@@ -14,8 +14,9 @@
 	// outOfSyncReportTimeout is the time within which a node that was unreachable logs that it is out of sync, once it is
 	// reachable again.
 	outOfSyncReportTimeout = 5 * time.Second
-	// safeRenewalGap is the longest time between two renewals for which a lease cannot end: its TTL less 150 ms, which cover
-	// the interval of the leader's checks and a margin. On a busy machine a node or the leader may stall for longer.
+	// safeRenewalGap is a time between two renewals within which a lease does not end: the TTL of the lease less 150 ms, for the
+	// interval of the leader's checks and a margin. A longer gap, which a busy machine may cause, explains that a node was out
+	// of sync without a fault.
 	safeRenewalGap = leaseTTL - 150*time.Millisecond
 )
 
@@ -50,7 +51,7 @@
 	committed            int                        // the highest version that a controller has logged as committed
 	lastCommitAt         time.Duration              // of the last commit, or of the first proposal before any commit
 	faultsOngoing        bool                       // the first fault has begun, and the run has not ended all faults
-	leader               eventlog.Event             // the first write with the highest token so far
+	leaderWrite          eventlog.Event             // the first write with the highest token so far
 	registryHealthySince time.Duration              // when the last fault that affected the registry ended
 	registryFaults       int                        // number of faults that affect the registry now
 }
@@ -111,7 +112,7 @@
 	}
 }
 
-// handleFault records the begin or end of a fault, or a kill. n is nil if the process is not a node.
+// handleFault records the start or the end of a fault, or a kill. n is nil if the process is not a node.
 func (c *settingsCheck) handleFault(e eventlog.Event, n *checkedNode) {
 	c.faultsOngoing = c.faultsOngoing || e.Kind == faultBegan
 	if n == nil {
@@ -171,7 +172,9 @@
 	c.checkContents(i)
 }
 
-// handleOutOfSync checks that a node that logs that it was out of sync was affected by a fault that explains it.
+// handleOutOfSync handles a node's log line that it was out of sync. This is a violation if nothing explains it: no fault has
+// affected the node or the registry within failureDetectionTime, the node's process started earlier than that, and no gap between
+// renewals reached safeRenewalGap.
 func (c *settingsCheck) handleOutOfSync(e eventlog.Event, n *checkedNode) {
 	c.result.OutOfSync++
 	nodeOK := n.faults == 0 && e.At-max(n.healthySince, n.startedAt) > failureDetectionTime
@@ -195,7 +198,7 @@
 // handleWriteApplied checks a write of a controller, and records the version that the write has committed, if any.
 func (c *settingsCheck) handleWriteApplied(e eventlog.Event) {
 	c.result.AppliedWrites++
-	checkLeader(&c.leader, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
+	checkLeader(&c.leaderWrite, e, func(violation string) { c.add(&c.result.WritesWithoutLease, "%s", violation) })
 	version, _ := strconv.Atoi(e.Version) // controllers write only digits
 	if e.Reason != "in force" || version <= c.committed {
 		return
--- a/internal/coordination/faulttest/settingsfaults.go
+++ b/internal/coordination/faulttest/settingsfaults.go
@@ -10,12 +10,12 @@
 	"umberbank/internal/registry/state"
 )
 
-// minNodesToKill is the smallest number of nodes at which killPermanently kills one: each of the three zones then keeps its
-// quorum with one node less.
+// minNodesToKill is the smallest number of nodes at which killPermanently kills one. Each of the three zones then has at least
+// three nodes, and keeps its quorum with one node fewer.
 const minNodesToKill = 9
 
-// killPermanently kills one node that no fault has killed, unless it has done so before. The node is neither started again nor
-// decommissioned.
+// killPermanently kills one node that no fault has killed. The node is neither started again nor decommissioned. Once it has
+// killed a node, killPermanently has no further effect.
 func (s *site) killPermanently() {
 	candidates := slices.DeleteFunc(slices.Clone(s.units), func(p *siteProcess) bool { return p.killed })
 	if s.killedNode != "" || len(s.units) < minNodesToKill || len(candidates) == 0 {
@@ -23,8 +23,8 @@
 	}
 	p := candidates[s.random.IntN(len(candidates))]
 	p.killed, s.killedNode = true, p.name
-	s.result.Faults = append(s.result.Faults, "kill "+p.name+" for good")
-	s.opt.Log("kill %s for good", p.name)
+	s.result.Faults = append(s.result.Faults, "kill "+p.name+" permanently")
+	s.opt.Log("kill %s permanently", p.name)
 	s.record.addNow(faultBegan, p.name)
 	s.killAndRecord(p)
 }
@@ -63,7 +63,7 @@
 	killed []*siteProcess
 }
 
-// injectZoneFault injects a fault into a random zone that lasts long enough for the zone to be lost.
+// injectZoneFault injects a fault into a random zone. The fault lasts long enough for the zone to be lost.
 func (s *site) injectZoneFault() error {
 	duration := time.Duration(2500+s.random.IntN(2500)) * time.Millisecond
 	zone := s.random.IntN(3)
@@ -124,7 +124,7 @@
 	return f
 }
 
-// addNode adds a node of the zone to the fault. isDead says that the node was killed by killPermanently.
+// addNode adds a node of the zone to the fault. isDead reports whether the node was killed by killPermanently.
 func (f *zoneFault) addNode(p *siteProcess, zone int, isDead bool) {
 	switch {
 	case isDead:
--- a/internal/coordination/faulttest/site.go
+++ b/internal/coordination/faulttest/site.go
@@ -185,7 +185,7 @@
 }
 
 // tryFleetCommand runs a fleet command and ignores its error, since faults may make it fail. settleRelease and settleSettings
-// make up for commands that failed.
+// later run the commands on which the end of the run depends.
 func (s *site) tryFleetCommand(ctx context.Context, args ...string) {
 	_, _ = s.runFleetCommand(ctx, args...)
 }
