--- a/internal/coordination/disruption/doc.go
+++ b/internal/coordination/disruption/doc.go
@@ -4,8 +4,8 @@
 // the limits of each tier, and the permits. A client must hold a permit for a unit before it takes the unit out of service.
 //
 // The package does no I/O and reads no clock. The same calls in the same order lead to the same decisions on every replica
-// of the registry. A Budget must not be used by several goroutines at once; the registry guards it with the lock of the
-// state that contains it.
+// of the registry. A Budget must not be used by several goroutines at once. The state of the registry contains the Budget,
+// and its lock guards both.
 //
 // # Invariants
 //
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -38,8 +38,9 @@
 	defaultRecoveryTimeout = time.Minute
 )
 
-// roundingSlack absorbs the floating-point error of a fraction times a number of units, so that 0.1 of 30 units is 3 and not 4.
-const roundingSlack = 1e-9
+// roundingTolerance allows for the floating-point error of a fraction times a number of units. Without it, 0.55 of 100 units
+// would be rounded up to 56, because 0.55*100 is 55.00000000000001.
+const roundingTolerance = 1e-9
 
 // ParsePlan parses a plan file and selects the units of each stage. units are the units of the site, in ascending order of
 // their UIDs. An error is one line with the name of the file, the key and the reason.
@@ -201,7 +202,7 @@
 			free = append(free, u)
 		}
 	}
-	want := int(math.Ceil(stage.Fraction*float64(len(free)+alreadyPicked)-roundingSlack)) - alreadyPicked
+	want := int(math.Ceil(stage.Fraction*float64(len(free)+alreadyPicked)-roundingTolerance)) - alreadyPicked
 	if want <= 0 {
 		return nil, nil
 	}
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -126,7 +126,7 @@
 				s.warmUp(uid)
 			case 6:
 				if pt := s.Budget().Permit(uid); pt != nil {
-					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // expires if it has not begun
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // no effect if it has begun
 				}
 			case 7:
 				if !rolledBack && rapid.IntRange(0, 9).Draw(t, "roll back") == 0 {
--- a/internal/coordination/release/scheduler.go
+++ b/internal/coordination/release/scheduler.go
@@ -27,8 +27,9 @@
 }
 
 const (
-	// maxPermitsPerIncarnation bounds the permits that one incarnation of a unit is granted without running the new version. The
-	// release halts beyond it: the unit returns with the old version each time, or its agent does not begin the permits.
+	// maxPermitsPerIncarnation is the number of permits above which a release halts, if one incarnation of a unit was granted
+	// them and still runs another version. Either the unit returns to service with the old version each time, or its agent does
+	// not begin the permits.
 	maxPermitsPerIncarnation = 20
 	// maxConcurrentPermits bounds the permits that a release holds at the same time if its plan sets no bound.
 	maxConcurrentPermits = 256
