--- a/internal/registry/replica/api_read.go
+++ b/internal/registry/replica/api_read.go
@@ -17,9 +17,10 @@
 )
 
 const (
-	// minRevisionTimeout is how long a request with at_least waits for the revision.
+	// minRevisionTimeout is the longest time that a request with the parameter at_least waits for that revision.
 	minRevisionTimeout = 5 * time.Second
-	// maxPollWait and defaultPollWaitMS are the maximum and default times that a request with after waits for a change.
+	// maxPollWait is the longest time that a request with the parameter after waits for a later revision. defaultPollWaitMS
+	// is the default of its parameter wait_ms.
 	maxPollWait       = 10 * time.Second
 	defaultPollWaitMS = "1000"
 	// maxCoordinationStaleness is the maximum staleness at which a replica returns a coordination view.
@@ -87,8 +88,8 @@
 }
 
 // handleInstances returns the full list, or with follow=1 a watch that starts at since=REV. at_least=REV waits until the
-// replica has that revision. consistent=1 returns what was committed when the request arrived; without it the list may be as
-// stale as the staleness header says.
+// replica has that revision. With consistent=1 the list includes everything that was committed when the request arrived;
+// without it the list may be as stale as the staleness header says.
 func (r *Replica) handleInstances(w http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	since, minRevision, err := parseRevisions(query)
@@ -135,10 +136,11 @@
 	return since, minRevision, nil
 }
 
-// handleCoordination returns the coordination view. after=REV waits for a later revision, for wait_ms at most. unit=UID
-// returns only that unit and its permit. node=UID returns the settings that the node should run, without the contents of the
-// versions that it already has (has=N,M). units=1 adds all units, and lead=UID adds that controller. consistent=1 has the
-// same meaning as in handleInstances.
+// handleCoordination returns the coordination view; see state.CoordinationView. unit=UID returns only that unit and its
+// permit. node=UID also returns the settings that the node should run, without the contents of the versions that it already
+// has (has=N,M). In the view of everything, units=1 adds all units, which are the instances that are counted in a disruption
+// budget, and lead=UID adds the controller with that UID. after=REV waits for a later revision, for wait_ms milliseconds at
+// most, and then returns the view in either case. consistent=1 has the same meaning as in handleInstances.
 func (r *Replica) handleCoordination(w http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	if query.Get("consistent") != "" && !r.ensureConsistent(w, req) {
@@ -163,7 +165,7 @@
 }
 
 // encodeCoordination encodes the part of the coordination view that a query selects. It encodes under the lock of the state,
-// because much of the view changes in place.
+// because the view shares data that later writes change.
 func (r *Replica) encodeCoordination(query url.Values) (text []byte, revision int64, err error) {
 	unit, node := query.Get("unit"), query.Get("node")
 	known := parseVersionNumbers(query.Get("has"))
--- a/internal/registry/replica/broadcaster.go
+++ b/internal/registry/replica/broadcaster.go
@@ -8,10 +8,13 @@
 	"umberbank/internal/registry/state"
 )
 
-// Bounds of the history that a broadcaster keeps for watches to resume from.
 const (
-	maxHistoryInstances = 20_000 // changed instances
-	maxEventsBehind     = 64     // a watch that is further behind gets one event with the latest states
+	// maxHistoryInstances is the maximum number of changed instances in the history from which watches resume. The latest
+	// batch is kept even if it has more.
+	maxHistoryInstances = 20_000
+	// maxEventsBehind is the maximum number of events that a watch gets one by one. A watch that has missed more gets one event
+	// with the latest state of each changed instance.
+	maxEventsBehind = 64
 )
 
 // eventBatch is a change, or several changes that were applied together, encoded once for all watches.
@@ -21,9 +24,9 @@
 	changed  []*state.Instance
 }
 
-// broadcaster distributes changes to any number of watches. A watch holds only its revision and the broadcaster keeps nothing
-// per watch, so a slow watch costs nothing and does not delay others. Its methods may be called from any goroutine, but publish
-// and reset from only one at a time.
+// broadcaster distributes changes to any number of watches. A watch holds its own revision and the broadcaster keeps nothing
+// per watch, so a slow watch does not delay others, and no events are queued for it. The methods may be called from any
+// goroutine, but publish and reset from only one at a time.
 type broadcaster struct {
 	mu       checkedsync.Mutex
 	revision int64
@@ -58,7 +61,7 @@
 	return nil
 }
 
-// reset drops all changes, so that watches must fetch the full list.
+// reset drops all changes, so that watches get the full list next.
 func (b *broadcaster) reset(revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,8 +144,8 @@
 	return b.revision, b.next, changed, ok
 }
 
-// encodedList returns the encoded full list and its revision. It caches the list, so that it is encoded only once for each
-// requested revision. list returns the instances and their revision.
+// encodedList returns the encoded full list and its revision. It caches the encoding for later calls at the same revision.
+// Concurrent calls may encode the same revision more than once. list returns the instances and their revision.
 func (b *broadcaster) encodedList(list func() (int64, []*state.Instance)) ([]byte, int64, error) {
 	b.mu.Lock()
 	text, revision, now := b.fullList, b.fullListRevision, b.revision
--- a/internal/registry/replica/compat_test.go
+++ b/internal/registry/replica/compat_test.go
@@ -35,7 +35,7 @@
 )
 
 // setupRequests build a registry with servers, a controller, nodes, limits, permits, a halted release, a committed version of
-// settings, a pending one, and an unreachable server. The response to each request is pinned too.
+// settings, a pending one, and an unreachable server. api.golden contains the responses to these requests too.
 var setupRequests = []apiRequest{
 	{"POST", "/registry/write", `{"ops":[` +
 		`{"kind":"register","id":"w1","entry":{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1,"boot_ms":1,"tier":"web","region":"north","version":"v1","ttl_ms":3600000}},` +
@@ -62,7 +62,7 @@
 		`{"kind":"suspect","id":"w27","uid":"s3","token":@8,"wall_ms":1764720000000},{"kind":"update","id":"w28","uid":"s1","token":@2,"capacity":2}]}`},
 }
 
-// rejectedWrites are writes that change nothing, one or more for each fault.
+// rejectedWrites are writes that change nothing. There is at least one for each state.Code.
 var rejectedWrites = []apiRequest{
 	{"POST", "/registry/write", `{"ops":[{"kind":"update","id":"w1","uid":"s0","state":"DRAINING"}]}`}, // a repeated ID gets the first result
 	{"POST", "/registry/write", `{"ops":[{"kind":"update","uid":"s0","token":5,"state":"DRAINING"}]}`},
@@ -138,7 +138,8 @@
 // termPattern matches the term of raft in a status.
 var termPattern = regexp.MustCompile(`"term":"\d+"`)
 
-// transcript sends requests in order and returns a record of requests and responses, with volatile values replaced.
+// transcript sends requests in order and returns a record of requests and responses, with volatile values replaced. If the
+// replica has no leader, raftAddress is empty, and RAFT is inserted around every character of the bodies.
 func transcript(t *testing.T, r *Replica, requests ...apiRequest) []byte {
 	t.Helper()
 	_, id := r.raft.LeaderWithID()
--- a/internal/registry/replica/config.go
+++ b/internal/registry/replica/config.go
@@ -14,7 +14,7 @@
 	ID            string `toml:"id" json:"ID"`
 	RaftAddress   string `toml:"raft" json:"Raft"`       // host:port where the other replicas connect
 	ClientAddress string `toml:"address" json:"Address"` // host:port where writers and watchers connect
-	DialAddress   string `toml:"via" json:"Via"`         // host:port where this replica dials the peer; empty for RaftAddress
+	DialAddress   string `toml:"via" json:"Via"`         // host:port where this replica connects; if empty, RaftAddress
 }
 
 // Config is the configuration of a replica.
@@ -27,7 +27,8 @@
 	// a cluster.
 	Peers []Peer
 	Guard ExpiryGuard
-	// Tick is the unit of the times of raft; zero means 100 ms. An election takes five to ten ticks.
+	// Tick is the unit of the times of raft; zero means 100 ms. A replica starts an election after 5 to 15 ticks without
+	// contact with the leader.
 	Tick time.Duration
 	// SnapshotThreshold is the number of log entries after which a snapshot is taken; zero means 8,192.
 	SnapshotThreshold uint64
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// command is the data of one log entry: writes that are applied together.
+// command is the data of one log entry. It has writes that are applied together, or a backup.
 type command struct {
 	Ops     []state.Op      `json:"ops,omitempty"`
 	Restore json.RawMessage `json:"restore,omitempty"` // a backup that replaces the state
@@ -69,7 +69,7 @@
 	switch {
 	case b.restored:
 		f.events.reset(revision)
-	case revision != before: // even if no instance has changed, so that watches reach its revision
+	case revision != before: // also if no instance has changed, so that watches reach the new revision
 		if err := f.events.publish(revision, b.changed); err != nil {
 			f.events.reset(revision) // watches get the full list instead
 		}
--- a/internal/registry/replica/interleave_test.go
+++ b/internal/registry/replica/interleave_test.go
@@ -108,8 +108,8 @@
 }
 
 // An agent begins its permit and takes its unit out of service, while the permit expires, an operator halts the release, and
-// another holder requests a permit for the other unit. Only one of the two units may be unavailable. The two holders never both
-// act, and the agent never acts on a permit that it has begun after the halt.
+// another holder requests a permit for the other unit. Only one of the two units may be unavailable. The test checks that the
+// two holders never both take their units out of service.
 func TestInterleavePermit(t *testing.T) {
 	body := func(readsOnly bool) func(x *modelcheck.Execution) {
 		return func(x *modelcheck.Execution) {
@@ -157,9 +157,9 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "both units are out of service", body(true))
 }
 
-// Two nodes acknowledge a version, one of them restarts, an operator withdraws the version, and a controller advances it. No
-// node runs a version that is not its target, no version becomes a target before both current incarnations have acknowledged
-// it, and no node runs a withdrawn version.
+// Two nodes acknowledge a version, one of them restarts, an operator withdraws the version, and a controller advances it. The
+// test checks that no node starts to run the version after its withdrawal, that no node runs it unless it is committed in the
+// end, that a successful advance commits it, and that it is not both committed and withdrawn.
 func TestInterleaveRollout(t *testing.T) {
 	node := func(uid string, startTimeMS float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: "a", Capacity: 1, StartTimeMS: startTimeMS}}
@@ -223,10 +223,11 @@
 	modelcheck.CheckFails(t, modelcheck.Options{}, "run", body(true))
 }
 
-// Version 1 is committed. The leader writes that n2's lease has expired, n2 returns as the same incarnation or as a new one and
-// syncs, and operators and controllers commit version 2 and propose version 3, in every order. A node that is in sync when
-// version 3 is proposed runs version 2. If n2 is one of three nodes in its zone, it delays nothing. If it is the only one, a
-// version that waits for it proceeds in the end, because n2 acknowledges it or because its zone is lost.
+// Version 1 is committed. Then three things happen in every order. The leader writes that the lease of n2 has expired. n2
+// registers again, as the same process or a new one, and reports the version that it runs. An operator and a controller commit
+// version 2 and propose version 3. A node that is in sync when version 3 is accepted runs version 2. If n2 is one of three nodes
+// in its zone, it delays nothing. If it is the only one, a version that waits for it proceeds in the end, because n2
+// acknowledges it or because its zone is lost.
 func TestInterleaveReachability(t *testing.T) {
 	node := func(uid, zone string, startTimeMS float64) state.Op {
 		return state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "x:1", State: state.Serving, Role: state.RoleNode, Tier: "front", Zone: zone, Capacity: 1, StartTimeMS: startTimeMS}}
--- a/internal/registry/replica/leader.go
+++ b/internal/registry/replica/leader.go
@@ -15,7 +15,8 @@
 // leaderCheckInterval is how often the leader checks its leases, and every replica its disk.
 const leaderCheckInterval = 100 * time.Millisecond
 
-// leaderLoop is the state of the goroutine that keeps the leases while this replica leads. No other goroutine accesses them.
+// leaderLoop is the state of a goroutine of every replica. The goroutine monitors the disk and, while this replica leads, keeps
+// the leases. No other goroutine accesses the leases.
 type leaderLoop struct {
 	*Replica
 	started      time.Time // origin of the lease clock
@@ -23,7 +24,7 @@
 	lastTransfer time.Time // when this replica last transferred leadership because of its disk
 
 	leases   *leaseTable     // nil while this replica does not lead
-	revision int64           // of the state that leases reflects
+	revision int64           // leases reflects the state at this revision
 	changed  <-chan struct{} // closed at the next change
 }
 
@@ -52,7 +53,7 @@
 				return
 			}
 			if l.leases != nil {
-				l.checkLeases()
+				l.runLeaderChecks()
 			}
 		case request := <-r.renewals:
 			request.reply <- l.renewLeases(request.leases)
@@ -67,7 +68,9 @@
 func (l *leaderLoop) becomeLeader() {
 	now := l.now()
 	if l.raft.Barrier(requestTimeout).Error() != nil {
-		return // this replica no longer leads
+		// Leadership is lost, or raft did not accept the barrier within requestTimeout. Without leases, this replica rejects
+		// renewals until it becomes the leader again.
+		return
 	}
 	var instances []*state.Instance
 	var address string
@@ -81,7 +84,8 @@
 	l.leases = newLeaseTable(l.cfg.Guard, instances, now)
 }
 
-// applyChanges brings the leases up to date with the state.
+// applyChanges brings the leases up to date with the state. If the history no longer has all changes, it creates a new lease
+// table, in which every lease has its full duration.
 func (l *leaderLoop) applyChanges() {
 	now := l.now()
 	revision, changed, instances, complete := l.fsm.events.instancesSince(l.revision)
@@ -109,24 +113,24 @@
 	return true
 }
 
-// checkLeases transfers leadership if the disk of this replica is slow, and proposes the writes that leases and permits
-// require.
-func (l *leaderLoop) checkLeases() {
+// runLeaderChecks transfers leadership if the disk of this replica is slow, and proposes the writes that leases, warm-ups and
+// permits require.
+func (l *leaderLoop) runLeaderChecks() {
 	if l.logStore.syncs.consecutiveSlow() >= slowSyncsToTransfer && time.Since(l.lastTransfer) > transferCooldownTicks*l.cfg.Tick {
 		l.lastTransfer = time.Now()
 		l.cfg.Logger.Warn("this replica's disk is slow, transferring leadership")
 		l.raft.LeadershipTransfer() // LeaderCh reports the change; if no replica can take over, this one keeps leading
 	}
 	now := l.now()
-	waiting := l.waitingPermits()
+	waiting := l.loadLimitsAndPermits()
 	if ops := append(l.leases.check(now), l.leases.expirePermits(waiting, now)...); len(ops) > 0 {
 		l.propose(ops)
 	}
 }
 
-// waitingPermits copies the warm-up time and the permit expiry of the limits in force to l.leases, and returns copies of the
-// permits that have not begun.
-func (l *leaderLoop) waitingPermits() (waiting []*disruption.Permit) {
+// loadLimitsAndPermits copies the warm-up time and the permit timeout of the limits in force to l.leases. It returns copies of
+// the permits that have not begun, or none if no limits are set.
+func (l *leaderLoop) loadLimitsAndPermits() (waiting []*disruption.Permit) {
 	l.fsm.read(func(s *state.State) {
 		limits := s.Limits()
 		if limits == nil {
@@ -164,7 +168,8 @@
 	l.raft.Apply(text, requestTimeout)
 }
 
-// renewLeases renews leases as of the time of the last check.
+// renewLeases renews leases as of the time of the last check. If this process was suspended since then, the next check extends
+// all leases by that time, so renewing them as of now would count it twice.
 func (l *leaderLoop) renewLeases(renewals []api.Lease) renewReply {
 	if l.leases == nil {
 		return renewReply{err: ErrNotLeader}
--- a/internal/registry/replica/leases.go
+++ b/internal/registry/replica/leases.go
@@ -11,7 +11,7 @@
 // suspendedAfter is the time without a check after which the leader assumes that its own process was suspended.
 const suspendedAfter = time.Second
 
-// lease is the leader's record of the lease of one instance. Times are on the lease clock.
+// lease records how long one instance stays registered without a renewal. Its times are on the lease clock; see leaseTable.
 type lease struct {
 	token           int64
 	zone            string
@@ -22,10 +22,10 @@
 	exemptFromGuard bool          // its expiry is acted on even during a mass expiry
 }
 
-// leaseTable holds all leases, the warm-ups of units and the permits that have not begun. Only the leader has one, in memory
-// and on a clock of its own, which is the time since the replica was started. A new leader starts every lease with its full
-// duration, because it cannot know which leases were renewed. The methods return writes to propose. They must be called from
-// one goroutine.
+// leaseTable holds all leases, the warm-ups of units and the permits that have not begun. Only the leader has a leaseTable, in
+// memory. Its times are on the lease clock, which measures the time since the replica was started. A new leader starts every
+// lease with its full duration, because renewals are not replicated. check and expirePermits return writes to propose. All
+// methods must be called from one goroutine.
 type leaseTable struct {
 	guard     ExpiryGuard
 	byUID     map[string]*lease
@@ -52,8 +52,8 @@
 	return t
 }
 
-// track updates the lease of an instance from the state. A new registration gets a new lease; that of a deleted instance is
-// dropped.
+// track updates the lease and the warm-up of an instance from the state. A new registration gets a new lease. The lease is
+// dropped if the instance is deleted or has no TTL.
 func (t *leaseTable) track(e *state.Instance, now time.Duration) {
 	t.trackWarmUp(e, now)
 	if e.State == state.Deleted || e.TTLMS == 0 {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// check returns the writes that leases and warm-ups require at a time, in the order of UIDs.
+// check returns the writes that leases and warm-ups require at the time now, in the order of UIDs.
 func (t *leaseTable) check(now time.Duration) []state.Op {
 	t.discountSuspension(now)
 	t.lastCheck = now
@@ -152,12 +152,15 @@
 		age := now - l.expiredAt
 		switch {
 		case !massExpiry[l.zone] && (!l.suspect || len(massExpiry) == 0):
+			// The zone has no mass expiry. Suspects are removed here only if no other zone has one either.
 			if age >= t.guard.settleTime() {
 				ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: l.token})
 			}
 		case len(massExpiry) == 1 && len(zones) > 1 && age >= t.guard.ConfirmAfter:
+			// Exactly one of several zones has a mass expiry and is considered lost.
 			ops = append(ops, state.Op{Kind: state.OpExpire, UID: uid, Token: l.token})
 		case !l.suspect:
+			// The zone has a mass expiry, so the instance stays as a suspect.
 			ops = append(ops, state.Op{Kind: state.OpSuspect, UID: uid, Token: l.token})
 		}
 	}
--- a/internal/registry/replica/leases_test.go
+++ b/internal/registry/replica/leases_test.go
@@ -24,7 +24,7 @@
 	return &leaseSimulation{s, newLeaseTable(guard, s.Instances(), 0)}
 }
 
-// check applies the writes that the leases require at a time.
+// check applies the writes that the leases require at the time now.
 func (s *leaseSimulation) check(now time.Duration) {
 	for _, op := range s.leases.check(now) {
 		if _, changed := s.state.Apply(op); changed != nil {
@@ -41,7 +41,7 @@
 		zones    []string // the zone of each server
 		stops    func(i int, zone string) bool
 		gone     int // removed in the end
-		early    int // removed by 4 s after the renewals stopped
+		early    int // removed within 4 s after the leases expired
 		suspects int // that remain in the end
 	}{
 		"none":           {slices.Repeat([]string{"a", "b", "c"}, 10), func(int, string) bool { return false }, 0, 0, 0},
@@ -88,7 +88,7 @@
 	}
 }
 
-// A suspension of the leader does not let leases expire. The wall clock has no effect.
+// A suspension of the leader does not let leases expire. A lease is renewed only with its UID and token.
 func TestSuspendedLeader(t *testing.T) {
 	s := state.New()
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: "a", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}})
--- a/internal/registry/replica/logstore.go
+++ b/internal/registry/replica/logstore.go
@@ -11,8 +11,8 @@
 )
 
 // ErrCorruptEntry is returned for a log entry whose checksum does not match. The replica stops on it, because raft itself
-// only fails the operation that needed the entry: a leader would keep leading and never bring the followers up to date that
-// lack the entry.
+// only fails the operation that needed the entry. A leader would keep leading, and the followers that lack the entry would
+// never be brought up to date.
 var ErrCorruptEntry = errors.New("checksum mismatch, the stored data is not what was written")
 
 // checksumSize is the size in bytes of the checksum that is appended to the data of each entry.
--- a/internal/registry/replica/metrics.go
+++ b/internal/registry/replica/metrics.go
@@ -16,7 +16,8 @@
 	writeBuckets     = 14
 )
 
-// metrics holds the metrics of a replica. They have a registry of their own because several replicas may run in one process.
+// metrics holds the metrics of a replica. They have their own prometheus.Registry, because several replicas may run in one
+// process.
 type metrics struct {
 	registry     *prometheus.Registry
 	writes       *prometheus.CounterVec // writes applied, by kind and fault
@@ -79,7 +80,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// countWrite counts a write. Kinds that are not listed here share one label, so that clients cannot create labels.
+// countWrite counts a write by kind and code. Kinds that are not listed here, such as those for permits, records and settings,
+// are counted as "unknown", so that clients cannot create labels.
 func (m *metrics) countWrite(kind state.OpKind, code state.Code) {
 	switch kind {
 	case state.OpRegister, state.OpUpdate, state.OpRemove, state.OpExpire, state.OpSuspect, state.OpTrust, state.OpSetMember, state.OpNoop:
--- a/internal/registry/replica/permits.go
+++ b/internal/registry/replica/permits.go
@@ -16,8 +16,8 @@
 	since time.Duration // when this leader first observed it
 }
 
-// expirePermits returns the writes that return permits which have not begun in time. waiting has all permits that have not
-// begun.
+// expirePermits returns a write for each permit that has not begun within permitTimeout. The write gives the permit back.
+// waiting has all permits that have not begun.
 func (t *leaseTable) expirePermits(waiting []*disruption.Permit, now time.Duration) (ops []state.Op) {
 	known := map[string]waitingPermit{}
 	for _, p := range waiting {
--- a/internal/registry/replica/raft.go
+++ b/internal/registry/replica/raft.go
@@ -16,14 +16,14 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Settings of raft. Times are in ticks.
+// Settings of raft. Names that end in Ticks are durations in ticks.
 const (
 	heartbeatTicks        = 5
 	electionTicks         = 5
 	leaderLeaseTicks      = 4
 	transportTimeoutTicks = 20
 	snapshotCheckTicks    = 50
-	commitsPerTick        = 10 // maximum when there is nothing to batch
+	commitTimeoutsPerTick = 10 // without new writes, the leader sends the commit index after one to two commit timeouts
 	connectionsPerPeer    = 3
 	retainedSnapshots     = 2
 )
@@ -87,7 +87,8 @@
 	rc := r.raftConfig(logger)
 	if len(r.cfg.Peers) > 0 {
 		err := raft.BootstrapCluster(rc, r.logStore, r.store, snapshots, r.trans, bootstrapConfiguration(r.cfg.Peers))
-		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // the cluster already exists
+		// ErrCantBootstrap means that the cluster already exists.
+		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
 			return err
 		}
 	}
@@ -104,7 +105,7 @@
 	rc.HeartbeatTimeout = heartbeatTicks * tick
 	rc.ElectionTimeout = electionTicks * tick
 	rc.LeaderLeaseTimeout = leaderLeaseTicks * tick
-	rc.CommitTimeout = tick / commitsPerTick
+	rc.CommitTimeout = tick / commitTimeoutsPerTick
 	rc.SnapshotThreshold = r.cfg.SnapshotThreshold
 	rc.TrailingLogs = r.cfg.SnapshotThreshold
 	rc.SnapshotInterval = snapshotCheckTicks * tick
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -14,8 +14,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// requestTimeout bounds a write, a request that is forwarded to the leader, and the time in which a client must send its
-// headers.
+// requestTimeout bounds the time until raft accepts a write, a request that is forwarded to the leader, and the time in which a
+// client must send its headers.
 const requestTimeout = 5 * time.Second
 
 // Replica is a running replica of the registry. [New] starts one, and Close must be called to stop it.
@@ -24,7 +24,7 @@
 	fsm      *fsm
 	raft     *raft.Raft
 	trans    *raft.NetworkTransport
-	store    *raftboltdb.BoltStore // the votes of raft, and its log below logStore
+	store    *raftboltdb.BoltStore // stores the votes of raft, and the log entries that logStore writes
 	logStore *checksumStore
 	listener net.Listener // for clients
 	http     *http.Server
@@ -34,11 +34,12 @@
 	renewals chan renewRequest // to leaderLoop
 
 	serving    atomic.Bool
-	failed     chan error    // receives the reason when this replica fails
+	failed     chan error    // the reason is sent on it when this replica fails
 	leaderDone chan struct{} // closed when leaderLoop has returned
 }
 
-// New starts a replica on the existing data of its directory. With peers and without data it bootstraps a cluster.
+// New starts a replica. If its data directory contains data, the replica continues from it. If not, it bootstraps a cluster of
+// the configured peers, or without peers waits until it is added to a cluster.
 func New(cfg Config) (*Replica, error) {
 	cfg.setDefaults()
 	r := &Replica{
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// fail stops the communication of this replica with peers and clients, and sends the reason to Failed.
+// fail stops the communication of this replica with peers and clients, and sends the reason on the channel that Failed returns.
+// Before the replica serves, it only sends the reason.
 func (r *Replica) fail(err error) {
 	select {
 	case r.failed <- err:
@@ -100,7 +102,7 @@
 	r.watches.close()
 }
 
-// Failed returns a channel that receives the reason if this replica fails. Close may then block on a disk that hangs.
+// Failed returns a channel on which the reason is sent if this replica fails. Close may then block on a disk that hangs.
 func (r *Replica) Failed() <-chan error { return r.failed }
 
 // Addr returns the host:port where clients connect.
--- a/internal/registry/replica/serve.go
+++ b/internal/registry/replica/serve.go
@@ -6,7 +6,8 @@
 )
 
 // Serve runs a replica with the configuration file at path; see [ReadConfig]. It calls ready with the address on which it
-// serves. It closes the replica and returns when ctx is done, or returns an error when the replica fails.
+// serves. When ctx is done, Serve closes the replica and returns. When the replica fails, Serve returns the error without
+// closing the replica, because Close may block on a disk that hangs.
 func Serve(ctx context.Context, path string, logger *slog.Logger, ready func(address string)) error {
 	cfg, err := ReadConfig(path)
 	if err != nil {
--- a/internal/registry/replica/syncmonitor.go
+++ b/internal/registry/replica/syncmonitor.go
@@ -26,7 +26,7 @@
 	slowAfter time.Duration // a sync that takes longer is slow
 }
 
-// begin records the start of a sync and returns its time.
+// begin records that a sync starts now, and returns the current time.
 func (m *syncMonitor) begin() time.Time {
 	now := time.Now()
 	m.startedNS.Store(max(1, int64(now.Sub(m.base))))
@@ -57,7 +57,8 @@
 	return time.Since(m.base) - time.Duration(started)
 }
 
-// discount excludes a time for which this process was suspended from the sync in progress, because the disk may be healthy.
+// discount shortens the measured duration of the sync in progress by the time for which this process was suspended, because
+// the disk may be healthy.
 func (m *syncMonitor) discount(suspended time.Duration) {
 	if started := m.startedNS.Load(); started != 0 {
 		m.startedNS.CompareAndSwap(started, started+int64(suspended))
--- a/internal/registry/replica/syncmonitor_test.go
+++ b/internal/registry/replica/syncmonitor_test.go
@@ -19,6 +19,6 @@
 	before := m.pending()
 	m.discount(9 * time.Second)
 	if d := m.pending(); d < before-9*time.Second || d > before {
-		t.Errorf("sync has been pending for %v without 9 s of suspension, and for %v with them", d, before)
+		t.Errorf("sync has been pending for %v after a discount of 9 s, and for %v before it", d, before)
 	}
 }
--- a/internal/registry/replica/warmup.go
+++ b/internal/registry/replica/warmup.go
@@ -14,7 +14,7 @@
 type warmUp struct {
 	token   int64
 	since   time.Duration // when this leader first observed it
-	initial float64       // fraction of its capacity that the unit lacked at since
+	initial float64       // fraction of its capacity that the unit lacked when this leader first observed it
 	current float64       // fraction that it lacks now according to the state
 }
 
--- a/internal/registry/replica/watch.go
+++ b/internal/registry/replica/watch.go
@@ -40,10 +40,10 @@
 	}()
 }
 
-// watch sends the changes since a revision as they happen, until either side closes the connection. A failed write shows that
-// the watcher has disconnected. A watcher that is ahead of this replica is sent nothing until the replica has caught up; a
-// watcher of another epoch gets the full list. A replica that has lost its leader ends its watches, so that the watchers
-// connect to one that has a leader.
+// watch sends the changes since a revision as they happen, until either side closes the connection. It also ends if a write
+// fails or takes longer than watchWriteTimeout, because the watcher has then disconnected or no longer reads. A watcher that is
+// ahead of this replica gets only heartbeats until the replica has caught up; a watcher of another epoch gets the full list. A
+// replica that has lost its leader ends its watches, so that the watchers connect to one that has a leader.
 func (r *Replica) watch(conn net.Conn, since int64) {
 	heartbeat := time.NewTicker(watchHeartbeat)
 	defer heartbeat.Stop()
@@ -96,7 +96,7 @@
 	return [][]byte{chunk(text)}, revision, err
 }
 
-// isAhead reports whether a watcher's revision is later than that of this replica and of the same epoch.
+// isAhead reports whether a revision is later than that of this replica. A revision of another epoch is not ahead.
 func (r *Replica) isAhead(revision int64) (ahead bool) {
 	r.fsm.read(func(s *state.State) {
 		ahead = revision > s.Revision() && state.Epoch(revision) == state.Epoch(s.Revision())
@@ -106,7 +106,7 @@
 
 // chunk encodes a line as an HTTP chunk.
 func chunk(line []byte) []byte {
-	const framing = 16 // at least the size of the length in hex and two line ends
+	const framing = 16 // room for a length of up to 12 hex digits and two line ends
 	b := make([]byte, 0, len(line)+framing)
 	b = strconv.AppendInt(b, int64(len(line)), 16)
 	b = append(b, "\r\n"...)
--- a/internal/registry/replica/write.go
+++ b/internal/registry/replica/write.go
@@ -13,7 +13,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// ErrNotLeader is returned when another replica leads, or when there is no leader.
+// ErrNotLeader is returned when this replica does not lead, or cannot confirm that it leads.
 var ErrNotLeader = errors.New("not the leader")
 
 // renewRequest asks leaderLoop to renew leases. reply must be buffered.
@@ -50,7 +50,8 @@
 	return result.results, result.err
 }
 
-// isNotLeader reports whether raft rejected a write because this replica does not lead, or no longer leads.
+// isNotLeader reports whether a write failed because this replica does not lead, or no longer leads. After
+// raft.ErrLeadershipLost the write may still be committed.
 func isNotLeader(err error) bool {
 	return errors.Is(err, raft.ErrNotLeader) ||
 		errors.Is(err, raft.ErrLeadershipLost) ||
@@ -71,8 +72,8 @@
 	}
 }
 
-// catchUp waits until this replica has everything that was committed before the call. Only the leader can do this; on other
-// replicas it returns ErrNotLeader.
+// catchUp waits until this replica has everything that was committed before the call. Only the leader can do this. Every error,
+// including a timeout, wraps ErrNotLeader.
 func (r *Replica) catchUp() error {
 	if err := r.raft.Barrier(requestTimeout).Error(); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotLeader, err)
--- a/internal/registry/state/doc.go
+++ b/internal/registry/state/doc.go
@@ -11,13 +11,15 @@
 //
 // # Invariants
 //
-//   - Each write that changes something increases the revision by one; no other write changes it. The high bits of a
-//     revision are its epoch, which only the restore of a backup increases; see [Epoch].
-//   - The token of an instance is the revision of its registration. A later process of the same unit gets a higher token,
-//     and from then on writes with the earlier token are fenced.
+//   - A write increases the revision by one or not at all. Each change of an instance, a record, a permit, the limits or the
+//     rollout increases it. Rejected and repeated writes, [OpSetMember] and [OpNoop] do not. The high bits of a revision are
+//     its epoch, which only the restore of a backup increases; see [Epoch].
+//   - The token of an instance is the revision at which its process registered. A later process of the same unit gets
+//     a higher token, and from then on writes with the earlier token are fenced.
 //   - A write with an ID is applied once; a repeated write gets the first result. The last 65,536 IDs are kept.
 //   - A write with a [Fence] is applied only while the named instance has the given token.
-//   - A unit whose permit has begun is draining until it has restarted.
+//   - A server whose permit has begun is draining until it has restarted or until an [OpUpdate] sets it to serving. The OpUpdate
+//     is rejected while a release is changing the server to another version.
 //
 // # Encodings
 //
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -8,7 +8,7 @@
 )
 
 // RestoreBackup returns the State that replaces running when a backup is restored. It has the instances of the backup, in
-// an epoch later than both, so that no revision is used twice and watchers fetch the full list again. What a restore cannot
+// an epoch later than both, so that no revision is used twice and watchers get the full list. What a restore cannot
 // undo is taken from running: the replicas, the elected controller, the versions of the nodes, and the units that are out of
 // service.
 func RestoreBackup(backup, running *State) *State {
--- a/internal/registry/state/settings.go
+++ b/internal/registry/state/settings.go
@@ -22,7 +22,7 @@
 }
 
 // applyRollout applies a write that concerns versions of the nodes' settings. The token of the result is the number of the
-// proposed version, or for OpAdvance that of the committed one.
+// version that the write proposes, that of the committed version for OpAdvance, and otherwise zero.
 func (s *State) applyRollout(op Op) Result {
 	if op.Kind == OpPropose && !op.hasValidValue() {
 		return Result{Code: CodeInvalid}
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -74,8 +74,9 @@
 	return op
 }
 
-// The revision increases by one with each change and with nothing else. A repeated write changes nothing and gets the first
-// result. Two States that applied the same writes are equal, even if one of them was loaded from a snapshot in between.
+// The revision increases by one with each change of an instance, and with none of the other writes drawn here. A repeated write
+// changes nothing and gets the first result. Two States that applied the same writes are equal, even if one of them was loaded
+// from a snapshot in between.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
