--- a/balancer/action.go
+++ b/balancer/action.go
@@ -7,8 +7,8 @@
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request. Attempts are numbered from 0. The attempt times
-	// out after Timeout.
+	// Send starts the next attempt of a request. The number of the attempt is the number of earlier
+	// Sends of the request. The attempt times out after Timeout.
 	Send struct {
 		ID, Endpoint string
 		Timeout      time.Duration
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -11,7 +11,8 @@
 	// latencyMarginDeviations is the number of mean deviations that are added to the mean latency
 	// to estimate how long an attempt is likely to take.
 	latencyMarginDeviations = 2
-	// minQueueTimeDivisor divides the latency objective to give the minimum time in the queue.
+	// The latency objective divided by minQueueTimeDivisor is the minimum of the time limit that
+	// queueDeadline derives from the objective.
 	minQueueTimeDivisor = 4
 )
 
@@ -19,7 +20,7 @@
 // were enqueued.
 type pendingQueue struct {
 	requests []*request
-	shedRate float64 // moving average of the share of requests that are finished without an attempt
+	shedRate float64 // moving average of the share of requests that are rejected without an attempt
 }
 
 // add enqueues a request unless it is already queued.
@@ -41,7 +42,7 @@
 	}
 }
 
-// recordShed records a request that is rejected or failed without an attempt.
+// recordShed records a request that is rejected without an attempt.
 func (q *pendingQueue) recordShed() { q.shedRate += shedSmoothing * (1 - q.shedRate) }
 
 // recordServed records a request that gets its first attempt.
@@ -72,7 +73,7 @@
 }
 
 // enqueue adds a request to the queue and sets a timer that limits its time there. If that time is
-// already over, it rejects or fails the request.
+// already over, it rejects the request. It never fails the request, because no attempt was sent.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
 		b.rejectOrFail(r)
@@ -82,8 +83,8 @@
 	b.setRequestTimer(r, b.nextRecheck(r))
 }
 
-// recheckPending rejects or fails a queued request whose time in the queue is over. Otherwise it
-// dispatches pending requests and, if this request is still queued, sets another timer for it.
+// recheckPending rejects a queued request whose time in the queue is over. Otherwise it dispatches
+// pending requests and, if this request is still queued, sets another timer for it.
 func (b *Balancer) recheckPending(r *request) {
 	if r.finished || r.responseStarted || !r.queued {
 		return
@@ -108,11 +109,14 @@
 	return deadline
 }
 
-// queueDeadline returns the time at which a pending request is rejected or failed. This happens
-// once its response is likely to miss the latency objective, because late responses use capacity
-// that other requests need to meet theirs. While no endpoint is ready, the objective does not
-// apply, because a late response is then the best possible result. In every case the client gets a
-// response before half of its timeout has passed, so that it still has time to retry.
+// queueDeadline returns the time at which a pending request is rejected. A request is rejected once
+// its response is likely to miss the latency objective, but not before a quarter of the objective
+// has passed since the first try. A late response uses capacity that other requests need to meet their
+// objectives.
+//
+// While no endpoint is ready, the objective does not apply, because a late response is then the best
+// possible result. In every case the returned time is before half of the timeout has passed, so that
+// the client still has time to retry.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	latest := r.acceptedAt + (r.deadline-r.acceptedAt)/2 - 2*b.settings.Tick
 	if len(b.endpoints.ready) == 0 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,13 +11,14 @@
 //   - Admission ([Balancer.Handle] of a [Request]): on the first tier, a request waits in the pending
 //     queue while the concurrency limit is reached. Requests leave the queue in order of priority, and
 //     requests that wait too long are rejected.
-//   - Candidates: the endpoints of this replica's subset that are ready, not ejected, below their limits,
-//     and permitted by slow start and by the scope of the idempotency key. If there are none, the limits
-//     are relaxed step by step, and then the rest of the endpoint list is considered.
-//   - Pick: one candidate is drawn from each half of the shared order, and the one with fewer active
-//     attempts is picked.
+//   - Candidates: the endpoints of this replica's subset that are ready, not excluded as outliers, below
+//     their attempt limits, and permitted by slow start and by the scope of the idempotency key. If there
+//     are none, the attempt limits are relaxed step by step, and then the rest of the endpoint list is
+//     considered.
+//   - Pick: all replicas sort the endpoints in the same order, the shared order. One candidate is drawn
+//     from each half of it, and the one with fewer active attempts is picked.
 //   - Outcome: the result of an attempt updates the latency averages, outlier detection, the concurrency
-//     limit and the retry budget. Unless another attempt is active, a retry or a final response follows.
+//     limit and the retry budget. If the request has no final response yet, it is retried or finished.
 //
 // In this package, a replica is one of the nodes that send to the same tier, not a replica of the registry.
 //
@@ -28,8 +29,10 @@
 //
 // # Invariants
 //
-//   - Every request gets exactly one final response: the response of an attempt, a [Reject] or a [Fail].
-//   - A [Reject] is returned only if no attempt can have had an effect that a retry would repeat.
+//   - Every request gets exactly one final response, unless its client disconnects. A final response is
+//     the response of an attempt, a [Reject] or a [Fail].
+//   - A [Reject] is returned only if no attempt may have been executed, if the request is idempotent, or if
+//     all endpoints share its idempotency key. It does not depend on the window of the key.
 //   - A request that is not idempotent is never sent again once an attempt may have been executed. A
 //     request with an idempotency key is sent again only within the scope and the window of the key.
 //   - Attempts are sent only to endpoints that are in the endpoint list and ready.
@@ -68,7 +71,7 @@
 	limiter   concurrencyLimiter
 	queue     pendingQueue
 	retries   retryBudget
-	restored  *restoredState // nil if there is no restored snapshot or the complete endpoint list has arrived
+	restored  *restoredState // nil if no snapshot is restored, or after a complete list that is not cached
 }
 
 // New returns a Balancer without endpoints. If the settings are invalid, the error is a
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	// minBalancedLimit is the minimum of balancedLimit. It is above one so that the pick, rather
-	// than this filter, decides between an idle endpoint and one with a single active attempt.
+	// minBalancedLimit is the minimum of balancedLimit. A limit of one would skip endpoints with a
+	// single active attempt before the pick can compare them with idle ones.
 	minBalancedLimit = 2
-	// slownessExponent is the power of an endpoint's relative latency by which its sampling weight
-	// is divided.
+	// The sampling weight of a slow endpoint is divided by its relative latency to the power of
+	// slownessExponent.
 	slownessExponent = 2.0
 )
 
@@ -54,8 +54,9 @@
 	beyondSubset bool // the endpoints are taken from the whole list
 }
 
-// apply returns the preferred endpoints and, separately, the idle ones that are warming up and were
-// skipped only by random sampling.
+// apply returns the endpoints that meet the conditions and are selected by random sampling. If
+// sampling selects none, it returns the warm ones that it skipped. For a first attempt, apply also
+// returns the idle endpoints that are warming up and were skipped only by sampling.
 func (f *candidateFilter) apply(from []*endpoint, limit attemptLimit) (preferred, warmingUp []*endpoint) {
 	var skipped []*endpoint // warm, but skipped by random sampling
 	for _, e := range from {
@@ -93,17 +94,19 @@
 	return !f.beyondSubset && f.b.withinWarmupBudget(e, f.request.class)
 }
 
-// sampleByWeight reports true with a probability proportional to an endpoint's weight and, if its
-// latency is higher than expected, to its speed. Uniform sampling would overload endpoints that are
-// small, busy with other work or stalling.
+// sampleByWeight reports whether random sampling selects an endpoint. The probability is proportional
+// to the weight of the endpoint. If its latency is higher than expected, the probability is also
+// divided by the square of latency / expected latency. Uniform sampling would overload endpoints that
+// are small, busy with other work or stalling.
 func (b *Balancer) sampleByWeight(e *endpoint) bool {
 	effectiveWeight := b.endpoints.weight(e) * math.Exp(-slownessExponent*max(0, e.slowness))
 	return b.random.Float64()*b.endpoints.maxWeight < effectiveWeight
 }
 
-// balancedLimit returns a limit just above the mean number of active attempts per endpoint of the
-// subset. Uniform sampling occasionally selects the same few endpoints twice, which overloads them
-// when several replicas do so at the same time.
+// balancedLimit returns one more than the number of attempts in flight per endpoint of the subset,
+// rounded down. The result is at least minBalancedLimit and at most rejectionLimit. Uniform sampling
+// occasionally selects the same few endpoints twice, which overloads them when several replicas do so
+// at the same time.
 func (b *Balancer) balancedLimit(e *endpoint) int {
 	mean := b.limiter.inFlight / max(1, len(b.endpoints.subset))
 	return min(b.rejectionLimit(e), max(minBalancedLimit, 1+mean))
--- a/balancer/candidates_test.go
+++ b/balancer/candidates_test.go
@@ -75,8 +75,8 @@
 }
 
 // An endpoint with more active attempts than the subset's mean, and at least two, is skipped while
-// other endpoints remain. A single attempt never excludes an endpoint, because the pick compares
-// those.
+// other endpoints remain. An endpoint with a single active attempt is never skipped, because the pick
+// compares it with idle ones.
 func TestBusierEndpointsSkipped(t *testing.T) {
 	b := newServingBalancer(t, 6, nil)
 	for _, c := range []struct {
@@ -84,8 +84,8 @@
 		activeAttempts []int
 		want           []int // ranks of the candidates
 	}{
-		{"two above the mean", []int{2, 1, 0, 0, 1, 0}, []int{1, 2, 3, 4, 5}},
-		{"three above the mean", []int{3, 2, 2, 1, 2, 3}, []int{1, 2, 3, 4}},
+		{"two attempts, mean below one", []int{2, 1, 0, 0, 1, 0}, []int{1, 2, 3, 4, 5}},
+		{"three attempts, mean above two", []int{3, 2, 2, 1, 2, 3}, []int{1, 2, 3, 4}},
 		{"one each", []int{1, 1, 1, 1, 1, 1}, []int{0, 1, 2, 3, 4, 5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,8 +107,8 @@
 }
 
 // Endpoints whose connection tables are full of connections of other replicas reject immediately.
-// An endpoint that rejected an attempt gets no more attempts than it had, regardless of how many
-// other endpoints reject, and is tried again later.
+// An endpoint that rejects an attempt is limited to the other attempts that it has at that time,
+// regardless of how many endpoints reject. It is tried again later.
 func TestRejectionLimitsEndpoint(t *testing.T) {
 	b := newTestBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(10)})
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -9,13 +9,14 @@
 	// arrivalDecay is the factor by which the counts of every class are multiplied when a request
 	// arrives.
 	arrivalDecay = 0.99
-	// classSmoothing is the weight of a new sample in averages over all endpoints, which then cover
-	// about 16 samples.
+	// classSmoothing is the weight of a new sample in an average over all endpoints. Such an average
+	// covers about 16 samples.
 	classSmoothing = 0.06
 	// overdueDeviations is the number of mean deviations above the mean latency at which a response
 	// is overdue.
 	overdueDeviations = 3.0
-	// Initially, the mean latency and its deviation are the latency objective divided by these.
+	// The initial mean latency is the latency objective divided by initialLatencyDivisor. The initial
+	// deviation is the latency objective divided by initialDeviationDivisor.
 	initialLatencyDivisor   = 4
 	initialDeviationDivisor = 8
 )
@@ -25,7 +26,7 @@
 	Class
 	meanLatency      float64 // of successful attempts, in ns
 	latencyDeviation float64 // mean absolute deviation, in ns
-	meanCost         float64 // mean cost hint, in ns; zero until the first hint arrives
+	meanCost         float64 // mean cost hint, in ns; an absent hint counts as zero
 	arrivals         float64 // decayed count of requests
 	onTime           float64 // decayed count of responses within the latency objective
 	longestTimeout   time.Duration
@@ -105,9 +106,9 @@
 }
 
 // inherit copies the measurements of the classes that had the same names under the previous
-// settings. It returns the number of arrivals of those classes, and the sum of their arrivals
-// weighted by the old latency objective divided by the new one. The quotient of that sum and the
-// number of arrivals converts fractions of the old objectives into fractions of the new ones.
+// settings. arrivals is the decayed count of requests of those classes. weighted is the same count
+// with each class multiplied by its old latency objective / its new one. A utilization under the old
+// objectives times weighted / arrivals is the utilization under the new ones.
 func (t *classTable) inherit(previous classTable) (weighted, arrivals float64) {
 	for _, c := range t.ordered { // in a fixed order, because floating-point sums depend on it
 		old := previous.byName[c.Name]
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,17 +5,18 @@
 const (
 	// subscribeTimer is the token of the timer for the next Subscribe.
 	subscribeTimer = "list"
-	// The delay before a Subscribe is random, up to a bound that doubles with each failure. The
-	// maximum bound is a fraction of Settings.PollInterval. It leaves time for two tries before the
-	// endpoint list of the replica counts as out of date.
+	// The delay before a Subscribe is random, up to a bound. The bound starts at the maximum divided
+	// by initialBackoffDivisor and doubles with each failure, up to maxBackoffDoublings times. The
+	// maximum is Settings.PollInterval divided by maxBackoffDivisor, which leaves time for two tries
+	// within PollInterval.
 	maxBackoffDivisor     = 4
-	initialBackoffDivisor = 16 // of the maximum
+	initialBackoffDivisor = 16
 	maxBackoffDoublings   = 4
 )
 
 // subscriber schedules the next request for the endpoint list.
 type subscriber struct {
-	failures    int           // consecutive failures since the last update
+	failures    int           // failures since the last update that was not cached
 	subscribeAt time.Duration // zero if no Subscribe is scheduled
 }
 
@@ -32,7 +33,7 @@
 	b.emit(SetTimer{At: b.discovery.subscribeAt, Token: subscribeTimer})
 }
 
-// subscribeIfDue requests the endpoint list if the timer that fired is the last one that was set.
+// subscribeIfDue requests the endpoint list if the scheduled Subscribe is due within one tick.
 func (b *Balancer) subscribeIfDue() {
 	at := b.discovery.subscribeAt
 	if at > 0 && b.now+b.settings.Tick >= at {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -9,12 +9,14 @@
 )
 
 const (
-	// firstGroupFraction is the share of the shared order that forms the first group of the pick.
+	// firstGroupFraction is the fraction of the ready endpoints, from the start of the shared order,
+	// that forms the first group of the pick.
 	firstGroupFraction = 0.5
-	// minSubset is the minimum number of endpoints in a replica's subset.
+	// minSubset is the minimum number of endpoints in a replica's subset. A shorter list is used as
+	// a whole.
 	minSubset = 4
-	// subsetMultiple is the minimum size of a replica's subset, as a multiple of its fair share of
-	// the endpoints.
+	// The subset of a replica has subsetMultiple times the number of ready endpoints per replica,
+	// but at least minSubset.
 	subsetMultiple = 3.0
 )
 
@@ -31,7 +33,7 @@
 	awaited        []*attempt // active attempts whose response has not started, ordered by sentAt
 
 	// Outlier detection.
-	suspect              bool // it is in outlierDetector.suspects
+	possibleOutlier      bool // it is in outlierDetector.possibleOutliers
 	consecutiveFailures  int
 	consecutiveSuccesses int
 	ejectionLevel        int // number of times that the duration of the next ejection is doubled
@@ -46,14 +48,13 @@
 	rejectionLimitUntil   time.Duration
 
 	// Slow start; see withinWarmupBudget.
-	warmupBudget      int // attempts that may still be sent before warmupBudgetUntil
+	warmupBudget      int // attempts left before warmupBudgetUntil; without meaning after it
 	warmupBudgetUntil time.Duration
 }
 
-// restart discards everything measured of the endpoint's previous process, except for its active
-// attempts.
+// restart discards the history of the endpoint's previous process. The active attempts are kept.
 func (e *endpoint) restart() {
-	*e = endpoint{activeAttempts: e.activeAttempts, awaited: e.awaited, suspect: e.suspect}
+	*e = endpoint{activeAttempts: e.activeAttempts, awaited: e.awaited, possibleOutlier: e.possibleOutlier}
 }
 
 // stopAwaiting removes an attempt from the awaited ones. It returns false if the attempt is not
@@ -174,8 +175,9 @@
 }
 
 // compare defines the shared order, which is the same on all replicas. Endpoints with a higher
-// weight come first, so that every subset contains endpoints of each weight and the pick resolves
-// ties in favor of the higher weight.
+// weight come first. A subset is spread evenly over the order, so it contains the common weights in
+// about the same proportions as the list. The first group has the higher weights, so the pick resolves
+// ties of busy endpoints in their favor.
 func (s *endpointSet) compare(x, y *endpoint) int {
 	return cmp.Or(cmp.Compare(s.weight(y), s.weight(x)), cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.ID, y.ID))
 }
@@ -218,9 +220,10 @@
 	subset := make([]*endpoint, 0, size)
 	step := 1
 	for block := range size {
-		// Each block of the order permutes the replicas differently; otherwise the same groups of
-		// replicas would share all their endpoints. The step is coprime to the number of replicas;
-		// otherwise some endpoints would be in more subsets than others.
+		// The order is divided into blocks, and the replica takes one endpoint from each. The step
+		// changes with each block; otherwise replicas that share one endpoint would share all. The
+		// step is coprime to the number of replicas; otherwise some endpoints would be in more subsets
+		// than others.
 		position := (float64(s.settings.ReplicaIndex*step%replicas) + 0.5) / float64(replicas)
 		for step++; gcd(step, replicas) > 1; step++ {
 		}
@@ -246,8 +249,8 @@
 	}
 }
 
-// weight returns an endpoint's capacity relative to other endpoints, or 1 if the list does not
-// provide it.
+// weight returns an endpoint's capacity relative to other endpoints. It returns 1 if the list does
+// not provide a weight or if weights of this kind are ignored.
 func (s *endpointSet) weight(e *endpoint) float64 {
 	kind := s.settings.WeightKind
 	if e.Weight > 0 && (kind == WeightNominal || kind == WeightApproximate) {
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -16,7 +16,7 @@
 type Endpoint struct {
 	ID        string
 	Zone      string
-	Cell      int
+	Cell      int // group of endpoints in the zone, such as a rack; see ScopeCell
 	State     EndpointState
 	Weight    float64       // capacity relative to other endpoints, see Settings.WeightKind; zero counts as 1
 	StartTime time.Duration // clock time at which its process started; zero if it started long ago
@@ -61,13 +61,14 @@
 	}
 	// SubscriptionFailed reports that a Subscribe failed or that the subscription was lost.
 	SubscriptionFailed struct{}
-	// Request is a client's request. It gets exactly one final response by Deadline.
+	// Request is a client's request. It gets exactly one final response, at most about one tick after
+	// Deadline, unless its client disconnects.
 	Request struct {
 		ID            string
 		Class         string
 		Deadline      time.Duration // clock time
 		ClientRetry   bool          // marked by the client as a retry
-		CostHint      time.Duration // expected work, as time on a standard core; zero if there is no hint
+		CostHint      time.Duration // expected processing time, compared within the class; zero if unknown
 		StreamingBody bool          // forwarded while it is received; RequestBodySent then sets the deadline
 	}
 	// Outcome reports the end of one attempt.
@@ -88,7 +89,7 @@
 		Deadline time.Duration // clock time by which the request needs its final response
 	}
 	// ResponseStarted reports that the response of an attempt is being forwarded to the client.
-	// From then on, no other attempt can provide the response.
+	// From then on, the request is not retried.
 	ResponseStarted struct {
 		ID      string
 		Attempt int
@@ -101,8 +102,8 @@
 	// would reject are ignored.
 	Reconfigure struct{ Settings Settings }
 	// Restore carries the Snapshot of an earlier process, taken Age ago. It is ignored if the
-	// Balancer already has endpoints, or if the snapshot is invalid, not younger than
-	// Settings.SnapshotMaxAge or of another tier.
+	// Balancer already has endpoints, or if the snapshot is invalid or of another tier. It is also
+	// ignored if Age is negative or has reached Settings.SnapshotMaxAge.
 	Restore struct {
 		Snapshot Snapshot
 		Age      time.Duration
--- a/balancer/helper_test.go
+++ b/balancer/helper_test.go
@@ -60,7 +60,7 @@
 	return endpoints
 }
 
-// requestOf returns a request of a class without attempts.
+// requestOf returns a request of the class. The request has no attempts.
 func requestOf(b *Balancer, class string) *request {
 	return &request{class: b.classes.find(class)}
 }
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// initialLimitPerEndpoint is the initial concurrency limit per endpoint of the replica's fair
-	// share.
+	// The initial concurrency limit is initialLimitPerEndpoint times the number of ready endpoints
+	// per replica.
 	initialLimitPerEndpoint = 5.0
-	// minLimitPerEndpoint is the minimum concurrency limit per endpoint of the replica's fair
-	// share.
+	// The minimum concurrency limit is minLimitPerEndpoint times the number of ready endpoints per
+	// replica.
 	minLimitPerEndpoint = 5.0
-	// minInFlight is the number of attempts that may be in flight regardless of the limit. A lower
-	// limit is enforced on average, by pacing.
+	// A limit below minInFlight is enforced on average, by pacing. Up to minInFlight attempts may
+	// then be in flight at once.
 	minInFlight = 2.0
 
-	// Upper bounds of the latency utilization, absolute and as a multiple of the baseline.
+	// The latency utilization is the latency divided by the latency objective. Its upper bounds are
+	// maxUtilization and maxBaselineRatio times the baseline.
 	maxUtilization   = 0.6
 	maxBaselineRatio = 1.6
 	// initialUtilization is the initial value of all three utilization averages.
 	initialUtilization = maxUtilization / 2
 
 	// A new sample moves an average of the latency utilization by gain/n of the difference. n is the
-	// number of responses that arrive while one attempt is in flight, plus noiseSamples to smooth
-	// out noise.
+	// concurrency limit plus noiseSamples. About as many responses as the limit arrive while one
+	// attempt is in flight. noiseSamples smooths out noise.
 	fastUtilizationGain = 2.0
 	slowUtilizationGain = 0.5
 	noiseSamples        = 16
@@ -30,16 +31,17 @@
 	baselineRecoveryGain = classSmoothing / 16
 
 	// While the utilization is within its bound and the limit is in use, each response raises the
-	// limit by limitIncrease, and by up to limitRecovery times as much in addition if the endpoints
-	// are idle. While the utilization exceeds its bound, each response lowers the limit by
-	// limitDecrease. Both amounts are multiplied by the limit if it is below one.
+	// limit by limitIncrease. It raises the limit by up to limitRecovery times as much in addition;
+	// the addition falls to zero as the utilization reaches its bound. While the utilization exceeds
+	// its bound, each response lowers the limit by limitDecrease. All amounts are multiplied by the
+	// limit if it is below one.
 	limitIncrease = 0.02
 	limitRecovery = 9
 	limitDecrease = 0.1
 	// limitUsedFraction is the share of the limit from which the limit counts as in use.
 	limitUsedFraction = 0.8
-	// maxRestoredMultiple bounds a restored limit to this multiple of the attempts in flight once
-	// it proves too high.
+	// Once the utilization exceeds its bound, a restored limit falls to at most maxRestoredMultiple
+	// times the number of attempts in flight.
 	maxRestoredMultiple = 2
 )
 
@@ -47,9 +49,9 @@
 // endpoints remain slow, so excess requests must be queued or rejected here.
 //
 // It controls the mean latency utilization, which is the latency divided by the latency objective
-// of the class. The baseline is the utilization without queueing at the endpoints, as measured
-// while they were idle. A fixed bound instead of one relative to the baseline would either admit
-// too few slow requests or overload endpoints that serve fast requests.
+// of the class. The baseline estimates the utilization without queueing at the endpoints; see
+// updateBaseline. A fixed bound instead of one relative to the baseline would either admit too few
+// slow requests or overload endpoints that serve fast requests.
 type concurrencyLimiter struct {
 	limit       float64 // attempts in flight; zero until the first endpoint list arrives
 	inFlight    int     // attempts being processed by endpoints: body sent, response not started
@@ -86,8 +88,8 @@
 	l.recordUtilization(min(utilization, 1), window)
 	l.updateBaseline(floor)
 
-	// Only attempts are sampled. If shed requests lowered the bound, fewer attempts would be sent
-	// and more requests shed, and the limit would stay at its floor long after the overload.
+	// Requests that are shed do not change the limit. If they lowered it, fewer attempts would be
+	// sent and more requests shed, and the limit would stay at its floor long after the overload.
 	bound := min(maxUtilization, maxBaselineRatio*l.baselineUtilization)
 	if l.utilization > bound {
 		l.decrease()
@@ -99,8 +101,9 @@
 	l.limit = max(l.limit, floor)
 }
 
-// averagingWindow returns the number of responses that the utilization averages cover. While a
-// restored limit is unconfirmed, it counts only as far as it is in use.
+// averagingWindow returns the number by which the gains of the averages are divided. It is the limit
+// plus noiseSamples. While a restored limit is unconfirmed, the number of attempts in flight replaces
+// a higher limit.
 func (l *concurrencyLimiter) averagingWindow() float64 {
 	if l.unconfirmed {
 		return min(l.limit, float64(l.inFlight)) + noiseSamples
@@ -138,7 +141,8 @@
 // increase raises the limit after a response while the utilization is within its bound. The step
 // becomes smaller as the utilization approaches the bound, because attempts admitted a moment ago
 // affect the utilization only when their responses arrive. The limit rises no faster than the
-// averages can follow, which takes many times the latency while few attempts are in flight.
+// averages can follow. While few attempts are in flight, the averages need many times the latency to
+// follow.
 func (l *concurrencyLimiter) increase(bound, window float64) {
 	recovery := limitRecovery * l.limit / window * (1 - l.utilization/max(bound, 1e-9))
 	l.limit += limitIncrease * min(1, l.limit) * (1 + recovery)
@@ -152,8 +156,9 @@
 	}
 }
 
-// leakyBucket paces a replica whose limit is below minInFlight. Its level is the time, in ns, for
-// which attempts occupy endpoints beyond what the limit allows. It drains at the rate of the limit.
+// leakyBucket paces a replica whose limit is below minInFlight. Its level is the endpoint time, in
+// ns, that attempts use in excess of the limit. Each attempt adds the time for which it occupies an
+// endpoint. In every ns, the level falls by the limit.
 type leakyBucket struct {
 	level     float64 // negative if the replica was idle and may send at once
 	updatedAt time.Duration
@@ -161,16 +166,16 @@
 
 // charge adds the time, in ns, for which an attempt of class c occupies an endpoint. Many replicas
 // with one or two attempts each would together overload the endpoints, so a limit below minInFlight
-// is enforced on average. A replica that has sent minInFlight attempts at once pauses until its
-// limit would have allowed them at their mean latency.
+// is enforced on average. No first attempt is sent while the level is above zero. An idle replica
+// saves the time of up to minInFlight attempts.
 func (l *concurrencyLimiter) charge(c *classState, occupied float64, now time.Duration) {
 	leaked := l.limit * float64(now-l.pacing.updatedAt)
 	minLevel := -minInFlight * c.meanLatency
 	l.pacing.level = max(l.pacing.level-leaked, minLevel) + occupied
 	l.pacing.updatedAt = now
 	if l.limit >= minInFlight {
-		// The number of attempts in flight is decisive at this limit. Earlier charges must not
-		// delay attempts after the limit has fallen.
+		// At this limit, the number of attempts in flight is limited directly. Earlier charges must
+		// not delay attempts after the limit has fallen.
 		l.pacing.level = 0
 	}
 }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// A thousand replicas with one attempt each cause an overload. If there are many more replicas than
-// endpoints, a replica has less than one attempt in flight on average, but may send two at once
+// One attempt of each of 100 replicas would overload 10 endpoints. If there are many more replicas
+// than endpoints, a replica has less than one attempt in flight on average, but may send two at once
 // after an idle period. An attempt that timed out counts as well, because the endpoint may still be
 // processing it.
 func TestPacingBelowOneAttempt(t *testing.T) {
@@ -116,8 +116,7 @@
 	}
 }
 
-// Attempts sent under a high limit do not delay others once the limit has fallen with the number of
-// endpoints.
+// Attempts sent under a high limit do not delay others after the limit has fallen below minInFlight.
 func TestPacingIgnoresChargesAtHighLimit(t *testing.T) {
 	b := newServingBalancer(t, 1, func(s *Settings) { s.MaxAttempts = 1 })
 	for i := range 400 {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -28,8 +28,8 @@
 	// maxExcludedFraction is the maximum share of the ready endpoints that are excluded as
 	// outliers.
 	maxExcludedFraction = 0.2
-	// ejectionLatencies is the duration of a first ejection, and the average duration of a first
-	// rejection limit, in mean latencies of the class.
+	// A first ejection lasts ejectionLatencies times the mean latency of the class. A first rejection
+	// limit lasts as long on average.
 	ejectionLatencies = 12
 	// maxEjectionLevel is how many times the duration of an ejection, or of a rejection limit, is
 	// doubled at most.
@@ -45,30 +45,31 @@
 type outlierDetector struct {
 	errorRate   float64       // moving average of the share of failures among the results of all endpoints
 	lastSuccess time.Duration // clock time of the last success of any endpoint
-	// suspects holds every endpoint that may have to be excluded: those with an awaited attempt, an
-	// ejection or an ejection level above zero. A pick checks only these, because the list can
-	// contain thousands of endpoints.
-	suspects []*endpoint
+	// possibleOutliers holds every endpoint with an awaited attempt, an ejection or an ejection level
+	// above zero. A pick checks only these for being outliers, because the list can contain thousands
+	// of endpoints.
+	possibleOutliers []*endpoint
 }
 
 func newOutlierDetector() outlierDetector { return outlierDetector{errorRate: initialErrorRate} }
 
-// addSuspect adds an endpoint to the suspects unless it is already among them.
-func (d *outlierDetector) addSuspect(e *endpoint) {
-	if !e.suspect {
-		e.suspect = true
-		d.suspects = append(d.suspects, e)
+// addPossibleOutlier adds an endpoint to possibleOutliers unless it is already there.
+func (d *outlierDetector) addPossibleOutlier(e *endpoint) {
+	if !e.possibleOutlier {
+		e.possibleOutlier = true
+		d.possibleOutliers = append(d.possibleOutliers, e)
 	}
 }
 
-// ejected reports whether an endpoint receives no attempts now, regardless of the request.
-func (d *outlierDetector) ejected(e *endpoint, now time.Duration) bool {
+// ejectedOrUnresponsive reports whether an endpoint is an outlier for every request: its ejection has
+// not ended, or it is unresponsive.
+func (d *outlierDetector) ejectedOrUnresponsive(e *endpoint, now time.Duration) bool {
 	return now < e.ejectedUntil || d.unresponsive(e, now)
 }
 
-// unresponsive reports whether the oldest awaited attempt of an endpoint is overdue although other
-// endpoints have responded in the meantime. When a process hangs, this is the only symptom until
-// its attempts time out.
+// unresponsive reports whether the oldest awaited attempt of an endpoint is overdue, another endpoint
+// has succeeded since the middle of the wait, and this endpoint has not. When a process hangs, this is
+// the only symptom until its attempts time out.
 func (d *outlierDetector) unresponsive(e *endpoint, now time.Duration) bool {
 	if len(e.awaited) == 0 {
 		return false
@@ -79,11 +80,11 @@
 	return now-oldest.sentAt > wait && d.lastSuccess > midpoint && e.lastSuccess < midpoint
 }
 
-// isOutlier reports whether an endpoint must not receive an attempt of a request now. After an
-// ejection, an endpoint is probed with one attempt at a time, and never with a request that cannot
-// be repeated.
+// isOutlier reports whether an endpoint should not receive an attempt of a request now. After an
+// ejection, an endpoint is probed with one attempt at a time, and not with a request that cannot be
+// repeated.
 func (d *outlierDetector) isOutlier(e *endpoint, r *request, now time.Duration) bool {
-	if d.ejected(e, now) {
+	if d.ejectedOrUnresponsive(e, now) {
 		return true
 	}
 	probing := e.ejectionLevel > 0 && e.consecutiveSuccesses == 0
@@ -92,13 +93,13 @@
 
 // outliersFor returns the ready endpoints that are outliers for a request, ordered by the number of
 // consecutive failures, highest first, and then by the shared order. It removes endpoints that no
-// longer have to be checked from the suspects.
+// longer have to be checked from possibleOutliers.
 func (d *outlierDetector) outliersFor(r *request, now time.Duration) []*endpoint {
 	var outliers []*endpoint
-	kept := d.suspects[:0]
-	for _, e := range d.suspects {
+	kept := d.possibleOutliers[:0]
+	for _, e := range d.possibleOutliers {
 		if !e.mayBecomeOutlier(now) {
-			e.suspect = false
+			e.possibleOutlier = false
 			continue
 		}
 		kept = append(kept, e)
@@ -106,15 +107,15 @@
 			outliers = append(outliers, e)
 		}
 	}
-	clear(d.suspects[len(kept):])
-	d.suspects = kept
+	clear(d.possibleOutliers[len(kept):])
+	d.possibleOutliers = kept
 	slices.SortFunc(outliers, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(y.consecutiveFailures, x.consecutiveFailures), cmp.Compare(x.rank, y.rank))
 	})
 	return outliers
 }
 
-// mayBecomeOutlier reports whether an endpoint must remain among the suspects.
+// mayBecomeOutlier reports whether an endpoint must remain in possibleOutliers.
 func (e *endpoint) mayBecomeOutlier(now time.Duration) bool {
 	if !e.listed && e.activeAttempts == 0 {
 		return false
@@ -128,14 +129,14 @@
 	if now < e.ejectedUntil {
 		return
 	}
-	d.addSuspect(e)
+	d.addPossibleOutlier(e)
 	e.ejectedUntil = now + time.Duration(ejectionLatencies*c.meanLatency)<<e.ejectionLevel
 	e.ejectionLevel = min(e.ejectionLevel+1, maxEjectionLevel)
 }
 
 // recordFailure records a failure of an endpoint. A run of failures ejects the endpoint only if the
 // error rate over all endpoints makes the run unlikely. Failures of all endpoints are caused by a
-// shared dependency, and ejecting for those would leave no endpoint.
+// shared dependency. If they caused ejections, no endpoint would remain.
 func (d *outlierDetector) recordFailure(e *endpoint, c *classState, now time.Duration) {
 	e.consecutiveFailures++
 	e.consecutiveSuccesses = 0
@@ -181,7 +182,8 @@
 	c := r.class
 	expected := c.meanLatency
 	if r.costHint > 0 && c.meanCost > 0 {
-		expected *= math.Sqrt(r.costHint / c.meanCost) // waiting time does not grow with the cost
+		// The square root, because the latency includes waiting time, which does not grow with the cost.
+		expected *= math.Sqrt(r.costHint / c.meanCost)
 	}
 	if weight := b.endpoints.weight(e); weight < b.endpoints.meanWeight {
 		expected *= b.endpoints.meanWeight / weight // a small machine is slower without being faulty
@@ -219,7 +221,7 @@
 	b.now = max(b.now, now)
 	count := 0
 	for _, e := range b.endpoints.ready {
-		if b.outliers.ejected(e, b.now) {
+		if b.outliers.ejectedOrUnresponsive(e, b.now) {
 			count++
 		}
 	}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -85,12 +85,12 @@
 	}
 }
 
-// An endpoint must not be probed with a request that cannot be repeated after an ejection.
+// After an ejection, an endpoint must not be probed with a request that cannot be repeated.
 func TestProbeAfterEjectionIsRepeatable(t *testing.T) {
 	b := newServingBalancer(t, 10, nil)
 	e := b.endpoints.byID["s03"]
 	e.ejectionLevel, e.ejectedUntil = 1, 0
-	b.outliers.addSuspect(e)
+	b.outliers.addPossibleOutlier(e)
 	if got := sendRequests(b, 400, "pay", alwaysSucceed); got["s03"] != 0 {
 		t.Errorf("an endpoint received %d non-idempotent requests as probes after its ejection", got["s03"])
 	}
@@ -137,7 +137,7 @@
 			b.Handle(ms, EndpointUpdate{Full: true, Endpoints: testEndpoints(20)})
 			for _, e := range b.endpoints.ready[:10] {
 				e.ejectedUntil = time.Minute
-				b.outliers.addSuspect(e)
+				b.outliers.addPossibleOutlier(e)
 			}
 			b.queue.shedRate = c.shedRate
 			if got := len(b.excludedEndpoints(requestOf(b, "get"))); got != c.want {
@@ -178,7 +178,7 @@
 	for i, e := range b.endpoints.ready[:4] {
 		b.outliers.eject(e, b.classes.find("get"), b.now)
 		if n := b.EjectedCount(0); n != min(i+1, 2) {
-			t.Errorf("%d of 10 endpoints ejected: got a count of %d, want one each up to 2", i+1, n)
+			t.Errorf("%d of 10 endpoints ejected: got a count of %d, want as many, but at most 2", i+1, n)
 		}
 	}
 	if n := b.EjectedCount(time.Hour); n != 0 {
@@ -192,10 +192,10 @@
 	attempt int
 }
 
-// After every event, the suspects include exactly the endpoints that a scan of the whole list
-// finds, in the same order, and none without a reason. The ready endpoints are in the shared order
-// without duplicates.
-func TestSuspectsAreComplete(t *testing.T) {
+// After every event, the outliers among possibleOutliers equal those of the whole list, in the same
+// order. Every endpoint in possibleOutliers has a reason to be there. The ready endpoints are in the
+// shared order without duplicates.
+func TestPossibleOutliersAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(testSettings(), rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
@@ -214,7 +214,7 @@
 			for _, s := range sendsOf(b.Handle(now, event)) {
 				active = append(active, activeSend{s, len(b.requests[s.ID].attempts) - 1})
 			}
-			checkSuspects(t, b)
+			checkPossibleOutliers(t, b)
 			checkSharedOrder(t, b)
 		}
 	})
@@ -246,8 +246,8 @@
 	}
 }
 
-// checkSuspects compares the outliers among the suspects with those of the whole list.
-func checkSuspects(t *rapid.T, b *Balancer) {
+// checkPossibleOutliers compares the outliers among possibleOutliers with those of the whole list.
+func checkPossibleOutliers(t *rapid.T, b *Balancer) {
 	for _, class := range []string{"get", "pay"} {
 		r := requestOf(b, class)
 		var want []*endpoint
@@ -263,9 +263,9 @@
 			t.Fatalf("%s: got %d outliers, want %d in the same order", class, len(got), len(want))
 		}
 	}
-	for _, e := range b.outliers.suspects {
+	for _, e := range b.outliers.possibleOutliers {
 		if e.activeAttempts == 0 && e.ejectionLevel == 0 && b.now >= e.ejectedUntil {
-			t.Fatalf("%s is a suspect without a reason", e.ID)
+			t.Fatalf("%s is a possible outlier without a reason", e.ID)
 		}
 	}
 }
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -8,20 +8,20 @@
 	minDivisor = 1e-9
 )
 
-// priority returns the credit earned per ns of endpoint time by serving a request, so that load
-// shedding drops the requests that earn least. The worst-served class earns extra credit, so that
-// no class starves.
+// priority returns the credit that serving a request earns, divided by the mean latency of its class
+// in ns. Load shedding therefore drops the requests that earn least in the time that they need. The
+// worst-served class earns extra credit, so that no class starves.
 func (b *Balancer) priority(r *request) float64 {
 	c := r.class
 	totalWeight, worst := b.classes.totalWeightAndWorst(c)
-	value := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minDivisor)
+	credit := b.settings.TotalValueWeight * c.PriorityWeight / max(totalWeight, minDivisor)
 	if worst == c {
-		value += b.settings.WorstClassWeight / max(c.arrivals, minDivisor)
+		credit += b.settings.WorstClassWeight / max(c.arrivals, minDivisor)
 	}
 	if r.clientRetry { // most of its objective, which starts with the client's first try, has passed
-		value *= c.LateCredit
+		credit *= c.LateCredit
 	}
-	return value / c.meanLatency
+	return credit / c.meanLatency
 }
 
 // totalWeightAndWorst returns the total priority weight of recent arrivals, and the class with the
@@ -39,7 +39,7 @@
 }
 
 // highestPriority returns the request with the highest priority. Among equal ones it returns the
-// last, which has the most time left.
+// one that was enqueued last, which usually has the most time left.
 func (b *Balancer) highestPriority(requests []*request) *request {
 	best := requests[0]
 	for _, r := range requests[1:] {
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -20,7 +20,7 @@
 	active    []activeSendUntil
 	timers    []SetTimer
 	requests  []string        // IDs
-	done      map[string]bool // requests with a final response, as far as the host determines it
+	done      map[string]bool // requests whose outcomes now have RequestDone set
 	log       []string        // every action
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -19,7 +19,7 @@
 	bodyPending     bool    // the last byte of the streaming body has not been sent
 	queued          bool    // it is in the pending queue
 	attempts        []*attempt
-	activeAttempts  int
+	activeAttempts  int // at most 1
 	responseStarted bool
 	finished        bool
 	timerAt         time.Duration // time of the last timer that was set; zero once it has fired
@@ -101,12 +101,13 @@
 // awaitResponse counts an attempt as being processed by its endpoint.
 func (b *Balancer) awaitResponse(a *attempt) {
 	a.endpoint.awaited = append(a.endpoint.awaited, a)
-	b.outliers.addSuspect(a.endpoint)
+	b.outliers.addPossibleOutlier(a.endpoint)
 	b.limiter.inFlight++
 }
 
 // bodySent sets the deadline of a request whose streaming body has been sent. The time until then
-// does not count as latency.
+// does not count as latency. firstTriedAt moves by as much as the deadline, so that this time does not
+// count against the latency objective either.
 func (b *Balancer) bodySent(e RequestBodySent) {
 	a := b.activeAttempt(e.ID, e.Attempt)
 	if a == nil || !a.request.bodyPending {
@@ -121,7 +122,7 @@
 }
 
 // startResponse records the result of an attempt when its response starts, because how long the
-// rest takes depends on the client that reads it. The other attempts of the request are cancelled.
+// rest takes depends on the client that reads it.
 func (b *Balancer) startResponse(e ResponseStarted) {
 	a := b.activeAttempt(e.ID, e.Attempt)
 	if a == nil || a.responseStarted {
@@ -129,6 +130,7 @@
 	}
 	b.finishAwaiting(a, Success)
 	a.responseStarted, a.request.responseStarted = true, true
+	// This cancels nothing, because the other attempts of the request have ended.
 	for _, other := range a.request.attempts {
 		if other != a {
 			b.cancel(other)
@@ -137,7 +139,7 @@
 	b.dispatchPending()
 }
 
-// endAttempt applies the outcome of an attempt. If no other attempt is active, the request is
+// endAttempt applies the outcome of an attempt. If the request has no final response yet, it is
 // retried or finished.
 func (b *Balancer) endAttempt(e Outcome) {
 	a := b.activeAttempt(e.ID, e.Attempt)
@@ -219,9 +221,9 @@
 		b.queue.recordShed()
 	}
 	if r.rejectable() {
-		// A client that is asked to wait long retries when most of its objective has passed, and
-		// its late response uses capacity that other requests need to meet theirs. The concurrency
-		// limit keeps the load low instead.
+		// RetryAfter is at most one tick. A client that waits longer retries when most of its
+		// objective has passed, and its late response uses capacity that other requests need. The
+		// load stays low without a long wait, because of the concurrency limit.
 		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: r.id})
@@ -229,7 +231,7 @@
 	b.finish(r)
 }
 
-// finish marks a request as finished and cancels its active attempts.
+// finish marks a request as finished and cancels its active attempt.
 func (b *Balancer) finish(r *request) {
 	if r.finished {
 		return
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -3,7 +3,7 @@
 import "time"
 
 // recordResult records the result of an attempt in the latency of the class, the retry budget and
-// the history of the endpoint.
+// the history of the endpoint. A timeout is also charged to the pacing of the limiter.
 func (b *Balancer) recordResult(a *attempt, result Result) {
 	e, c := a.endpoint, a.request.class
 	latency := float64(b.now - a.sentAt)
@@ -20,7 +20,7 @@
 		b.outliers.recordFailure(e, c, b.now)
 	case Overloaded, Unreachable:
 		b.recordRejection(e, c)
-	case Cancelled:
+	case Cancelled: // the latency so far is a lower bound, which counts only if it is already overdue
 		if latency > c.overdueAfter() {
 			b.recordLatency(e, a.request, latency)
 		}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -107,7 +107,8 @@
 	return false
 }
 
-// rejectable reports whether a Reject may promise the client that a retry is safe.
+// rejectable reports whether a Reject may promise the client that a retry is safe. It does not check
+// the idempotency window.
 func (r *request) rejectable() bool {
 	for _, a := range r.attempts {
 		if a.notExecuted {
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -10,11 +10,11 @@
 // ruleChecker observes the events passed to one Balancer and its actions, and records each violation of these
 // rules:
 //
-//  1. Every request has one final response, by its deadline, and no attempt after it.
+//  1. Every request has one final response by its deadline. No attempt is sent after the final response.
 //  2. A request is sent again, or rejected, only as its effect allows.
 //  3. Attempts are sent only to ready endpoints.
 //
-// It shares no code with the package.
+// It uses the types of the package, but none of its functions.
 type ruleChecker struct {
 	settings   Settings
 	slack      time.Duration // by which a final response may be late
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// deploymentSettings returns settings that differ in everything that a decision might assume of one
-// deployment.
+// deploymentSettings returns the settings of several deployments by name. They differ widely, so that
+// a decision that assumes a property of one deployment fails in another.
 func deploymentSettings() map[string]Settings {
 	base := testSettings()
 
@@ -101,7 +101,7 @@
 	return last
 }
 
-// decision is a decision with its time at scale 1.
+// decision is an action of the Balancer as text, with its time divided by the factor of the scale.
 type decision struct {
 	at   time.Duration
 	what string
@@ -210,13 +210,13 @@
 	for _, action := range h.b.Handle(e.at, e.event) {
 		switch a := action.(type) {
 		case Send:
-			h.decide(e.at, "send %s to %s", a.ID, a.Endpoint)
+			h.recordDecision(e.at, "send %s to %s", a.ID, a.Endpoint)
 			h.send(e.at, a)
 		case Reject:
-			h.decide(e.at, "%T %s", a, a.ID)
+			h.recordDecision(e.at, "%T %s", a, a.ID)
 			h.finish(e.at, a.ID, a.RetryAfter)
 		case Fail:
-			h.decide(e.at, "%T %s", a, a.ID)
+			h.recordDecision(e.at, "%T %s", a, a.ID)
 			h.finish(e.at, a.ID, 0)
 		case SetTimer:
 			if a.At <= e.at {
@@ -224,13 +224,13 @@
 			}
 			h.schedule((a.At/h.factor + timeUnit).Truncate(timeUnit), TimerFired{Token: a.Token})
 		case Subscribe:
-			h.decide(e.at, "subscribe")
+			h.recordDecision(e.at, "subscribe")
 		}
 	}
 }
 
-// decide records a decision.
-func (h *scaledHost) decide(now time.Duration, format string, args ...any) {
+// recordDecision records a decision made at the clock time now.
+func (h *scaledHost) recordDecision(now time.Duration, format string, args ...any) {
 	h.decisions = append(h.decisions, decision{now / h.factor, fmt.Sprintf(format, args...)})
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -32,9 +32,9 @@
 	IdempotencyScope  IdempotencyScope // used with WithIdempotencyKey
 	IdempotencyWindow time.Duration    // used with WithIdempotencyKey: lifetime of keys since the first send
 	LatencyObjective  time.Duration    // responses within it earn full credit
-	Deadline          time.Duration    // how long a client waits in total, including its retries
+	Deadline          time.Duration    // time from the first try of a client to its deadline, with retries
 	LateCredit        float64          // fraction of the credit that a response after the objective earns
-	PriorityWeight    float64          // credit of a response in time; higher is served first under overload
+	PriorityWeight    float64          // credit of a response within the objective; raises the priority
 	Streaming         bool             // responses are streams; no decision depends on it
 }
 
@@ -46,23 +46,23 @@
 	WeightUnknown     WeightKind = iota // unspecified; weights are ignored
 	WeightNominal                       // registered capacity
 	WeightApproximate                   // approximate capacity
-	WeightLive                          // capacity divided by load, delayed; weights are ignored
+	WeightLive                          // capacity divided by load, outdated on arrival; weights are ignored
 )
 
-// SlowStart describes how an endpoint warms up after its start, and which load it tolerates
-// meanwhile.
+// SlowStart describes how an endpoint warms up after its start, and which load it tolerates while it
+// warms up.
 type SlowStart struct {
 	InitialFraction  float64       // minimum fraction of its capacity that an endpoint has at its start
 	Duration         time.Duration // time from its start to its full capacity
-	OverloadMultiple float64       // multiple of its current capacity that overloads it meanwhile
+	OverloadMultiple float64       // load that overloads the endpoint, as a multiple of its current capacity
 	OverloadWindow   time.Duration // how long it tolerates such a load before it fails
 }
 
 // Settings configures a Balancer. A Reconfigure event replaces the settings.
 type Settings struct {
 	Classes          []Class
-	Replicas         int     // number of balancers that send to this tier
-	ReplicaIndex     int     // index of this balancer among them, from 0
+	Replicas         int     // number of nodes that send to this tier
+	ReplicaIndex     int     // index of this node among them, from 0
 	Tier             int     // tier that requests are sent to; zero is the first
 	TotalValueWeight float64 // weight of the total credit of all classes in load shedding
 	WorstClassWeight float64 // weight of the worst-served class in load shedding
@@ -72,8 +72,8 @@
 	Cancellation  bool // the host supports Cancel
 	WeightKind    WeightKind
 	PollDiscovery bool          // the endpoint list is sent only after a Subscribe
-	PollInterval  time.Duration // longest time between requests for the endpoint list without a subscription
-	Tick          time.Duration // resolution of the host's clock, which limits how often events arrive
+	PollInterval  time.Duration // longest interval between polls; a Subscribe is delayed by up to a quarter
+	Tick          time.Duration // resolution of the host's timers, which can fire up to one tick early
 	MaxRetryAfter time.Duration // longest RetryAfter that clients respect
 
 	SlowStart      SlowStart
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// warmupBudgetFraction is the share of an endpoint's overload threshold, see SlowStart, that all
-// replicas together may use on average while it is warming up. The rest is a margin for variance.
+// While an endpoint is warming up, all replicas together may send it on average warmupBudgetFraction
+// of the attempts that it can handle. The rest is a margin for variance.
 const warmupBudgetFraction = 0.67
 
 // slowStart limits the attempts sent to endpoints that are warming up. While enough other endpoints
@@ -16,12 +16,12 @@
 type slowStart struct {
 	settings *Settings
 
-	// The following averages decay with SlowStart.Duration as the time constant, as of updatedAt.
+	// The following values decay with SlowStart.Duration as the time constant, as of updatedAt.
 	// They are not updated while warm capacity is scarce, because the reduced load then does not
 	// show how much the endpoints can handle.
-	sends            float64 // attempts sent by this replica
-	sendsPerEndpoint float64
-	span             float64 // time within which they were sent, in ns
+	sends            float64 // number of attempts sent by this replica
+	sendsPerEndpoint float64 // the same, with each attempt divided by the number of ready endpoints
+	span             float64 // time that the two counts cover, in ns
 	updatedAt        time.Duration
 
 	scarce bool // last result of warmCapacityScarce
@@ -70,13 +70,13 @@
 }
 
 // warmCapacityScarce reports whether sampling by warm-up fraction would overload endpoints that are
-// warming up.
+// warming up. It returns false if OverloadWindow is zero.
 //
-// Within OverloadWindow, an endpoint can handle N = OverloadMultiple x fraction x capacity x
-// OverloadWindow attempts. The known capacity of a warm endpoint is the number of attempts that it
-// has received from this replica. If fewer endpoints are warm than when that was measured, an
-// endpoint that is warming up receives more than its fraction of that number. This is accepted up to
-// warmupBudgetFraction x N.
+// Sampling divides the attempts of this replica in proportion to the warm-up fractions. An endpoint
+// with fraction f receives sends x f / (sum of all fractions), which is more the fewer endpoints are
+// warm. It can handle OverloadMultiple x f x sendsPerEndpoint attempts in the same time, because a warm
+// endpoint has handled sendsPerEndpoint. Capacity is scarce if the endpoint would receive more than
+// warmupBudgetFraction of the attempts that it can handle.
 func (b *Balancer) warmCapacityScarce() bool {
 	subset, ready := len(b.endpoints.subset), len(b.endpoints.ready)
 	rule := b.settings.SlowStart
@@ -91,15 +91,17 @@
 	return b.slowStart.scarce
 }
 
-// withinWarmupBudget limits what all replicas together send to an endpoint that is warming up while
-// warm capacity is scarce.
+// withinWarmupBudget reports whether this replica may send another attempt to an endpoint that is
+// warming up. It limits what all replicas together send to the endpoint while warm capacity is scarce.
 //
-// In every OverloadWindow, a replica is granted its share of warmupBudgetFraction x N attempts,
-// where N is defined at warmCapacityScarce. A fraction of an attempt is granted with the
-// corresponding probability. Any interval of length OverloadWindow overlaps at most two grants. If
-// endpoints were used to three quarters of their capacity, the overlapping grants of all replicas
-// amount to N attempts on average, with a variance below N, regardless of the number of replicas
-// and of which of them receive the requests.
+// Within OverloadWindow, the endpoint can handle N = OverloadMultiple x fraction x capacity x
+// OverloadWindow attempts. In every OverloadWindow, each replica is granted its part of
+// warmupBudgetFraction x N. A fraction of an attempt is granted with the corresponding probability.
+//
+// Any interval of length OverloadWindow overlaps at most two grants of a replica. Replicas measure the
+// load that a warm endpoint has handled, not its capacity. If that load was three quarters of the
+// capacity, two grants of all replicas are 2 x 0.67 x 0.75 x N = N attempts on average, with a variance
+// below N. This holds regardless of the number of replicas and of which of them receive the requests.
 func (b *Balancer) withinWarmupBudget(e *endpoint, c *classState) bool {
 	if b.now >= e.warmupBudgetUntil {
 		window := b.settings.SlowStart.OverloadWindow
@@ -109,11 +111,11 @@
 	return e.warmupBudget > 0
 }
 
-// warmupCapacity returns the number of attempts of this replica that an endpoint that is warming up
-// can handle within OverloadWindow. A warm endpoint could handle what this replica has sent to it
-// in addition to the attempts of others. A replica that has sent almost nothing assumes that an
-// endpoint processes one request at a time for all replicas together. Only some replicas have the
-// endpoint in their subset, so each of them may use more.
+// warmupCapacity returns how many attempts of this replica an endpoint can handle within
+// OverloadWindow while it is warming up. A warm endpoint could handle what this replica has sent to
+// it in addition to the attempts of others. A replica that has sent almost nothing assumes that an
+// endpoint processes one request at a time for all replicas together. The result is divided by the
+// fraction of endpoints in the subset, because only that fraction of the replicas uses the endpoint.
 func (b *Balancer) warmupCapacity(e *endpoint, c *classState) float64 {
 	rule := b.settings.SlowStart
 	window := float64(rule.OverloadWindow)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,13 +6,13 @@
 )
 
 // Snapshot contains what a Balancer has learned, for a later process of the same node. It contains
-// no requests: whether those that were active when a process ended have been executed is unknown,
-// so none of them may be sent again. The JSON form is stored.
+// no requests. It is unknown which of the requests that were active at the end of a process were
+// executed, so none of them may be sent again. The JSON form is stored.
 type Snapshot struct {
 	Tier                int                `json:"tier"`
 	ErrorRate           float64            `json:"errors"` // share of failures among results
 	RetryTokens         float64            `json:"tokens"` // tokens in the retry budget
-	LimitPerEndpoint    float64            `json:"window"` // concurrency limit per endpoint of the fair share
+	LimitPerEndpoint    float64            `json:"window"` // concurrency limit / ready endpoints per replica
 	Utilization         float64            `json:"fill"`   // mean latency divided by the latency objective
 	SlowUtilization     float64            `json:"calm"`   // the same over four times as many responses
 	BaselineUtilization float64            `json:"bare"`   // minimum of SlowUtilization, with slow recovery
@@ -27,7 +27,7 @@
 	Deadline         time.Duration `json:"deadline"`
 	MeanLatency      float64       `json:"mean"` // of successful attempts, in ns
 	LatencyDeviation float64       `json:"dev"`  // mean absolute deviation, in ns
-	MeanCost         float64       `json:"cost"` // mean cost hint, in ns
+	MeanCost         float64       `json:"cost"` // mean cost hint, in ns; an absent hint counts as zero
 	LongestTimeout   time.Duration `json:"longest_try"`
 }
 
@@ -117,8 +117,8 @@
 	return s
 }
 
-// snapshot returns the measurements of the class. Latencies are limited to the deadline, because a
-// late response may have taken longer.
+// snapshot returns the measurements of the class. Latencies are limited to the deadline, because
+// Validate rejects higher ones. A late response may have taken longer.
 func (c *classState) snapshot() ClassSnapshot {
 	deadline := float64(c.Deadline)
 	return ClassSnapshot{
@@ -221,8 +221,8 @@
 }
 
 // restoreEndpoint applies the restored history to an endpoint that is new in the list. The cause of
-// its ejection may be gone, so the ejection level is reduced and only the remaining time of the
-// ejection applies.
+// its ejection may be gone. The ejection level is therefore multiplied by the weight of the snapshot
+// and rounded down, and only the remaining time of the ejection applies.
 func (b *Balancer) restoreEndpoint(e *endpoint) {
 	if b.restored == nil {
 		return
@@ -237,6 +237,6 @@
 		e.ejectedUntil = b.now + remaining
 	}
 	if e.ejectionLevel > 0 || e.ejectedUntil > b.now {
-		b.outliers.addSuspect(e)
+		b.outliers.addPossibleOutlier(e)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -14,10 +14,10 @@
 	"pgregory.net/rapid"
 )
 
-// snapshotAge is the SnapshotMaxAge in these tests.
-const snapshotAge = time.Minute
+// maxAge is the SnapshotMaxAge in these tests. The benchmarks also use it as a clock time.
+const maxAge = time.Minute
 
-func withSnapshots(s *Settings) { s.SnapshotMaxAge = snapshotAge }
+func withSnapshots(s *Settings) { s.SnapshotMaxAge = maxAge }
 
 // newTrainedBalancer returns a Balancer that has served requests, and its time. s00 is slow, s01
 // fails, and the concurrency limit has grown to 100.
@@ -61,11 +61,12 @@
 	return b
 }
 
-// initialLimit is the concurrency limit of a test Balancer with 10 endpoints and no history.
+// initialLimit is the concurrency limit of a test Balancer without history. The Balancer has 10
+// endpoints for 2 replicas.
 const initialLimit = initialLimitPerEndpoint * 5
 
-// The weight of a snapshot decreases with its age: it is 1 for a new snapshot, and 0 from
-// SnapshotMaxAge on and if SnapshotMaxAge is zero.
+// The weight of a snapshot decreases with its age. A new snapshot has the weight 1. A snapshot of
+// SnapshotMaxAge or older has the weight 0. If SnapshotMaxAge is zero, every snapshot has the weight 0.
 func TestSnapshotWeightDecreasesWithAge(t *testing.T) {
 	trained, now := newTrainedBalancer(t)
 	snapshot := trained.Snapshot(now)
@@ -73,7 +74,7 @@
 		t.Fatalf("%+v", snapshot)
 	}
 	previous := math.Inf(1)
-	for _, age := range []time.Duration{0, snapshotAge / 4, snapshotAge / 2, snapshotAge - 1, snapshotAge, time.Hour} {
+	for _, age := range []time.Duration{0, maxAge / 4, maxAge / 2, maxAge - 1, maxAge, time.Hour} {
 		b := newRestoredBalancer(t, snapshot, age, testEndpoints(10), nil)
 		if b.limiter.limit > previous {
 			t.Errorf("age %v: limit %v, more than %v of a newer snapshot", age, b.limiter.limit, previous)
@@ -82,7 +83,7 @@
 		if age == 0 {
 			checkRestored(t, b, trained)
 		}
-		if age >= snapshotAge {
+		if age >= maxAge {
 			checkNotRestored(t, b)
 		}
 	}
@@ -159,7 +160,7 @@
 	})
 }
 
-// A snapshot that a Balancer cannot have produced, or of another tier, is ignored as a whole.
+// A snapshot is ignored as a whole if a Balancer cannot have produced it or if it is of another tier.
 func TestInvalidSnapshotIgnored(t *testing.T) {
 	trained, now := newTrainedBalancer(t)
 	snapshot := trained.Snapshot(now)
@@ -221,8 +222,8 @@
 	}
 }
 
-// After any events, a snapshot is valid and survives a JSON round trip. A snapshot of a Balancer
-// that has just restored it differs only by rounding.
+// After any events, a snapshot is valid and survives a JSON round trip. A Balancer that
+// restores it returns the same endpoints, the same classes apart from rounding, and no lower limit.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
@@ -291,7 +292,8 @@
 	}
 }
 
-// snapshotFile is a snapshot that an earlier version took of newTrainedBalancer.
+// snapshotFile contains the snapshot of the Balancer that newTrainedBalancer returns, as written by an
+// earlier version.
 const snapshotFile = "testdata/snapshot.json"
 
 // The stored format of a snapshot must not change. The same events produce the same bytes, and a
@@ -374,14 +376,14 @@
 	bal, _ := newBalancerWithHistory(b)
 	b.ResetTimer()
 	for range b.N {
-		bal.Snapshot(snapshotAge)
+		bal.Snapshot(maxAge)
 	}
 }
 
 // BenchmarkRestore measures how long it takes to decode and restore a snapshot of 10,000 endpoints.
 func BenchmarkRestore(b *testing.B) {
 	bal, endpoints := newBalancerWithHistory(b)
-	text, err := json.Marshal(bal.Snapshot(snapshotAge))
+	text, err := json.Marshal(bal.Snapshot(maxAge))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -398,7 +400,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		next.Handle(snapshotAge, Restore{Snapshot: snapshot})
-		next.Handle(snapshotAge, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
+		next.Handle(maxAge, Restore{Snapshot: snapshot})
+		next.Handle(maxAge, EndpointUpdate{Full: true, Cached: true, Endpoints: endpoints})
 	}
 }
