--- a/internal/lab/fault/injector.go
+++ b/internal/lab/fault/injector.go
@@ -13,53 +13,53 @@
 // restartDelay is how long a drained server is down before it starts again.
 const restartDelay = 500 * time.Millisecond
 
-// Injector injects faults into a run. Its fields must be set.
+// Injector injects faults into a run. All fields must be set.
 type Injector struct {
 	World   *model.World
 	Clients *traffic.Clients
-	// ControlProcess acts on a node's process and tells everything that depends on it.
+	// ControlProcess applies an action to a node's process and notifies all components that depend on the process.
 	ControlProcess func(node int, action model.ProcessAction)
 	// Notify is called when an event begins and when it ends.
 	Notify func(e *Event, begins bool)
 }
 
 // Start schedules all events on the loop.
-func (p *Injector) Start(events []*Event) {
+func (inj *Injector) Start(events []*Event) {
 	for _, e := range events {
-		p.World.Loop.At(e.Start, func() {
-			p.Notify(e, true)
-			p.inject(e)
+		inj.World.Loop.At(e.Start, func() {
+			inj.Notify(e, true)
+			inj.inject(e)
 		})
 	}
 }
 
 // during calls apply with true now, and with false at the end of the event.
-func (p *Injector) during(e *Event, apply func(on bool)) {
+func (inj *Injector) during(e *Event, apply func(on bool)) {
 	apply(true)
-	p.World.Loop.At(e.End, func() {
-		p.Notify(e, false)
+	inj.World.Loop.At(e.End, func() {
+		inj.Notify(e, false)
 		apply(false)
 	})
 }
 
-func (p *Injector) inject(e *Event) {
+func (inj *Injector) inject(e *Event) {
 	switch scenario.FaultTarget[e.Kind] {
 	case scenario.TargetNodes:
-		p.injectIntoNodes(e)
+		inj.injectIntoNodes(e)
 	case scenario.TargetServers:
-		p.injectIntoServers(e)
+		inj.injectIntoServers(e)
 	case scenario.TargetLinks:
-		p.injectIntoLinks(e)
+		inj.injectIntoLinks(e)
 	case scenario.TargetLists:
-		p.injectIntoLists(e)
+		inj.injectIntoLists(e)
 	case scenario.TargetLoad:
-		p.injectIntoLoad(e)
+		inj.injectIntoLoad(e)
 	case scenario.TargetRegistry:
-		p.during(e, func(on bool) { p.World.Backend.SetReplicaFault(e.Replicas, e.Kind, on) })
+		inj.during(e, func(on bool) { inj.World.Backend.SetReplicaFault(e.Replicas, e.Kind, on) })
 	}
 }
 
-// processFault is what a fault does to a process when it begins and when it ends.
+// processFault is the pair of actions with which a fault begins and ends.
 type processFault struct {
 	begin, end model.ProcessAction
 }
@@ -70,35 +70,35 @@
 	scenario.FaultPause:     {model.Pause, model.Resume},
 }
 
-func (p *Injector) injectIntoNodes(e *Event) {
+func (inj *Injector) injectIntoNodes(e *Event) {
 	fault := processFaults[e.Kind]
-	p.during(e, func(on bool) {
+	inj.during(e, func(on bool) {
 		action := fault.end
 		if on {
 			action = fault.begin
 		}
 		for _, node := range e.Nodes {
-			p.ControlProcess(node, action)
+			inj.ControlProcess(node, action)
 		}
 	})
 }
 
-func (p *Injector) injectIntoServers(e *Event) {
-	notDrained := map[int]bool{} // servers whose permit was not granted
-	p.during(e, func(on bool) {
+func (inj *Injector) injectIntoServers(e *Event) {
+	notDrained := map[int]bool{} // servers whose permit has not been granted
+	inj.during(e, func(on bool) {
 		for _, server := range e.Servers {
 			if e.Kind == scenario.FaultDrain {
-				p.drainServer(server, on, notDrained)
+				inj.drainServer(server, on, notDrained)
 			} else {
-				p.setServerFault(e, server, on)
+				inj.setServerFault(e, server, on)
 			}
 		}
 	})
 }
 
-// setServerFault applies a fault to a server, or ends it.
-func (p *Injector) setServerFault(e *Event, server int, on bool) {
-	s := p.World.Servers[server]
+// setServerFault begins or ends a fault of a server.
+func (inj *Injector) setServerFault(e *Event, server int, on bool) {
+	s := inj.World.Servers[server]
 	switch e.Kind {
 	case scenario.FaultCrash, scenario.FaultVanish:
 		if on {
@@ -107,7 +107,7 @@
 			s.Start()
 		}
 	case scenario.FaultLeaseLoss:
-		p.World.Backend.SetHeartbeats(server, !on)
+		inj.World.Backend.SetHeartbeats(server, !on)
 	case scenario.FaultHang:
 		s.SetHanging(on)
 	case scenario.FaultSlow:
@@ -119,13 +119,14 @@
 	}
 }
 
-// drainServer drains a server, under a permit if the site has a disruption budget. A drain ends by a restart.
-func (p *Injector) drainServer(server int, on bool, notDrained map[int]bool) {
-	s := p.World.Servers[server]
+// drainServer drains a server, or ends its drain by a restart. If the site has a disruption budget, the server drains only once a
+// permit is granted.
+func (inj *Injector) drainServer(server int, on bool, notDrained map[int]bool) {
+	s := inj.World.Servers[server]
 	switch {
-	case on && p.World.Site.Budget.Enabled():
+	case on && inj.World.Site.Budget.Enabled():
 		notDrained[server] = true // until the permit is granted
-		p.World.Backend.RequestPermit(server, func(rejected error) {
+		inj.World.Backend.RequestPermit(server, func(rejected error) {
 			if rejected == nil {
 				notDrained[server] = false
 				s.Drain()
@@ -135,24 +136,24 @@
 		s.Drain()
 	case !notDrained[server]:
 		s.Stop(false)
-		p.World.Loop.After(restartDelay, s.Start)
+		inj.World.Loop.After(restartDelay, s.Start)
 	}
 }
 
-func (p *Injector) injectIntoLinks(e *Event) {
-	affected := e.affectedLinks(p.World.Site)
+func (inj *Injector) injectIntoLinks(e *Event) {
+	affected := e.affectedLinks(inj.World.Site)
 	var impairments []*model.Impairment
 	for _, l := range affected {
 		impairments = append(impairments, e.impairment(l))
 	}
-	p.during(e, func(on bool) {
+	inj.during(e, func(on bool) {
 		for i, l := range affected {
-			p.World.Backend.ImpairLinks(l.nodes, l.servers, impairments[i], on)
+			inj.World.Backend.ImpairLinks(l.nodes, l.servers, impairments[i], on)
 		}
 	})
 }
 
-// impairment returns what the fault does to links. Its direction is towards the servers, and of a partition into the zone.
+// impairment returns the impairment of links. DirectionToServers is towards the servers or, for a partition, into the zone.
 func (e *Event) impairment(l links) *model.Impairment {
 	toServer, toNode := e.Direction != scenario.DirectionFromServers, e.Direction != scenario.DirectionToServers
 	if l.outbound {
@@ -170,14 +171,14 @@
 	}
 }
 
-func (p *Injector) injectIntoLists(e *Event) {
-	directory := p.World.Directory
+func (inj *Injector) injectIntoLists(e *Event) {
+	directory := inj.World.Directory
 	r := rand.New(rand.NewPCG(e.seed, 0))
-	missing := map[int]bool{} // from the shrunk list
-	for server := range p.World.Site.Servers {
+	missing := map[int]bool{} // servers that the shrunk list omits
+	for server := range inj.World.Site.Servers {
 		missing[server] = r.Float64() < e.Factor
 	}
-	p.during(e, func(on bool) {
+	inj.during(e, func(on bool) {
 		for _, node := range e.Nodes {
 			switch e.Kind {
 			case scenario.FaultStaleList:
@@ -195,7 +196,7 @@
 	})
 }
 
-// hiddenWhile returns hidden while a fault is on, and nil after it.
+// hiddenWhile returns hidden if the fault is on, or nil otherwise.
 func hiddenWhile(on bool, hidden func(model.Entry) bool) func(model.Entry) bool {
 	if on {
 		return hidden
@@ -203,13 +204,13 @@
 	return nil
 }
 
-func (p *Injector) injectIntoLoad(e *Event) {
-	class := slices.IndexFunc(p.World.Site.Classes, func(c scenario.Class) bool { return c.Name == e.Class })
-	p.during(e, func(on bool) {
+func (inj *Injector) injectIntoLoad(e *Event) {
+	class := slices.IndexFunc(inj.World.Site.Classes, func(c scenario.Class) bool { return c.Name == e.Class })
+	inj.during(e, func(on bool) {
 		if e.Kind == scenario.FaultBurst {
-			p.Clients.SetBurst(e.Factor, on)
+			inj.Clients.SetBurst(e.Factor, on)
 		} else {
-			p.Clients.SetHeavy(class, e.Share, e.Factor, on)
+			inj.Clients.SetHeavy(class, e.Share, e.Factor, on)
 		}
 	})
 }
--- a/internal/lab/fault/schedule.go
+++ b/internal/lab/fault/schedule.go
@@ -13,21 +13,21 @@
 type Event struct {
 	*scenario.Fault
 	Start, End time.Duration // they are equal if the fault has no duration
-	Nodes      []int         // that are hit, or whose links are
+	Nodes      []int         // nodes that are hit, or whose links are hit
 	Servers    []int
 	Replicas   []int // of the registry
 
-	partitioned []links // of a partition
-	seed        uint64  // of what is drawn while the fault lasts
+	partitioned []links // links across a partition; nil for other faults
+	seed        uint64  // seed of the draws that are made when the fault begins
 }
 
 // links are all links from some nodes to some servers.
 type links struct {
 	nodes, servers []int
-	outbound       bool // they lead out of the partitioned zone
+	outbound       bool // the links lead out of the partitioned zone
 }
 
-// Schedule returns the occurrences of a site's faults in the order of time, with what the site's seed draws for them.
+// Schedule returns the occurrences of a site's faults in chronological order, with their targets drawn from the site's seed.
 func Schedule(site *scenario.Site) []*Event {
 	var events []*Event
 	r := scenario.NewRand(site.Seed, "faults")
--- a/internal/lab/fault/target.go
+++ b/internal/lab/fault/target.go
@@ -9,7 +9,7 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// selectTargets draws what the fault hits.
+// selectTargets draws the targets of the fault.
 func (e *Event) selectTargets(site *scenario.Site, r *rand.Rand) {
 	switch scenario.FaultTarget[e.Kind] {
 	case scenario.TargetNodes, scenario.TargetLists:
@@ -28,10 +28,10 @@
 	}
 }
 
-// allTiers is the tier of a fault that names none.
+// allTiers stands for the tier of a fault that names no tier.
 const allTiers = -1
 
-// tier returns the tier that the fault names.
+// tier returns the index of the tier that the fault names, or allTiers.
 func (e *Event) tier(site *scenario.Site) int {
 	tier := allTiers
 	for i, t := range site.Tiers {
@@ -42,14 +42,14 @@
 	return tier
 }
 
-// inside reports whether a zone is one that the fault names.
-func (e *Event) inside(site *scenario.Site, zone int) bool {
+// matchesZone reports whether the fault applies to a zone. A fault without a zone or region applies to all zones.
+func (e *Event) matchesZone(site *scenario.Site, zone int) bool {
 	z := &site.Zones[zone]
 	return (e.Zone == "" || z.Name == e.Zone) && (e.Region == "" || z.Region == e.Region)
 }
 
-// matchingNodes returns the nodes that the fault may hit: by name, else those that send to the fault's tier, and without a tier
-// those at the front.
+// matchingNodes returns the nodes that the fault may hit: the named ones, or all that send to the fault's tier. Without names and
+// a tier these are the front nodes.
 func (e *Event) matchingNodes(site *scenario.Site) []int {
 	tier := e.tier(site)
 	var nodes []int
@@ -57,7 +57,7 @@
 		isFront := n.OwnerServer < 0
 		inTier := isFront && (tier == allTiers || tier == 0) || !isFront && tier == n.TargetTier
 		matches := len(e.Names) == 0 && inTier || slices.Contains(e.Names, n.Name)
-		if matches && e.inside(site, n.Zone) {
+		if matches && e.matchesZone(site, n.Zone) {
 			nodes = append(nodes, i)
 		}
 	}
@@ -70,7 +70,7 @@
 	var servers []int
 	for i, s := range site.Servers {
 		matches := len(e.Names) == 0 || slices.Contains(e.Names, s.Name)
-		if matches && (tier == allTiers || s.Tier == tier) && e.inside(site, s.Zone) {
+		if matches && (tier == allTiers || s.Tier == tier) && e.matchesZone(site, s.Zone) {
 			servers = append(servers, i)
 		}
 	}
@@ -122,14 +122,14 @@
 func (e *Event) partition(site *scenario.Site) {
 	var outerNodes, innerNodes, outerServers, innerServers []int
 	for i, n := range site.Nodes {
-		if e.inside(site, n.Zone) {
+		if e.matchesZone(site, n.Zone) {
 			innerNodes = append(innerNodes, i)
 		} else {
 			outerNodes = append(outerNodes, i)
 		}
 	}
 	for i, s := range site.Servers {
-		if e.inside(site, s.Zone) {
+		if e.matchesZone(site, s.Zone) {
 			innerServers = append(innerServers, i)
 		} else {
 			outerServers = append(outerServers, i)
@@ -142,7 +142,7 @@
 	e.Nodes, e.Servers = innerNodes, innerServers
 }
 
-// affectedLinks returns the links that the fault impairs, or whose connections it ends.
+// affectedLinks returns the links that the fault impairs, or whose connections it closes.
 func (e *Event) affectedLinks(site *scenario.Site) []links {
 	switch e.Kind {
 	case scenario.FaultDelay, scenario.FaultStall, scenario.FaultRefuse, scenario.FaultReset, scenario.FaultThrottle:
@@ -158,8 +158,8 @@
 	}
 }
 
-// ForEachLink calls do for every link from a node to a server of its tier that an event may affect. It may do so more than once
-// for a link.
+// ForEachLink calls do for every link from a node to a server of its target tier that an event may affect. It may call do more
+// than once for the same link.
 func ForEachLink(events []*Event, site *scenario.Site, do func(node, server int)) {
 	for _, e := range events {
 		for _, l := range e.affectedLinks(site) {
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// defaults returns a scenario with the defaults of what it has once.
+// defaults returns a scenario with the defaults of all settings outside arrays of tables.
 func defaults() *Scenario {
 	return &Scenario{
 		Duration: Duration(20 * time.Second),
@@ -47,7 +47,7 @@
 	}
 }
 
-// setDefaults sets the defaults of what a scenario may have several times.
+// setDefaults sets the defaults of zones, tiers and classes, whose number is known only after decoding.
 func (s *Scenario) setDefaults() {
 	if len(s.Zones) == 0 {
 		s.Zones = []Zone{{Name: "z0"}}
@@ -106,7 +106,7 @@
 	setDefault(&c.KeyScope, KeyScopeRack)
 }
 
-// setDefault sets a value that is zero.
+// setDefault replaces a zero value.
 func setDefault[T comparable](value *T, to T) {
 	var zero T
 	if *value == zero {
--- a/internal/lab/scenario/duration.go
+++ b/internal/lab/scenario/duration.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Duration is a time.Duration that files give as text with a unit, such as "250ms" or "1m30s".
+// Duration is a time.Duration that is written in files as text with a unit, such as "250ms" or "1m30s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time with a unit, such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration with a unit, such as \"250ms\"", text)
 	}
 	*d = Duration(v)
 	return nil
@@ -24,5 +24,5 @@
 // String returns the duration with its units.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Std returns the duration as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -5,71 +5,72 @@
 	"slices"
 )
 
-// Fault is a fault that lasts for a while.
+// Fault describes a fault: its kind, its times, the targets that it may hit, and its strength. If Count or Share selects some of
+// these targets, they are drawn from the seed.
 type Fault struct {
 	Kind           string   `toml:"kind"`
-	At             Duration `toml:"at"` // when it begins, after the start of the run
+	At             Duration `toml:"at"` // start of the first occurrence, after the start of the run
 	Duration       Duration `toml:"for"`
-	Interval       Duration `toml:"every"`  // from one occurrence to the next
-	Repetitions    int      `toml:"repeat"` // number of occurrences; 0: one
-	Names          []string `toml:"names"`  // of the nodes, servers or replicas that it may hit; none: all
-	Tier           string   `toml:"tier"`   // "": all
-	Zone           string   `toml:"zone"`   // "": all
-	Region         string   `toml:"region"` // "": all
-	Count          int      `toml:"count"`  // how many of those it hits, drawn from the seed; 0: all
-	Share          float64  `toml:"share"`  // or which fraction of them; of FaultHeavy the fraction of requests
+	Interval       Duration `toml:"every"`  // from the start of one occurrence to the start of the next
+	Repetitions    int      `toml:"repeat"` // number of occurrences; zero means one
+	Names          []string `toml:"names"`  // nodes, servers or replicas that it may hit; all if empty
+	Tier           string   `toml:"tier"`   // all tiers if empty
+	Zone           string   `toml:"zone"`   // all zones if empty
+	Region         string   `toml:"region"` // all regions if empty
+	Count          int      `toml:"count"`  // how many of these targets it hits; zero means all
+	Share          float64  `toml:"share"`  // alternative to Count: fraction of the targets, or of the requests for FaultHeavy
 	Factor         float64  `toml:"factor"`
 	Delay          Duration `toml:"delay"`
 	Jitter         Duration `toml:"jitter"`
 	BytesPerSecond int      `toml:"bytes_per_s"`
-	Direction      string   `toml:"direction"` // "": both
-	FromNodes      []string `toml:"from"`      // nodes whose links it hits; none: all
-	Class          string   `toml:"class"`     // "": all
+	Direction      string   `toml:"direction"` // both directions if empty
+	FromNodes      []string `toml:"from"`      // nodes whose links it hits; all if empty
+	Class          string   `toml:"class"`     // all classes if empty
 }
 
 // Kinds of faults.
 const (
-	// On nodes' processes.
+	// Faults of nodes' processes.
 	FaultKill      = "kill"
 	FaultTerminate = "term"
 	FaultPause     = "stop"
 
-	// On servers.
+	// Faults of servers.
 	FaultCrash     = "crash"
-	FaultVanish    = "vanish" // the machine is gone, without a reset of its connections
+	FaultVanish    = "vanish" // the machine disappears without resetting its connections
 	FaultHang      = "hang"
 	FaultSlow      = "slow"
 	FaultError     = "error"
-	FaultReject    = "turn-away" // all work, while discovery lists the server as serving
+	FaultReject    = "turn-away" // rejects all calls while discovery lists the server as serving
 	FaultDrain     = "drain"
-	FaultLeaseLoss = "lease-loss" // the server runs on, and its heartbeats do not reach the registry
+	FaultLeaseLoss = "lease-loss" // the server keeps running, but its heartbeats do not reach the registry
 
-	// On links between nodes and servers.
+	// Faults of links between nodes and servers.
 	FaultDelay     = "delay"
 	FaultStall     = "silence"
 	FaultRefuse    = "refuse"
 	FaultReset     = "reset"
 	FaultThrottle  = "trickle"
-	FaultPartition = "cut" // of a zone or region from all others
+	FaultPartition = "cut" // separates a zone or region from all others
 
-	// On the discovery of nodes.
+	// Faults of the simulated discovery.
 	FaultStaleList   = "stale"
 	FaultEmptyList   = "empty"
 	FaultShrunkList  = "shrink"
 	FaultOldList     = "reorder"
 	FaultMuteWatches = "mute"
 
-	// On the load.
+	// Changes of the load.
 	FaultBurst = "burst"
-	FaultHeavy = "heavy" // requests cost more work
+	FaultHeavy = "heavy" // requests take more work
 
-	// On replicas of the registry.
+	// Faults of replicas of the registry.
 	FaultRegistryKill      = "registry-kill"
 	FaultRegistryPause     = "registry-stop"
 	FaultRegistryPartition = "registry-cut"
 )
 
-// Target is what a kind of fault hits.
+// Target is the type of component that a kind of fault hits.
 type Target string
 
 // Targets.
@@ -79,10 +80,10 @@
 	TargetLinks    Target = "links"
 	TargetLists    Target = "lists"
 	TargetLoad     Target = "load"
-	TargetRegistry Target = "replicas" // nothing, if the run has no registry
+	TargetRegistry Target = "replicas" // no effect if the run has no registry
 )
 
-// FaultTarget gives the target of each kind of fault.
+// FaultTarget maps each kind of fault to its target.
 var FaultTarget = map[string]Target{
 	FaultKill:              TargetNodes,
 	FaultTerminate:         TargetNodes,
@@ -115,8 +116,8 @@
 
 // Values of Fault.Direction.
 const (
-	DirectionToServers   = "there" // of a partition: into the zone
-	DirectionFromServers = "back"  // of a partition: out of the zone
+	DirectionToServers   = "there" // for a partition, into the zone or region
+	DirectionFromServers = "back"  // for a partition, out of the zone or region
 )
 
 // maxRepetitions bounds the occurrences of a fault.
@@ -124,27 +125,27 @@
 
 func (f *Fault) validate(v *validator, key string, s *Scenario, names siteNames) {
 	target, known := FaultTarget[f.Kind]
-	v.require(known, key+".kind", "%q is none of %v", f.Kind, sortedKeys(FaultTarget))
+	v.require(known, key+".kind", "%q is not one of %v", f.Kind, sortedKeys(FaultTarget))
 	v.require(f.At >= 0 && f.At <= s.Duration, key+".at", "%v is not within the run of %v", f.At.Std(), s.Duration.Std())
 	v.require(f.Duration >= 0, key+".for", "is negative")
 	v.require(f.Repetitions >= 0 && f.Repetitions <= maxRepetitions, key+".repeat", "%d is not between 0 and %d", f.Repetitions, maxRepetitions)
-	v.require(f.Repetitions <= 1 || f.Interval > 0, key+".every", "missing: a repeated fault wants the time from one to the next")
+	v.require(f.Repetitions <= 1 || f.Interval > 0, key+".every", "missing: a repeated fault needs the time from one occurrence to the next")
 	v.require(f.Zone == "" || slices.Contains(names.zones, f.Zone), key+".zone", "no zone %q", f.Zone)
 	v.require(f.Region == "" || slices.Contains(names.regions, f.Region), key+".region", "no region %q", f.Region)
-	v.require(target != TargetLists || s.Registry.Replicas == 0, key+".kind", "%q spoils the model's own lists, and here the registry gives them", f.Kind)
-	v.require(f.Kind != FaultPartition || f.Zone != "" || f.Region != "", key+".zone", "missing: the zone (or region) that is cut off")
+	v.require(target != TargetLists || s.Registry.Replicas == 0, key+".kind", "%q applies to the simulated discovery, but the scenario has a registry", f.Kind)
+	v.require(f.Kind != FaultPartition || f.Zone != "" || f.Region != "", key+".zone", "missing: a partition needs a zone or a region")
 	v.require(f.Tier == "" || slices.Contains(names.tiers, f.Tier), key+".tier", "no tier %q", f.Tier)
 	v.require(f.Class == "" || slices.Contains(names.classes, f.Class), key+".class", "no class %q", f.Class)
 	v.require(f.Count >= 0, key+".count", "%d is negative", f.Count)
 	v.requireFraction(key+".share", f.Share)
-	v.require(f.Count == 0 || f.Share == 0, key+".share", "stands beside count: only one of them")
+	v.require(f.Count == 0 || f.Share == 0, key+".share", "cannot be combined with count")
 	v.require(f.Direction == "" || f.Direction == DirectionToServers || f.Direction == DirectionFromServers, key+".direction", "%q is neither there nor back", f.Direction)
 	v.require(f.Delay >= 0 && f.Jitter >= 0, key+".delay", "is negative")
 	f.validateStrength(v, key)
 	f.validateNames(v, key, s, target)
 }
 
-// validateStrength validates the parameters that a kind needs.
+// validateStrength validates the parameters that are required by the kind of fault.
 func (f *Fault) validateStrength(v *validator, key string) {
 	switch f.Kind {
 	case FaultSlow, FaultBurst, FaultHeavy:
@@ -158,7 +159,7 @@
 	}
 }
 
-// validateNames requires that what the fault names exists.
+// validateNames requires that all named targets exist.
 func (f *Fault) validateNames(v *validator, key string, s *Scenario, target Target) {
 	for _, name := range f.Names {
 		v.require(s.hasTarget(target, name), key+".names", "no %q among the %s", name, target)
@@ -168,7 +169,8 @@
 	}
 }
 
-// hasTarget reports whether there is a target of a name. Any replica may be named if the run has no registry.
+// hasTarget reports whether there is a target with the given name. Without a registry every name of a replica is accepted, so
+// that a scenario can be run with registry.replicas=0.
 func (s *Scenario) hasTarget(target Target, name string) bool {
 	switch target {
 	case TargetNodes, TargetLists:
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -13,10 +13,10 @@
 )
 
 // The files under testdata were written by an earlier release from the scenarios in labs. They pin the keys and defaults of
-// scenarios, what a seed draws of them, and the settings that nodes get.
-var update = flag.Bool("update", false, "write the files under testdata anew")
+// scenarios, the values that a seed draws, and the settings of nodes.
+var update = flag.Bool("update", false, "rewrite the files under testdata")
 
-func TestScenarioForms(t *testing.T) {
+func TestScenarioGoldenFiles(t *testing.T) {
 	files, err := filepath.Glob("../../../labs/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := fmt.Sprintf("%s\n%s", complete, drawn(NewSite(s, 7)))
+			got := fmt.Sprintf("%s\n%s", complete, describeSite(NewSite(s, 7)))
 			path := filepath.Join("testdata", name+".golden")
 			if *update {
 				if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
@@ -44,14 +44,14 @@
 				t.Fatal(err)
 			}
 			if got != string(want) {
-				t.Errorf("%s: the form has changed; got\n%s", path, got)
+				t.Errorf("%s: the scenario differs from the golden file; got\n%s", path, got)
 			}
 		})
 	}
 }
 
-// drawn describes what a seed has drawn: the first server and node in full, and a hash of all.
-func drawn(site *Site) string {
+// describeSite describes what a seed has drawn: the first server and node in full, and a hash of all.
+func describeSite(site *Site) string {
 	var b strings.Builder
 	hash := fnv.New64a()
 	for i := range site.Servers {
@@ -70,7 +70,7 @@
 			b.WriteString(line)
 		}
 		if i == 50 {
-			break // settings of the many nodes of labs/scale.toml are alike
+			break // the many nodes of labs/scale.toml have similar settings
 		}
 	}
 	fmt.Fprintf(&b, "work %v calls %v mean work %v\nhash %x\n", site.MeanClassWork, site.MeanCalls, site.MeanWork(0), hash.Sum64())
--- a/internal/lab/scenario/keylines.go
+++ b/internal/lab/scenario/keylines.go
@@ -7,14 +7,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines returns the line of every key of a TOML text, with keys such as "tier[0].kind[1].cores". It is empty if the text does
-// not parse.
+// keyLines returns the line number of every key of a TOML text, up to the first syntax error. Keys have the form
+// "tier[0].kind[1].cores".
 func keyLines(content []byte) map[string]int {
 	lines := map[string]int{}
-	tableCounts := map[string]int{} // elements so far of each array of tables
+	tableCounts := map[string]int{} // number of elements seen so far in each array of tables
 	parser := unstable.Parser{}
 	parser.Reset(content)
-	table := "" // key of the table that the next keys are in
+	table := "" // key of the table that contains the following keys
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		path, line := keyPath(&parser, expression)
@@ -41,7 +41,8 @@
 	return path, line
 }
 
-// tableKey returns the key of a table, with the indexes of the arrays of tables that it is in, and counts a new element.
+// tableKey returns the key of a table, with an index for each array of tables on its path. If the table is a new element of an
+// array, tableKey counts it.
 func tableKey(path []string, isElement bool, counts map[string]int) string {
 	key := ""
 	for i, part := range path {
@@ -65,7 +66,7 @@
 	return table + keySeparator + key
 }
 
-// lineOf returns the line of a key, or of the nearest table around it; 0: unknown.
+// lineOf returns the line of a key, or of the nearest enclosing table with a known line. It returns zero if there is none.
 func lineOf(lines map[string]int, key string) int {
 	for key != "" {
 		if line, known := lines[key]; known {
--- a/internal/lab/scenario/override.go
+++ b/internal/lab/scenario/override.go
@@ -13,10 +13,10 @@
 	"umberbank/internal/stricttoml"
 )
 
-// keySeparator separates the parts of an override's key.
+// keySeparator separates the parts of a key.
 const keySeparator = "."
 
-// applyOverrides returns the scenario of a file with overrides applied.
+// applyOverrides decodes the scenario of a file with overrides applied.
 func applyOverrides(file string, content []byte, overrides []string) (*Scenario, error) {
 	k := koanf.New(keySeparator)
 	if err := k.Load(rawbytes.Provider(content), koanftoml.Parser()); err != nil {
@@ -35,12 +35,12 @@
 	return s, stricttoml.Decode(file, merged, s)
 }
 
-// applyOverride sets one key, and checks that the result is still a scenario, so that an error names the override.
+// applyOverride sets one key. It decodes the result at once, so that an error names the override that caused it.
 func applyOverride(k *koanf.Koanf, override string) error {
 	source := "--set " + override
 	key, text, hasValue := strings.Cut(override, "=")
 	if !hasValue || key == "" {
-		return &Error{File: source, Reason: "is no key=value"}
+		return &Error{File: source, Reason: "is not of the form key=value"}
 	}
 	if err := k.Load(confmap.Provider(map[string]any{key: parseValue(text)}, keySeparator), nil); err != nil {
 		return &Error{File: source, Reason: err.Error()}
@@ -50,14 +50,14 @@
 		return &Error{File: source, Reason: err.Error()}
 	}
 	err = stricttoml.Decode(source, merged, defaults())
-	var fault *Error
-	if errors.As(err, &fault) {
-		fault.Line = 0 // it is a line of the merged text, which nobody sees
+	var decodeError *Error
+	if errors.As(err, &decodeError) {
+		decodeError.Line = 0 // it refers to the merged text, which the user does not see
 	}
 	return err
 }
 
-// parseValue parses a TOML value. Anything else is a string without its quotes.
+// parseValue parses a TOML value. Text that is not a TOML value is taken as a string, so that its quotes may be omitted.
 func parseValue(text string) any {
 	var parsed struct {
 		Value any `toml:"value"`
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -6,7 +6,7 @@
 	"umberbank/internal/stricttoml"
 )
 
-// Error says on one line what is wrong with a file.
+// Error describes an error in a file on one line.
 type Error = stricttoml.Error
 
 // Read reads a scenario from a file. See Parse.
@@ -19,7 +19,7 @@
 }
 
 // Parse parses a scenario, sets defaults and validates it. Overrides are KEY=VALUE with a TOML value, such as load.rate=200, and
-// take precedence over the content. file is the name to give in errors. Every error is an *Error for the first violation.
+// take precedence over the content. Errors are of type *Error, name the file as given by file, and report the first violation.
 func Parse(file string, content []byte, overrides []string) (*Scenario, error) {
 	s := defaults()
 	if err := stricttoml.Decode(file, content, s); err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,8 +1,8 @@
-// Package scenario is the file format of the lab: a site, its load, a schedule of faults, and what is expected of a run. A
-// Scenario that Parse or Read returns has its defaults filled in and is valid. NewSite draws from a seed what a scenario gives
-// as ranges.
+// Package scenario defines the file format of the lab: a site, its load, a schedule of faults, and the expectations of a run. A
+// Scenario returned by Parse or Read is valid and has its defaults filled in. NewSite draws a value for each range of a scenario
+// from a seed.
 //
-// Work is the time that a reference core, one of speed 1, needs. Ranges have two values, the minimum and the maximum.
+// Work is the time that a reference core, which has speed 1, needs for a task. Ranges have two values, the minimum and maximum.
 package scenario
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Scenario is the content of a file. The zero value of a field means its default, if it has one.
+// Scenario is the content of a file. For fields that have a default the zero value stands for it.
 type Scenario struct {
 	Name         string           `toml:"name"`
-	Duration     Duration         `toml:"duration"` // of the load; requests in flight at its end are awaited
-	Nodes        int              `toml:"nodes"`    // at the front, distributed evenly over the zones
+	Duration     Duration         `toml:"duration"` // of the load; the run then waits for the requests in flight
+	Nodes        int              `toml:"nodes"`    // number of front nodes, which are distributed evenly over the zones
 	Zones        []Zone           `toml:"zone"`
-	Tiers        []Tier           `toml:"tier"` // clients call the first through nodes at the front, each tier the next one
+	Tiers        []Tier           `toml:"tier"` // clients call the first through the front nodes, and each tier calls the next
 	Classes      []Class          `toml:"class"`
 	Load         Load             `toml:"load"`
 	Clients      Clients          `toml:"clients"`
@@ -42,48 +42,48 @@
 	Servers      int           `toml:"servers"`
 	WorkFactor   float64       `toml:"work"`      // work of one call, as a fraction of the work of its class
 	CallsRange   []float64     `toml:"calls"`     // mean number of calls to the next tier for each call
-	RackSize     int           `toml:"rack_size"` // servers of a zone that share their memory of idempotency keys
+	RackSize     int           `toml:"rack_size"` // number of servers of a zone that share a store of idempotency keys
 	MachineTypes []MachineType `toml:"kind"`
 }
 
 // MachineType is a type of server.
 type MachineType struct {
 	Name            string     `toml:"name"`
-	Weight          float64    `toml:"share"` // how many of the tier's servers have it, relative to the other types
+	Weight          float64    `toml:"share"` // share of the tier's servers, relative to the other types
 	Cores           int        `toml:"cores"`
 	SpeedRange      []float64  `toml:"speed"`          // of a core, relative to the reference core
-	SlotsPerCore    int        `toml:"slots_per_core"` // calls that are processed at once
-	QueuePerCore    int        `toml:"queue_per_core"` // calls that wait for a slot; more are rejected
+	SlotsPerCore    int        `toml:"slots_per_core"` // calls that are processed concurrently
+	QueuePerCore    int        `toml:"queue_per_core"` // calls that may wait for a slot; further calls are rejected
 	ErrorRate       float64    `toml:"error_rate"`     // fraction of calls that end in an error
 	CancelStopsWork bool       `toml:"stops_work"`     // cancelling a call stops its work
-	InitialCapacity float64    `toml:"cold_from"`      // fraction of its capacity that a server has at its start
-	WarmUpRange     []Duration `toml:"cold_for"`       // time until it has all of it
+	InitialCapacity float64    `toml:"cold_from"`      // fraction of its capacity that a server has when it starts
+	WarmUpRange     []Duration `toml:"cold_for"`       // time until it has its full capacity
 	MaxConnections  int        `toml:"connections"`
-	HandshakeWork   Duration   `toml:"handshake"` // work that a new connection costs
+	HandshakeWork   Duration   `toml:"handshake"` // work of accepting a connection
 	Overload        Overload   `toml:"choke"`
 }
 
-// Overload is how a server becomes slow under too much load, and how it recovers. With a threshold of 0 it does not.
+// Overload describes how a server slows down under too much load and how it recovers. A threshold of zero disables it.
 type Overload struct {
 	Threshold         float64  `toml:"at"`     // calls in progress for each core
-	OnsetDelay        Duration `toml:"after"`  // how long the load must be above the threshold
-	Slowdown          float64  `toml:"slower"` // factor by which the server is slower then
+	OnsetDelay        Duration `toml:"after"`  // how long the load must be above Threshold
+	Slowdown          float64  `toml:"slower"` // factor by which an overloaded server is slower
 	RecoveryThreshold float64  `toml:"below"`  // calls in progress for each core
-	RecoveryDelay     Duration `toml:"rest"`   // how long the load must be below that threshold
+	RecoveryDelay     Duration `toml:"rest"`   // how long the load must be below RecoveryThreshold
 	MaxDuration       Duration `toml:"most"`   // after which the server recovers in any case
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string     `toml:"name"`
-	Weight           float64    `toml:"share"` // how many requests are of the class, relative to the other classes
+	Weight           float64    `toml:"share"` // share of the requests, relative to the other classes
 	WorkRange        []Duration `toml:"work"`  // mean work of a request
 	LatencyObjective Duration   `toml:"aim"`
 	Deadline         Duration   `toml:"deadline"`
 	PriorityWeight   float64    `toml:"worth"`
 	Idempotency      string     `toml:"effect"`
 	KeyScope         string     `toml:"scope"`  // where an idempotency key is recognized
-	KeyWindow        Duration   `toml:"window"` // for how long
+	KeyWindow        Duration   `toml:"window"` // how long a key is recognized
 }
 
 // Values of Class.Idempotency.
@@ -93,7 +93,7 @@
 	NonIdempotent   = "unsafe"
 )
 
-// Values of Class.KeyScope: the servers that recognize the same key.
+// Values of Class.KeyScope, the set of servers that recognize the same key.
 const (
 	KeyScopeRack = "cell"
 	KeyScopeZone = "zone"
@@ -106,7 +106,7 @@
 	RateSwing float64 `toml:"swing"` // the rate rises over the run from Rate * (1 - RateSwing) to Rate * (1 + RateSwing)
 }
 
-// Clients is how clients behave.
+// Clients describes the behavior of clients.
 type Clients struct {
 	MaxRetries              int      `toml:"retries"`
 	Backoff                 Duration `toml:"backoff"`     // before a retry
@@ -116,47 +116,47 @@
 	MarkRetries             bool     `toml:"marks_retry"` // clients mark their retries
 }
 
-// Discovery is how nodes learn of changes of servers, unless there is a registry.
+// Discovery configures the simulated discovery, which notifies nodes of changes of servers if the scenario has no registry.
 type Discovery struct {
-	DelayRange         []Duration `toml:"delay"`        // from a change until an agent has it
-	GossipPeriod       Duration   `toml:"period"`       // how often agents pass on what they have
+	DelayRange         []Duration `toml:"delay"`        // from a change until it reaches an agent
+	GossipPeriod       Duration   `toml:"period"`       // interval of the rounds in which agents receive changes
 	DetectionDelay     Duration   `toml:"notice"`       // until the death of a server is detected
 	NodeDetectionDelay Duration   `toml:"front_notice"` // until clients detect the death of a node
-	WatchTimeout       Duration   `toml:"missed"`       // when a node must have noticed that its watch is silent
+	WatchTimeout       Duration   `toml:"missed"`       // time after which a node must have detected that its watch is silent
 }
 
-// Registry is discovery by the project's own registry, in a run on real processes. Without replicas discovery is simulated.
+// Registry configures discovery by the real registry in a run on real processes. Discovery is simulated if Replicas is zero.
 type Registry struct {
 	Replicas           int      `toml:"replicas"`
 	LeaseTTL           Duration `toml:"ttl"`      // of servers' leases
-	DisableExpiryGuard bool     `toml:"no_guard"` // every expired lease is believed, however many expire at once
+	DisableExpiryGuard bool     `toml:"no_guard"` // remove every server whose lease expires, however many expire at the same time
 }
 
-// Budget is the disruption budget of each tier, as fractions of its capacity that may be unavailable at a time. Where there is one,
-// servers drain under a permit, or not at all. Without one every drain is allowed.
+// Budget is the disruption budget of each tier, as fractions of its capacity that may be unavailable at the same time. With a
+// budget a server drains only under a permit. Without one every drain is allowed.
 type Budget struct {
 	Tier float64 `toml:"whole"`
-	Zone float64 `toml:"zone"` // of each zone; 0: no limit
-	Rack float64 `toml:"rack"` // of each rack; 0: no limit
+	Zone float64 `toml:"zone"` // of each zone; zero means no limit
+	Rack float64 `toml:"rack"` // of each rack; zero means no limit
 }
 
 // Enabled reports whether there is a budget.
 func (b Budget) Enabled() bool { return b.Tier > 0 }
 
-// SnapshotSettings are about the snapshots by which a node's process restores what the one before had learned.
+// SnapshotSettings configure the snapshots from which a restarted node restores the state of its previous process.
 type SnapshotSettings struct {
-	Enabled  bool     `toml:"keep"` // nodes have a disk that outlives their processes
+	Enabled  bool     `toml:"keep"` // nodes have a disk that persists across restarts
 	Interval Duration `toml:"every"`
 	MaxAge   Duration `toml:"max_age"`
 }
 
-// Network is the latency of messages in one direction. On the machine's clock the machine adds its own.
+// Network is the one-way latency of messages on the virtual clock. A run on real processes has the latency of the machine.
 type Network struct {
 	SameZone  Duration `toml:"same_zone"`
 	CrossZone Duration `toml:"cross_zone"`
 }
 
-// Limits are the limits that nodes must keep, and the settings that they get.
+// Limits are the limits that nodes must keep, and settings that nodes receive.
 type Limits struct {
 	MaxAttempts       int      `toml:"max_attempts"`  // of a request, by one node
 	Hedging           bool     `toml:"second_copies"` // hedged requests are allowed
@@ -164,29 +164,30 @@
 	MaxRetryAfter     Duration `toml:"max_retry_after"`
 	ConnectTimeout    Duration `toml:"connect_timeout"`
 	IdleTimeout       Duration `toml:"idle"`         // of connections
-	DrainTimeout      Duration `toml:"drain_within"` // within which a node must stop sending to a server that drains
-	Slack             Duration `toml:"slack"`        // added to every limit of a time
+	DrainTimeout      Duration `toml:"drain_within"` // time within which a node must stop sending to a draining server
+	Slack             Duration `toml:"slack"`        // added to every time limit
 	CrashLoadMultiple float64  `toml:"fall_multiple"`
-	CrashLoadWindow   Duration `toml:"fall_for"` // a warming server crashes under CrashLoadMultiple times its capacity for so long
+	CrashLoadWindow   Duration `toml:"fall_for"` // how long a warming server withstands CrashLoadMultiple times its capacity
 	MaxMemoryMB       int      `toml:"memory_mb"`
 	MaxSockets        int      `toml:"sockets"`
-	PropagateDeadline bool     `toml:"passes_time_left"` // servers give calls to the next tier the rest of their own time
+	PropagateDeadline bool     `toml:"passes_time_left"` // servers pass their remaining time to calls to the next tier
 	StartTimeout      Duration `toml:"start_within"`     // of a node's process
 }
 
-// Expectations are the limits that a run is checked against. Those that are absent are not checked.
+// Expectations are the limits against which a run is checked. Absent limits are not checked, except for MaxRulesBroken, which is
+// then zero.
 type Expectations struct {
 	MinServedShare            float64            `toml:"served_share"` // fraction of requests served within the latency objective
-	MinWeightedServedShare    float64            `toml:"worth_share"`  // the same by priority weight
+	MinWeightedServedShare    float64            `toml:"worth_share"`  // the same, weighted by priority
 	MinServedShareByClass     map[string]float64 `toml:"class_served"`
 	MaxP99                    Duration           `toml:"p99"` // of the latency of served requests
 	MaxAttemptsPerRequest     float64            `toml:"attempts_per_request"`
 	MaxRulesBroken            int                `toml:"rules_broken"`
 	MinLastQuarterServedShare float64            `toml:"tail_served"`   // of the requests of the last quarter
-	MinRestartRecovery        float64            `toml:"after_restart"` // see lab.Result
+	MinRestartRecovery        float64            `toml:"after_restart"` // see lab.Result.RecoveryAfterRestart
 }
 
-// Shorten sets another duration and removes the faults that begin after it.
+// Shorten sets a shorter duration and removes the faults that would begin after it.
 func (s *Scenario) Shorten(d time.Duration) {
 	s.Duration = Duration(d)
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At > s.Duration })
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nodeSettings are the settings of a node in the form of its configuration. Fields are in the order of their keys.
+// nodeSettings is the settings object of a node's configuration. Fields are in the order of their keys.
 type nodeSettings struct {
 	Balancers    int             `json:"balancers"` // nodes with the same target tier
 	Blend        priorityBlend   `json:"blend"`
@@ -56,14 +56,14 @@
 	WarmUpMS          float64 `json:"warm-after-ms"`
 }
 
-// configIdempotency is the idempotency of a class as a node's configuration has it.
+// configIdempotency maps the idempotency of a class to its value in a node's configuration.
 var configIdempotency = map[string]string{
 	Idempotent:      "read_like",
 	IdempotentByKey: "idempotency_key",
 	NonIdempotent:   "non_idempotent",
 }
 
-// NodeSettings returns the settings of a node, as JSON for its configuration.
+// NodeSettings returns the settings of a node as JSON, for its configuration file.
 func (s *Site) NodeSettings(node int) []byte {
 	n := s.Nodes[node]
 	settings := nodeSettings{
@@ -90,7 +90,7 @@
 	}
 	text, err := json.Marshal(settings)
 	if err != nil {
-		panic(err) // nothing in it can fail to be encoded
+		panic(err) // every value of the settings can be encoded
 	}
 	return text
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-// ruleSettings returns the rules for a tier, whose warm-up is that of its slowest machine type.
+// ruleSettings returns the rules for a tier. Of its machine types they take the lowest initial capacity and the longest warm-up.
 func (s *Site) ruleSettings(tier int) ruleSettings {
 	initialCapacity, warmUp := 1.0, Duration(0)
 	for _, m := range s.Tiers[tier].MachineTypes {
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -10,14 +10,14 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-// Site is a scenario with everything drawn that it gives as ranges.
+// Site is a scenario with a value drawn for each of its ranges.
 type Site struct {
 	*Scenario
 	Seed          uint64
 	Servers       []Server        // by tier
-	Nodes         []Node          // those at the front first, then those of servers in the order of their servers
-	MeanClassWork []time.Duration // of a request of each class
-	MeanCalls     []float64       // of each tier to the next for each call
+	Nodes         []Node          // front nodes first, then the nodes beside servers, in the order of the servers
+	MeanClassWork []time.Duration // mean work of a request, by class
+	MeanCalls     []float64       // mean number of calls to the next tier for each call, by tier
 }
 
 // Server is a server of a site.
@@ -32,21 +32,21 @@
 	Capacity    float64       // in reference cores
 }
 
-// AdvertisedCapacity returns the capacity as discovery lists it, which is rounded to tenths.
+// AdvertisedCapacity returns the capacity that discovery lists, rounded to tenths.
 func (s *Server) AdvertisedCapacity() float64 { return math.Round(s.Capacity*10) / 10 }
 
-// Node is a node of a site, at the front or beside the server that calls through it.
+// Node is a node of a site. It is a front node, or runs beside a server that calls the next tier through it.
 type Node struct {
 	Name        string
-	TargetTier  int // that it sends to
+	TargetTier  int // tier that it sends to
 	Zone        int
-	Index       int // among the nodes with its target tier
-	OwnerServer int // the server that it stands beside; noOwner: it is at the front
+	Index       int // index among the nodes with the same target tier
+	OwnerServer int // index of the server beside which it runs, or noOwner for a front node
 }
 
 const noOwner = -1
 
-// NewSite draws a site. The order of the draws must stay as it is, so that a seed keeps its site.
+// NewSite draws a site from a seed. The order of the draws must not change, so that a seed gives the same site in every release.
 func NewSite(s *Scenario, seed uint64) *Site {
 	r := NewRand(seed, "site")
 	site := &Site{Scenario: s, Seed: seed}
@@ -78,7 +78,7 @@
 	return site
 }
 
-// addServer adds the server with an index in its tier, and the node through which it calls the next tier, if it does.
+// addServer adds a server, and a node beside it if it calls the next tier. index is that of the server in its tier.
 func (s *Site) addServer(server Server, index int) {
 	target := server.Tier + 1
 	if target < len(s.Tiers) && s.Tiers[server.Tier].CallsRange[1] > 0 {
@@ -87,19 +87,19 @@
 	s.Servers = append(s.Servers, server)
 }
 
-// rack returns the rack of the server with an index, counted from the tier's first rack. A rack is within a zone.
+// rack returns the rack of the server with the given index, relative to the tier's first rack. A rack does not span zones.
 func (t *Tier) rack(index, zones int) int {
 	return index/(t.RackSize*zones)*zones + index%zones
 }
 
-// assignMachineTypes returns the machine type of each server, by the weights and evenly over the servers.
+// assignMachineTypes returns the machine type of each server. Types are assigned by weight and spread evenly over the servers.
 func (t *Tier) assignMachineTypes() []*MachineType {
-	const tolerance = 1e-9 // so that rounding does not decide between equals
+	const tolerance = 1e-9 // keeps rounding errors from deciding between equal deficits
 	sum := 0.0
 	for i := range t.MachineTypes {
 		sum += t.MachineTypes[i].Weight
 	}
-	deficits := make([]float64, len(t.MachineTypes)) // servers that each type lacks so far
+	deficits := make([]float64, len(t.MachineTypes)) // by type, the number of servers that it is short of its share
 	assigned := make([]*MachineType, t.Servers)
 	for i := range assigned {
 		next := 0
@@ -126,7 +126,7 @@
 	return time.Duration(sum / weights * s.Tiers[tier].WorkFactor)
 }
 
-// DisruptionLimits returns the budget as the registry's limits, the same for every tier.
+// DisruptionLimits returns the budget in the form of the registry's limits, which are the same for every tier.
 func (s *Site) DisruptionLimits() disruption.Limits {
 	optional := func(fraction float64) *float64 {
 		if fraction == 0 {
@@ -150,7 +150,7 @@
 	return limits
 }
 
-// DisruptionUnit returns a server as a unit of the disruption budget, while it is available.
+// DisruptionUnit returns an available server as a unit of the disruption budget.
 func (s *Site) DisruptionUnit(server int) disruption.Unit {
 	spec := &s.Servers[server]
 	zone := &s.Zones[spec.Zone]
@@ -165,7 +165,7 @@
 	}
 }
 
-// nodeName returns the name of the node with an index among those with a target tier.
+// nodeName returns the name of a node, given its target tier and its index among the nodes with that target tier.
 func nodeName(targetTier, index int) string {
 	if targetTier == 0 {
 		return fmt.Sprintf("n%d", index)
@@ -175,7 +175,8 @@
 
 func serverName(tier string, index int) string { return fmt.Sprintf("%s-%d", tier, index) }
 
-// hasNode reports whether the scenario may have a node of a name.
+// hasNode reports whether the scenario may have a node with the given name. It assumes a node beside every server above the last
+// tier, even if the server makes no calls.
 func (s *Scenario) hasNode(name string) bool {
 	for i := range s.Nodes {
 		if nodeName(0, i) == name {
@@ -192,7 +193,7 @@
 	return false
 }
 
-// hasServer reports whether the scenario has a server of a name.
+// hasServer reports whether the scenario has a server with the given name.
 func (s *Scenario) hasServer(name string) bool {
 	for _, t := range s.Tiers {
 		for i := range t.Servers {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of what a run may be asked for.
+// Bounds of the values of a scenario.
 const (
 	maxDuration  = Duration(24 * time.Hour)
 	maxServers   = 100_000
@@ -26,13 +26,13 @@
 	keyScopes     = []string{KeyScopeRack, KeyScopeZone, KeyScopeAll}
 )
 
-// violation is a key and what is wrong with it.
+// violation is an invalid key and the reason why it is invalid.
 type violation struct{ key, reason string }
 
-// validator keeps the first violation that it is told of.
+// validator records the first violation. Its zero value is ready for use.
 type validator struct{ first *violation }
 
-// require notes a violation unless ok.
+// require records a violation unless ok.
 func (v *validator) require(ok bool, key, reason string, args ...any) {
 	if !ok && v.first == nil {
 		v.first = &violation{key, fmt.Sprintf(reason, args...)}
@@ -41,23 +41,23 @@
 
 // requireFraction requires a value from 0 to 1.
 func (v *validator) requireFraction(key string, value float64) {
-	v.require(value >= 0 && value <= 1, key, "%v is no share from 0 to 1", value)
+	v.require(value >= 0 && value <= 1, key, "%v is not between 0 and 1", value)
 }
 
-// requireRange requires a minimum and a maximum, not below a bound.
+// requireRange requires a minimum and a maximum that is not below it, both not below bound.
 func requireRange[T int | float64 | Duration](v *validator, key string, span []T, bound T) {
-	v.require(len(span) == 2, key, "wants two values, the least and the most, and has %d", len(span))
+	v.require(len(span) == 2, key, "needs two values, the minimum and the maximum, and has %d", len(span))
 	if len(span) == 2 {
-		v.require(span[0] >= bound && span[0] <= span[1], key, "%v to %v is no range of %v or more", span[0], span[1], bound)
+		v.require(span[0] >= bound && span[0] <= span[1], key, "%v to %v is not a range of values from %v upwards", span[0], span[1], bound)
 	}
 }
 
-// siteNames are the names that other keys refer to.
+// siteNames are the names to which keys of other tables refer.
 type siteNames struct {
 	zones, regions, tiers, classes []string
 }
 
-// validate returns the first violation, nil if there is none.
+// validate returns the first violation, or nil if there is none.
 func (s *Scenario) validate() *violation {
 	v := &validator{}
 	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "%v is not between 0 and 24h", s.Duration.Std())
@@ -78,17 +78,17 @@
 	var names siteNames
 	for i, z := range s.Zones {
 		names.regions = append(names.regions, z.Region)
-		v.require(z.Name != "" && !slices.Contains(names.zones, z.Name), fmt.Sprintf("zone[%d].name", i), "%q is empty or taken", z.Name)
+		v.require(z.Name != "" && !slices.Contains(names.zones, z.Name), fmt.Sprintf("zone[%d].name", i), "%q is empty or already used", z.Name)
 		names.zones = append(names.zones, z.Name)
 	}
-	v.require(len(s.Tiers) > 0, "tier", "missing: at least one [[tier]] is wanted")
+	v.require(len(s.Tiers) > 0, "tier", "missing: at least one [[tier]] is required")
 	for i := range s.Tiers {
 		key, isLast := fmt.Sprintf("tier[%d]", i), i+1 == len(s.Tiers)
 		s.Tiers[i].validate(v, key, isLast)
-		v.require(!slices.Contains(names.tiers, s.Tiers[i].Name), key+".name", "%q is taken", s.Tiers[i].Name)
+		v.require(!slices.Contains(names.tiers, s.Tiers[i].Name), key+".name", "%q is already used", s.Tiers[i].Name)
 		names.tiers = append(names.tiers, s.Tiers[i].Name)
 	}
-	v.require(len(s.Classes) > 0, "class", "missing: at least one [[class]] is wanted")
+	v.require(len(s.Classes) > 0, "class", "missing: at least one [[class]] is required")
 	for i := range s.Classes {
 		s.Classes[i].validate(v, fmt.Sprintf("class[%d]", i))
 		names.classes = append(names.classes, s.Classes[i].Name)
@@ -115,7 +115,7 @@
 	v.requireFraction("budget.whole", s.Budget.Tier)
 	v.requireFraction("budget.zone", s.Budget.Zone)
 	v.requireFraction("budget.rack", s.Budget.Rack)
-	v.require(s.Budget.Enabled() || s.Budget == Budget{}, "budget.whole", "missing: how much of a tier may be out at once")
+	v.require(s.Budget.Enabled() || s.Budget == Budget{}, "budget.whole", "missing: the share of a tier that may be unavailable at the same time")
 	v.require(s.Discovery.WatchTimeout > 0, "discovery.missed", "is not above 0")
 	v.require(s.Discovery.NodeDetectionDelay >= 0, "discovery.front_notice", "is negative")
 	v.require(s.Registry.Replicas >= 0 && s.Registry.Replicas <= maxReplicas, "registry.replicas", "%d is not between 0 and %d", s.Registry.Replicas, maxReplicas)
@@ -132,7 +132,7 @@
 	v.require(t.WorkFactor > 0, key+".work", "%v is not above 0", t.WorkFactor)
 	v.require(t.RackSize > 0, key+".rack_size", "%d is not above 0", t.RackSize)
 	requireRange(v, key+".calls", t.CallsRange, 0)
-	v.require(!isLast || len(t.CallsRange) == 2 && t.CallsRange[1] == 0, key+".calls", "the last tier has nobody to call")
+	v.require(!isLast || len(t.CallsRange) == 2 && t.CallsRange[1] == 0, key+".calls", "must be [0, 0] in the last tier, which has no tier to call")
 	for i := range t.MachineTypes {
 		t.MachineTypes[i].validate(v, fmt.Sprintf("%s.kind[%d]", key, i))
 	}
@@ -152,7 +152,7 @@
 	o := &m.Overload
 	v.require(o.Threshold >= 0, key+".choke.at", "%v is negative", o.Threshold)
 	v.require(o.Threshold == 0 || o.Slowdown >= 1, key+".choke.slower", "%v is below 1", o.Slowdown)
-	v.require(o.OnsetDelay >= 0 && o.RecoveryDelay >= 0 && o.MaxDuration >= 0, key+".choke", "a time is negative")
+	v.require(o.OnsetDelay >= 0 && o.RecoveryDelay >= 0 && o.MaxDuration >= 0, key+".choke", "a duration is negative")
 }
 
 func (c *Class) validate(v *validator, key string) {
@@ -160,10 +160,10 @@
 	v.require(c.Weight > 0, key+".share", "%v is not above 0", c.Weight)
 	requireRange(v, key+".work", c.WorkRange, Duration(1))
 	v.require(c.LatencyObjective > 0, key+".aim", "missing or not above 0")
-	v.require(c.Deadline >= c.LatencyObjective, key+".deadline", "%v is before the aim, %v", c.Deadline.Std(), c.LatencyObjective.Std())
+	v.require(c.Deadline >= c.LatencyObjective, key+".deadline", "%v is below the aim, %v", c.Deadline.Std(), c.LatencyObjective.Std())
 	v.require(c.PriorityWeight > 0, key+".worth", "%v is not above 0", c.PriorityWeight)
-	v.require(slices.Contains(idempotencies, c.Idempotency), key+".effect", "%q is none of %v", c.Idempotency, idempotencies)
-	v.require(slices.Contains(keyScopes, c.KeyScope), key+".scope", "%q is none of %v", c.KeyScope, keyScopes)
+	v.require(slices.Contains(idempotencies, c.Idempotency), key+".effect", "%q is not one of %v", c.Idempotency, idempotencies)
+	v.require(slices.Contains(keyScopes, c.KeyScope), key+".scope", "%q is not one of %v", c.KeyScope, keyScopes)
 	v.require(c.KeyWindow > 0, key+".window", "%v is not above 0", c.KeyWindow.Std())
 }
 
