--- a/internal/lab/accounting.go
+++ b/internal/lab/accounting.go
@@ -31,7 +31,7 @@
 		r.lateRequests++
 	}
 	r.maxDelay = max(r.maxDelay, t.MaxSendDelay)
-	if t.Outcome == traffic.Abandoned { // a client that disconnects is owed nothing
+	if t.Outcome == traffic.Abandoned { // an abandoned request counts in no share
 		c.Abandoned++
 		return
 	}
@@ -67,7 +67,7 @@
 // recordLatency adds a latency to the histograms of a class and of a second.
 func recordLatency(c *ClassResult, second *Second, latency time.Duration) {
 	us := min(max(int64(latency/time.Microsecond), minLatencyUS), maxLatencyUS)
-	_ = c.latency.RecordValue(us) // a value within the histogram's bounds is recorded without an error
+	_ = c.latency.RecordValue(us) // fails only for values outside the histogram's bounds
 	if second.latency == nil {
 		second.latency = hdrhistogram.New(minLatencyUS, maxLatencyUS, secondHistogramDigits)
 	}
@@ -106,7 +106,7 @@
 	r.checkExpectations()
 }
 
-// recoverySeconds is the number of seconds before and after a kill that are compared.
+// recoverySeconds is the length, in seconds, of the spans before a kill and after the restart that are compared.
 const recoverySeconds = 5
 
 // recoveryAfterRestart computes Result.RecoveryAfterRestart. The spans of kills that follow one another closely may overlap.
@@ -125,7 +125,8 @@
 	return fraction(sum, float64(kills))
 }
 
-// servedBetween returns the share of requests served of those that arrived within a span of seconds, cut to the series.
+// servedBetween returns the share served of the requests that arrived in the seconds from (inclusive) to to (exclusive). Seconds
+// outside the series are ignored.
 func servedBetween(series []Second, from, to int) float64 {
 	clamp := func(i int) int { return max(0, min(i, len(series))) }
 	served, requests := 0, 0
@@ -138,7 +139,7 @@
 	return fraction(float64(served), float64(requests))
 }
 
-// fraction returns part of total, and 0 of nothing.
+// fraction returns part / total, or zero if total is zero.
 func fraction(part, total float64) float64 {
 	if total == 0 {
 		return 0
--- a/internal/lab/bench_test.go
+++ b/internal/lab/bench_test.go
@@ -8,22 +8,22 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// How the virtual clock's pace, and the memory of servers and nodes, go with the size of the site.
+// Measures how the speed of the virtual clock and the memory of servers and nodes depend on the size of the site.
 func BenchmarkVirtual(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := shipped(b, "scale.toml", `duration="10s"`, fmt.Sprintf("load.rate=%d", 2*n), fmt.Sprintf("nodes=%d", n/10), "fault=[]")
+			s := shippedScenario(b, "scale.toml", `duration="10s"`, fmt.Sprintf("load.rate=%d", 2*n), fmt.Sprintf("nodes=%d", n/10), "fault=[]")
 			s.Tiers[0].Servers = n
-			var events, asked float64
+			var events, requests float64
 			for b.Loop() {
 				r, err := Run(b.Context(), s, Options{Seed: 1, Virtual: true})
 				if err != nil {
 					b.Fatal(err)
 				}
-				events, asked = events+float64(r.Events), asked+float64(r.Requests)
+				events, requests = events+float64(r.Events), requests+float64(r.Requests)
 			}
 			b.ReportMetric(events/b.Elapsed().Seconds(), "events/s")
-			b.ReportMetric(asked/b.Elapsed().Seconds(), "requests/s")
+			b.ReportMetric(requests/b.Elapsed().Seconds(), "requests/s")
 		})
 	}
 	for _, c := range []struct {
@@ -31,7 +31,7 @@
 		nodes, servers int
 	}{{"server", 1, 10_000}, {"node", 1000, 10}} {
 		b.Run("memory-per-"+c.name, func(b *testing.B) {
-			s := shipped(b, "scale.toml", `duration="1ms"`, fmt.Sprintf("nodes=%d", c.nodes), "fault=[]")
+			s := shippedScenario(b, "scale.toml", `duration="1ms"`, fmt.Sprintf("nodes=%d", c.nodes), "fault=[]")
 			s.Tiers[0].Servers = c.servers
 			var bytes float64
 			for b.Loop() {
@@ -39,7 +39,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				r := newRun(scenario.NewSite(s, 1), Options{Virtual: true})
-				if err := r.playVirtual(b.Context()); err != nil {
+				if err := r.runVirtual(b.Context()); err != nil {
 					b.Fatal(err)
 				}
 				runtime.GC()
--- a/internal/lab/clocks.go
+++ b/internal/lab/clocks.go
@@ -14,10 +14,10 @@
 )
 
 // errRegistryOnVirtualClock is returned for a scenario with a registry on the virtual clock.
-var errRegistryOnVirtualClock = errors.New("a registry is played by real processes alone; --set registry.replicas=0 plays plain discovery")
+var errRegistryOnVirtualClock = errors.New("a registry needs real processes; use --set registry.replicas=0 for simulated discovery")
 
-// playVirtual plays the run on the virtual clock.
-func (r *run) playVirtual(ctx context.Context) error {
+// runVirtual executes the run on the virtual clock.
+func (r *run) runVirtual(ctx context.Context) error {
 	if r.site.Registry.Replicas > 0 {
 		return errRegistryOnVirtualClock
 	}
@@ -31,7 +31,7 @@
 	return errors.Join(err, settings.err, nodes.Err())
 }
 
-// newBalancer makes the Balancer of any node.
+// newBalancer creates the Balancer of a node.
 func (r *run) newBalancer(_ int, settings balancer.Settings, seed uint64) (virtual.Balancer, error) {
 	if r.options.NewBalancer != nil {
 		return r.options.NewBalancer(settings, seed)
@@ -39,12 +39,12 @@
 	return balancer.New(settings, seed)
 }
 
-// nodeSettings derives the settings of nodes from a site. Those of a tier differ by the index of the replica alone, so each tier's
-// are parsed once.
+// nodeSettings derives the settings of nodes from a site. The settings of nodes with the same target tier differ only in
+// ReplicaIndex, so they are parsed once for each tier.
 type nodeSettings struct {
 	site   *scenario.Site
 	byTier map[int]balancer.Settings
-	err    error // of the last tier that could not be parsed
+	err    error // parse error of the last tier with invalid settings
 }
 
 // of returns the settings of a node.
@@ -66,8 +66,8 @@
 	return settings
 }
 
-// playReal plays the run on real processes.
-func (r *run) playReal(ctx context.Context) error {
+// runReal executes the run with real processes.
+func (r *run) runReal(ctx context.Context) error {
 	events := fault.Schedule(r.site)
 	processes, err := fleet.New(r.world, r.oracle, fleet.Options{
 		Node:    r.options.Node,
@@ -83,7 +83,7 @@
 	return processes.Run(ctx, func() { r.start(events) }, r.site.Duration.Std()+r.drainTime())
 }
 
-// drainTime is how long a run goes on after its load, so that the calls in flight can end.
+// drainTime returns how long a run continues after its load, so that calls in flight can complete.
 func (r *run) drainTime() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range r.site.Classes {
--- a/internal/lab/expectations.go
+++ b/internal/lab/expectations.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkExpectations compares the result with the expectations of the scenario, and adds a line for each that does not hold. The
-// lines name the keys of the Result's JSON form.
+// checkExpectations compares the result with the expectations of the scenario and records a message for each that is not met. The
+// messages name the keys of the Result's JSON form.
 func (r *run) checkExpectations() {
 	res, expect := r.result, &r.site.Expectations
 	fail := func(format string, args ...any) {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,7 @@
-// Package lab plays a scenario on a fleet of nodes, on real processes or on the virtual clock, and returns its Result.
+// Package lab runs a scenario on a fleet of nodes, with real processes or on the virtual clock, and returns a Result.
 //
-// A run has one goroutine, that of its sim.Loop, on which the model of servers and discovery, the clients, the faults and the oracle
-// act. On the virtual clock the same seed gives the same Result.
+// The model of servers and discovery, the clients, the faults and the oracle of a run share one goroutine, that of the run's
+// sim.Loop. On the virtual clock the same scenario and seed give the same Result.
 package lab
 
 import (
@@ -22,22 +22,22 @@
 
 // Options configure a run.
 type Options struct {
-	// Seed decides every random choice of the run.
+	// Seed determines every random choice of the run.
 	Seed uint64
-	// Virtual plays on the virtual clock, without node processes.
+	// Virtual selects the virtual clock, which needs no processes.
 	Virtual bool
-	// Node is the command of a node, and Replica that of a registry's replica, which takes --config FILE.
-	// Default: this program's own.
+	// Node is the command of a node, and Replica that of a registry replica, which takes --config FILE. Each defaults to a
+	// subcommand of this program.
 	Node, Replica []string
-	// Progress is called about once a second of the run, if it is not nil.
+	// Progress is called about once per second of the run. It may be nil.
 	Progress func(done, total time.Duration)
-	// Log receives the log lines of nodes and the faults, if it is not nil.
+	// Log receives the log lines of nodes, and a line when a fault begins or ends. It may be nil.
 	Log func(format string, args ...any)
-	// NewBalancer makes the Balancer of a node on the virtual clock. Default: balancer.New.
+	// NewBalancer creates the Balancer of a node on the virtual clock. It defaults to balancer.New.
 	NewBalancer func(settings balancer.Settings, seed uint64) (virtual.Balancer, error)
 }
 
-// run is a run in progress. It belongs to the goroutine of its loop.
+// run is a run in progress. Its fields are accessed only on the goroutine of its loop.
 type run struct {
 	options         Options
 	site            *scenario.Site
@@ -47,21 +47,21 @@
 	front           *traffic.Frontend
 	clients         *traffic.Clients
 	result          *Result
-	lateRequests    int           // sent later than maxSendDelay
-	maxDelay        time.Duration // of any request
-	attemptsCounted int           // attempts that the last sample has covered
+	lateRequests    int           // requests sent later than maxSendDelay
+	maxDelay        time.Duration // longest send delay of a request
+	attemptsCounted int           // attempts up to the last sample
 	totals          totals
 	processUsage    func(node int) (fleet.Usage, bool) // nil on the virtual clock
 }
 
-// Run plays a scenario. If ctx ends before the run does, it returns the partial Result with ctx's error.
+// Run runs a scenario. If ctx is canceled before the run ends, it returns the partial Result with ctx's error.
 func Run(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	r := newRun(scenario.NewSite(s, opt.Seed), opt)
 	var err error
 	if opt.Virtual {
-		err = r.playVirtual(ctx)
+		err = r.runVirtual(ctx)
 	} else {
-		err = r.playReal(ctx)
+		err = r.runReal(ctx)
 	}
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return nil, err
@@ -70,7 +70,7 @@
 	return r.result, err
 }
 
-// newRun connects loop, model, oracle and clients of a run.
+// newRun creates loop, model, oracle and clients of a run and connects them.
 func newRun(site *scenario.Site, opt Options) *run {
 	if opt.Log == nil {
 		opt.Log = func(string, ...any) {}
@@ -89,16 +89,16 @@
 // start starts the load, the faults and the sampling.
 func (r *run) start(events []*fault.Event) {
 	now := r.loop.Now()
-	player := &fault.Injector{World: r.world, Clients: r.clients, ControlProcess: r.applyProcessAction, Notify: r.recordFault}
-	player.Start(events)
+	injector := &fault.Injector{World: r.world, Clients: r.clients, ControlProcess: r.applyProcessAction, Notify: r.recordFault}
+	injector.Start(events)
 	r.clients.Start()
 	r.sampleEverySecond(now)
 }
 
-// applyProcessAction applies an action to a node's process and informs oracle and clients.
+// applyProcessAction applies an action to a node's process and notifies the oracle and the clients.
 func (r *run) applyProcessAction(node int, act model.ProcessAction) {
 	r.options.Log("%v %v %s", r.loop.Now().Round(time.Millisecond), act, r.site.Nodes[node].Name)
-	if act != model.Start { // a start counts when the node is ready
+	if act != model.Start { // a start is reported by nodeReady
 		r.oracle.RecordProcessAction(node, act)
 	}
 	if act == model.Kill || act == model.Terminate {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -26,12 +26,13 @@
 	"umberbank/labs"
 )
 
-// The test binary is the node processes too: the one in service, or a wrong one.
+// The test binary is also the program of the node and replica processes. LAB_TEST_NODE selects the correct node, a replica, or a
+// mode of the faulty node.
 func TestMain(m *testing.M) {
 	switch mode := os.Getenv("LAB_TEST_NODE"); mode {
 	case "":
 		goleak.VerifyTestMain(m)
-	case "right":
+	case "correct":
 		ctx, stop := signalContext()
 		defer stop()
 		if err := node.RunProgram(ctx, make(chan os.Signal)); err != nil {
@@ -46,11 +47,11 @@
 			panic(err)
 		}
 	default:
-		wrongNode(mode)
+		runFaultyNode(mode)
 	}
 }
 
-// nodeCommand is the command that makes a process of the test binary a node of a mode.
+// nodeCommand returns the command that runs the test binary as a node in the given mode.
 func nodeCommand(t *testing.T, mode string) []string {
 	t.Helper()
 	self, err := os.Executable()
@@ -60,7 +61,7 @@
 	return []string{"/usr/bin/env", "LAB_TEST_NODE=" + mode, self}
 }
 
-func parse(t testing.TB, text string, overrides ...string) *scenario.Scenario {
+func parseScenario(t testing.TB, text string, overrides ...string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text), overrides)
 	if err != nil {
@@ -69,16 +70,16 @@
 	return s
 }
 
-func shipped(t testing.TB, name string, overrides ...string) *scenario.Scenario {
+func shippedScenario(t testing.TB, name string, overrides ...string) *scenario.Scenario {
 	t.Helper()
 	text, err := labs.Files.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return parse(t, string(text), overrides...)
+	return parseScenario(t, string(text), overrides...)
 }
 
-func play(t *testing.T, s *scenario.Scenario, opt Options) *Result {
+func runScenario(t *testing.T, s *scenario.Scenario, opt Options) *Result {
 	t.Helper()
 	if opt.Seed == 0 {
 		opt.Seed = 1
@@ -90,7 +91,7 @@
 	return r
 }
 
-// Every scenario that comes with the program holds on the virtual clock, and the same seed gives the same bytes.
+// Every scenario in labs meets its expectations on the virtual clock, and the same seed gives the same bytes.
 func TestVirtual(t *testing.T) {
 	files, err := labs.Files.ReadDir(".")
 	if err != nil {
@@ -101,20 +102,20 @@
 			t.Parallel()
 			var before []byte
 			for range 2 {
-				s := shipped(t, f.Name(), "registry.replicas=0")
-				if s.Nodes > 100 { // the same at a hundredth
+				s := shippedScenario(t, f.Name(), "registry.replicas=0")
+				if s.Nodes > 100 { // scaled down to a hundredth
 					s.Nodes, s.Tiers[0].Servers, s.Load.Rate = s.Nodes/100, s.Tiers[0].Servers/100, s.Load.Rate/100
 				}
-				r := play(t, s, Options{Virtual: true, Seed: 4})
+				r := runScenario(t, s, Options{Virtual: true, Seed: 4})
 				if !r.Passed() {
-					t.Errorf("not held: %v %v", r.FailedExpectations, r.Violations)
+					t.Errorf("expectations not met: %v; violations: %v", r.FailedExpectations, r.Violations)
 				}
 				text, err := json.Marshal(r)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if before != nil && !bytes.Equal(before, text) {
-					t.Error("the same seed gave another result")
+					t.Error("the same seed gave a different result")
 				}
 				before = text
 			}
@@ -122,8 +123,8 @@
 	}
 }
 
-// small is a site that starts fast. With racks of one server a keyed request may go to one server only.
-const small = `
+// smallScenario starts fast. Its racks have one server each, so a request with an idempotency key may go to one server only.
+const smallScenario = `
 name = "small"
 duration = "3s"
 nodes = 2
@@ -162,8 +163,9 @@
 rules_broken = 0
 `
 
-// tiers is small with a tier below, whose nodes stand beside the servers above; those crash, drain and vanish.
-var tiers = strings.Replace(strings.Replace(small, "[[tier]]\n", "[[tier]]\ncalls = [1.5, 1.5]\n", 1), "[[class]]\n",
+// twoTierScenario is smallScenario with a second tier, which the first tier calls through nodes beside its servers. Servers of
+// both tiers crash, and others of the first tier drain or vanish.
+var twoTierScenario = strings.Replace(strings.Replace(smallScenario, "[[tier]]\n", "[[tier]]\ncalls = [1.5, 1.5]\n", 1), "[[class]]\n",
 	"[[tier]]\nname = \"data\"\nservers = 4\nwork = 0.5\n[[class]]\n", 1) + `
 [[fault]]
 kind = "crash"
@@ -182,20 +184,20 @@
 names = ["web-2"]
 `
 
-// A server's node is stopped and started together with it, on both clocks, and the site serves on.
+// On both clocks the node beside a server is stopped and started together with the server, and the site keeps serving.
 func TestNodesBesideServers(t *testing.T) {
 	for _, virtual := range []bool{true, false} {
 		t.Run(fmt.Sprint("virtual=", virtual), func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
 			var log []string
-			r := play(t, parse(t, tiers), Options{Virtual: virtual, Node: nodeCommand(t, "right"), Log: func(format string, args ...any) {
+			r := runScenario(t, parseScenario(t, twoTierScenario), Options{Virtual: virtual, Node: nodeCommand(t, "correct"), Log: func(format string, args ...any) {
 				mu.Lock()
 				defer mu.Unlock()
 				log = append(log, fmt.Sprintf(format, args...))
 			}})
 			if r.RulesBroken > 0 || r.Valid && r.LastQuarterServedShare < 0.8 {
-				t.Errorf("served %.3f, in the end %.3f, broken %v: %+v", r.ServedShare, r.LastQuarterServedShare, r.ViolationsByRule, r.Violations)
+				t.Errorf("served %.3f, in the last quarter %.3f, rules broken %v: %+v", r.ServedShare, r.LastQuarterServedShare, r.ViolationsByRule, r.Violations)
 			}
 			all := strings.Join(log, "\n")
 			for _, node := range []string{"n1-0", "n1-1", "n1-2"} {
@@ -207,11 +209,11 @@
 	}
 }
 
-// A registry of real processes in place of the model's discovery: it is killed while servers die and drain, and the site
-// serves on, by the rules; back again, it tells of what is gone.
+// Real replicas of the registry replace the simulated discovery. They are killed while servers crash and drain, and restarted.
+// The site keeps serving and breaks no rule. On the virtual clock the scenario is rejected.
 func TestRegistryOutage(t *testing.T) {
 	t.Parallel()
-	text := small + `
+	text := smallScenario + `
 [registry]
 replicas = 3
 ttl = "500ms"
@@ -235,17 +237,18 @@
 for = "300ms"
 count = 1
 `
-	r := play(t, parse(t, text), Options{Node: nodeCommand(t, "right"), Replica: nodeCommand(t, "replica")})
+	r := runScenario(t, parseScenario(t, text), Options{Node: nodeCommand(t, "correct"), Replica: nodeCommand(t, "replica")})
 	if r.RulesBroken > 0 || r.Valid && r.ServedShare < 0.8 {
-		t.Errorf("served %.3f, broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
+		t.Errorf("served %.3f, rules broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
 	}
-	if _, err := Run(t.Context(), parse(t, text), Options{Seed: 1, Virtual: true}); err == nil {
-		t.Error("a registry was played on the virtual clock")
+	if _, err := Run(t.Context(), parseScenario(t, text), Options{Seed: 1, Virtual: true}); err == nil {
+		t.Error("a scenario with a registry ran on the virtual clock")
 	}
 }
 
-// cutDrain lets a server drain behind a silent link: what was written into that, and given up, must not arrive when it heals.
-const cutDrain = `
+// drainBehindStalledLink drains a server behind a stalled link. Requests that were written to the link and then given up must not
+// arrive when the link recovers.
+const drainBehindStalledLink = `
 [[fault]]
 kind = "silence"
 at = "200ms"
@@ -258,23 +261,23 @@
 names = ["web-0"]
 `
 
-// Hundreds of nodes that each send a call or two push no cold server over, though most of the servers start anew at once.
+// Hundreds of nodes that each send a call or two do not overload a cold server, even if most servers restart at the same time.
 func TestColdServersOfManyNodes(t *testing.T) {
 	t.Parallel()
-	text := strings.Replace(small, "servers = 4", "servers = 20", 1) + "\n[[fault]]\nkind = \"crash\"\nat = \"2s\"\nfor = \"500ms\"\nshare = 0.6\n"
+	text := strings.Replace(smallScenario, "servers = 4", "servers = 20", 1) + "\n[[fault]]\nkind = \"crash\"\nat = \"2s\"\nfor = \"500ms\"\nshare = 0.6\n"
 	for seed := uint64(1); seed <= 3; seed++ {
-		s := parse(t, text, "nodes=300", "duration=10s", "load.rate=2400", "discovery.notice=300ms")
+		s := parseScenario(t, text, "nodes=300", "duration=10s", "load.rate=2400", "discovery.notice=300ms")
 		r, err := Run(t.Context(), s, Options{Seed: seed, Virtual: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r.RulesBroken > 0 || r.Requests < 20_000 {
-			t.Errorf("seed %d: %d requests, broken %v: %+v", seed, r.Requests, r.ViolationsByRule, r.Violations)
+			t.Errorf("seed %d: %d requests, rules broken %v: %+v", seed, r.Requests, r.ViolationsByRule, r.Violations)
 		}
 	}
 }
 
-// Where a deploy leaves a list of cold servers alone, however many nodes there are, they shed before they push one over.
+// If a deployment leaves only cold servers in the list, nodes of any number shed load rather than overload a server.
 func TestColdServersAlone(t *testing.T) {
 	t.Parallel()
 	names := func(from, to int) string {
@@ -284,72 +287,72 @@
 		}
 		return strings.Join(l, ", ")
 	}
-	text := strings.ReplaceAll(strings.Replace(small, "servers = 4", "servers = 20", 1), "\"5ms\"", "\"100ms\"")
+	text := strings.ReplaceAll(strings.Replace(smallScenario, "servers = 4", "servers = 20", 1), "\"5ms\"", "\"100ms\"")
 	text = strings.ReplaceAll(strings.ReplaceAll(text, "\"500ms\"", "\"2s\""), "\"1s\"", "\"4s\"") +
 		"\n[[fault]]\nkind = \"crash\"\nat = \"2s\"\nfor = \"500ms\"\nnames = [" + names(0, 2) + "]\n" +
 		"\n[[fault]]\nkind = \"drain\"\nat = \"3500ms\"\nfor = \"3s\"\nnames = [" + names(2, 20) + "]\n"
 	for nodes, rate := range map[string]string{"3": "180", "30": "300", "200": "180", "300": "300"} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			s := parse(t, text, "nodes="+nodes, "duration=10s", "load.rate="+rate, "discovery.notice=300ms")
+			s := parseScenario(t, text, "nodes="+nodes, "duration=10s", "load.rate="+rate, "discovery.notice=300ms")
 			r, err := Run(t.Context(), s, Options{Seed: seed, Virtual: true})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r.RulesBroken > 0 || r.Requests < 1000 {
-				t.Errorf("%s nodes, seed %d: %d requests, broken %v: %+v", nodes, seed, r.Requests, r.ViolationsByRule, r.Violations)
+				t.Errorf("%s nodes, seed %d: %d requests, rules broken %v: %+v", nodes, seed, r.Requests, r.ViolationsByRule, r.Violations)
 			}
 		}
 	}
 }
 
-// Two people drain a zone each at the same time: on both clocks no more is out than the budget allows.
+// Two operators drain one zone each at the same time. On both clocks no more capacity is unavailable than the budget allows.
 func TestDrainsByBudget(t *testing.T) {
 	t.Parallel()
 	s := func(set ...string) *scenario.Scenario {
-		s := shipped(t, "fleet-drain.toml", append(set, "limits.slack=400ms")...)
+		s := shippedScenario(t, "fleet-drain.toml", append(set, "limits.slack=400ms")...)
 		s.Shorten(9 * time.Second)
 		return s
 	}
-	if r := play(t, s(), Options{Node: nodeCommand(t, "right"), Replica: nodeCommand(t, "replica")}); r.RulesBroken > 0 || r.Valid && r.ServedShare < 0.95 {
-		t.Errorf("served %.3f, broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
+	if r := runScenario(t, s(), Options{Node: nodeCommand(t, "correct"), Replica: nodeCommand(t, "replica")}); r.RulesBroken > 0 || r.Valid && r.ServedShare < 0.95 {
+		t.Errorf("served %.3f, rules broken %v: %+v", r.ServedShare, r.ViolationsByRule, r.Violations)
 	}
-	if r := play(t, s("registry.replicas=0"), Options{Virtual: true}); r.RulesBroken > 0 || r.ServedShare < 0.95 {
-		t.Errorf("on the virtual clock served %.3f, broken %v", r.ServedShare, r.ViolationsByRule)
+	if r := runScenario(t, s("registry.replicas=0"), Options{Virtual: true}); r.RulesBroken > 0 || r.ServedShare < 0.95 {
+		t.Errorf("on the virtual clock: served %.3f, rules broken %v", r.ServedShare, r.ViolationsByRule)
 	}
-	if r := play(t, s("registry.replicas=0", "budget.whole=0", "budget.zone=0"), Options{Virtual: true}); r.ServedShare > 0.9 {
-		t.Errorf("without a budget two zones out of three were drained, and %.3f served", r.ServedShare)
+	if r := runScenario(t, s("registry.replicas=0", "budget.whole=0", "budget.zone=0"), Options{Virtual: true}); r.ServedShare > 0.9 {
+		t.Errorf("served %.3f with two of three zones drained and no budget, want at most 0.9", r.ServedShare)
 	}
 }
 
-// The oracle names each rule that a wrong node breaks, with the request and how it went, and names none where the
-// right one is in its place.
-func TestOracleIsProven(t *testing.T) {
+// The oracle reports each rule that a faulty node breaks, with the request and its trace, and reports none for the correct node.
+func TestOracleDetectsViolations(t *testing.T) {
 	drain := "\n[[fault]]\nkind = \"drain\"\nat = \"300ms\"\nfor = \"2s\"\nnames = [\"web-0\"]\n"
 	fresh := "\n[[fault]]\nkind = \"crash\"\nat = \"100ms\"\nfor = \"300ms\"\nnames = [\"web-0\"]\n"
 	killed := "\n[[fault]]\nkind = \"kill\"\nat = \"500ms\"\nfor = \"200ms\"\nevery = \"600ms\"\nrepeat = 3\ncount = 1\n"
-	slow := "\n[[fault]]\nkind = \"slow\"\nat = \"100ms\"\nfor = \"2s\"\ntier = \"web\"\nfactor = 60\n" // so that much is in hand
+	// Slow servers keep many requests in flight.
+	slow := "\n[[fault]]\nkind = \"slow\"\nat = \"100ms\"\nfor = \"2s\"\ntier = \"web\"\nfactor = 60\n"
 	for mode, c := range map[string]struct{ rule, fault, set string }{
-		"silent":    {rule: oracle.RuleLost},
-		"hang-up":   {rule: oracle.RuleLost},
-		"twice":     {rule: oracle.RuleRepeated},
-		"elsewhere": {rule: oracle.RuleIdempotencyKey},
-		"many":      {rule: oracle.RuleAttemptLimit},
-		"beside":    {rule: oracle.RuleAttemptLimit, set: "limits.second_copies=false"},
-		"promise":   {rule: oracle.RuleRejection},
-		"deaf":      {rule: oracle.RuleDraining, fault: drain},
-		"patient":   {rule: oracle.RuleDraining, fault: "\n[[fault]]\nkind = \"mute\"\nat = \"200ms\"\n" + drain, set: "discovery.missed=500ms"},
-		"lingering": {rule: oracle.RuleDraining, fault: cutDrain, set: "load.rate=300"},
-		"crowd":     {rule: oracle.RuleSlowStart, fault: fresh, set: "load.rate=1000"},
-		"invent":    {rule: oracle.RuleUnsolicited},
-		"alter":     {rule: oracle.RuleUnsolicited},
-		"make-up":   {rule: oracle.RuleCorruptResponse},
-		"late":      {rule: oracle.RuleDisconnected, set: "clients.impatient=0.9"},
-		"die":       {rule: oracle.RuleCrash},
-		"hoard":     {rule: oracle.RuleResourceLimit, set: "limits.sockets=64"},
-		"resend":    {rule: oracle.RuleRepeated, fault: killed + slow, set: "state.keep=true"},
-		"right":     {fault: drain + fresh + killed + slow, set: "state.keep=true"},
-		"right too": {fault: cutDrain, set: "load.rate=300"},
-		"right 3":   {fault: slow + "\n[[fault]]\nkind = \"delay\"\nat = \"100ms\"\nfor = \"2s\"\ndelay = \"60ms\"\n", set: "clients.impatient=0.9"},
+		"no-response":                     {rule: oracle.RuleLost},
+		"close-connection":                {rule: oracle.RuleLost},
+		"send-twice":                      {rule: oracle.RuleRepeated},
+		"resend-elsewhere":                {rule: oracle.RuleIdempotencyKey},
+		"many-attempts":                   {rule: oracle.RuleAttemptLimit},
+		"hedge":                           {rule: oracle.RuleAttemptLimit, set: "limits.second_copies=false"},
+		"reject-after-sending":            {rule: oracle.RuleRejection},
+		"ignore-discovery":                {rule: oracle.RuleDraining, fault: drain},
+		"ignore-silent-watch":             {rule: oracle.RuleDraining, fault: "\n[[fault]]\nkind = \"mute\"\nat = \"200ms\"\n" + drain, set: "discovery.missed=500ms"},
+		"close-without-reset":             {rule: oracle.RuleDraining, fault: drainBehindStalledLink, set: "load.rate=300"},
+		"overload-new-server":             {rule: oracle.RuleSlowStart, fault: fresh, set: "load.rate=1000"},
+		"invent-request":                  {rule: oracle.RuleUnsolicited},
+		"alter-body":                      {rule: oracle.RuleUnsolicited},
+		"invent-response":                 {rule: oracle.RuleCorruptResponse},
+		"send-after-disconnect":           {rule: oracle.RuleDisconnected, set: "clients.impatient=0.9"},
+		"exit":                            {rule: oracle.RuleCrash},
+		"leak-descriptors":                {rule: oracle.RuleResourceLimit, set: "limits.sockets=64"},
+		"resend-after-restart":            {rule: oracle.RuleRepeated, fault: killed + slow, set: "state.keep=true"},
+		"correct":                         {fault: drain + fresh + killed + slow, set: "state.keep=true"},
+		"correct, stalled link":           {fault: drainBehindStalledLink, set: "load.rate=300"},
+		"correct, slow servers and links": {fault: slow + "\n[[fault]]\nkind = \"delay\"\nat = \"100ms\"\nfor = \"2s\"\ndelay = \"60ms\"\n", set: "clients.impatient=0.9"},
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -358,54 +361,54 @@
 				set = append(set, c.set)
 			}
 			if c.rule == "" {
-				mode = "right"
+				mode = "correct"
 			}
-			r := play(t, parse(t, small+c.fault, set...), Options{Node: nodeCommand(t, mode)})
+			r := runScenario(t, parseScenario(t, smallScenario+c.fault, set...), Options{Node: nodeCommand(t, mode)})
 			if c.rule == "" {
 				if r.RulesBroken > 0 {
-					t.Errorf("the right node breaks rules: %+v", r.Violations)
+					t.Errorf("the correct node breaks rules: %+v", r.Violations)
 				}
 				return
 			}
 			if r.ViolationsByRule[c.rule] == 0 {
-				t.Fatalf("rule %s not named; broken: %v", c.rule, r.ViolationsByRule)
+				t.Fatalf("rule %s was not reported; rules broken: %v", c.rule, r.ViolationsByRule)
 			}
 			if r.Passed() {
-				t.Error("the run counts as held")
+				t.Error("the run counts as passed")
 			}
 			for _, v := range r.Violations {
 				if v.Rule == c.rule && v.Detail != "" && (len(v.Trace) > 0 || c.rule == oracle.RuleSlowStart || c.rule == oracle.RuleUnsolicited || c.rule == oracle.RuleCrash || c.rule == oracle.RuleResourceLimit) {
 					return
 				}
 			}
-			t.Errorf("no violation of %s tells how it went: %+v", c.rule, r.Violations)
+			t.Errorf("no violation of %s has a detail and a trace: %+v", c.rule, r.Violations)
 		})
 	}
 }
 
-// Real processes with faults between them; the served share is near what the virtual clock gives.
+// With the same faults, the share served on real processes is close to the share served on the virtual clock.
 func TestRealAgreesWithVirtual(t *testing.T) {
 	t.Parallel()
 	s := func() *scenario.Scenario {
-		s := shipped(t, "default.toml", "limits.slack=\"400ms\"")
+		s := shippedScenario(t, "default.toml", "limits.slack=\"400ms\"")
 		s.Shorten(10 * time.Second)
 		return s
 	}
-	onProcesses := play(t, s(), Options{Node: nodeCommand(t, "right")})
-	onVirtualClock := play(t, s(), Options{Virtual: true})
+	onProcesses := runScenario(t, s(), Options{Node: nodeCommand(t, "correct")})
+	onVirtualClock := runScenario(t, s(), Options{Virtual: true})
 	if onProcesses.RulesBroken > 0 {
 		t.Errorf("rules broken: %+v", onProcesses.Violations)
 	}
 	if onProcesses.Requests != onVirtualClock.Requests {
-		t.Errorf("%d requests on the machine's clock, %d on the virtual one", onProcesses.Requests, onVirtualClock.Requests)
+		t.Errorf("%d requests on real processes, %d on the virtual clock", onProcesses.Requests, onVirtualClock.Requests)
 	}
 	if d := onProcesses.ServedShare - onVirtualClock.ServedShare; onProcesses.Valid && (d > 0.05 || d < -0.05) {
-		t.Errorf("served %.3f on the machine's clock, %.3f on the virtual one", onProcesses.ServedShare, onVirtualClock.ServedShare)
+		t.Errorf("served %.3f on real processes, %.3f on the virtual clock", onProcesses.ServedShare, onVirtualClock.ServedShare)
 	}
 }
 
-// Hard cases on the virtual clock: no server at the start, all gone at once, faults over each other, and a
-// thousand of them in a minute. The run ends, every request has an end, and what can be served is.
+// Extreme cases on the virtual clock: no server at the start, all servers down at once, overlapping faults, and a thousand faults
+// in a minute. The run ends, every request has exactly one outcome, and the share served is within the bounds of the case.
 func TestHardCases(t *testing.T) {
 	every := func(kind, more string) string {
 		return fmt.Sprintf("\n[[fault]]\nkind = %q\nrepeat = 125\nevery = \"480ms\"\nfor = \"700ms\"\ncount = 1\n%s\n", kind, more)
@@ -421,11 +424,11 @@
 		least float64
 		most  float64
 	}{
-		"no servers":  {small, []string{"duration=\"2s\""}, 0, 0},
-		"all gone":    {small + "\n[[fault]]\nkind = \"crash\"\nat = \"1s\"\nfor = \"2s\"\n", []string{"duration=\"8s\"", "discovery.notice=\"300ms\""}, 0.4, 0.9},
-		"overlapping": {small + every("delay", "delay = \"5ms\"") + every("silence", "") + every("reset", ""), []string{"duration=\"60s\""}, 0.5, 1},
-		"two tiers":   {tiers, nil, 0.8, 1},
-		"thousand":    {small + thousand, []string{"duration=\"60s\""}, 0.01, 1},
+		"no servers":  {smallScenario, []string{"duration=\"2s\""}, 0, 0},
+		"all gone":    {smallScenario + "\n[[fault]]\nkind = \"crash\"\nat = \"1s\"\nfor = \"2s\"\n", []string{"duration=\"8s\"", "discovery.notice=\"300ms\""}, 0.4, 0.9},
+		"overlapping": {smallScenario + every("delay", "delay = \"5ms\"") + every("silence", "") + every("reset", ""), []string{"duration=\"60s\""}, 0.5, 1},
+		"two tiers":   {twoTierScenario, nil, 0.8, 1},
+		"thousand":    {smallScenario + thousand, []string{"duration=\"60s\""}, 0.01, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -433,7 +436,7 @@
 			if name == "no servers" {
 				text = strings.Replace(text, "servers = 4", "servers = 0", 1)
 			}
-			r := play(t, parse(t, text, c.set...), Options{Virtual: true})
+			r := runScenario(t, parseScenario(t, text, c.set...), Options{Virtual: true})
 			if r.RulesBroken > 0 {
 				t.Errorf("rules broken: %v %+v", r.ViolationsByRule, r.Violations[0])
 			}
@@ -442,27 +445,27 @@
 			}
 			for name, k := range r.Classes {
 				if k.Requests != k.Served+k.Late+k.Rejected+k.Failed+k.Abandoned || k.Requests == 0 {
-					t.Errorf("%s: %+v does not add up", name, k)
+					t.Errorf("%s: the outcomes do not add up to the requests: %+v", name, k)
 				}
 			}
 		})
 	}
 }
 
-// A node that dies while it starts ends the run with its own words.
+// If a node exits while it starts, the run ends with an error that contains its exit status and output.
 func TestNodeDiesAtStart(t *testing.T) {
 	t.Parallel()
-	_, err := Run(t.Context(), parse(t, small), Options{Seed: 1, Node: []string{"/bin/sh", "-c", "echo no such luck >&2; exit 3"}})
-	if err == nil || !strings.Contains(err.Error(), "exit status 3") || !strings.Contains(err.Error(), "no such luck") {
+	_, err := Run(t.Context(), parseScenario(t, smallScenario), Options{Seed: 1, Node: []string{"/bin/sh", "-c", "echo cannot start >&2; exit 3"}})
+	if err == nil || !strings.Contains(err.Error(), "exit status 3") || !strings.Contains(err.Error(), "cannot start") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// Another's port in the way: the run takes a network that nobody has.
+// If the networks that a run would try first are reserved by other processes, the run uses a free one.
 func TestPortInUse(t *testing.T) {
 	t.Parallel()
 	var held []net.Listener
-	for i := range 3 { // the ones that this process would try first
+	for i := range 3 { // the networks that this process would try first
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:2999", 20+(os.Getpid()+i)%200))
 		if err == nil {
 			held = append(held, l)
@@ -473,21 +476,21 @@
 			l.Close()
 		}
 	}()
-	r := play(t, parse(t, small, "duration=\"1s\""), Options{Node: nodeCommand(t, "right")})
+	r := runScenario(t, parseScenario(t, smallScenario, "duration=\"1s\""), Options{Node: nodeCommand(t, "correct")})
 	if r.Requests == 0 || r.RulesBroken > 0 {
-		t.Errorf("asked %d, broken %v", r.Requests, r.ViolationsByRule)
+		t.Errorf("%d requests, rules broken %v", r.Requests, r.ViolationsByRule)
 	}
 }
 
-// Broken off in the middle: what came until then is told, and no process is left.
+// An interrupted run returns the partial result and leaves no process running.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	pids := filepath.Join(t.TempDir(), "pids")
-	command := append([]string{"/bin/sh", "-c", `echo $$ >> "$0"; exec "$@"`, pids}, nodeCommand(t, "right")...)
+	command := append([]string{"/bin/sh", "-c", `echo $$ >> "$0"; exec "$@"`, pids}, nodeCommand(t, "correct")...)
 	var once sync.Once
-	r, err := Run(ctx, parse(t, small, "duration=\"60s\""), Options{Seed: 1, Node: command,
+	r, err := Run(ctx, parseScenario(t, smallScenario, "duration=\"60s\""), Options{Seed: 1, Node: command,
 		Progress: func(done, total time.Duration) { once.Do(cancel) }})
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v", err)
@@ -505,16 +508,16 @@
 	}
 	for _, pid := range started {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
-			t.Errorf("process %s is left", pid)
+			t.Errorf("process %s is still running", pid)
 		}
 	}
 }
 
-// A loader that stood still sends late, and the run says that it does not count.
+// If the load generator is suspended, it sends requests late. The run is then reported as invalid, and no request as lost.
 func TestStalledLoaderIsInvalid(t *testing.T) {
 	t.Parallel()
 	if os.Getenv("LAB_TEST_STALL") != "" {
-		r := play(t, parse(t, small, "duration=\"4s\""), Options{Node: nodeCommand(t, "right"), Progress: func(done, _ time.Duration) {
+		r := runScenario(t, parseScenario(t, smallScenario, "duration=\"4s\""), Options{Node: nodeCommand(t, "correct"), Progress: func(done, _ time.Duration) {
 			fmt.Println("PROGRESS")
 		}})
 		fmt.Printf("\nRESULT valid=%v late=%.3f lost=%d\n", r.Valid, r.LoaderLateShare, r.ViolationsByRule[oracle.RuleLost])
@@ -542,7 +545,7 @@
 		if !stalled && strings.Contains(all.String(), "PROGRESS") {
 			stalled = true
 			cmd.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(700 * time.Millisecond) // the fault itself: how long the loader stands still
+			time.Sleep(700 * time.Millisecond) // how long the load generator is suspended
 			cmd.Process.Signal(syscall.SIGCONT)
 		}
 		if err != nil {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -9,24 +9,26 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// Result is the outcome of a run. The keys of its JSON form are read by reports and comparisons.
+// Result is the outcome of a run. Reports and comparisons read its JSON form.
 type Result struct {
-	Scenario                 string                  `json:"scenario"`
-	Seed                     uint64                  `json:"seed"`
-	Virtual                  bool                    `json:"virtual"`
-	Valid                    bool                    `json:"valid"`   // the load was generated on time
-	Partial                  bool                    `json:"partial"` // the run was interrupted
-	Seconds                  float64                 `json:"seconds"` // duration of the load
-	Requests                 int                     `json:"asked"`
-	ServedShare              float64                 `json:"served_share"`  // share of requests answered within their latency objective
-	WeightedServedShare      float64                 `json:"worth_share"`   // the same, weighted by priority
-	LastQuarterServedShare   float64                 `json:"tail_served"`   // ServedShare of the last quarter of the load
-	RecoveryAfterRestart     float64                 `json:"after_restart"` // ServedShare after a node's restart relative to before its kill, mean of all kills; 0: no kill
+	Scenario               string  `json:"scenario"`
+	Seed                   uint64  `json:"seed"`
+	Virtual                bool    `json:"virtual"`
+	Valid                  bool    `json:"valid"`   // the load was generated on time
+	Partial                bool    `json:"partial"` // the run was interrupted
+	Seconds                float64 `json:"seconds"` // duration of the load
+	Requests               int     `json:"asked"`
+	ServedShare            float64 `json:"served_share"` // share of requests served within the latency objective
+	WeightedServedShare    float64 `json:"worth_share"`  // the same, weighted by priority
+	LastQuarterServedShare float64 `json:"tail_served"`  // ServedShare of the last quarter of the load
+	// RecoveryAfterRestart is the share served after a node's restart relative to the share before its kill. It is the mean over
+	// all kills, and zero if there was none.
+	RecoveryAfterRestart     float64                 `json:"after_restart"`
 	RulesBroken              int                     `json:"rules_broken"`
 	ViolationsByRule         map[string]int          `json:"rules"`
 	Violations               []oracle.Violation      `json:"violations"`
-	FailedExpectations       []string                `json:"expect_failed"`     // a line for each expectation of the scenario that did not hold
-	LoaderLateShare          float64                 `json:"loader_late_share"` // share of requests that were sent later than maxSendDelay
+	FailedExpectations       []string                `json:"expect_failed"`     // a message for each expectation that was not met
+	LoaderLateShare          float64                 `json:"loader_late_share"` // share of requests sent later than maxSendDelay
 	LoaderMaxDelayMS         float64                 `json:"loader_late_worst_ms"`
 	AttemptsPerRequest       float64                 `json:"attempts_per_request"`
 	ClientAttemptsPerRequest float64                 `json:"tries_per_request"`
@@ -34,10 +36,10 @@
 	Series                   []Second                `json:"series"`
 	Faults                   []FaultSpan             `json:"faults"`
 	Events                   uint64                  `json:"events"`
-	ClassNames               []string                `json:"class_names"` // in the order of the scenario, as the entries of Series
+	ClassNames               []string                `json:"class_names"` // in the scenario's order, as in the entries of Series
 	ZoneNames                []string                `json:"zone_names"`
 	NodeNames                []string                `json:"node_names"`
-	MaxNodeMemoryMB          float64                 `json:"node_memory_mb_most"` // peak of any node's process; 0 on the virtual clock
+	MaxNodeMemoryMB          float64                 `json:"node_memory_mb_most"` // maximum over all nodes; zero on the virtual clock
 	MaxNodeDescriptors       float64                 `json:"node_descriptors_most"`
 }
 
@@ -70,13 +72,13 @@
 	InFlight       []int   `json:"in_flight"` // by server
 	P50MS          float64 `json:"p50_ms"`
 	P99MS          float64 `json:"p99_ms"`
-	// Usage of each node's process, in the order of NodeNames; 0: it did not run.
+	// Usage of each node's process, in the order of NodeNames; zero while the process did not run.
 	MemoryMB    []float64 `json:"memory_mb,omitempty"`
 	Descriptors []float64 `json:"descriptors,omitempty"`
 	latency     *hdrhistogram.Histogram
 }
 
-// FaultSpan is a fault of the run, in seconds since its start.
+// FaultSpan is a fault of the run, with its begin and end in seconds since the start of the run.
 type FaultSpan struct {
 	Kind        string   `json:"kind"`
 	FromSeconds float64  `json:"from_s"`
@@ -85,7 +87,7 @@
 	Servers     []string `json:"servers,omitempty"`
 }
 
-// Passed says whether the run is valid and met the expectations of its scenario.
+// Passed reports whether the run is valid and met the expectations of its scenario.
 func (r *Result) Passed() bool { return r.Valid && len(r.FailedExpectations) == 0 }
 
 // newResult returns an empty Result for a site.
@@ -127,9 +129,9 @@
 }
 
 const (
-	// maxSendDelay is how late the loader may send a request.
+	// maxSendDelay is the delay after its arrival time up to which a request counts as sent on time.
 	maxSendDelay = 5 * time.Millisecond
-	// maxLateShare is the share of requests that may be later in a valid run.
+	// maxLateShare is the largest share of late requests in a valid run.
 	maxLateShare = 0.01
 )
 
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -7,7 +7,7 @@
 	"umberbank/internal/lab/fault"
 )
 
-// sampleEverySecond samples the run at the end of the second that begins at the given time, and of each one after it.
+// sampleEverySecond samples the run at the end of the second that begins at the given time, and of every second after it.
 func (r *run) sampleEverySecond(begin time.Duration) {
 	end := begin + time.Second
 	r.loop.At(end, func() {
@@ -21,7 +21,7 @@
 	})
 }
 
-// sample records the attempts since the last sample, the requests in flight and the usage of processes.
+// sample records the attempts since the last sample, the requests in flight at each server, and the usage of processes.
 func (r *run) sample(second *Second) {
 	second.Attempts = r.oracle.Attempts - r.attemptsCounted
 	r.attemptsCounted = r.oracle.Attempts
@@ -33,7 +33,7 @@
 	}
 }
 
-// recordUsage records memory and descriptors of the nodes' processes, and reports those over their limits.
+// recordUsage records memory and descriptors of the nodes' processes, and reports processes that exceed a limit to the oracle.
 func (r *run) recordUsage(second *Second) {
 	limits, res := &r.site.Limits, r.result
 	for n := range r.site.Nodes {
@@ -50,7 +50,7 @@
 	}
 }
 
-// secondAt returns the entry for the requests that arrived at a time.
+// secondAt returns the entry of the series for requests that arrived at a time.
 func (r *run) secondAt(at time.Duration) *Second {
 	i := int(at / time.Second)
 	for len(r.result.Series) <= i {
@@ -59,7 +59,7 @@
 	return &r.result.Series[i]
 }
 
-// recordFault records the begin or the end of a fault.
+// recordFault adds a fault that begins to the result, and logs its begin or end.
 func (r *run) recordFault(e *fault.Event, begins bool) {
 	state := "ends"
 	if begins {
@@ -69,7 +69,7 @@
 	r.options.Log("%v fault %s %s", r.loop.Now().Round(time.Millisecond), e.Kind, state)
 }
 
-// faultSpan returns a fault with the names of what it hits.
+// faultSpan returns the span of a fault, with the names of its targets.
 func (r *run) faultSpan(e *fault.Event) FaultSpan {
 	span := FaultSpan{Kind: e.Kind, FromSeconds: e.Start.Seconds(), ToSeconds: e.End.Seconds()}
 	for _, n := range e.Nodes {
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -20,45 +20,45 @@
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM)
 }
 
-// wrongTarget is a server as the wrong node knows it.
-type wrongTarget struct {
+// faultyNodeTarget is a server in the list of a faulty node.
+type faultyNodeTarget struct {
 	UID, Endpoint, State string
 	BootMS               float64 `json:"boot_ms"`
 }
 
-// wrongServer is a small node that breaks one rule, by its mode.
-type wrongServer struct {
-	mode    string
-	mu      sync.Mutex
-	targets []wrongTarget
-	next    atomic.Int64
-	hoard   []*os.File
-	journal string // a folder of what is in hand, for the process after this one
+// faultyNode is a minimal node that breaks the rule given by its mode.
+type faultyNode struct {
+	mode      string
+	mu        sync.Mutex
+	targets   []faultyNodeTarget
+	next      atomic.Int64
+	openFiles []*os.File
+	journal   string // directory of the requests in flight, from which the next process resends them
 }
 
-// wrongNode is the program of a node that breaks one rule.
-func wrongNode(mode string) {
+// runFaultyNode runs this process as a node that breaks the rule given by mode.
+func runFaultyNode(mode string) {
 	text, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err != nil {
 		panic(err)
 	}
 	var cfg struct {
 		Listen, Discovery string
-		Known             struct{ Targets []wrongTarget }
+		Known             struct{ Targets []faultyNodeTarget }
 		State             struct{ Dir string }
 	}
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		panic(err)
 	}
-	s := &wrongServer{mode: mode, targets: cfg.Known.Targets}
+	s := &faultyNode{mode: mode, targets: cfg.Known.Targets}
 	switch mode {
-	case "deaf":
-	case "patient":
+	case "ignore-discovery":
+	case "ignore-silent-watch":
 		go s.watch(cfg.Discovery)
 	default:
 		go s.follow(cfg.Discovery)
 	}
-	if mode == "resend" {
+	if mode == "resend-after-restart" {
 		if err := s.resend(cfg.State.Dir); err != nil {
 			panic(err)
 		}
@@ -66,14 +66,14 @@
 	panic(http.ListenAndServe(cfg.Listen, s))
 }
 
-// follow asks for the list every now and then.
-func (s *wrongServer) follow(addr string) {
+// follow polls the list every 20 ms.
+func (s *faultyNode) follow(addr string) {
 	for ; ; time.Sleep(20 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/registry/instances")
 		if err != nil {
 			continue
 		}
-		var l struct{ Targets []wrongTarget }
+		var l struct{ Targets []faultyNodeTarget }
 		if json.NewDecoder(resp.Body).Decode(&l) == nil {
 			s.mu.Lock()
 			s.targets = l.Targets
@@ -83,8 +83,8 @@
 	}
 }
 
-// watch follows the list on one watch, for good.
-func (s *wrongServer) watch(addr string) {
+// watch follows the list on a single watch, which it never renews.
+func (s *faultyNode) watch(addr string) {
 	resp, err := http.Get("http://" + addr + "/registry/instances?follow=1&since=0")
 	if err != nil {
 		panic(err)
@@ -92,7 +92,7 @@
 	for d := json.NewDecoder(resp.Body); ; {
 		var l struct {
 			All     bool
-			Targets []wrongTarget
+			Targets []faultyNodeTarget
 		}
 		if err := d.Decode(&l); err != nil {
 			return
@@ -100,8 +100,8 @@
 		s.mu.Lock()
 		if !l.All {
 			news := l.Targets
-			l.Targets = append(news, slices.DeleteFunc(s.targets, func(t wrongTarget) bool {
-				return slices.ContainsFunc(news, func(n wrongTarget) bool { return n.UID == t.UID })
+			l.Targets = append(news, slices.DeleteFunc(s.targets, func(t faultyNodeTarget) bool {
+				return slices.ContainsFunc(news, func(n faultyNodeTarget) bool { return n.UID == t.UID })
 			})...)
 		}
 		s.targets = l.Targets
@@ -109,8 +109,8 @@
 	}
 }
 
-// resend sends again what the process before this one had in hand when it died.
-func (s *wrongServer) resend(dir string) error {
+// resend sends the requests again that were in flight when the previous process died.
+func (s *faultyNode) resend(dir string) error {
 	s.journal = dir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -122,13 +122,13 @@
 			return err
 		}
 		path, body, _ := strings.Cut(string(text), "\n")
-		req, err := http.NewRequest(http.MethodPost, "http://"+s.pick()+path, strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://"+s.pickServer()+path, strings.NewReader(body))
 		if err != nil {
 			return err
 		}
 		req.Header.Set("X-Correlation-Id", f.Name())
 		go func() {
-			if response, err := http.DefaultClient.Do(req); err == nil { // the client has disconnected: the answer goes nowhere
+			if response, err := http.DefaultClient.Do(req); err == nil { // dropped, as the client has disconnected
 				response.Body.Close()
 			}
 		}()
@@ -136,19 +136,19 @@
 	return err
 }
 
-// lingering gives up by a plain close.
-var lingering = &http.Client{Timeout: 800 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+// closingClient closes the connection when an attempt times out, without a reset.
+var closingClient = &http.Client{Timeout: 800 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
-// pick takes the serving servers in turn; a crowd takes the one that started last.
-func (s *wrongServer) pick() string {
+// pickServer returns the serving servers in turn. In mode overload-new-server it returns one that has restarted.
+func (s *faultyNode) pickServer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var l []wrongTarget
+	var l []faultyNodeTarget
 	for _, t := range s.targets {
 		if t.State == "SERVING" {
 			l = append(l, t)
 		}
-		if s.mode == "crowd" && t.BootMS > 0 {
+		if s.mode == "overload-new-server" && t.BootMS > 0 {
 			return t.Endpoint
 		}
 	}
@@ -158,7 +158,7 @@
 	return l[int(s.next.Add(1))%len(l)].Endpoint
 }
 
-func (s *wrongServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *faultyNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health/ready" {
 		return
 	}
@@ -167,65 +167,65 @@
 		return
 	}
 	send := func(path, id string) (int, string) {
-		req, err := http.NewRequest(r.Method, "http://"+s.pick()+path, strings.NewReader(string(body)))
+		req, err := http.NewRequest(r.Method, "http://"+s.pickServer()+path, strings.NewReader(string(body)))
 		if err != nil {
 			return 502, ""
 		}
 		req.Header = r.Header.Clone()
 		req.Header.Set("X-Correlation-Id", id)
 		client := http.DefaultClient
-		if s.mode == "lingering" {
-			client = lingering
+		if s.mode == "close-without-reset" {
+			client = closingClient
 		}
 		resp, err := client.Do(req)
 		if err != nil {
 			return 502, ""
 		}
 		defer resp.Body.Close()
-		b, _ := io.ReadAll(resp.Body) // half an answer is the test's own business
+		b, _ := io.ReadAll(resp.Body) // a truncated response is passed on
 		return resp.StatusCode, string(b)
 	}
 	path, id := r.URL.RequestURI(), r.Header.Get("X-Correlation-Id")
 	class := strings.Split(path, "/")[1]
 	switch {
-	case s.mode == "silent":
+	case s.mode == "no-response":
 		<-r.Context().Done()
 		return
-	case s.mode == "hang-up":
+	case s.mode == "close-connection":
 		panic(http.ErrAbortHandler)
-	case s.mode == "die" && s.next.Add(1) > 10:
+	case s.mode == "exit" && s.next.Add(1) > 10:
 		os.Exit(7)
-	case s.mode == "resend" && class == "pay":
+	case s.mode == "resend-after-restart" && class == "pay":
 		held := filepath.Join(s.journal, id)
 		if err := os.WriteFile(held, []byte(path+"\n"+string(body)), 0o600); err != nil {
 			panic(err)
 		}
 		defer os.Remove(held)
-	case s.mode == "twice" && class == "pay", s.mode == "elsewhere" && class == "apply":
+	case s.mode == "send-twice" && class == "pay", s.mode == "resend-elsewhere" && class == "apply":
 		send(path, id)
-	case s.mode == "many" && class == "read":
+	case s.mode == "many-attempts" && class == "read":
 		for range 7 {
 			send(path, id)
 		}
-	case s.mode == "late":
-		time.Sleep(300 * time.Millisecond) // and does not look whether anybody still waits
-	case s.mode == "beside" && class == "read":
+	case s.mode == "send-after-disconnect":
+		time.Sleep(300 * time.Millisecond) // does not check whether the client is still connected
+	case s.mode == "hedge" && class == "read":
 		go send(path, id)
-	case s.mode == "promise" && class == "pay":
+	case s.mode == "reject-after-sending" && class == "pay":
 		send(path, id)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case s.mode == "invent":
+	case s.mode == "invent-request":
 		send(path, id+"-mine")
-	case s.mode == "alter" && class == "pay":
+	case s.mode == "alter-body" && class == "pay":
 		body = append(body, " and more"...)
-	case s.mode == "hoard":
+	case s.mode == "leak-descriptors":
 		if f, err := os.Open(os.DevNull); err == nil {
 			s.mu.Lock()
-			s.hoard = append(s.hoard, f)
+			s.openFiles = append(s.openFiles, f)
 			s.mu.Unlock()
 		}
-	case s.mode == "make-up":
+	case s.mode == "invent-response":
 		io.WriteString(w, "all is well")
 		return
 	}
--- a/labs/labs.go
+++ b/labs/labs.go
@@ -1,12 +1,12 @@
-// Package labs holds the scenarios that come with the program.
+// Package labs embeds the scenarios that are shipped with the program.
 package labs
 
 import "embed"
 
-// Files are the scenarios, by file name.
+// Files contains the scenario files, all in its root directory.
 //
 //go:embed *.toml
 var Files embed.FS
 
-// Default is the scenario that is played when none is named.
+// Default is the file name of the scenario that is run if none is named.
 const Default = "default.toml"
