--- a/internal/lab/fleet/agent.go
+++ b/internal/lab/fleet/agent.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// discoveryAgent serves the endpoint list to one node, on the node's own machine. The loop changes its state; handlers read it.
+// discoveryAgent serves the endpoint list to one node, as an agent on the node's machine does. The loop changes its
+// state, and HTTP handlers read it.
 type discoveryAgent struct {
 	addr string
 
 	mu           sync.Mutex
 	changed      chan struct{} // closed at the next change
-	silenceCount int           // how often the open watches fell silent
-	silent       bool          // whether new watches are silent, too
+	silenceCount int           // number of times that the open watches became silent
+	silent       bool          // new watches are silent as well
 	revision     int64
 	fullList     []byte
 	changes      []listChange // since the last full list
 }
 
-// listChange is a change of the list in its encoded form.
+// listChange is an encoded change of the list.
 type listChange struct {
 	revision int64
 	text     []byte
 }
 
-// push adds a change, and the full list that results from it. With reset the changes before it are dropped.
+// push adds a change and the full list that results from it. If reset is set, earlier changes are dropped.
 func (a *discoveryAgent) push(revision int64, change, fullList []byte, reset bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,14 +41,14 @@
 	a.changed = make(chan struct{})
 }
 
-// silenceState returns how often the open watches fell silent, and whether new ones are silent now.
+// silenceState returns how many times the open watches became silent, and whether new watches are silent now.
 func (a *discoveryAgent) silenceState() (silences int, silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.silenceCount, a.silent
 }
 
-// maxChanges bounds the changes that are retained. A watcher that is further behind gets the full list.
+// maxChanges is the number of changes that are retained. A watcher that is further behind receives the full list.
 const maxChanges = 1000
 
 // heartbeatInterval is the interval of heartbeats on a watch.
@@ -59,8 +60,8 @@
 		http.NotFound(w, r)
 		return
 	}
-	opened, muted := a.silenceState()
-	if muted {
+	silencesAtOpen, silent := a.silenceState()
+	if silent {
 		<-r.Context().Done()
 		return
 	}
@@ -76,15 +77,15 @@
 		http.Error(w, "since: no number", http.StatusBadRequest)
 		return
 	}
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for flush := http.NewResponseController(w); ; {
-		if mutes, _ := a.silenceState(); mutes != opened {
+		if silences, _ := a.silenceState(); silences != silencesAtOpen {
 			<-r.Context().Done()
 			return
 		}
-		news, rev, changed := a.changesSince(since)
-		for _, text := range news {
+		messages, rev, changed := a.changesSince(since)
+		for _, text := range messages {
 			if _, err := w.Write(append(text[:len(text):len(text)], '\n')); err != nil {
 				return
 			}
@@ -95,7 +96,7 @@
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
@@ -105,9 +106,9 @@
 	}
 }
 
-// changesSince returns the messages that a watcher with revision since lacks, the revision that they lead to, and a channel that is
-// closed at the next change.
-func (a *discoveryAgent) changesSince(since int64) (news [][]byte, rev int64, changed <-chan struct{}) {
+// changesSince returns the messages that take a watcher from revision since to the current one, the current revision, and
+// a channel that is closed at the next change.
+func (a *discoveryAgent) changesSince(since int64) (messages [][]byte, rev int64, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.changes) > maxChanges {
@@ -123,15 +124,15 @@
 				from++
 			}
 			for _, l := range a.changes[from:] {
-				news = append(news, l.text)
+				messages = append(messages, l.text)
 			}
-			return news, a.revision, a.changed
+			return messages, a.revision, a.changed
 		}
 	}
 	return [][]byte{a.fullList}, a.revision, a.changed
 }
 
-// startAgents starts every node's agent with the present list.
+// startAgents starts the agent of every node with the current list.
 func (f *Fleet) startAgents() error {
 	for i := range f.world.Site.Nodes {
 		ln, err := net.Listen("tcp", net.JoinHostPort(f.network.host(firstAgentHost+i), "0"))
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -10,7 +10,8 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// exchange is a call in flight. Its own goroutine writes and reads; disconnect ends it from the loop.
+// exchange is a call in flight. A goroutine of its own writes the request and reads the response. disconnect may be called from
+// any goroutine.
 type exchange struct {
 	mu           sync.Mutex
 	conn         *poolConn
@@ -35,7 +36,8 @@
 	}
 }
 
-// Send sends a call to its node and calls done with the answer on the loop. The function that it returns disconnects the client.
+// Send sends a call to its node and calls done with the response on the loop. The returned function disconnects the
+// client; done is not called after that.
 func (f *Fleet) Send(c *model.Call, done func(model.Response)) func() {
 	f.retainCall(c)
 	x := &exchange{}
@@ -83,7 +85,7 @@
 	return append(b, body...)
 }
 
-// requestForm returns the form of a call on the wire.
+// requestForm returns the parts of a call's HTTP request. key and body are empty if it has none.
 func requestForm(w *model.World, c *model.Call) (method, path, key, body string) {
 	class := &w.Site.Classes[c.Class]
 	path = "/" + class.Name + "/" + c.ID + "?tier=" + w.Site.Tiers[c.Tier].Name
@@ -96,11 +98,11 @@
 	return http.MethodPost, path, "", "order of " + c.ID
 }
 
-// retainCall keeps a call as long as an attempt of it may arrive at a server.
+// retainCall retains a call while attempts of it may still arrive at a server, so that they can be matched to it.
 func (f *Fleet) retainCall(c *model.Call) {
 	f.calls[c.ID] = c
 	f.world.Loop.After(c.Timeout+lateAttemptRetention, func() { delete(f.calls, c.ID) })
 }
 
-// lateAttemptRetention is how long after a call's deadline that is.
+// lateAttemptRetention is how long a call is retained after its deadline.
 const lateAttemptRetention = 20 * time.Second
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -6,7 +6,7 @@
 	"umberbank/internal/lab/model"
 )
 
-// listTarget is an entry of a list in the protocol's form.
+// listTarget is an entry of a list in the JSON form of the discovery protocol.
 type listTarget struct {
 	UID         string  `json:"uid"`
 	Endpoint    string  `json:"endpoint"`
@@ -25,7 +25,7 @@
 		All     bool         `json:"all"`
 		Targets []listTarget `json:"targets"`
 	}
-	m := message{Rev: l.Revision + 1, All: l.Complete, Targets: []listTarget{}} // revision 0 means none
+	m := message{Rev: l.Revision + 1, All: l.Complete, Targets: []listTarget{}} // in the protocol revision 0 means no list
 	for _, e := range l.Entries {
 		s := &f.world.Site.Servers[e.Server]
 		t := listTarget{UID: s.Name, Endpoint: f.linkAddr(node, e.Server), Zone: f.world.Site.Zones[s.Zone].Name, Kind: s.MachineType.Name,
@@ -42,7 +42,7 @@
 	return text
 }
 
-// SendList passes an endpoint update to a node's agent.
+// SendList sends an endpoint update to a node's agent.
 func (f *Fleet) SendList(node int, l model.EndpointList) {
 	full := l
 	if !l.Complete {
@@ -51,7 +51,7 @@
 	f.agents[node].push(l.Revision+1, f.encodeList(node, l), f.encodeList(node, full), l.Complete)
 }
 
-// MuteWatches starts or ends the silence of a node's watches.
+// MuteWatches makes the watches of a node silent, or allows new ones again.
 func (f *Fleet) MuteWatches(node int, on bool) {
 	a := f.agents[node]
 	a.mu.Lock()
@@ -59,7 +59,7 @@
 	a.silent = on
 	if on {
 		a.silenceCount++
-		close(a.changed) // wakes every open watch, which then falls silent
+		close(a.changed) // wakes every open watch, which then becomes silent
 		a.changed = make(chan struct{})
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet runs a fleet of nodes on real processes and the machine's clock. Each node is a process of its own; servers, discovery,
-// clients and the relays between them share this process. All sockets are on loopback, in a network of 127/8 that the run reserves.
+// Package fleet runs a fleet of nodes on real processes and the machine's clock. Each node is a process of its own;
+// servers, discovery, clients and the relays between them share this process. All sockets are on loopback, in a network
+// of 127/8 that the run reserves.
 //
-// Fleet is a model.Backend. Its state belongs to the goroutine of the model's loop, except where a type's comment says otherwise; other
-// goroutines post functions to the loop. Run ends all processes and goroutines before it returns.
+// Fleet is a model.Backend. Its state belongs to the goroutine of the model's loop, except where a type's comment says
+// otherwise; other goroutines post functions to the loop. Run ends all processes and goroutines before it returns.
 package fleet
 
 import (
@@ -20,7 +21,7 @@
 	"umberbank/internal/process"
 )
 
-// Observer is notified of events that only a fleet of real processes has. All calls are on the loop.
+// Observer is notified of events that occur only with real processes. All calls are made on the loop.
 type Observer interface {
 	NodeNotified(node, server int, st model.State)
 	RecordProcessAction(node int, act model.ProcessAction)
@@ -30,10 +31,10 @@
 
 // Options configure a fleet.
 type Options struct {
-	// Node is the command of a node, and Replica that of a registry's replica, which takes --config FILE.
-	// Default: this program's own.
+	// Node is the command of a node, and Replica that of a registry replica, which takes --config FILE. Each defaults to a
+	// subcommand of this program.
 	Node, Replica []string
-	// Events are the faults of the run; links that none of them touches have no relay.
+	// Events are the faults of the run. Only the links that they affect have a relay.
 	Events []*fault.Event
 	// Ready is called on the loop when a node's process is ready to serve.
 	Ready func(node int)
@@ -41,7 +42,7 @@
 	Log func(format string, args ...any)
 }
 
-// Fleet is the processes and sockets of a run.
+// Fleet manages the processes and sockets of a run.
 type Fleet struct {
 	world     *model.World
 	options   Options
@@ -57,13 +58,13 @@
 	processes []*nodeProcess
 	pools     []*connectionPool
 	servers   []*http.Server
-	calls     map[string]*model.Call // by id, as long as an attempt of it may arrive
-	registry  *registry              // nil: the model pushes the lists
+	calls     map[string]*model.Call // by ID; see retainCall
+	registry  *registry              // nil if the model's discovery sends the lists
 	launcher  *process.Launcher
 	running   sync.WaitGroup
 }
 
-// New returns a fleet whose sockets listen and whose nodes have not started.
+// New opens the sockets of a fleet and starts the registry, if the site has one. It does not start the nodes.
 func New(w *model.World, o Observer, opt Options) (f *Fleet, err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -84,9 +85,9 @@
 		return f, err
 	}
 	f.launcher = process.NewLauncher()
-	touched := map[nodeServer]bool{}
-	fault.ForEachLink(opt.Events, w.Site, func(node, server int) { touched[nodeServer{node, server}] = true })
-	if err = f.startServers(touched); err != nil {
+	affected := map[nodeServer]bool{}
+	fault.ForEachLink(opt.Events, w.Site, func(node, server int) { affected[nodeServer{node, server}] = true })
+	if err = f.startServers(affected); err != nil {
 		return f, err
 	}
 	if err = f.startAgents(); err != nil {
@@ -104,7 +105,7 @@
 	return f, nil
 }
 
-// setDefaults sets the commands that are missing to this program's own.
+// setDefaults sets missing commands to subcommands of this program.
 func (o *Options) setDefaults(self string) {
 	if len(o.Node) == 0 {
 		o.Node = []string{self, "node"}
@@ -114,12 +115,12 @@
 	}
 }
 
-// raiseDescriptorLimit raises the limit of descriptors as far as the system allows: a site with many links needs thousands.
+// raiseDescriptorLimit raises the limit of open descriptors to the hard limit, since a site with many links needs thousands.
 func raiseDescriptorLimit() {
 	var l syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) == nil && l.Cur < l.Max {
 		l.Cur = l.Max
-		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &l) // without it a large site fails to open its sockets, which is an error
+		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &l) // if this fails, opening the sockets of a large site fails with an error
 	}
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"umberbank/internal/lab/model"
 )
 
-// The test binary is also a server that answers at once, and says where on its standard output.
+// The test binary is also a server that responds at once. It prints its address on standard output.
 func TestMain(m *testing.M) {
 	if os.Getenv("FLEET_TEST_SERVER") == "" {
 		os.Exit(m.Run())
@@ -45,19 +45,19 @@
 	}
 }
 
-// Each command that is missing is this program's own, whichever the other is.
+// Each missing command defaults to this program, whether or not the other one is set.
 func TestCommands(t *testing.T) {
-	for _, told := range []Options{{}, {Node: []string{"n"}}, {Replica: []string{"r"}}, {Node: []string{"n"}, Replica: []string{"r"}}} {
-		o := told
+	for _, given := range []Options{{}, {Node: []string{"n"}}, {Replica: []string{"r"}}, {Node: []string{"n"}, Replica: []string{"r"}}} {
+		o := given
 		o.setDefaults("self")
-		if told.Node != nil && o.Node[0] != "n" || told.Node == nil && o.Node[0] != "self" ||
-			told.Replica != nil && o.Replica[0] != "r" || told.Replica == nil && o.Replica[0] != "self" {
-			t.Errorf("%v: node %v, replica %v", told, o.Node, o.Replica)
+		if given.Node != nil && o.Node[0] != "n" || given.Node == nil && o.Node[0] != "self" ||
+			given.Replica != nil && o.Replica[0] != "r" || given.Replica == nil && o.Replica[0] != "self" {
+			t.Errorf("%v: node %v, replica %v", given, o.Node, o.Replica)
 		}
 	}
 }
 
-// What the loader holds on one core, before a server in another process.
+// Throughput of the load generator on one core, with the server in another process.
 func BenchmarkLoader(b *testing.B) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/lab/fleet/leases.go
+++ b/internal/lab/fleet/leases.go
@@ -15,13 +15,13 @@
 // lease is a server's lease; cancel ends its heartbeats.
 type lease struct{ cancel context.CancelFunc }
 
-// instance returns a server in the form in which it registers.
+// instance returns the registration of a server.
 func (r *registry) instance(server int, st model.State) *state.Instance {
 	s := &r.fleet.world.Site.Servers[server]
 	e := &state.Instance{UID: s.Name, Endpoint: "-", Tier: r.fleet.world.Site.Tiers[s.Tier].Name, Zone: r.fleet.world.Site.Zones[s.Zone].Name, Region: r.fleet.world.Site.Zones[s.Zone].Region, Kind: s.MachineType.Name,
 		Rack: s.Rack, State: st.String(), Capacity: s.AdvertisedCapacity(), TTLMS: time.Duration(r.fleet.world.Site.Registry.LeaseTTL).Milliseconds()}
-	if boot := r.fleet.world.Servers[server].StartTime(); boot >= 0 {
-		e.StartTimeMS = float64(r.fleet.startedAt.Add(boot).UnixMicro()) / 1000
+	if start := r.fleet.world.Servers[server].StartTime(); start >= 0 {
+		e.StartTimeMS = float64(r.fleet.startedAt.Add(start).UnixMicro()) / 1000
 	}
 	return e
 }
@@ -38,11 +38,11 @@
 	ttl := r.fleet.world.Site.Registry.LeaseTTL.Std()
 	w, err := client.New(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
-		return // only without endpoints
+		return // client.New fails only without endpoints
 	}
 	r.running.Go(func() {
 		h := client.NewLeaseHolder(w)
-		for h.Register(ctx, e) != nil { // rejected by a newer registration
+		for h.Register(ctx, e) != nil { // rejected in favor of a newer registration
 			select {
 			case <-time.After(ttl / 4):
 			case <-ctx.Done():
@@ -53,7 +53,7 @@
 	})
 }
 
-// dropLease ends a server's heartbeats, as when its process ends.
+// dropLease ends a server's heartbeats, as if its process had ended.
 func (r *registry) dropLease(server int) {
 	if h := r.leases[server]; h != nil {
 		h.cancel()
@@ -61,7 +61,8 @@
 	}
 }
 
-// PublishState registers the state of a server that serves or drains. Removed servers are detected by their lease.
+// PublishState registers the state of a server that serves or drains. A removed server is detected by the expiry of its lease. It
+// returns false if the run has no registry.
 func (f *Fleet) PublishState(server int, st model.State) bool {
 	if f.registry == nil {
 		return false
@@ -72,7 +73,7 @@
 	return true
 }
 
-// SetHeartbeats lets a server's heartbeats reach the registry, or drops them.
+// SetHeartbeats determines whether a server's heartbeats reach the registry.
 func (f *Fleet) SetHeartbeats(server int, reach bool) {
 	r := f.registry
 	if r == nil {
@@ -86,14 +87,15 @@
 	}
 }
 
-// permitTimeout bounds the request for a permit.
+// permitTimeout is the timeout of a request for a permit.
 const permitTimeout = 2 * time.Second
 
-// RequestPermit requests a disruption permit for a server from the registry, and begins it.
+// RequestPermit requests a disruption permit for a server from the registry and begins it. done is called on the loop, with a nil
+// error if the server may drain.
 func (f *Fleet) RequestPermit(server int, done func(error)) {
 	r := f.registry
 	if r == nil {
-		done(errors.New("a budget wants a registry on real processes"))
+		done(errors.New("a budget needs a registry in a run on real processes"))
 		return
 	}
 	uid := f.world.Site.Servers[server].Name
@@ -119,7 +121,7 @@
 		return err
 	}
 	if len(v.Units) == 0 {
-		return errors.New("the registry does not know it")
+		return errors.New("the server is not registered")
 	}
 	permit, err := writeOne(ctx, w, state.Op{Kind: state.OpGrantPermit, UID: uid, Incarnation: v.Units[0].Token, Holder: "staff"})
 	if err != nil {
@@ -129,7 +131,7 @@
 	return err
 }
 
-// writeOne writes one operation. A rejection is an error.
+// writeOne writes one operation. It returns a rejection as an error.
 func writeOne(ctx context.Context, w *client.Client, op state.Op) (state.Result, error) {
 	a, err := w.WriteOne(ctx, op)
 	if err == nil && a.Code != "" {
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -8,22 +8,22 @@
 	"umberbank/internal/process/relay"
 )
 
-// nodeServer names the link between a node and a server, by their indexes.
+// nodeServer identifies the link between a node and a server by their indexes.
 type nodeServer struct{ node, server int }
 
 // link is the link between a node and a server.
 type link struct {
 	addr            string
-	relay           *relay.Relay // nil: no fault touches the link
+	relay           *relay.Relay // nil if no fault affects the link
 	impairments     map[*model.Impairment]*relay.Impairment
-	downImpairments []*relay.Impairment // of a server that is down
-	jobs            chan func() error   // run in order beside the loop, which must not wait for a relay
+	downImpairments []*relay.Impairment // present while the server is down
+	jobs            chan func() error   // run in order on a goroutine of their own, as the loop must not wait for a relay
 }
 
-// maxQueuedJobs bounds the jobs that wait.
+// maxQueuedJobs is the capacity of each queue of jobs.
 const maxQueuedJobs = 4096
 
-// addRelay puts a relay before a link, and starts the goroutine that runs its jobs.
+// addRelay puts a relay in front of a link's server and starts the goroutine that runs the link's jobs.
 func (f *Fleet) addRelay(l *link, host string) (err error) {
 	if l.relay, err = relay.Listen(host, l.addr); err != nil {
 		return err
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// ImpairLinks applies an impairment to links, or ends it.
+// ImpairLinks applies an impairment to all links between nodes and servers, or ends it. Links without a relay are skipped.
 func (f *Fleet) ImpairLinks(nodes, servers []int, e *model.Impairment, on bool) {
 	for _, n := range nodes {
 		for _, s := range servers {
@@ -83,7 +83,8 @@
 	}
 }
 
-// ServerDown closes a server's connections. With silent its machine answers nothing from then on.
+// ServerDown resets a server's connections and refuses new ones. If silent is set, it stalls them instead, as if the machine had
+// disappeared.
 func (f *Fleet) ServerDown(server int, silent bool) {
 	if f.registry != nil {
 		f.registry.dropLease(server)
@@ -104,7 +105,7 @@
 	})
 }
 
-// ServerUp accepts connections to a server again. Those from before are reset, as the machine has restarted.
+// ServerUp accepts connections to a server again. Earlier connections are reset, as after a restart of the machine.
 func (f *Fleet) ServerUp(server int) {
 	f.eachLink(server, func(l *link) {
 		down := l.downImpairments
@@ -120,8 +121,8 @@
 	})
 }
 
-// eachLink calls do for each link of a server that has a relay. On the other links an attempt at a server that is down is reset when it
-// has arrived.
+// eachLink calls do for each link of a server that has a relay. On other links an attempt that arrives at a server that
+// is down is reset by the server.
 func (f *Fleet) eachLink(server int, do func(*link)) {
 	for n := range f.world.Site.Nodes {
 		if l := f.links[nodeServer{n, server}]; l != nil && l.relay != nil {
--- a/internal/lab/fleet/logtail.go
+++ b/internal/lab/fleet/logtail.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// logTail keeps the last lines that a process writes. It is safe for concurrent use.
+// logTail retains the last lines of a process's output. It is safe for concurrent use.
 type logTail struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-// maxTailLines is the number of lines kept.
+// maxTailLines is the number of lines that are retained.
 const maxTailLines = 8
 
 // follow reads lines until the process closes its output, and calls each with every line.
@@ -26,7 +26,7 @@
 		t.mu.Unlock()
 		each(s.Text())
 	}
-	_, _ = io.Copy(io.Discard, r) // what follows a line that is too long
+	_, _ = io.Copy(io.Discard, r) // the output after a line that exceeds the scanner's limit
 }
 
 // String returns the lines, joined.
@@ -36,7 +36,7 @@
 	return strings.Join(t.lines, " | ")
 }
 
-// logWriter passes what is written to a log function.
+// logWriter is an io.Writer that passes its input to a log function.
 type logWriter func(format string, args ...any)
 
 // Write implements io.Writer.
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// network is a /16 of 127/8 that one run has to itself. A listening socket reserves it.
+// network is a /16 of 127/8 that is reserved for one run by a listening socket.
 type network struct {
 	octet int
 	lock  net.Listener
@@ -27,7 +27,7 @@
 	lockPort        = "2999"
 )
 
-// claimNetwork reserves the first network that is free.
+// claimNetwork reserves the first free network, starting at one that depends on the process ID.
 func claimNetwork() (*network, error) {
 	first := os.Getpid()
 	for i := range octets {
@@ -41,13 +41,13 @@
 			return nil, err
 		}
 	}
-	return nil, errors.New("every network of 127.20 to 127.219 is taken by another run")
+	return nil, errors.New("all networks from 127.20/16 to 127.219/16 are reserved by other runs")
 }
 
 // release frees the network.
 func (n *network) release() { n.lock.Close() }
 
-// host returns the i-th address.
+// host returns the i-th address of the network.
 func (n *network) host(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", n.octet, i/hostsPerOctet, 1+i%hostsPerOctet)
 }
--- a/internal/lab/fleet/pool.go
+++ b/internal/lab/fleet/pool.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/lab/model"
 )
 
-// connectionPool keeps the clients' connections to one node. It is safe for concurrent use.
+// connectionPool manages the clients' connections to one node. It is safe for concurrent use.
 type connectionPool struct {
 	addr string
 
@@ -64,7 +64,7 @@
 	return c, nil
 }
 
-// put makes a connection idle.
+// put returns a connection to the pool as idle.
 func (p *connectionPool) put(c *poolConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// discard closes a connection.
+// discard closes a connection and removes it from the pool.
 func (p *connectionPool) discard(c *poolConn) {
 	c.Close()
 	p.mu.Lock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// exchange writes a call and reads its answer. If the node has just closed the idle connection that was used, the call is sent again on a
-// new one.
+// exchange writes a call and reads the response. If the node closes an idle connection just as it is reused, the call is
+// sent again on a new one.
 func (p *connectionPool) exchange(x *exchange, text []byte, timeout time.Duration) model.Response {
 	if c := p.idleConn(); c != nil {
 		a, unread := p.roundTrip(x, c, text, timeout)
@@ -112,7 +112,8 @@
 	return a
 }
 
-// roundTrip uses one connection. unread says that it ended before the first byte of an answer.
+// roundTrip writes a call to one connection and reads the response. unread reports that the connection was closed before
+// the first byte of the response.
 func (p *connectionPool) roundTrip(x *exchange, c *poolConn, text []byte, timeout time.Duration) (a model.Response, unread bool) {
 	a.Result = model.ConnectionLost
 	if !x.use(c) {
@@ -148,7 +149,7 @@
 	case http.StatusOK:
 		return model.Response{Result: model.Served, Body: string(body)}, false
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		advice, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent or unreadable: no advice
+		advice, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // zero if absent or invalid
 		return model.Response{Result: model.Rejected, RetryAfter: time.Duration(advice * float64(time.Second))}, false
 	}
 	return model.Response{Result: model.Failed}, false
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -15,18 +15,19 @@
 	"umberbank/internal/lab/model"
 )
 
-// nodeProcess is a node's process over its restarts. It belongs to the loop; the goroutine that waits for the process posts to the loop.
+// nodeProcess is the process of a node, over its restarts. Its fields are accessed only on the loop; the goroutine that
+// waits for the process posts to the loop.
 type nodeProcess struct {
 	fleet          *Fleet
 	node           int
-	cmd            *exec.Cmd // nil: not running
+	cmd            *exec.Cmd // nil if the process is not running
 	incarnation    int
-	exitExpected   bool // its exit is no crash
-	restartPending bool // it starts again once it has ended
+	exitExpected   bool // its exit does not count as a crash
+	restartPending bool // it is started again when it has exited
 	log            *logTail
 }
 
-// spawn starts the node's process. It calls ended on the goroutine that waits for the process.
+// spawn starts the node's process. When the process exits, it calls ended on the goroutine that waits for the process.
 func (p *nodeProcess) spawn(ended func(cmd *exec.Cmd, err error)) error {
 	f := p.fleet
 	name := f.world.Site.Nodes[p.node].Name
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// awaitReady polls a node until it is ready, ctx ends, or its time to start up is over.
+// awaitReady polls a node until it is ready. It fails if ctx ends or Limits.StartTimeout is exceeded before that.
 func (f *Fleet) awaitReady(ctx context.Context, node int) error {
 	ctx, cancel := context.WithTimeout(ctx, f.world.Site.Limits.StartTimeout.Std())
 	defer cancel()
@@ -101,7 +102,7 @@
 	switch act {
 	case model.Start:
 		if p.cmd != nil {
-			p.restartPending = p.exitExpected // a process that is about to end starts again; any other runs already
+			p.restartPending = p.exitExpected // if it is ending, it is started again; otherwise it is already running
 			return
 		}
 		p.restart()
@@ -133,11 +134,11 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process, if it is running.
 func (p *nodeProcess) signal(s syscall.Signal, exitExpected bool) {
 	if p.cmd != nil {
 		p.exitExpected = exitExpected
-		p.cmd.Process.Signal(s) // fails on a process that has ended, which its goroutine reports
+		p.cmd.Process.Signal(s) // fails if the process has exited, which the goroutine that waits for it handles
 	}
 }
 
@@ -167,7 +168,7 @@
 	}()
 }
 
-// ended handles the end of the process.
+// ended handles the exit of the process.
 func (p *nodeProcess) ended(cmd *exec.Cmd, err error) {
 	if p.cmd != cmd {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// nodeConfig returns a node's configuration file.
+// nodeConfig returns the configuration file for an incarnation of a node.
 func (f *Fleet) nodeConfig(node, incarnation int) []byte {
 	n := &f.world.Site.Nodes[node]
 	l := &f.world.Site.Limits
@@ -207,7 +208,7 @@
 	return text
 }
 
-// startNodes starts all processes and waits until they are ready. It fails if one ends before that.
+// startNodes starts all processes and waits until they are ready. It fails if one exits before that.
 func (f *Fleet) startNodes() error {
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	defer cancel(nil)
@@ -237,7 +238,7 @@
 	return first
 }
 
-// exitError returns the error of a process that ended, also where it exited with status 0.
+// exitError returns the error of a process that has exited. Exit status 0 is an error, too.
 func exitError(err error) error {
 	if err == nil {
 		return errors.New("exit status 0")
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -15,7 +15,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// registry is a registry of real processes. Servers hold leases there, and the agents of nodes follow it.
+// registry runs a registry as real processes. Servers hold leases in it, and the agents of nodes follow it.
 type registry struct {
 	fleet          *Fleet
 	cluster        *cluster.Cluster
@@ -23,20 +23,21 @@
 	cancel         context.CancelFunc
 	running        sync.WaitGroup
 	serverIndex    map[string]int // servers by name
-	leases         []*lease       // by server; nil: none
-	heartbeatsLost []bool         // by server: its heartbeats do not reach the registry
+	leases         []*lease       // by server; nil if it has none
+	heartbeatsLost []bool         // by server; true while its heartbeats do not reach the registry
 	views          []map[int]model.Entry
 	partitions     map[int]*relay.Impairment // by replica
-	jobs           chan func()               // run in order beside the loop, which must not wait for a process
+	jobs           chan func()               // run in order on a goroutine of their own, as the loop must not wait for a process
 }
 
-// registryStartTimeout bounds the start of the registry with all servers.
+// registryStartTimeout is the timeout for starting the registry and registering all servers.
 const registryStartTimeout = 30 * time.Second
 
 // unguarded is the configuration of replicas without the guard against mass expiry.
 const unguarded = "[guard]\nshare = 1.0\nleast = 1000000\nwindow = \"100ms\"\n"
 
-// startRegistry starts the replicas, registers all servers and lets the agents follow. It returns once every agent has the full list.
+// startRegistry starts the replicas, registers all servers and starts to follow the registry. It returns when every agent has the
+// full list.
 func (f *Fleet) startRegistry() error {
 	config := ""
 	if f.world.Site.Registry.DisableExpiryGuard {
@@ -47,7 +48,7 @@
 		return err
 	}
 	r := newRegistry(f, replicas)
-	f.registry = r // close ends it from here on
+	f.registry = r // from here on Fleet.close closes it
 	for i := range replicas.Len() {
 		if err := replicas.Start(i); err != nil {
 			return err
@@ -106,7 +107,7 @@
 	return err
 }
 
-// followAll lets the agents of all nodes follow the registry, and returns once each has the full list.
+// followAll makes the agents of all nodes follow the registry, and returns when each has the full list.
 func (r *registry) followAll(ctx context.Context) error {
 	nodes := len(r.fleet.world.Site.Nodes)
 	var following sync.WaitGroup
@@ -142,7 +143,7 @@
 	}
 }
 
-// applyFault begins or ends a fault at a replica. It runs on the goroutine of the jobs.
+// applyFault begins or ends a fault at a replica. It is called on the goroutine that runs the jobs.
 func (r *registry) applyFault(i int, kind string, on bool) {
 	switch {
 	case kind == scenario.FaultRegistryKill && on:
@@ -174,7 +175,7 @@
 	})
 }
 
-// follow lets a node's agent follow the registry. It returns once the agent has all servers of the node's tier.
+// follow makes a node's agent follow the registry. It returns when the agent has all servers of the node's target tier.
 func (r *registry) follow(ctx context.Context, node int) error {
 	reader, err := client.NewWatcher(client.Options{Endpoints: r.cluster.Addresses()})
 	if err != nil {
@@ -208,11 +209,11 @@
 	case <-synced:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("the agent of %s has not heard of all servers", r.fleet.world.Site.Nodes[node].Name)
+		return fmt.Errorf("the agent of %s did not receive all servers", r.fleet.world.Site.Nodes[node].Name)
 	}
 }
 
-// entries returns the servers of a node's tier as the registry lists them.
+// entries returns the servers of a node's target tier as listed by the registry.
 func (r *registry) entries(node int, v client.View) map[int]model.Entry {
 	l := map[int]model.Entry{}
 	for _, e := range v.Instances {
@@ -232,7 +233,8 @@
 	return l
 }
 
-// pushView gives an agent what the registry lists, and the oracle what has changed. observed is false before the run.
+// pushView updates an agent to the registry's list. If observed is set, it notifies the observer of the changes; it is not set
+// before the run begins.
 func (r *registry) pushView(node int, rev int64, view map[int]model.Entry, observed bool) {
 	before := r.views[node]
 	r.views[node] = view
@@ -258,6 +260,6 @@
 			r.fleet.observer.NodeNotified(node, e.Server, e.State)
 		}
 	}
-	rev-- // messages count from 1
+	rev-- // encodeList adds 1
 	r.fleet.agents[node].push(rev+1, r.fleet.encodeList(node, model.EndpointList{Revision: rev, Entries: changed}), r.fleet.encodeList(node, model.EndpointList{Revision: rev, Complete: true, Entries: full}), !observed)
 }
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -23,13 +23,13 @@
 	used bool // it has carried a request
 }
 
-// startServers lets every server listen for each of its nodes, behind a relay if a fault touches the link.
-func (f *Fleet) startServers(touched map[nodeServer]bool) error {
+// startServers starts every server with one listener for each node of its tier, behind a relay if a fault affects the link.
+func (f *Fleet) startServers(affected map[nodeServer]bool) error {
 	for s := range f.world.Site.Servers {
 		host := f.network.host(firstServerHost + s)
 		srv := &http.Server{
 			Handler: http.HandlerFunc(f.serve),
-			// The listener of a connection says which node it is from.
+			// The listener of a connection identifies the node.
 			BaseContext: func(ln net.Listener) context.Context {
 				return context.WithValue(context.Background(), connectionKey{}, ln.(*linkListener).linkEnd)
 			},
@@ -50,7 +50,7 @@
 			l := &link{addr: ln.Addr().String(), impairments: map[*model.Impairment]*relay.Impairment{}}
 			f.links[nodeServer{n, s}] = l
 			f.serveHTTP(&linkListener{ln, linkEnd{n, s}, open, int64(f.world.Site.Servers[s].MachineType.MaxConnections)}, srv)
-			if touched[nodeServer{n, s}] {
+			if affected[nodeServer{n, s}] {
 				if err := f.addRelay(l, host); err != nil {
 					return err
 				}
@@ -60,23 +60,23 @@
 	return nil
 }
 
-// maxBodyBytes bounds what is read of a body.
+// maxBodyBytes is the number of bytes after which a body is cut off.
 const maxBodyBytes = 64 << 10
 
-// response is what the model decides for an attempt.
+// response is the model's decision on an attempt.
 type response struct {
 	outcome     model.Outcome
 	body        string
 	unsolicited bool
 }
 
-// serve passes a request to the model and answers as the model decides.
+// serve passes a request to the model and sends the response that the model decides on.
 func (f *Fleet) serve(w http.ResponseWriter, r *http.Request) {
 	first := f.world.Loop.Elapsed()
 	conn := r.Context().Value(connectionKey{}).(*connectionState)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // it was not complete
+		return // the request was incomplete
 	}
 	fresh := !conn.used
 	conn.used = true
@@ -117,12 +117,12 @@
 	case v.outcome == model.ServerRejected:
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	default: // reset, or dropped while the sender still reads
+	default: // reset, or dropped while the sender still waits
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// mismatch says how a request differs from what its client sent, or "" if it does not.
+// mismatch returns how a request differs from the call that its client sent, or "" if it does not.
 func mismatch(w *model.World, c *model.Call, r *http.Request, body []byte) string {
 	if c == nil {
 		return "no client sent this id"
--- a/internal/lab/fleet/usage.go
+++ b/internal/lab/fleet/usage.go
@@ -14,7 +14,7 @@
 	Descriptors int
 }
 
-// Usage returns the present usage of a node's process, or false if it does not run.
+// Usage returns the current usage of a node's process, or false if the process is not running.
 func (f *Fleet) Usage(node int) (u Usage, runs bool) {
 	p := f.processes[node]
 	if p.cmd == nil {
