--- a/internal/lab/scale/atrest.go
+++ b/internal/lab/scale/atrest.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// traffic returns what all hollow nodes that are alive, and all agents, have sent and received so far.
+// traffic returns the total traffic so far of the hollow nodes that are alive, and of their agents.
 func (p *play) traffic() (nodes, agents traffic) {
 	for _, h := range p.hollowNodes {
 		if h == nil {
@@ -18,14 +18,14 @@
 	return nodes, agents
 }
 
-// usageSample is the traffic of the hollow nodes and the processor time of processes at one time.
+// usageSample is the traffic of the hollow nodes and the processor time of processes at a point in time.
 type usageSample struct {
 	at            time.Time
 	nodes, agents traffic
-	processor     map[int]time.Duration // by pid
+	processor     map[int]time.Duration // processor time by PID
 }
 
-// sampleUsage samples the traffic, and the processor time of processes.
+// sampleUsage samples the traffic and the processor time of the given processes.
 func (p *play) sampleUsage(pids []int) usageSample {
 	s := usageSample{processor: map[int]time.Duration{}}
 	s.nodes, s.agents = p.traffic()
@@ -36,48 +36,48 @@
 	return s
 }
 
-// cores returns the cores that a process has used since an earlier sample.
+// cores returns the average number of cores that a process has used since an earlier sample.
 func (s usageSample) cores(since usageSample, pid int) float64 {
 	return (s.processor[pid] - since.processor[pid]).Seconds() / s.at.Sub(since.at).Seconds()
 }
 
-// measureAtRest measures traffic, processor time and memory while nothing changes.
-func (p *play) measureAtRest(ctx context.Context) error {
+// measureIdle measures traffic, processor time and memory while nothing changes.
+func (p *play) measureIdle(ctx context.Context) error {
 	if err := sleep(ctx, p.options.Pace.SettleTime); err != nil {
 		return err
 	}
 	leader := p.cluster.Leader(0)
 	pids := p.pids()
 	before := p.sampleUsage(pids)
-	if err := sleep(ctx, p.options.Pace.RestTime); err != nil {
+	if err := sleep(ctx, p.options.Pace.IdleTime); err != nil {
 		return err
 	}
 	after := p.sampleUsage(pids)
-	p.recordRestTraffic(before, after)
+	p.recordIdleTraffic(before, after)
 	cores := func(pid int) float64 { return after.cores(before, pid) }
 	p.figures.set(KeyLoaderCores, cores(os.Getpid()))
 	p.figures.set(KeyLoaderMB, residentMB(os.Getpid()))
 	p.figures.set(KeyControllerCores, cores(p.controller.Pid()))
 	p.figures.set(KeyControllerMB, residentMB(p.controller.Pid()))
-	p.figures.set(KeyRestCPUShare, cores(p.nodeWithControl.Pid())-cores(p.nodeWithoutControl.Pid()))
+	p.figures.set(KeyIdleCPUShare, cores(p.nodeWithControl.Pid())-cores(p.nodeWithoutControl.Pid()))
 	p.figures.set(KeyControlMB, residentMB(p.nodeWithControl.Pid())-residentMB(p.nodeWithoutControl.Pid()))
-	p.recordReplicasAtRest(leader, cores)
+	p.recordIdleReplicas(leader, cores)
 	return p.measureSyncs()
 }
 
-// recordRestTraffic records the traffic of a node and of an agent between two samples.
-func (p *play) recordRestTraffic(before, after usageSample) {
+// recordIdleTraffic records the traffic of a node and of an agent between two samples.
+func (p *play) recordIdleTraffic(before, after usageSample) {
 	seconds := after.at.Sub(before.at).Seconds()
 	perNode := func(from, to int64) float64 { return float64(to-from) / seconds / float64(p.nodes) }
-	p.figures.set(KeyRestBytes, perNode(before.nodes.bytes, after.nodes.bytes))
-	p.figures.set(KeyRestCalls, perNode(before.nodes.calls, after.nodes.calls))
-	p.figures.set(KeyAgentRestBytes, perNode(before.agents.bytes, after.agents.bytes))
-	p.figures.set(KeyAgentRestCalls, perNode(before.agents.calls, after.agents.calls))
-	p.restBytesPerSecond = int64(p.figures.Values[KeyRestBytes])
+	p.figures.set(KeyIdleBytes, perNode(before.nodes.bytes, after.nodes.bytes))
+	p.figures.set(KeyIdleCalls, perNode(before.nodes.calls, after.nodes.calls))
+	p.figures.set(KeyAgentIdleBytes, perNode(before.agents.bytes, after.agents.bytes))
+	p.figures.set(KeyAgentIdleCalls, perNode(before.agents.calls, after.agents.calls))
+	p.idleBytesPerSecond = int64(p.figures.Values[KeyIdleBytes])
 }
 
-// recordReplicasAtRest records processor use and memory of the replicas.
-func (p *play) recordReplicasAtRest(leader int, cores func(pid int) float64) {
+// recordIdleReplicas records processor usage and memory of the replicas.
+func (p *play) recordIdleReplicas(leader int, cores func(pid int) float64) {
 	total, busiestFollower, largestMB := 0.0, 0.0, 0.0
 	for i := range p.cluster.Len() {
 		used := cores(p.cluster.PID(i))
@@ -89,13 +89,13 @@
 		}
 		largestMB = max(largestMB, residentMB(p.cluster.PID(i)))
 	}
-	p.restReplicaCores = total
+	p.idleReplicaCores = total
 	p.figures.set(KeyReplicaCores, total)
 	p.figures.set(KeyFollowerCores, busiestFollower)
 	p.figures.set(KeyReplicaMB, largestMB)
 }
 
-// measureSyncs measures the disk that the replicas sync to, while they are at rest.
+// measureSyncs measures the duration of syncs to the replicas' disk while the replicas are idle.
 func (p *play) measureSyncs() error {
 	syncs, err := timeSyncs(p.dir)
 	if err != nil {
@@ -109,11 +109,11 @@
 const (
 	// syncSamples is the number of syncs that are timed.
 	syncSamples = 40
-	// syncBytes is what is written before each.
+	// syncBytes is the number of bytes that are written before each sync.
 	syncBytes = 4096
 )
 
-// timeSyncs times syncs of a file in dir.
+// timeSyncs measures the duration of syncs of a file in dir.
 func timeSyncs(dir string) (took []time.Duration, err error) {
 	f, err := os.CreateTemp(dir, "sync-")
 	if err != nil {
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -17,16 +17,16 @@
 	MaxProcesses = 200
 	maxPlays     = 20
 	maxNodes     = 10_000
-	// Estimates by which options are validated: memory of a node over all processes, memory without nodes, and descriptors of a
-	// node in this process.
+	// Estimates for the validation of options: memory per node over all processes, memory without nodes, and descriptors
+	// per node in this process.
 	planMBPerNode    = 2
 	planBaseMB       = 700
 	planFilesPerNode = 8
 	guardInterval    = 250 * time.Millisecond
 )
 
-// ErrBounds is returned for options, or for a run, that exceed the bounds.
-var ErrBounds = errors.New("over the bounds of a run")
+// ErrBounds is returned if the options or a run exceed the bounds.
+var ErrBounds = errors.New("exceeds the bounds of a run")
 
 // halfMemoryMB returns half of the machine's memory.
 func halfMemoryMB() (float64, error) {
@@ -37,7 +37,7 @@
 	return float64(s.Totalram) * float64(s.Unit) / (1 << 20) / 2, nil
 }
 
-// Validate returns why a run with these options cannot be started on this machine.
+// Validate returns an error if a run with these options cannot be started on this machine.
 func (o *Options) Validate() error {
 	half, err := halfMemoryMB()
 	if err != nil {
@@ -53,7 +53,7 @@
 // validateWithin validates the options for an amount of memory and a number of open files.
 func (o *Options) validateWithin(mb float64, files uint64) error {
 	if len(o.Nodes) == 0 {
-		return errors.New("nodes: no size")
+		return errors.New("nodes: no size is given")
 	}
 	if o.Plays < 1 || o.Plays > maxPlays {
 		return fmt.Errorf("plays: %d is not from 1 to %d", o.Plays, maxPlays)
@@ -65,9 +65,9 @@
 		case i > 0 && n <= o.Nodes[i-1]:
 			return fmt.Errorf("nodes: %d is not above %d", n, o.Nodes[i-1])
 		case planBaseMB+planMBPerNode*float64(n) > mb:
-			return fmt.Errorf("nodes: %d: %w: some %d MB, and half of the memory here is %.0f MB", n, ErrBounds, planBaseMB+planMBPerNode*n, mb)
+			return fmt.Errorf("nodes: %d: %w: about %d MB are needed, and half of this machine's memory is %.0f MB", n, ErrBounds, planBaseMB+planMBPerNode*n, mb)
 		case uint64(planFilesPerNode*n) > files:
-			return fmt.Errorf("nodes: %d: %w: some %d open files, and %d are allowed here", n, ErrBounds, planFilesPerNode*n, files)
+			return fmt.Errorf("nodes: %d: %w: about %d open files are needed, and the limit is %d", n, ErrBounds, planFilesPerNode*n, files)
 		}
 	}
 	return nil
@@ -99,14 +99,14 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// guard cancels a run with ErrBounds when it exceeds its bounds, and records its peak usage.
+// guard cancels a run with ErrBounds when the run exceeds its bounds, and records the peak usage.
 type guard struct {
 	maxMB        float64
 	maxProcesses int // number of processes allowed
 
 	mu            sync.Mutex
 	peakMB        float64
-	peakProcesses int // most processes at a time
+	peakProcesses int // largest number of processes at the same time
 }
 
 // peak returns the peak usage so far.
@@ -116,7 +116,7 @@
 	return g.peakMB, g.peakProcesses
 }
 
-// check samples the usage of processes.
+// check samples the usage of processes and calls end if it exceeds the bounds.
 func (g *guard) check(pids []int, end context.CancelCauseFunc) {
 	mb, n := 0.0, 0
 	for _, pid := range pids {
@@ -129,7 +129,7 @@
 	defer g.mu.Unlock()
 	g.peakMB, g.peakProcesses = max(g.peakMB, mb), max(g.peakProcesses, n)
 	if mb > g.maxMB || n > g.maxProcesses {
-		end(fmt.Errorf("%w: %.0f MB in %d processes, and %.0f MB in %d are allowed", ErrBounds, mb, n, g.maxMB, g.maxProcesses))
+		end(fmt.Errorf("%w: uses %.0f MB in %d processes, and %.0f MB in %d are allowed", ErrBounds, mb, n, g.maxMB, g.maxProcesses))
 	}
 }
 
--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -20,24 +20,24 @@
 | follower | cores | ` + "`b_cores`" + ` | 0.82 | 1 core | 1.22 | watches |
 `
 
-// What does not follow is named with its line and the right figure.
+// A figure that does not follow from the slopes is reported with its line and the computed value.
 func TestCheckPage(t *testing.T) {
 	if err := CheckPage([]byte(page)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{"1,460 bytes", "1,480", "line 10: node, bytes: says 1,480, and its slopes give 1460"},
-		{"| 0.5 |", "| 0.6 |", "line 10: node, bytes: says 1,460 bytes, and its slopes give 1552"},
-		{"| 8.9 |", "| 9.9 |", "line 10: node, bytes: the factor left is said to be 9.9, and 13,000 of 1,460 bytes is 8.9"},
-		{"1,343,202", "1,460", "line 11: leader, both: says 1,460, and its slopes give 1.343e+06"},
-		{"n × ", "m × ", `line 11: leader, both: the factor "m" is no number`},
-		{"at 920", "at many", `line 8: "at many" does not say for how many nodes`},
+		{"1,460 bytes", "1,480", "line 10: node, bytes: is 1,480, and the slopes give 1460"},
+		{"| 0.5 |", "| 0.6 |", "line 10: node, bytes: is 1,460 bytes, and the slopes give 1552"},
+		{"| 8.9 |", "| 9.9 |", "line 10: node, bytes: the factor left is 9.9, and 13,000 divided by 1,460 bytes is 8.9"},
+		{"1,343,202", "1,460", "line 11: leader, both: is 1,460, and the slopes give 1.343e+06"},
+		{"n × ", "m × ", `line 11: leader, both: the factor "m" is not a number`},
+		{"at 920", "at many", `line 8: "at many" does not give the number of nodes`},
 		{"| `b_cores` | 0.82", "| `c_cores` | 0.82", "line 12: follower, cores: there is no slope `c_cores`"},
-		{"| 1.22 |", "| - |", "line 12: follower, cores: a bound and the factor left go together"},
-		{"| 1 core |", "| much |", `line 12: follower, cores: "much", "1.22" are no numbers`},
-		{"| 0.82 |", "| NaN |", `line 12: follower, cores: "NaN" is no number`},
-		{"| -0.1 |", "| x |", "line 6: `b_cores`: \"x\", \"0.001\" are no numbers"},
-		{"`b_cores` | -0.1", "`a_bytes` | -0.1", "line 6: a_bytes stands twice"},
+		{"| 1.22 |", "| - |", "line 12: follower, cores: a bound needs a factor left, and a factor left needs a bound"},
+		{"| 1 core |", "| much |", `line 12: follower, cores: "much", "1.22" are not numbers`},
+		{"| 0.82 |", "| NaN |", `line 12: follower, cores: "NaN" is not a number`},
+		{"| -0.1 |", "| x |", "line 6: `b_cores`: \"x\", \"0.001\" are not numbers"},
+		{"`b_cores` | -0.1", "`a_bytes` | -0.1", "line 6: a_bytes is given twice"},
 		{"| role |", "| rule |", "there is no table of roles"},
 	} {
 		err := CheckPage([]byte(strings.Replace(page, c.old, c.new, 1)))
@@ -47,7 +47,7 @@
 	}
 }
 
-// The page of capacity follows from its own slopes.
+// The figures of docs/CAPACITY.md follow from the slopes on the same page.
 func TestCapacityPage(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/CAPACITY.md")
 	if err != nil {
--- a/internal/lab/scale/connections.go
+++ b/internal/lab/scale/connections.go
@@ -11,8 +11,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// connectAll starts all hollow nodes at once and measures until each holds the full list and the registry knows all. It then brings a
-// first version into force.
+// connectAll starts all hollow nodes at once and measures the time until each has the full list and the registry has the
+// status of each. It then brings a first version into force.
 func (p *play) connectAll(ctx context.Context) error {
 	began := time.Now()
 	for i := range p.nodes {
@@ -27,7 +27,7 @@
 		for complete < p.nodes && len(p.hollowNodes[complete].watcher.View().Instances) == p.nodes {
 			complete++
 		}
-		return complete == p.nodes, fmt.Sprintf("%d of %d nodes hold the whole list", complete, p.nodes)
+		return complete == p.nodes, fmt.Sprintf("%d of %d nodes have the full list", complete, p.nodes)
 	}); err != nil {
 		return err
 	}
@@ -43,31 +43,32 @@
 	return p.awaitConvergence(ctx)
 }
 
-// measureListChange changes one server and measures until all nodes have the change. It measures a full list as well.
+// measureListChange changes one server and measures the time until all nodes have the change. It also measures the size of a full
+// list.
 func (p *play) measureListChange(ctx context.Context) error {
 	before, _ := p.traffic()
 	capacity := 2.0
 	began := time.Now()
-	answers, err := p.client.Write(ctx, state.Op{Kind: state.OpUpdate, UID: p.hollowNodes[0].server, Capacity: &capacity})
+	results, err := p.client.Write(ctx, state.Op{Kind: state.OpUpdate, UID: p.hollowNodes[0].server, Capacity: &capacity})
 	if err != nil {
 		return err
 	}
-	if code := answers[0].Code; code != "" {
+	if code := results[0].Code; code != "" {
 		return errors.New(string(code))
 	}
 	done := 0
 	if err := pollUntil(ctx, time.Millisecond, p.options.Pace.VersionTimeout, func(context.Context) (bool, string) {
-		for done < p.nodes && p.hollowNodes[done].listRevision.Load() >= answers[0].Revision {
+		for done < p.nodes && p.hollowNodes[done].listRevision.Load() >= results[0].Revision {
 			done++
 		}
-		return done == p.nodes, fmt.Sprintf("%d of %d nodes hold the change", done, p.nodes)
+		return done == p.nodes, fmt.Sprintf("%d of %d nodes have the change", done, p.nodes)
 	}); err != nil {
 		return err
 	}
 	took := time.Since(began)
 	after, _ := p.traffic()
 	p.figures.set(KeyListChange, took.Seconds())
-	p.figures.set(KeyListChangeBytes, float64(after.bytes-before.bytes)/float64(p.nodes)-float64(p.restBytesPerSecond)*took.Seconds())
+	p.figures.set(KeyListChangeBytes, float64(after.bytes-before.bytes)/float64(p.nodes)-float64(p.idleBytesPerSecond)*took.Seconds())
 	var fullList json.RawMessage
 	if err := p.client.Call(ctx, "GET", api.PathInstances, nil, &fullList); err != nil {
 		return err
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// measureReconnect closes all connections of all hollow nodes and agents and measures until each has been answered again.
+// measureReconnect closes all connections of all hollow nodes and agents and measures the time until each has received a response
+// again.
 func (p *play) measureReconnect(ctx context.Context) error {
 	before, _ := p.traffic()
 	began := time.Now()
@@ -92,7 +94,7 @@
 		for done < len(meters) && !meters[done].reconnectedAt().IsZero() {
 			done++
 		}
-		return done == len(meters), fmt.Sprintf("%d of %d clients were answered again", done, len(meters))
+		return done == len(meters), fmt.Sprintf("%d of %d clients have received a response again", done, len(meters))
 	}); err != nil {
 		return err
 	}
--- a/internal/lab/scale/failures.go
+++ b/internal/lab/scale/failures.go
@@ -28,20 +28,20 @@
 	return p.awaitConvergence(ctx)
 }
 
-// killNodes kills the selected nodes with their servers, and returns the function that starts them again.
-func (p *play) killNodes(selected func(*hollowNode) bool) (revive func(context.Context) error) {
-	var dead []int
+// killNodes kills the selected nodes with their servers. It returns a function that starts them again.
+func (p *play) killNodes(selected func(*hollowNode) bool) (restart func(context.Context) error) {
+	var killed []int
 	var all sync.WaitGroup
 	for i, h := range p.hollowNodes {
 		if selected(h) {
-			dead = append(dead, i)
+			killed = append(killed, i)
 			p.hollowNodes[i] = nil
 			all.Go(h.kill)
 		}
 	}
 	all.Wait()
 	return func(ctx context.Context) error {
-		for _, i := range dead {
+		for _, i := range killed {
 			h, err := startHollow(ctx, i, p.endpoints(), p.versions.recordRunning)
 			if err != nil {
 				return err
@@ -55,14 +55,14 @@
 // measureDeadNode kills a node and proposes versions once its death has been detected.
 func (p *play) measureDeadNode(ctx context.Context) error {
 	name := p.hollowNodes[p.nodes-1].node
-	revive := p.killNodes(func(h *hollowNode) bool { return h.node == name })
+	restart := p.killNodes(func(h *hollowNode) bool { return h.node == name })
 	if err := pollUntil(ctx, pollInterval, detectTimeout, func(ctx context.Context) (bool, string) {
 		view, err := p.coordinationView(ctx)
 		if err != nil {
 			return false, err.Error()
 		}
 		detected := view.Rollout != nil && (view.Rollout.Nodes[name] == nil || view.Rollout.Nodes[name].Unreachable)
-		return detected, name + " is not known to be missing"
+		return detected, name + " is not yet reported as unreachable"
 	}); err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 			break
 		}
 	}
-	if err := revive(ctx); err != nil {
+	if err := restart(ctx); err != nil {
 		return err
 	}
 	return p.awaitConvergence(ctx)
@@ -89,7 +89,7 @@
 // measureLostZone kills the nodes and servers of a zone at once, proposes a version, and starts them again.
 func (p *play) measureLostZone(ctx context.Context) error {
 	zone := fmt.Sprint("z", zoneCount-1)
-	revive := p.killNodes(func(h *hollowNode) bool { return h.zone == zone })
+	restart := p.killNodes(func(h *hollowNode) bool { return h.zone == zone })
 	if err := sleep(ctx, p.options.Pace.LossTime); err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		return err
 	}
 	began = time.Now()
-	if err := revive(ctx); err != nil {
+	if err := restart(ctx); err != nil {
 		return err
 	}
 	if err := p.awaitConvergence(ctx); err != nil {
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// measurePartitionedRegions partitions the regions from each other in both directions, proposes a version, and heals the partition.
+// measurePartitionedRegions partitions the regions from each other in both directions, proposes a version, and heals the
+// partition.
 func (p *play) measurePartitionedRegions(ctx context.Context) error {
 	heal, err := p.partitionRegions()
 	if err == nil {
@@ -138,20 +139,21 @@
 }
 
 const (
-	// majorityRegion has the first two replicas of the registry.
+	// majorityRegion contains the first two replicas of the registry.
 	majorityRegion = "r0"
-	// minorityRegion has the third.
+	// minorityRegion contains the third replica.
 	minorityRegion = "r1"
-	// minorityReplica is the index of that one.
+	// minorityReplica is the index of the replica in minorityRegion.
 	minorityReplica = 2
 )
 
-// partitionRegions partitions the regions and returns the function that heals the partition, with an error too.
+// partitionRegions partitions the regions and returns a function that heals the partition. The function is valid even if
+// an error is returned.
 func (p *play) partitionRegions() (heal func(), err error) {
-	at := p.endpoints()
+	endpoints := p.endpoints()
 	unreachable := map[string]map[string]bool{
-		majorityRegion: {at[minorityReplica]: true},
-		minorityRegion: {at[0]: true, at[1]: true},
+		majorityRegion: {endpoints[minorityReplica]: true},
+		minorityRegion: {endpoints[0]: true, endpoints[1]: true},
 	}
 	healed := make(chan struct{})
 	for _, h := range p.hollowNodes {
@@ -169,7 +171,7 @@
 	})
 	heal = func() {
 		for _, link := range links {
-			_ = link.Remove(stalled) // fails on a relay that is closed
+			_ = link.Remove(stalled) // fails only if the relay is closed
 		}
 		close(healed)
 	}
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -7,58 +7,58 @@
 	"math"
 )
 
-// Key names a figure.
+// Key is the key of a figure in the result's JSON form.
 type Key string
 
-// The figures of one size. A version's time is from its proposal until every node that is alive runs it.
+// Keys of the figures of one size. The time of a version is measured from its proposal until every node that is alive runs it.
 const (
-	KeyRestBytes          Key = "rest_bytes_s"         // of a node, on the wire, both ways
-	KeyRestCalls          Key = "rest_calls_s"         // of a node
-	KeyAgentRestBytes     Key = "agent_rest_bytes_s"   // of an agent
-	KeyAgentRestCalls     Key = "agent_rest_calls_s"   // of an agent
-	KeyRestCPUShare       Key = "rest_cpu_share"       // of a core: a real node with control, less one without
-	KeyControlMB          Key = "control_mb"           // likewise, resident memory
-	KeyReplicaCores       Key = "replica_cores"        // at rest, all three
-	KeyLeaderCores        Key = "leader_cores"         // at rest
-	KeyFollowerCores      Key = "follower_cores"       // at rest, the busier of the two
-	KeyReplicaMB          Key = "replica_mb"           // resident, the largest of the three
-	KeyControllerCores    Key = "controller_cores"     // at rest, the controller that acts
-	KeyControllerMB       Key = "controller_mb"        // resident
-	KeyLoaderCores        Key = "loader_cores"         // at rest: what all hollow nodes and agents cost this process
-	KeyLoaderMB           Key = "loader_mb"            // resident
-	KeyConnect            Key = "connect_s"            // until every hollow node holds the full list and the registry knows all
+	KeyIdleBytes          Key = "rest_bytes_s"         // of an idle node, on the wire in both directions
+	KeyIdleCalls          Key = "rest_calls_s"         // of an idle node
+	KeyAgentIdleBytes     Key = "agent_rest_bytes_s"   // of an idle agent
+	KeyAgentIdleCalls     Key = "agent_rest_calls_s"   // of an idle agent
+	KeyIdleCPUShare       Key = "rest_cpu_share"       // cores of a real idle node with control, minus those of one without
+	KeyControlMB          Key = "control_mb"           // resident memory of a real node with control, minus that of one without
+	KeyReplicaCores       Key = "replica_cores"        // of all three replicas, idle
+	KeyLeaderCores        Key = "leader_cores"         // of the leader, idle
+	KeyFollowerCores      Key = "follower_cores"       // of the busier follower, idle
+	KeyReplicaMB          Key = "replica_mb"           // resident memory of the largest replica
+	KeyControllerCores    Key = "controller_cores"     // of the controller, idle
+	KeyControllerMB       Key = "controller_mb"        // resident memory of the controller
+	KeyLoaderCores        Key = "loader_cores"         // of this process with all hollow nodes and agents, idle
+	KeyLoaderMB           Key = "loader_mb"            // resident memory of this process
+	KeyConnect            Key = "connect_s"            // until every hollow node has the full list and the registry has each node's status
 	KeyConnectBytes       Key = "connect_bytes"        // of a node until then
-	KeyReconnect          Key = "reconnect_s"          // after all connections broke, until the last was answered again
+	KeyReconnect          Key = "reconnect_s"          // from the break of all connections until every client has received a response
 	KeyReconnectBytes     Key = "reconnect_bytes"      // of a node until then
-	KeyListChange         Key = "list_change_s"        // from a server's change until all nodes hold it
-	KeyListChangeBytes    Key = "list_change_bytes"    // of a node, net of what it spends at rest
-	KeyFullListBytes      Key = "whole_list_bytes"     // of one answer with it
-	KeyInForceP99         Key = "in_force_p99_s"       // of all nodes and single versions
-	KeyInForceMax         Key = "in_force_max_s"       // the longest of these
-	KeyVersionBytes       Key = "version_bytes"        // of a node, net of what it spends at rest
-	KeyVersionAgentBytes  Key = "version_agent_bytes"  // of an agent, likewise: it is woken too
-	KeyVersionCalls       Key = "version_calls"        // of a node, net of what it makes at rest
-	KeyVersionWrites      Key = "version_writes"       // revisions
-	KeyVersionReplicaTime Key = "version_replica_s"    // processor time of all three, net of what they spend at rest
-	KeyBurst10            Key = "burst_10_in_force_s"  // until the last of 10 versions that were proposed at once
-	KeyBurst40            Key = "burst_in_force_s"     // and of 40
-	KeyBurstRate          Key = "burst_versions_s"     // versions a second that came into force, in the larger burst that was played
-	KeyReplicaLost        Key = "replica_in_force_s"   // a version that is proposed as the leader is killed
+	KeyListChange         Key = "list_change_s"        // from the change of a server until all nodes have it
+	KeyListChangeBytes    Key = "list_change_bytes"    // of a node, minus its idle traffic
+	KeyFullListBytes      Key = "whole_list_bytes"     // of a response with the full list
+	KeyInForceP99         Key = "in_force_p99_s"       // 99th percentile over all nodes and single versions
+	KeyInForceMax         Key = "in_force_max_s"       // maximum over all nodes and single versions
+	KeyVersionBytes       Key = "version_bytes"        // of a node, minus its idle traffic
+	KeyVersionAgentBytes  Key = "version_agent_bytes"  // of an agent, minus its idle traffic; a version wakes agents as well
+	KeyVersionCalls       Key = "version_calls"        // of a node, minus its idle calls
+	KeyVersionWrites      Key = "version_writes"       // revisions of the registry
+	KeyVersionReplicaTime Key = "version_replica_s"    // processor time of all three replicas, minus their idle usage
+	KeyBurst10            Key = "burst_10_in_force_s"  // until the last of 10 versions that are proposed at once
+	KeyBurst40            Key = "burst_in_force_s"     // until the last of 40 versions
+	KeyBurstRate          Key = "burst_versions_s"     // versions per second that came into force, in the larger measured burst
+	KeyReplicaLost        Key = "replica_in_force_s"   // a version proposed when the leader is killed
 	KeyDeadFirst          Key = "dead_first_s"         // the first version after one node has died
-	KeyDeadInForce        Key = "dead_in_force_s"      // the next one, as from then on for all
+	KeyDeadInForce        Key = "dead_in_force_s"      // the version after it; later versions take as long
 	KeyZoneLost           Key = "zone_lost_in_force_s" // a version while a zone's nodes are lost
 	KeyZoneRecovered      Key = "zone_back_in_force_s" // from the zone's return until that version is in force everywhere
 	KeyPartitionInForce   Key = "cut_in_force_s"       // a version while the regions cannot reach each other
 	KeyPartitionHealed    Key = "cut_back_in_force_s"  // from healing until that version is in force everywhere
-	KeyBlocked            Key = "blocked_s"            // how long the run waited, at most, for a version that was blocked
-	KeySyncP50            Key = "sync_p50_ms"          // of 4 KB to the replicas' disk, beside them, at rest
-	KeySyncMax            Key = "sync_max_ms"          // the longest of 40
-	KeyPeakMB             Key = "peak_mb"              // of all processes of the run together
-	KeyProcesses          Key = "processes"            // at most at a time
+	KeyBlocked            Key = "blocked_s"            // longest time that the run waited for a blocked version
+	KeySyncP50            Key = "sync_p50_ms"          // median of syncs of 4 KB to the disk of the idle replicas
+	KeySyncMax            Key = "sync_max_ms"          // longest of the 40 syncs
+	KeyPeakMB             Key = "peak_mb"              // total resident memory of all processes of the run
+	KeyProcesses          Key = "processes"            // largest number of processes at the same time
 )
 
 // Keys lists all figures in the order in which they are printed.
-var Keys = []Key{KeyRestBytes, KeyRestCalls, KeyAgentRestBytes, KeyAgentRestCalls, KeyRestCPUShare, KeyControlMB, KeyReplicaCores, KeyLeaderCores, KeyFollowerCores, KeyReplicaMB, KeyControllerCores,
+var Keys = []Key{KeyIdleBytes, KeyIdleCalls, KeyAgentIdleBytes, KeyAgentIdleCalls, KeyIdleCPUShare, KeyControlMB, KeyReplicaCores, KeyLeaderCores, KeyFollowerCores, KeyReplicaMB, KeyControllerCores,
 	KeyControllerMB, KeyLoaderCores, KeyLoaderMB, KeyConnect, KeyConnectBytes, KeyReconnect, KeyReconnectBytes, KeyListChange, KeyListChangeBytes, KeyFullListBytes, KeyInForceP99, KeyInForceMax,
 	KeyVersionBytes, KeyVersionAgentBytes, KeyVersionCalls, KeyVersionWrites, KeyVersionReplicaTime, KeyBurst10, KeyBurst40, KeyBurstRate, KeyReplicaLost, KeyDeadFirst, KeyDeadInForce, KeyZoneLost, KeyZoneRecovered,
 	KeyPartitionInForce, KeyPartitionHealed, KeyBlocked, KeySyncP50, KeySyncMax, KeyPeakMB, KeyProcesses}
@@ -70,7 +70,7 @@
 	Missing      map[Key]string
 	BlockedBy    []string // the reasons of blocked versions
 	Notes        []string // other failures during the play
-	WithinBounds bool     // the run stayed within its bounds
+	WithinBounds bool     // the play stayed within the bounds of a run
 }
 
 // newFigures returns empty figures for a number of nodes.
@@ -78,10 +78,10 @@
 	return &Figures{Nodes: nodes, Values: map[Key]float64{}, Missing: map[Key]string{}, WithinBounds: true}
 }
 
-// set records a figure. A value that is no finite number counts as not measured.
+// set records a figure. A value that is not a finite number counts as not measured.
 func (f *Figures) set(k Key, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		f.setMissing(k, "no figure came out")
+		f.setMissing(k, "the value is not a finite number")
 		return
 	}
 	f.Values[k] = v
@@ -103,7 +103,7 @@
 	}
 }
 
-// MarshalJSON encodes every key, with null where nothing was measured, and the reasons under not_measured.
+// MarshalJSON encodes every key, with null for a figure that was not measured, and the reasons under not_measured.
 func (f *Figures) MarshalJSON() ([]byte, error) {
 	var b bytes.Buffer
 	text, err := f.members()
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -13,17 +13,17 @@
 	"umberbank/internal/registry/state"
 )
 
-// limit is how long anything may take that has to happen.
-const limit = 30 * time.Second
+// testTimeout is the timeout of each size, and the idle timeout of the watchers.
+const testTimeout = 30 * time.Second
 
-// A change of one server costs each watcher as many messages and bytes however many servers and watchers there are: on a registry
-// in this process, counted at the sockets.
-func TestChangeCostsNoMoreWithNodes(t *testing.T) {
+// The number of messages and bytes that each watcher receives for a change of one server does not depend on the number of servers
+// and watchers. It is counted at the sockets, with a registry in this process.
+func TestChangeCostIndependentOfNodes(t *testing.T) {
 	const changes = 5
 	bytes := map[int]int64{}
 	for _, n := range []int{10, 100} {
 		bytes[n] = func() int64 {
-			ctx, cancel := context.WithTimeout(t.Context(), limit)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			at, raft := free(t), free(t)
 			r, err := replica.New(replica.Config{ID: "r0", DataDir: t.TempDir(), RaftAddress: raft, ClientAddress: at, Peers: []replica.Peer{{ID: "r0", RaftAddress: raft, ClientAddress: at}},
@@ -32,12 +32,12 @@
 				t.Fatal(err)
 			}
 			defer r.Close()
-			var own meter
-			w, err := client.New(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, Dial: own.dial})
+			var writerMeter meter
+			w, err := client.New(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, Dial: writerMeter.dial})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer own.kill()
+			defer writerMeter.kill()
 			var ops []state.Op
 			for i := range n {
 				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: locationOf(i).server, Endpoint: fmt.Sprintf("10.1.0.%03d:3000", i), Zone: "z", State: state.Serving}})
@@ -47,29 +47,29 @@
 				t.Fatal(err)
 			}
 			rev := a[len(a)-1].Revision
-			meters, heard := make([]meter, n), make(chan int64, n*(changes+1))
+			meters, received := make([]meter, n), make(chan int64, n*(changes+1))
 			var readers []*client.Watcher
 			watching, end := context.WithCancel(ctx)
 			var running sync.WaitGroup
 			defer running.Wait()
 			defer end()
 			for i := range n {
-				reader, err := client.NewWatcher(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, IdleTimeout: limit, Dial: meters[i].dial})
+				reader, err := client.NewWatcher(client.Options{Endpoints: []string{at}, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond, IdleTimeout: testTimeout, Dial: meters[i].dial})
 				if err != nil {
 					t.Fatal(err)
 				}
 				readers = append(readers, reader)
-				running.Go(func() { _ = reader.Run(watching, func(u client.WatchEvent) { heard <- u.Revision }) })
+				running.Go(func() { _ = reader.Run(watching, func(u client.WatchEvent) { received <- u.Revision }) })
 			}
 			all := func(rev int64) {
-				for there := 0; there < n; {
+				for reached := 0; reached < n; {
 					select {
-					case got := <-heard:
+					case got := <-received:
 						if got == rev {
-							there++
+							reached++
 						}
 					case <-ctx.Done():
-						t.Fatalf("%d of %d watchers hold revision %d", there, n, rev)
+						t.Fatalf("%d of %d watchers have revision %d", reached, n, rev)
 					}
 				}
 			}
@@ -90,17 +90,17 @@
 			for i, reader := range readers {
 				most = max(most, meters[i].traffic().bytes-before[i])
 				if v := reader.View(); v.Changes != changes || v.FullLists != 1 || meters[i].traffic().calls != 1 {
-					t.Errorf("%d nodes: %d lines and %d whole lists by %d calls", n, v.Changes, v.FullLists, meters[i].traffic().calls)
+					t.Errorf("%d nodes: %d changes and %d full lists in %d requests", n, v.Changes, v.FullLists, meters[i].traffic().calls)
 				}
 			}
 			return most
 		}()
 	}
-	// A tenth more is what a few heartbeats of the watch come to on a slow machine.
+	// On a slow machine a few heartbeats of the watch may add up to a tenth.
 	if bytes[10] < changes*50 || float64(bytes[100]) > 1.1*float64(bytes[10]) {
-		t.Errorf("%d changes cost a node so many bytes: %v", changes, bytes)
+		t.Errorf("bytes received by a watcher for %d changes, by number of nodes: %v", changes, bytes)
 	}
-	t.Logf("%d changes cost a node so many bytes: %v", changes, bytes)
+	t.Logf("bytes received by a watcher for %d changes, by number of nodes: %v", changes, bytes)
 }
 
 func free(t *testing.T) string {
--- a/internal/lab/scale/hollownode.go
+++ b/internal/lab/scale/hollownode.go
@@ -17,7 +17,7 @@
 	"umberbank/internal/simwire"
 )
 
-// The site. Servers are assigned to zones and services in turn, so each has an equal part at every size.
+// The site. Servers are assigned to zones and services round-robin, so that they are distributed evenly at every size.
 const (
 	zoneCount    = 7
 	regionCount  = 2
@@ -25,7 +25,7 @@
 	leaseTTL     = 2 * time.Second // the default of nodes and agents
 )
 
-// location is where a server with its node stands.
+// location identifies a server and its node, and where they run.
 type location struct {
 	node, server, zone, region, service string
 	rack                                int
@@ -37,21 +37,21 @@
 		region: fmt.Sprint("r", z*regionCount/zoneCount), service: fmt.Sprintf("svc%02d", i%serviceCount), rack: i / 20}
 }
 
-// endpointOf returns the address of a server. Nobody calls it, as hollow servers have no traffic.
+// endpointOf returns the address of a server. It is never connected to, as hollow servers have no traffic.
 func endpointOf(i int) string { return fmt.Sprintf("10.%d.%d.1:3000", i/250, i%250) }
 
-// hollowNode is a server with its node and agent without traffic. They run the same clients of the control plane as real ones.
+// hollowNode is a server with its node and agent, without traffic. They run the same clients of the control plane as real ones.
 type hollowNode struct {
 	location
 	listMeter, versionsMeter, agentMeter meter
 	watcher                              *client.Watcher
-	listRevision                         atomic.Int64 // of the list
+	listRevision                         atomic.Int64 // revision of the list that the watcher has
 	cancel                               context.CancelFunc
 	running                              sync.WaitGroup
 }
 
-// startHollow starts one; ran is called with settings that its node runs from then on.
-func startHollow(ctx context.Context, i int, at []string, ran func(name string, settings []byte)) (*hollowNode, error) {
+// startHollow starts the i-th hollow node. onApply is called with the node's name whenever the node applies settings.
+func startHollow(ctx context.Context, i int, at []string, onApply func(name string, settings []byte)) (*hollowNode, error) {
 	h := &hollowNode{location: locationOf(i)}
 	var err error
 	if h.watcher, err = client.NewWatcher(client.Options{Endpoints: at, Dial: h.listMeter.dial}); err != nil {
@@ -67,7 +67,7 @@
 			if err := validateSettings(settings); err != nil {
 				return err
 			}
-			ran(h.node, settings)
+			onApply(h.node, settings)
 			return nil
 		}}
 	unit := &agent.Agent{Registry: at, TTL: leaseTTL, Dial: h.agentMeter.dial, Log: slog.New(slog.DiscardHandler),
@@ -79,7 +79,7 @@
 	return h, nil
 }
 
-// validateSettings looks at settings as a node does.
+// validateSettings validates settings as a node does.
 func validateSettings(settings json.RawMessage) error {
 	set, _, err := simwire.ParseSettings(settings)
 	if err != nil {
@@ -88,12 +88,12 @@
 	return set.Validate()
 }
 
-// meters returns the meters of its three clients.
+// meters returns the meters of the hollow node's three clients.
 func (h *hollowNode) meters() []*meter {
 	return []*meter{&h.listMeter, &h.versionsMeter, &h.agentMeter}
 }
 
-// kill ends the hollow node as a crash does: it deregisters nothing.
+// kill stops the hollow node as a crash does, without deregistering the server or the node.
 func (h *hollowNode) kill() {
 	for _, m := range h.meters() {
 		m.kill()
@@ -102,17 +102,17 @@
 	h.running.Wait()
 }
 
-// nodeTraffic returns the traffic of its node without that of its agent.
+// nodeTraffic returns the traffic of the node without that of the agent.
 func (h *hollowNode) nodeTraffic() traffic {
 	return h.listMeter.traffic().plus(h.versionsMeter.traffic())
 }
 
-// settingsOf returns the site's settings, a class for each service. The mark makes the content unique.
+// settingsOf returns the site's settings, with a class for each service. mark makes the content unique.
 func settingsOf(mark int) ([]byte, error) {
-	var lanes []map[string]any
+	var classes []map[string]any
 	for i := range serviceCount {
-		lanes = append(lanes, map[string]any{"name": fmt.Sprintf("svc%02d", i), "effect": "read_like", "target-ms": 100, "deadline-ms": 400, "worth": 1})
+		classes = append(classes, map[string]any{"name": fmt.Sprintf("svc%02d", i), "effect": "read_like", "target-ms": 100, "deadline-ms": 400, "worth": 1})
 	}
-	return json.Marshal(map[string]any{"lanes": lanes, "balancers": 1, "tick-ms": 5, "registry-mode": "pushed",
+	return json.Marshal(map[string]any{"lanes": classes, "balancers": 1, "tick-ms": 5, "registry-mode": "pushed",
 		"limits": map[string]any{"conn-idle-ms": 30_000 + mark, "connect-timeout-ms": 200, "max-attempts": 3}})
 }
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// meter is the network of one client. It opens the client's connections and counts all bytes that pass them, with headers.
+// meter opens the connections of one client and counts all bytes on them, including headers.
 type meter struct {
 	in, out atomic.Int64 // bytes
 	calls   atomic.Int64 // requests that were sent
@@ -19,29 +19,29 @@
 	mu           sync.Mutex
 	open         map[net.Conn]struct{}
 	down         bool
-	ignoreBefore time.Time       // answers on connections opened before do not count for answeredAt
+	ignoreBefore time.Time       // responses on connections opened before it do not set answeredAt
 	unreachable  map[string]bool // addresses behind the partition
-	healed       <-chan struct{} // closed when the partition ends; nil: there was none
-	answeredAt   time.Time       // time of the first answer after ignoreBefore; zero: none yet
+	healed       <-chan struct{} // closed when the partition ends; nil before the first partition
+	answeredAt   time.Time       // time of the first response after ignoreBefore; zero until it arrives
 }
 
-// traffic is what a meter has counted.
+// traffic is the number of bytes and calls that a meter has counted.
 type traffic struct{ bytes, calls int64 }
 
-// plus returns the sum of both.
+// plus returns the sum of t and o.
 func (t traffic) plus(o traffic) traffic { return traffic{t.bytes + o.bytes, t.calls + o.calls} }
 
-// traffic returns what the meter has counted so far.
+// traffic returns the traffic so far, in both directions.
 func (m *meter) traffic() traffic { return traffic{m.in.Load() + m.out.Load(), m.calls.Load()} }
 
 var errMachineDown = errors.New("this machine is down")
 
-// dial opens a connection that is counted.
+// dial opens a connection whose traffic is counted.
 func (m *meter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	m.mu.Lock()
-	dead := m.down
+	down := m.down
 	m.mu.Unlock()
-	if dead {
+	if down {
 		return nil, errMachineDown
 	}
 	if healed := m.reachable(address); healed != nil {
@@ -71,7 +71,7 @@
 	return counted, nil
 }
 
-// breakAll closes all connections. New ones may be opened, and the first answer on those sets answeredAt.
+// breakAll closes all connections. New ones may be opened, and the first response on one of them sets answeredAt.
 func (m *meter) breakAll() {
 	m.mu.Lock()
 	m.ignoreBefore, m.answeredAt = time.Now(), time.Time{}
@@ -91,14 +91,14 @@
 	m.breakAll()
 }
 
-// reconnectedAt returns when the client received an answer again after breakAll; zero: not yet.
+// reconnectedAt returns when the client first received a response after breakAll, or zero if it has not received one.
 func (m *meter) reconnectedAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.answeredAt
 }
 
-// partition lets nothing pass to or from addresses until healed is closed. What was sent waits, and no connection is reset.
+// partition stalls all traffic to and from addresses until healed is closed. Data is delayed, and no connection is reset.
 func (m *meter) partition(addresses map[string]bool, healed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,7 +115,7 @@
 	return m.healed
 }
 
-// countedConn is a connection of a meter.
+// countedConn is a connection whose traffic is counted by a meter.
 type countedConn struct {
 	net.Conn
 	meter   *meter
@@ -157,7 +157,8 @@
 	return n, err
 }
 
-// Write counts the bytes sent, and a call where a request begins: net/http writes the head of a request in one call.
+// Write counts the bytes sent. It counts a call if the data begins with a request line, as net/http writes the head of a
+// request at once.
 func (c *countedConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, []byte("GET /")) || bytes.HasPrefix(b, []byte("POST /")) {
 		c.meter.calls.Add(1)
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -12,7 +12,7 @@
 	"umberbank/internal/registry/cluster"
 )
 
-// play is one play of one size: the processes, the hollow nodes, and the figures measured so far.
+// play is one pass through all measurements at one size. It has the processes, the hollow nodes, and the figures measured so far.
 type play struct {
 	options  Options
 	nodes    int
@@ -28,13 +28,13 @@
 	nodeWithoutControl *process.Process // a real node that does not
 	staticDiscovery    *staticDiscovery // the discovery of both
 
-	hollowNodes        []*hollowNode // nil: dead
-	partitionedRegion  string        // the region cut off from the registry's majority; "": none
+	hollowNodes        []*hollowNode // nil for a dead node
+	partitionedRegion  string        // region partitioned from the registry's majority; empty without a partition
 	versions           versionTracker
-	versionNumber      int64   // the version in force, or proposed last
+	versionNumber      int64   // number of the version in force, or of the last proposal
 	settingsMark       int     // makes the content of each version unique
-	restBytesPerSecond int64   // traffic of a node at rest
-	restReplicaCores   float64 // processor use of all replicas at rest
+	idleBytesPerSecond int64   // traffic of an idle node
+	idleReplicaCores   float64 // processor usage of all replicas while idle
 }
 
 const (
@@ -46,9 +46,9 @@
 	convergeTimeout = 30 * time.Second
 	// detectTimeout bounds the wait until a node's death is detected.
 	detectTimeout = 20 * time.Second
-	// pollInterval is how often the registry is asked during such waits.
+	// pollInterval is the interval at which the registry is polled during these waits.
 	pollInterval = 100 * time.Millisecond
-	// proposalRetryInterval is the pause before a rejected proposal is repeated.
+	// proposalRetryInterval is the pause before a rejected proposal is retried.
 	proposalRetryInterval = 30 * time.Millisecond
 )
 
@@ -58,23 +58,24 @@
 	measure func(context.Context) error
 }
 
-// steps are the measurements of a play in their order. Each leaves all nodes alive and in agreement.
+// steps returns the measurements of a play in their order. After each step all nodes are alive and run the version in force.
 func (p *play) steps() []step {
 	return []step{
-		{"first connection of all", p.connectAll},
-		{"at rest", p.measureAtRest},
-		{"a change of the list", p.measureListChange},
+		{"connecting all nodes", p.connectAll},
+		{"idle", p.measureIdle},
+		{"list change", p.measureListChange},
 		{"single versions", p.measureSingleVersions},
 		{"bursts", p.measureBursts},
-		{"reconnection of all", p.measureReconnect},
-		{"the leader is killed", p.measureReplicaKilled},
+		{"reconnecting all clients", p.measureReconnect},
+		{"leader killed", p.measureReplicaKilled},
 		{"one node dead", p.measureDeadNode},
-		{"a zone lost", p.measureLostZone},
-		{"regions cut from each other", p.measurePartitionedRegions},
+		{"zone lost", p.measureLostZone},
+		{"regions partitioned", p.measurePartitionedRegions},
 	}
 }
 
-// measure plays one size. It returns the figures measured before an error, too. label introduces the lines of progress.
+// measure performs one play at one size. With an error it returns the figures measured before it. label is the prefix of progress
+// messages.
 func measure(ctx context.Context, options Options, nodes int, maxMB float64, label string) (*Figures, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -94,15 +95,15 @@
 	p.figures.set(KeyPeakMB, mb)
 	p.figures.set(KeyProcesses, float64(processes))
 	p.figures.WithinBounds = !errors.Is(err, ErrBounds)
-	reason := "an earlier step left it out"
+	reason := "an earlier step skipped it"
 	if err != nil {
-		reason = "the play ended before: " + firstLine(err.Error())
+		reason = "the play ended earlier: " + firstLine(err.Error())
 	}
 	p.figures.fillMissing(reason)
 	return p.figures, err
 }
 
-// run starts the processes and measures step after step, with the guard beside them.
+// run starts the processes and performs the steps in order, while the guard watches the processes.
 func (p *play) run(ctx context.Context, cancel context.CancelCauseFunc, label string) error {
 	began := time.Now()
 	measureStep := func(s step) error {
@@ -113,7 +114,7 @@
 		}
 		return nil
 	}
-	if err := measureStep(step{"starts", p.startProcesses}); err != nil {
+	if err := measureStep(step{"starting processes", p.startProcesses}); err != nil {
 		return err
 	}
 	guardCtx, stopGuard := context.WithCancel(ctx)
--- a/internal/lab/scale/print.go
+++ b/internal/lab/scale/print.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Print prints a result as a table, and below it what is missing.
+// Print prints a result as a table, followed by the figures that were not measured and by failures.
 func Print(w io.Writer, r *Result) error {
 	fmt.Fprintf(w, "%s\n%d plays, %.0f s, the longest %.0f s; load of the machine before: %.1f; bounds: %s\n", r.Machine, r.Plays, r.Seconds, r.LongestPlaySeconds, r.LoadAverage, r.Bounds)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -57,8 +57,8 @@
 			fmt.Fprintf(w, "%d nodes, %s: not measured: %s\n", f.Nodes, k, reason)
 		}
 	}
-	for _, who := range f.BlockedBy {
-		fmt.Fprintf(w, "%d nodes, BLOCKED by: %s\n", f.Nodes, who)
+	for _, reason := range f.BlockedBy {
+		fmt.Fprintf(w, "%d nodes, BLOCKED by: %s\n", f.Nodes, reason)
 	}
 	for _, n := range f.Notes {
 		fmt.Fprintf(w, "%d nodes: %s\n", f.Nodes, n)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Draw draws the times of versions over the number of nodes, as SVG.
+// Draw plots the times of versions and connections over the number of nodes, as SVG. It fails if none was measured.
 func Draw(w io.Writer, r *Result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Into force everywhere, medians of %d plays", r.Plays)
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -17,7 +17,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// pids returns the ids of all processes of the run, this one first.
+// pids returns the PIDs of all processes of the run, starting with this one.
 func (p *play) pids() []int {
 	l := []int{os.Getpid()}
 	for i := range p.cluster.Len() {
@@ -29,7 +29,7 @@
 	return l
 }
 
-// close ends the hollow nodes and the processes, and removes their files.
+// close stops the hollow nodes and the processes, and removes their files.
 func (p *play) close() {
 	var all sync.WaitGroup
 	for _, h := range p.hollowNodes {
@@ -94,7 +94,7 @@
 	return err
 }
 
-// newProcess returns a process that logs to a file of its name and is not started yet.
+// newProcess returns a process that has not been started. It logs to a file with its name.
 func (p *play) newProcess(name string, env []string, command []string) *process.Process {
 	created := &process.Process{Launcher: p.launcher, LogPath: filepath.Join(p.dir, name+".log")}
 	if len(env) > 0 {
@@ -104,7 +104,8 @@
 	return created
 }
 
-// startNode starts a real node. Both nodes hold the same list from the start. The one with control follows the registry as well.
+// startNode starts a real node. Both real nodes have the same list from the start. With control the node also follows the
+// registry.
 func (p *play) startNode(name string, control bool) (*process.Process, error) {
 	list := p.serverList()
 	if err := p.serveDiscovery(list); err != nil {
@@ -122,18 +123,18 @@
 	return node, node.Start()
 }
 
-// serverList returns all servers of the size in discovery's form.
+// serverList returns all servers of the size in the form of the discovery protocol.
 func (p *play) serverList() map[string]any {
 	var targets []map[string]any
 	for i := range p.nodes {
-		at := locationOf(i)
-		targets = append(targets, map[string]any{"uid": at.server, "endpoint": endpointOf(i), "az": at.zone, "model": at.service,
-			"pod_group": at.rack, "state": state.Serving, "capacity_hint": 1})
+		loc := locationOf(i)
+		targets = append(targets, map[string]any{"uid": loc.server, "endpoint": endpointOf(i), "az": loc.zone, "model": loc.service,
+			"pod_group": loc.rack, "state": state.Serving, "capacity_hint": 1})
 	}
 	return map[string]any{"rev": 1, "all": true, "targets": targets}
 }
 
-// serveDiscovery starts the discovery of the real nodes, if it does not run yet.
+// serveDiscovery starts the discovery of the real nodes, unless it is running.
 func (p *play) serveDiscovery(list map[string]any) error {
 	if p.staticDiscovery != nil {
 		return nil
@@ -172,7 +173,7 @@
 	return json.Marshal(config)
 }
 
-// restartExitedReplicas restarts replicas that have ended by themselves, as they do when their disk hangs, and notes it.
+// restartExitedReplicas restarts replicas that have exited by themselves, as they do when their disk hangs, and records a note.
 func (p *play) restartExitedReplicas() {
 	if p.cluster == nil {
 		return
@@ -182,7 +183,7 @@
 		case <-p.cluster.Exited(i):
 			log := strings.TrimSpace(p.cluster.Logs(i))
 			lastLine := firstLine(log[strings.LastIndexByte(log, '\n')+1:])
-			p.figures.Notes = append(p.figures.Notes, fmt.Sprintf("replica %s had ended by itself: %s", p.cluster.ID(i), lastLine))
+			p.figures.Notes = append(p.figures.Notes, fmt.Sprintf("replica %s had exited by itself: %s", p.cluster.ID(i), lastLine))
 			if err := p.cluster.Start(i); err != nil {
 				p.figures.Notes = append(p.figures.Notes, fmt.Sprintf("replica %s: %v", p.cluster.ID(i), err))
 			}
@@ -191,7 +192,7 @@
 	}
 }
 
-// replicaProcessorTime returns the processor time of all replicas.
+// replicaProcessorTime returns the total processor time of all replicas so far.
 func (p *play) replicaProcessorTime() (sum time.Duration) {
 	for i := range p.cluster.Len() {
 		sum += processorTime(p.cluster.PID(i))
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -8,7 +8,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// versionTracker records when nodes begin to run a version, as the nodes report it. It is safe for concurrent use.
+// versionTracker records when nodes start to run a version. It is safe for concurrent use.
 type versionTracker struct {
 	mu        sync.Mutex
 	byContent map[string]*propagation // by the content's hash
@@ -17,14 +17,14 @@
 // propagation is the progress of one version.
 type propagation struct {
 	began time.Time
-	done  chan struct{} // closed when all nodes that are waited for run it
+	done  chan struct{} // closed when all expected nodes run the version
 
 	mu        sync.Mutex
-	waiting   map[string]bool // nodes that do not run it yet
-	durations []time.Duration // time from the start to each of the others
+	waiting   map[string]bool // expected nodes that do not run the version yet
+	durations []time.Duration // time from began until each of the others ran it
 }
 
-// expect starts to track a content at nodes. It must be called before the proposal.
+// expect starts to track when nodes run a version with the given settings. It must be called before the proposal.
 func (t *versionTracker) expect(settings []byte, nodes []string) *propagation {
 	s := &propagation{began: time.Now(), done: make(chan struct{}), waiting: map[string]bool{}}
 	for _, n := range nodes {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// recordRunning records that a node runs settings from now on.
+// recordRunning records that a node has started to run settings.
 func (t *versionTracker) recordRunning(node string, settings []byte) {
 	t.mu.Lock()
 	s := t.byContent[state.ContentHash(settings)]
@@ -59,7 +59,7 @@
 	}
 }
 
-// propagationTimes returns the time to each node that runs the version, in rising order.
+// propagationTimes returns, in ascending order, the time until each node that runs the version started to run it.
 func (s *propagation) propagationTimes() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -9,17 +9,17 @@
 type Result struct {
 	Machine            string         `json:"machine"`
 	Plays              int            `json:"plays"`
-	Sizes              []*Figures     `json:"sizes"`    // medians of the plays
-	Slopes             map[Key]*Slope `json:"slopes"`   // of figures measured at two sizes or more
-	ByPlay             [][]*Figures   `json:"each"`     // play by play
-	Failed             []string       `json:"failed"`   // sizes that were not played to their end, with the reason
+	Sizes              []*Figures     `json:"sizes"`    // medians over the plays
+	Slopes             map[Key]*Slope `json:"slopes"`   // slopes of the figures that were measured at two or more sizes
+	ByPlay             [][]*Figures   `json:"each"`     // figures of each play, by size
+	Failed             []string       `json:"failed"`   // plays that did not complete, with the reason
 	Bounds             string         `json:"bounds"`   // the bounds of a run
 	Seconds            float64        `json:"took_s"`   // duration of the run
 	LongestPlaySeconds float64        `json:"play_s"`   // duration of the longest play
-	LoadAverage        float64        `json:"load_avg"` // of the machine before the run, over a minute
+	LoadAverage        float64        `json:"load_avg"` // of the machine before the run, over one minute
 }
 
-// MarshalJSON encodes the figures of the largest size as members of the result itself, beside all else.
+// MarshalJSON adds the figures of the largest size as members of the result itself.
 func (r *Result) MarshalJSON() ([]byte, error) {
 	type plain Result
 	rest, err := json.Marshal((*plain)(r))
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,9 @@
-// Package scale measures the cost of the control plane at several numbers of nodes. A play runs three real replicas of the registry, a
-// real controller, two real nodes and hollow ones. A hollow node has the same clients of the control plane as a real one (registration,
-// renewal, watch, versions, acknowledgments) and no traffic. All hollow nodes share this process.
+// Package scale measures the cost of the control plane at several sizes, which are numbers of nodes. A run measures each
+// size several times; each of these measurements is called a play.
+//
+// A play runs three real replicas of the registry, a real controller, two real nodes and hollow nodes. A hollow node has the same
+// clients of the control plane as a real one (registration, renewal, watch, versions, acknowledgments) and no traffic. All hollow
+// nodes share this process.
 package scale
 
 import (
@@ -16,34 +19,34 @@
 
 // Options configure a run.
 type Options struct {
-	Nodes   []int // the sizes, in rising order
-	Plays   int   // plays of each size
-	Program []string
-	Step    func(string) // receives the name of each step; may be nil
+	Nodes   []int        // sizes, in ascending order
+	Plays   int          // number of plays of each size
+	Program []string     // command of this program; its own executable if empty
+	Step    func(string) // receives a progress message for each step; may be nil
 	Pace    Pace
 }
 
 // Pace configures the duration of the steps of a play.
 type Pace struct {
-	SettleTime     time.Duration // pause before the measurement at rest
-	RestTime       time.Duration // duration of the measurement at rest
-	SingleVersions int           // number of versions proposed one at a time
-	Bursts         []int         // numbers of versions proposed at once: the first is recorded as KeyBurst10, the others as KeyBurst40
-	VersionTimeout time.Duration // bound on a version or a burst
-	BlockedTimeout time.Duration // bound on a version after a death, which may be blocked
-	LossTime       time.Duration // pause between a loss and the next proposal
+	SettleTime     time.Duration // pause before the idle measurement
+	IdleTime       time.Duration // duration of the idle measurement
+	SingleVersions int           // number of versions that are proposed one at a time
+	Bursts         []int         // sizes of the bursts: the first is recorded as KeyBurst10, the others as KeyBurst40
+	VersionTimeout time.Duration // timeout of a version or a burst
+	BlockedTimeout time.Duration // timeout of a version that may be blocked by a failure
+	LossTime       time.Duration // pause between the loss of a zone or region and the next proposal
 }
 
-// DefaultPace returns the pace at which four sizes of up to 920 nodes take about three minutes. VersionTimeout is the operators' bound on
-// a change.
+// DefaultPace returns a pace at which a play of four sizes of up to 920 nodes takes about three minutes. VersionTimeout is the
+// operators' bound on a change.
 func DefaultPace() Pace {
-	return Pace{SettleTime: time.Second, RestTime: 3 * time.Second, SingleVersions: 3, Bursts: []int{10, 40}, VersionTimeout: 19 * time.Second,
+	return Pace{SettleTime: time.Second, IdleTime: 3 * time.Second, SingleVersions: 3, Bursts: []int{10, 40}, VersionTimeout: 19 * time.Second,
 		BlockedTimeout: 19 * time.Second, LossTime: 2500 * time.Millisecond}
 }
 
-// Run plays all sizes, play after play. It starts nothing and returns a nil Result if the options are invalid. A size that fails is
-// recorded in Result.Failed and the next begins; the run stops when it exceeds its bounds (ErrBounds) or ctx ends. In these cases it
-// returns the Result so far with an error.
+// Run measures all sizes, play after play. If the options are invalid, it starts nothing and returns a nil Result. If a
+// size fails, Run records it in Result.Failed and continues with the next one. It stops when the run exceeds its bounds
+// (ErrBounds) or ctx ends. In all these cases it returns the Result so far with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -121,7 +124,7 @@
 	return v
 }
 
-// quantile returns the quantile q (0 to 1) of durations by the nearest rank, and 0 of none.
+// quantile returns the quantile q (0 to 1) of durations by nearest rank, or zero if there are none.
 func quantile(l []time.Duration, q float64) time.Duration {
 	if len(l) == 0 {
 		return 0
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -20,7 +20,7 @@
 	"umberbank/internal/registry/replica"
 )
 
-// The test binary is the processes of a play too, by the command line of the program.
+// The test binary is also the program of a play's processes. It supports the command lines that a play uses.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALE_TEST") == "" {
 		os.Exit(m.Run())
@@ -48,14 +48,14 @@
 	}
 }
 
-// A whole play of real processes: every figure is there or says why not, a version after a death is one of the two, and nothing
-// runs on afterwards.
+// A complete play with real processes. Every figure is either measured or has a reason why it is not, such as a version that a
+// failure blocked.
 func TestRun(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	pace := Pace{RestTime: 1500 * time.Millisecond, SingleVersions: 1, Bursts: []int{2, 3}, VersionTimeout: 20 * time.Second, BlockedTimeout: 300 * time.Millisecond}
+	pace := Pace{IdleTime: 1500 * time.Millisecond, SingleVersions: 1, Bursts: []int{2, 3}, VersionTimeout: 20 * time.Second, BlockedTimeout: 300 * time.Millisecond}
 	r, err := Run(t.Context(), Options{Nodes: []int{8}, Plays: 1, Program: []string{"/usr/bin/env", "SCALE_TEST=1", self}, Pace: pace})
 	if err != nil {
 		t.Fatal(err)
@@ -67,18 +67,18 @@
 			t.Errorf("%s: %v, %q", k, v, why)
 		}
 	}
-	for _, k := range []Key{KeyRestBytes, KeyRestCalls, KeyAgentRestBytes, KeyReplicaCores, KeyReplicaMB, KeyControllerMB, KeyLoaderMB, KeyConnect, KeyConnectBytes, KeyReconnect, KeyFullListBytes,
+	for _, k := range []Key{KeyIdleBytes, KeyIdleCalls, KeyAgentIdleBytes, KeyReplicaCores, KeyReplicaMB, KeyControllerMB, KeyLoaderMB, KeyConnect, KeyConnectBytes, KeyReconnect, KeyFullListBytes,
 		KeyInForceP99, KeyVersionWrites, KeyBurst10, KeyBurst40, KeyBurstRate, KeyReplicaLost, KeyZoneRecovered, KeyPartitionHealed, KeyPeakMB} {
 		if f.Values[k] <= 0 {
 			t.Errorf("%s: %v, %q", k, f.Values[k], f.Missing[k])
 		}
 	}
-	// Registration, a proposal's acknowledgments and reports, and the commit.
+	// An acknowledgment and a report of each of the 9 nodes, and at least one write for the proposal and the commit.
 	if w := f.Values[KeyVersionWrites]; w < 1+2*9 {
-		t.Errorf("a version came into force by %v writes", w)
+		t.Errorf("a version came into force with %v writes, want at least 19", w)
 	}
 	if !f.WithinBounds || f.Values[KeyProcesses] != 7 {
-		t.Errorf("held %v with %v processes", f.WithinBounds, f.Values[KeyProcesses])
+		t.Errorf("within bounds: %v with %v processes, want 7 processes", f.WithinBounds, f.Values[KeyProcesses])
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A plan that makes no sense or is over the bounds is turned down by one line, before anything runs.
-func TestBadPlan(t *testing.T) {
+// Invalid options, or options that exceed the bounds, are rejected with an error of one line before any process starts.
+func TestInvalidOptions(t *testing.T) {
 	for want, o := range map[string]Options{
 		"no size":              {Plays: 1},
 		"0 is not from 7":      {Nodes: []int{0}, Plays: 1},
@@ -118,15 +118,15 @@
 	if err := o.validateWithin(2540, 7360); err != nil {
 		t.Error(err)
 	}
-	for want, err := range map[string]error{"920: over the bounds of a run: some 2540 MB": o.validateWithin(2539, 7360),
-		"920: over the bounds of a run: some 7360 open files": o.validateWithin(2540, 7359)} {
+	for want, err := range map[string]error{"920: exceeds the bounds of a run: about 2540 MB": o.validateWithin(2539, 7360),
+		"920: exceeds the bounds of a run: about 7360 open files": o.validateWithin(2540, 7359)} {
 		if !errors.Is(err, ErrBounds) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
 }
 
-// A run that takes more than it may ends, and says so.
+// A run that exceeds its bounds is canceled with ErrBounds.
 func TestGuard(t *testing.T) {
 	for name, g := range map[string]*guard{"memory": {maxMB: 1, maxProcesses: 10}, "processes": {maxMB: 1 << 20, maxProcesses: 1}} {
 		ctx, end := context.WithCancelCause(t.Context())
@@ -144,14 +144,15 @@
 	}
 }
 
-// Slopes are of all plays together, and their spread of each by itself. What one play did not measure is not made up.
-func TestReckon(t *testing.T) {
+// Slopes are computed over all plays, and their standard deviation from the slopes of single plays. A figure that a play did not
+// measure is reported as missing.
+func TestSummarize(t *testing.T) {
 	play := func(per float64, sizes ...int) (l []*Figures) {
 		for _, n := range sizes {
 			f := newFigures(n)
 			f.set(KeyVersionWrites, 3+per*float64(n))
 			f.set(KeyConnect, 1)
-			f.fillMissing("not asked for")
+			f.fillMissing("not requested")
 			l = append(l, f)
 		}
 		return l
@@ -181,18 +182,19 @@
 		t.Errorf("%v: %.100s", err, svg.String())
 	}
 	if err := Draw(io.Discard, &Result{}); err == nil {
-		t.Error("nothing was drawn")
+		t.Error("Draw of an empty result did not fail")
 	}
 }
 
-// The socket tells calls and bytes, headers too; what was dead or broken shows when it is heard again.
+// A meter counts calls and bytes, including headers. After its connections broke it reports when the client received a response
+// again. A partition delays a request, and a killed meter opens no connections.
 func TestMeter(t *testing.T) {
 	var m meter
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }))
 	defer s.Close()
 	c := &http.Client{Transport: &http.Transport{DialContext: m.dial}}
 	defer c.CloseIdleConnections()
-	ask := func() error {
+	send := func() error {
 		resp, err := c.Post(s.URL, "text/plain", strings.NewReader("GET / is no call here"))
 		if err != nil {
 			return err
@@ -202,7 +204,7 @@
 		return err
 	}
 	for range 3 {
-		if err := ask(); err != nil {
+		if err := send(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -212,21 +214,21 @@
 	}
 	m.breakAll()
 	if !m.reconnectedAt().IsZero() {
-		t.Error("heard before it asked")
+		t.Error("a response is reported before the next request")
 	}
-	if err := ask(); err != nil {
+	if err := send(); err != nil {
 		t.Fatal(err)
 	}
 	if m.reconnectedAt().IsZero() || m.dials.Load() != 2 {
-		t.Errorf("heard at %v over %d connections", m.reconnectedAt(), m.dials.Load())
+		t.Errorf("response at %v over %d connections, want 2 connections", m.reconnectedAt(), m.dials.Load())
 	}
 	healed := make(chan struct{})
 	m.partition(map[string]bool{strings.TrimPrefix(s.URL, "http://"): true}, healed)
 	answered := make(chan error, 1)
-	go func() { answered <- ask() }()
+	go func() { answered <- send() }()
 	select {
 	case err := <-answered:
-		t.Errorf("over a cut: %v", err)
+		t.Errorf("a request completed during the partition: %v", err)
 	default:
 	}
 	close(healed)
@@ -234,23 +236,23 @@
 		t.Error(err)
 	}
 	m.kill()
-	if err := ask(); !errors.Is(err, errMachineDown) {
-		t.Errorf("a dead machine asks: %v", err)
+	if err := send(); !errors.Is(err, errMachineDown) {
+		t.Errorf("a request after kill: got %v, want errMachineDown", err)
 	}
 }
 
-// A version is in force when the last node runs it, once each, and only those that it waits for count.
+// A propagation is done when the last expected node runs the version. Repeated reports and reports of other nodes do not count.
 func TestTracker(t *testing.T) {
 	var tr versionTracker
 	a, b := []byte(`{"a":1}`), []byte(`{"b":1}`)
 	s := tr.expect(a, []string{"n1", "n2"})
-	for _, who := range []string{"n1", "n1", "n3"} {
-		tr.recordRunning(who, a)
+	for _, name := range []string{"n1", "n1", "n3"} {
+		tr.recordRunning(name, a)
 	}
 	tr.recordRunning("n2", b)
 	select {
 	case <-s.done:
-		t.Fatal("n2 does not run it")
+		t.Fatal("the propagation is done before n2 runs the version")
 	default:
 	}
 	tr.recordRunning("n2", a)
--- a/internal/lab/scale/slopes.go
+++ b/internal/lab/scale/slopes.go
@@ -7,11 +7,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is the growth of a figure with the number of nodes: a linear regression over all plays.
+// Slope is the growth of a figure with the number of nodes, from a linear regression over all plays.
 type Slope struct {
 	PerNode   float64 `json:"per_node"`
 	Intercept float64 `json:"at_zero"`
-	StdDev    float64 `json:"spread"` // standard deviation of the slopes of single plays; 0 with one play
+	StdDev    float64 `json:"spread"` // standard deviation of the slopes of single plays; zero with one play
 	R2        float64 `json:"r2"`
 	Points    int     `json:"points"`
 }
@@ -40,7 +40,8 @@
 	}
 }
 
-// median returns the median of each figure that every play has measured, and the reason of one that has not.
+// median returns the median of each figure that all plays have measured. For other figures it returns the reason of a
+// play that has not measured it.
 func median(plays []*Figures) *Figures {
 	m := newFigures(plays[0].Nodes)
 	for _, k := range Keys {
@@ -62,18 +63,18 @@
 	}
 	for _, f := range plays {
 		m.WithinBounds, m.Notes = m.WithinBounds && f.WithinBounds, append(m.Notes, f.Notes...)
-		for _, who := range f.BlockedBy {
-			if !slices.Contains(m.BlockedBy, who) {
-				m.BlockedBy = append(m.BlockedBy, who)
+		for _, blockedBy := range f.BlockedBy {
+			if !slices.Contains(m.BlockedBy, blockedBy) {
+				m.BlockedBy = append(m.BlockedBy, blockedBy)
 			}
 		}
 	}
 	return m
 }
 
-// slopeOf returns the slope of a figure, or nil where fewer than two sizes have it.
+// slopeOf returns the slope of a figure, or nil if it was measured at fewer than two sizes.
 func slopeOf(plays [][]*Figures, k Key) *Slope {
-	var xs, ys, alone []float64
+	var xs, ys, playSlopes []float64
 	sizes := map[int]bool{}
 	for _, play := range plays {
 		var x, y []float64
@@ -85,7 +86,7 @@
 		}
 		if len(x) > 1 {
 			_, b := stat.LinearRegression(x, y, nil, false)
-			alone = append(alone, b)
+			playSlopes = append(playSlopes, b)
 		}
 		xs, ys = append(xs, x...), append(ys, y...)
 	}
@@ -97,8 +98,8 @@
 	if r2 := stat.RSquared(xs, ys, nil, a, b); !math.IsNaN(r2) && !math.IsInf(r2, 0) {
 		s.R2 = r2
 	}
-	if len(alone) > 1 {
-		s.StdDev = stat.StdDev(alone, nil)
+	if len(playSlopes) > 1 {
+		s.StdDev = stat.StdDev(playSlopes, nil)
 	}
 	return s
 }
--- a/internal/lab/scale/staticdiscovery.go
+++ b/internal/lab/scale/staticdiscovery.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// staticDiscovery serves a list that never changes, so that what the node without control spends on its list is not counted as
-// control.
+// staticDiscovery serves a list that never changes. Both real nodes follow it, so that the cost of following a list does
+// not count as a cost of control.
 type staticDiscovery struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// heartbeatInterval is the interval of heartbeats on a watch, as in the registry.
+// heartbeatInterval is the interval of heartbeats on a watch. It is the same as the registry's.
 const heartbeatInterval = 2 * time.Second
 
 // serveStaticList serves an encoded list on a port of its own until close is called.
@@ -32,7 +32,7 @@
 		for http.NewResponseController(w).Flush() == nil {
 			select {
 			case <-heartbeat.C:
-				w.Write([]byte("\n")) // a disconnected reader shows at the flush
+				w.Write([]byte("\n")) // if the reader has disconnected, Flush fails
 			case <-q.Context().Done():
 				return
 			}
@@ -42,8 +42,8 @@
 	return s, nil
 }
 
-// addr returns the address that it serves.
+// addr returns the address at which the list is served.
 func (s *staticDiscovery) addr() string { return s.listener.Addr().String() }
 
-// close ends the server and its watches.
+// close stops the server and ends its watches.
 func (s *staticDiscovery) close() { s.server.Close() }
--- a/internal/lab/scale/versions.go
+++ b/internal/lab/scale/versions.go
@@ -15,8 +15,8 @@
 // Error implements error.
 func (b blockedError) Error() string { return "blocked: " + b.reason }
 
-// proposeNext proposes the next version, and again as long as it is rejected, and waits until all reachable nodes run it. If that
-// takes longer than timeout, the error is a blockedError.
+// proposeNext proposes the next version, retries while the proposal is rejected, and waits until all reachable nodes run
+// the version. If that takes longer than timeout, the error is a blockedError.
 func (p *play) proposeNext(ctx context.Context, timeout time.Duration) (*propagation, error) {
 	p.settingsMark++
 	settings, err := settingsOf(p.settingsMark)
@@ -26,7 +26,7 @@
 	return p.propose(ctx, p.versions.expect(settings, p.reachableNodes()), settings, timeout)
 }
 
-// propose writes a proposal until it is accepted, and waits for its propagation.
+// propose writes a proposal repeatedly until it is accepted, and waits for its propagation.
 func (p *play) propose(ctx context.Context, version *propagation, settings []byte, timeout time.Duration) (*propagation, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 		if err != nil && rejection == "" {
 			reason = err.Error()
 		}
-		if reason != "" { // a transport error says less than the rejection before it
+		if reason != "" { // a transport error does not replace an earlier rejection, which is more informative
 			rejection = reason
 		}
 		if sleep(ctx, proposalRetryInterval) != nil {
@@ -54,9 +54,9 @@
 	}
 }
 
-// tryPropose writes a proposal once. It returns why the registry rejected it, or "" if it was accepted.
+// tryPropose writes a proposal once. It returns the reason if the registry rejects it, or "" if it is accepted.
 func (p *play) tryPropose(ctx context.Context, settings []byte) (rejection string, _ error) {
-	answers, err := p.client.Write(ctx, state.Op{
+	results, err := p.client.Write(ctx, state.Op{
 		Kind:     state.OpPropose,
 		Value:    settings,
 		Replaces: p.versionNumber,
@@ -65,15 +65,15 @@
 	if err != nil {
 		return "", err
 	}
-	answer := answers[0]
-	if answer.Code == "" {
-		p.versionNumber = answer.Token
+	result := results[0]
+	if result.Code == "" {
+		p.versionNumber = result.Token
 		return "", nil
 	}
-	return cmp.Or(answer.Reason, string(answer.Code)), nil
+	return cmp.Or(result.Reason, string(result.Code)), nil
 }
 
-// blockedReason says what the version in progress waits for.
+// blockedReason returns the reason why the version in progress is not in force yet.
 func (p *play) blockedReason() string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -82,17 +82,17 @@
 	case err != nil:
 		return err.Error()
 	case view.Rollout == nil || view.Rollout.Pending == nil:
-		return "not all nodes run what all were told"
+		return "not all nodes run the version that was sent to all"
 	case view.Rollout.HaltReason != "":
 		return view.Rollout.HaltReason
 	}
 	if err := view.Rollout.CheckReady(); err != nil {
 		return err.Error()
 	}
-	return "no controller tells it"
+	return "no controller advances the version"
 }
 
-// recordVersion records the outcome of a version that may be blocked, and says whether it was.
+// recordVersion records the outcome of a version that may be blocked, and reports whether it was.
 func (p *play) recordVersion(key Key, version *propagation, err error, took time.Duration) (isBlocked bool, _ error) {
 	var blocked blockedError
 	switch {
@@ -108,7 +108,7 @@
 	return false, err
 }
 
-// measureSingleVersions brings versions into force one at a time.
+// measureSingleVersions brings versions into force one at a time and records their time and cost.
 func (p *play) measureSingleVersions(ctx context.Context) error {
 	var times []time.Duration
 	var bytes, agentBytes, calls, writes, processorSeconds float64
@@ -133,11 +133,11 @@
 			return err
 		}
 		times = append(times, version.propagationTimes()...)
-		bytes += float64(after.bytes-before.bytes)/float64(p.nodes) - p.figures.Values[KeyRestBytes]*took
-		agentBytes += float64(agentsAfter.bytes-agents.bytes)/float64(p.nodes) - p.figures.Values[KeyAgentRestBytes]*took
-		calls += float64(after.calls-before.calls)/float64(p.nodes) - p.figures.Values[KeyRestCalls]*took
+		bytes += float64(after.bytes-before.bytes)/float64(p.nodes) - p.figures.Values[KeyIdleBytes]*took
+		agentBytes += float64(agentsAfter.bytes-agents.bytes)/float64(p.nodes) - p.figures.Values[KeyAgentIdleBytes]*took
+		calls += float64(after.calls-before.calls)/float64(p.nodes) - p.figures.Values[KeyIdleCalls]*took
 		writes += float64(to.Revision - from.Revision)
-		processorSeconds += (p.replicaProcessorTime() - processorBefore).Seconds() - p.restReplicaCores*took
+		processorSeconds += (p.replicaProcessorTime() - processorBefore).Seconds() - p.idleReplicaCores*took
 	}
 	count := float64(p.options.Pace.SingleVersions)
 	p.figures.set(KeyInForceP99, quantile(times, 0.99).Seconds())
@@ -150,13 +150,13 @@
 	return nil
 }
 
-// measureBursts measures versions that services propose at once. The registry accepts one at a time; the others wait here for their
-// turn.
+// measureBursts measures versions that services propose at the same time. Since the registry accepts one at a time, the
+// others are queued here.
 func (p *play) measureBursts(ctx context.Context) error {
 	for i, size := range p.options.Pace.Bursts {
 		key := []Key{KeyBurst10, KeyBurst40}[min(i, 1)]
 		if before := p.figures.Values[KeyBurstRate]; i > 0 && float64(size)/before > p.options.Pace.VersionTimeout.Seconds() {
-			p.figures.setMissing(key, "not played: at %.2f versions a second, as in the burst of %d, it takes %.0f s, over %v",
+			p.figures.setMissing(key, "skipped: at %.2f versions/s, as in the burst of %d, it would take %.0f s, more than %v",
 				before, p.options.Pace.Bursts[i-1], float64(size)/before, p.options.Pace.VersionTimeout)
 			break
 		}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// measureBurst brings size versions into force, one directly after the other, within VersionTimeout.
+// measureBurst brings size versions into force, each directly after the one before, within VersionTimeout.
 func (p *play) measureBurst(ctx context.Context, key Key, size int) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Pace.VersionTimeout)
 	defer cancel()
--- a/internal/lab/scale/wait.go
+++ b/internal/lab/scale/wait.go
@@ -10,7 +10,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// pollUntil calls condition at an interval until it returns true. Its string says what is still missing.
+// pollUntil calls condition at an interval until it returns true. The string that condition returns describes what is missing.
 func pollUntil(ctx context.Context, interval, timeout time.Duration, condition func(context.Context) (bool, string)) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -24,13 +24,13 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("not within %v: %s", timeout, missing)
+			return fmt.Errorf("not completed within %v: %s", timeout, missing)
 		}
 	}
 }
 
-// awaitConvergence waits until every node that the registry counts runs the version in force. It reads that version's number, which
-// the next proposal has to name: the answer to an earlier proposal may have been lost.
+// awaitConvergence waits until every node that the registry counts runs the version in force. It also reads the number of that
+// version, which the next proposal must name, since the response to an earlier proposal may have been lost.
 func (p *play) awaitConvergence(ctx context.Context) error {
 	return pollUntil(ctx, pollInterval, convergeTimeout, func(ctx context.Context) (bool, string) {
 		view, err := p.coordinationView(ctx)
@@ -38,9 +38,9 @@
 		case err != nil:
 			return false, err.Error()
 		case view.Rollout == nil || len(view.Rollout.Nodes) < p.nodes+1:
-			return false, "not all nodes are known"
+			return false, "not all nodes are registered"
 		case !view.Rollout.Converged():
-			return false, "not all run what is in force"
+			return false, "not all nodes run the version in force"
 		}
 		p.versionNumber = view.Rollout.Committed.Number
 		return true, ""
@@ -57,7 +57,7 @@
 	}
 }
 
-// firstLine returns the first line of a text, cut to 240 bytes.
+// firstLine returns the first line of a text, truncated to 240 bytes.
 func firstLine(text string) string {
 	text, _, _ = strings.Cut(text, "\n")
 	return text[:min(len(text), 240)]
@@ -66,7 +66,7 @@
 // endpoints returns the addresses of the replicas.
 func (p *play) endpoints() []string { return p.cluster.Addresses() }
 
-// coordinationView reads the coordination state from the registry, without the units.
+// coordinationView reads the coordination state, without the units, from the registry.
 func (p *play) coordinationView(ctx context.Context) (*state.CoordinationView, error) {
 	var view state.CoordinationView
 	return &view, p.client.Call(ctx, "GET", api.PathCoordination+"?consistent=1", nil, &view)
