--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,4 +1,4 @@
-// Package compare compares the results of two variants seed by seed, and states the confidence of each difference.
+// Package compare compares the results of two variants seed by seed and computes a confidence interval for each difference.
 package compare
 
 import (
@@ -10,13 +10,13 @@
 	"umberbank/internal/lab"
 )
 
-// Metric is one figure of a run, by its key in the result's JSON form.
+// Metric is a figure of a run. Name is its key in the result's JSON form.
 type Metric struct {
 	Name  string
 	Value func(*lab.Result) float64
 }
 
-// Metrics lists the figures that are compared.
+// Metrics lists the figures that are compared, in the order of the output.
 var Metrics = []Metric{
 	{"served_share", func(r *lab.Result) float64 { return r.ServedShare }},
 	{"worth_share", func(r *lab.Result) float64 { return r.WeightedServedShare }},
@@ -30,15 +30,15 @@
 
 // highestP99 returns the highest 99th percentile of any class.
 func highestP99(r *lab.Result) float64 {
-	worst := 0.0
+	highest := 0.0
 	for _, c := range r.Classes {
-		worst = max(worst, c.P99MS)
+		highest = max(highest, c.P99MS)
 	}
-	return worst
+	return highest
 }
 
-// Difference is one metric of both variants, paired by seed. Low and High bound the mean of B less A with 95%
-// confidence (percentile bootstrap over the seeds; Efron, "Bootstrap methods", 1979).
+// Difference compares one metric of variants A and B, paired by seed. Low and High are the bounds of the 95% confidence
+// interval of the mean of B - A (percentile bootstrap over the seeds; Efron, "Bootstrap methods", 1979).
 type Difference struct {
 	Metric            string  `json:"measure"`
 	A                 float64 `json:"a"`
@@ -46,17 +46,17 @@
 	Mean              float64 `json:"difference"`
 	Low               float64 `json:"low"`
 	High              float64 `json:"high"`
-	LargestDifference float64 `json:"largest"` // absolute, of any one seed
+	LargestDifference float64 `json:"largest"` // largest absolute difference of a single seed
 	Verdict           string  `json:"verdict"`
 }
 
-// minSeeds is the least number of pairs for a verdict: fewer have too few distinct resamples for 95%.
+// minSeeds is the smallest number of pairs for a verdict. Fewer pairs have too few distinct resamples for 95% confidence.
 const minSeeds = 6
 
 // resamples is the number of bootstrap resamples.
 const resamples = 10_000
 
-// Compare computes the differences of paired runs: a[i] and b[i] are of one seed.
+// Compare computes the differences of paired runs. a[i] and b[i] must be runs with the same seed.
 func Compare(a, b []*lab.Result) ([]Difference, error) {
 	if len(a) != len(b) || len(a) == 0 {
 		return nil, fmt.Errorf("%d runs of one side and %d of the other cannot be paired", len(a), len(b))
@@ -80,7 +80,7 @@
 	return l, nil
 }
 
-// verdict states what the bounds show.
+// verdict describes in words what the bounds show.
 func verdict(n int, low, high float64) string {
 	switch {
 	case n < minSeeds:
@@ -95,7 +95,7 @@
 	return fmt.Sprintf("no difference shown; one of less than about %.2g would not show", max(high, -low))
 }
 
-// mean returns the arithmetic mean.
+// mean returns the arithmetic mean of a list that is not empty.
 func mean(l []float64) float64 {
 	sum := 0.0
 	for _, v := range l {
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -16,7 +16,7 @@
 	return l
 }
 
-// A difference that every seed shows is told, one that is noise is not, and few seeds tell nothing.
+// A consistent difference is reported, and noise is not. Too few seeds give no verdict.
 func TestVerdicts(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	noise := func(int) float64 { return 0.9 + 0.01*r.NormFloat64() }
@@ -45,10 +45,10 @@
 	}
 }
 
-// The bounds hold the true mean about as often as they say.
+// The confidence interval contains the true mean in about 95% of the trials.
 func TestBoundsCover(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	held := 0
+	covered := 0
 	const trials = 200
 	for range trials {
 		diffs := make([]float64, 20)
@@ -56,10 +56,10 @@
 			diffs[i] = 1 + r.NormFloat64()
 		}
 		if low, high := bootstrap(diffs); low <= 1 && 1 <= high {
-			held++
+			covered++
 		}
 	}
-	if held < trials*85/100 || held > trials*99/100 {
-		t.Errorf("the bounds hold the mean in %d of %d", held, trials)
+	if covered < trials*85/100 || covered > trials*99/100 {
+		t.Errorf("the interval contains the mean in %d of %d trials", covered, trials)
 	}
 }
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -12,37 +12,37 @@
 
 // Options configure a measurement.
 type Options struct {
-	// Node is the command of a node, which takes --stats FILE (see WriteStatsOnSignals), and Relay that of the baseline relay
-	// (see ServeRelay). Default: this program's own.
+	// Node is the command of a node, and Relay that of the baseline relay (see ServeRelay). Both take --stats FILE (see
+	// WriteStatsOnSignals). Each defaults to a subcommand of this program.
 	Node, Relay []string
-	// Duration of each of the five measurements. Default: 3 s.
+	// Duration is the duration of each of the five measurements. It defaults to 3 s.
 	Duration time.Duration
-	// Step receives the name of each measurement, if it is not nil.
+	// Step receives the name of each measurement. It may be nil.
 	Step func(string)
-	// Rate is the number of requests a second at which latencies are measured. Default: half of the lower throughput.
+	// Rate is the number of requests per second at which latencies are measured. It defaults to half of the lower throughput.
 	Rate float64
-	// Servers is the number of servers in the list, up to MaxServers. Default: 8.
+	// Servers is the number of servers in the list, at most MaxServers. It defaults to 8.
 	Servers int
 }
 
-// Result is the cost of a node and of a baseline relay. Ratios are of the node to the relay.
+// Result is the cost of a node and of the baseline relay. Ratios are those of the node to the relay.
 type Result struct {
 	Node            ProcessCost `json:"node"`
 	Relay           ProcessCost `json:"bare_relay"`
-	Direct          Latency     `json:"direct"`     // of the servers themselves, at the paced rate
-	Servers         int         `json:"servers"`    // in the list
-	PacedRate       float64     `json:"paced_rps"`  // requests a second at which latencies were measured
-	AddedP99Ratio   float64     `json:"p99_ratio"`  // of the added latencies; 0 where the relay added none
+	Direct          Latency     `json:"direct"`     // of requests sent directly to the servers, at the paced rate
+	Servers         int         `json:"servers"`    // number of servers in the list
+	PacedRate       float64     `json:"paced_rps"`  // requests per second at which latencies were measured
+	AddedP99Ratio   float64     `json:"p99_ratio"`  // of the added latencies; zero if the relay added none
 	ThroughputRatio float64     `json:"held_ratio"` // of the throughputs
-	CPURatio        float64     `json:"cpu_ratio"`  // of the processor times of a request
+	CPURatio        float64     `json:"cpu_ratio"`  // of the processor times per request
 	AllocRatio      float64     `json:"alloc_ratio"`
 	Valid           bool        `json:"valid"`  // the load was sent on time
 	Pinned          bool        `json:"pinned"` // each process ran on one core of its own
 }
 
-// ProcessCost is the cost of one process.
+// ProcessCost is the cost of the node or of the baseline relay.
 type ProcessCost struct {
-	Throughput   float64            `json:"held_rps"` // requests served a second with every connection busy
+	Throughput   float64            `json:"held_rps"` // requests served per second with every connection busy
 	Rejected     int                `json:"refused"`
 	CPUMicros    float64            `json:"cpu_us_per_request"`
 	AllocBytes   float64            `json:"alloc_bytes_per_request"`
@@ -56,33 +56,33 @@
 	Descriptors  int                `json:"descriptors"`
 }
 
-// Latency is quantiles of a latency, in microseconds.
+// Latency has quantiles of a latency, in microseconds.
 type Latency struct {
 	P50 float64 `json:"p50_us"`
 	P99 float64 `json:"p99_us"`
 }
 
-// minus returns the difference of the quantiles.
+// minus returns the differences of the quantiles of l and o.
 func (l Latency) minus(o Latency) Latency { return Latency{l.P50 - o.P50, l.P99 - o.P99} }
 
 const (
-	// busyConnections is the number of connections of the throughput measurement, pacedConnections of the others.
+	// busyConnections is the number of connections of a throughput measurement, pacedConnections that of a latency measurement.
 	busyConnections  = 32
 	pacedConnections = 64
 	defaultServers   = 8
 	defaultDuration  = 3 * time.Second
-	// warmUpDuration is the load before the throughput measurement.
+	// warmUpDuration is the duration of the load before a throughput measurement.
 	warmUpDuration = time.Second
-	// startTimeout bounds the start of a process, and the wait for its statistics.
+	// startTimeout is the timeout for the start of a process, and for its statistics.
 	startTimeout = 10 * time.Second
-	// maxLateShare is the share of requests sent later than maxSendDelay in a valid run.
+	// maxLateShare is the largest share of late requests in a valid run.
 	maxLateShare = 0.01
 )
 
-// MaxServers is the longest list that is measured.
+// MaxServers is the largest number of servers that a measurement supports.
 const MaxServers = 4096
 
-// Validate returns why the options are invalid. Nothing is started for invalid options.
+// Validate returns an error if the options are invalid.
 func (o *Options) Validate() error {
 	switch {
 	case o.Rate < 0 || math.IsNaN(o.Rate) || math.IsInf(o.Rate, 0):
@@ -106,8 +106,8 @@
 	}
 }
 
-// Measure measures a node and the baseline relay. It takes about five times Options.Duration, and ends its processes before it
-// returns.
+// Measure measures a node and the baseline relay. It takes about five times Options.Duration, and stops its processes before it
+// returns. If the options are invalid, it starts no process.
 func Measure(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -170,7 +170,7 @@
 		r.PacedRate = lower / 2
 	}
 	if r.PacedRate >= lower {
-		return fmt.Errorf("rate: %.0f a second is not below what is held, %.0f", r.PacedRate, lower)
+		return fmt.Errorf("rate: %.0f requests/s is not below the lower throughput, %.0f requests/s", r.PacedRate, lower)
 	}
 	var err error
 	if r.Direct, err = m.latency(ctx, "no relay", func(i int) string { return m.servers[i%len(m.servers)] }); err != nil {
@@ -195,7 +195,7 @@
 
 // throughput measures the throughput of a process and the cost of a request.
 func (m *measurement) throughput(ctx context.Context, name string, p *measuredProcess, s *ProcessCost) error {
-	m.options.Step("what " + name + " holds")
+	m.options.Step("throughput of " + name + " with all connections busy")
 	if err := p.measureThroughput(ctx, m.options.Duration, s); err != nil {
 		return fmt.Errorf("%s: %w: %s", name, err, p.logTail())
 	}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/node"
 )
 
-// The test binary is the processes that are measured too.
+// The test binary is also the program of the measured processes.
 func TestMain(m *testing.M) {
 	mode := os.Getenv("COST_TEST_PROCESS")
 	if mode == "" {
@@ -46,9 +46,10 @@
 	return []string{"/usr/bin/env", "COST_TEST_PROCESS=" + mode, self}
 }
 
-// A measurement of real processes: every figure is there, and the parts make up the whole.
+// A measurement of real processes has every figure, and the parts of the processor time add up to the total.
 func TestMeasure(t *testing.T) {
-	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 3 * time.Second}) // 100 samples a second, one in twenty of the module
+	// The profile has 100 samples per second, about one in twenty of them in the balancer.
+	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 3 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,15 +62,15 @@
 			sum += s.CPUSplit[p]
 		}
 		if math.Abs(sum-s.CPUMicros) > 0.01*s.CPUMicros {
-			t.Errorf("%s: the parts are %v of %v us", name, sum, s.CPUMicros)
+			t.Errorf("%s: the parts add up to %v us, want %v us", name, sum, s.CPUMicros)
 		}
 	}
 	if r.Node.CPUSplit[PartBalancer] <= 0 || r.Relay.CPUSplit[PartBalancer] != 0 || r.Direct.P50 <= 0 {
-		t.Errorf("module %v and %v us, direct %v", r.Node.CPUSplit[PartBalancer], r.Relay.CPUSplit[PartBalancer], r.Direct)
+		t.Errorf("balancer part of the node %v us, of the relay %v us; direct latency %v", r.Node.CPUSplit[PartBalancer], r.Relay.CPUSplit[PartBalancer], r.Direct)
 	}
 }
 
-// At a given rate, with a list of a given length, the figures are of these; what makes no sense starts nothing.
+// A measurement uses the given rate and number of servers. Invalid options start no process.
 func TestRate(t *testing.T) {
 	r, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 500 * time.Millisecond, Rate: 50, Servers: 31})
 	if err != nil {
@@ -81,30 +82,31 @@
 	if want := r.Node.Added.P99 / r.Relay.Added.P99; r.Relay.Added.P99 > 0 && r.AddedP99Ratio != want {
 		t.Errorf("the ratio is %v, want %v", r.AddedP99Ratio, want)
 	}
-	none := []string{"/bin/sh", "-c", "echo started; exit 1"}
+	failing := []string{"/bin/sh", "-c", "echo started; exit 1"}
 	for want, o := range map[string]Options{"rate: -1 is no number": {Rate: -1}, "rate: NaN": {Rate: math.NaN()}, "rate: +Inf": {Rate: math.Inf(1)},
 		"servers: -1 is not": {Servers: -1}, "servers: 4097 is not from 1 to 4096": {Servers: MaxServers + 1}} {
-		o.Node = none
+		o.Node = failing
 		if _, err := Measure(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "started") {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if _, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 200 * time.Millisecond, Rate: 1e9}); err == nil || !strings.Contains(err.Error(), "is not below what is held") {
-		t.Errorf("a rate that nobody holds: %v", err)
+	if _, err := Measure(t.Context(), Options{Node: command(t, "node"), Relay: command(t, "relay"), Duration: 200 * time.Millisecond, Rate: 1e9}); err == nil || !strings.Contains(err.Error(), "is not below the lower throughput") {
+		t.Errorf("a rate above the throughput: %v", err)
 	}
 }
 
-// A command that ends, or never is ready, is told with what it said.
+// If a command exits or does not become ready, the error contains its output.
 func TestCannotStart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err := Measure(ctx, Options{Node: []string{"/bin/sh", "-c", "echo out of luck; exit 1"}})
-	if err == nil || !strings.Contains(err.Error(), "out of luck") {
+	_, err := Measure(ctx, Options{Node: []string{"/bin/sh", "-c", "echo cannot start; exit 1"}})
+	if err == nil || !strings.Contains(err.Error(), "cannot start") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// The innermost frame that says a part decides, but the module has all that it calls.
+// A sample belongs to the balancer if the balancer is on its stack, and otherwise to the part of the innermost frame that
+// has one.
 func TestParts(t *testing.T) {
 	for want, stack := range map[string][]string{
 		PartBalancer: {"runtime.mapassign", "slices.SortFunc", "umberbank/balancer.(*Balancer).arrange", "umberbank/internal/node.(*loop).handle"},
--- a/internal/lab/cost/instant.go
+++ b/internal/lab/cost/instant.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// instantServer is an HTTP/1.1 server that answers at once, with as little work as possible.
+// instantServer is an HTTP/1.1 server that responds at once and does as little work as possible.
 type instantServer struct {
 	listener    net.Listener
 	connections sync.WaitGroup
@@ -16,7 +16,7 @@
 	open        map[net.Conn]struct{}
 }
 
-// newInstantServer starts a server on a port of its own.
+// newInstantServer starts a server on a free port.
 func newInstantServer() (*instantServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 	return s, nil
 }
 
-// serve answers the requests of one connection.
+// serve responds to the requests of one connection.
 func (s *instantServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -57,7 +57,7 @@
 	}
 }
 
-// close ends the server and its connections.
+// close stops the server, closes its connections and waits for their goroutines.
 func (s *instantServer) close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// loader sends requests over a number of connections.
+// loader generates load over a number of connections.
 type loader struct {
 	addr func(i int) string // of connection i
 	ids  atomic.Uint64
@@ -23,11 +23,12 @@
 // loadResult counts the requests of a load.
 type loadResult struct {
 	served, other int
-	latency       *hdrhistogram.Histogram // in ns, from the scheduled time where there is one
-	late          int                     // sent later than maxSendDelay
+	latency       *hdrhistogram.Histogram // in ns, from the scheduled time of a request if it has one
+	late          int                     // requests sent later than maxSendDelay
 }
 
-// late is how late a request may be sent, and responseTimeout how long its response may take.
+// maxSendDelay is the delay after its scheduled time up to which a request counts as sent on time. responseTimeout is the
+// timeout of a response, and maxLatencyNS the upper bound of the latency histogram.
 const (
 	maxSendDelay    = 5 * time.Millisecond
 	responseTimeout = 10 * time.Second
@@ -42,7 +43,7 @@
 	})
 }
 
-// runPaced sends requests at a constant rate, whatever the responses: connection i sends every conns-th.
+// runPaced sends requests at a constant rate, independently of the responses. Each connection sends every conns-th request.
 func (l *loader) runPaced(ctx context.Context, conns int, rate float64, d time.Duration) (loadResult, error) {
 	start := time.Now()
 	gap := float64(time.Second) / rate
@@ -57,7 +58,8 @@
 	})
 }
 
-// run runs all connections. The plan of connection i returns the time of its next request, zero for now, or false at the end.
+// run runs all connections. plan returns the schedule of connection i, a function that returns the time of the next request (zero
+// means now), or false at the end.
 func (l *loader) run(ctx context.Context, conns int, plan func(i int) func() (time.Time, bool)) (loadResult, error) {
 	counts, errs := make([]loadResult, conns), make([]error, conns)
 	var all sync.WaitGroup
@@ -76,7 +78,7 @@
 	return sum, ctx.Err()
 }
 
-// runConnection sends the requests of one connection.
+// runConnection sends requests on one connection until next returns false.
 func (l *loader) runConnection(ctx context.Context, addr string, next func() (time.Time, bool)) (loadResult, error) {
 	n := loadResult{latency: hdrhistogram.New(1, maxLatencyNS, 3)}
 	c, err := net.DialTimeout("tcp", addr, responseTimeout)
@@ -109,7 +111,7 @@
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
 			n.served++
-			_ = n.latency.RecordValue(int64(time.Since(at))) // within the bounds by responseTimeout
+			_ = n.latency.RecordValue(int64(time.Since(at))) // responseTimeout keeps it within the bounds
 		} else {
 			n.other++
 		}
--- a/internal/lab/cost/process.go
+++ b/internal/lab/cost/process.go
@@ -19,10 +19,10 @@
 	"umberbank/internal/process"
 )
 
-// clockTicksPerSecond is the unit in which /proc counts processor time.
+// clockTicksPerSecond is the number of clock ticks per second. /proc gives processor time in clock ticks.
 const clockTicksPerSecond = 100
 
-// measuredProcess is a process under measurement.
+// measuredProcess is a process whose cost is measured.
 type measuredProcess struct {
 	cmd       *exec.Cmd
 	addr      string
@@ -31,11 +31,11 @@
 	pinned    bool
 }
 
-// address returns the address of the process, for every connection.
+// address returns the address of the process, which is the same for every connection.
 func (p *measuredProcess) address(int) string { return p.addr }
 
-// startMeasured runs a command with one core, and waits until it is ready.
-func startMeasured(ctx context.Context, by *process.Launcher, command []string, env []string, dir, name, addr string) (*measuredProcess, error) {
+// startMeasured starts a command with GOMAXPROCS=1, pins it to a core if possible, and waits until it is ready.
+func startMeasured(ctx context.Context, launcher *process.Launcher, command []string, env []string, dir, name, addr string) (*measuredProcess, error) {
 	p := &measuredProcess{addr: addr, statsPath: filepath.Join(dir, name+".stats"), logPath: filepath.Join(dir, name+".log")}
 	log, err := os.Create(p.logPath)
 	if err != nil {
@@ -45,7 +45,7 @@
 	p.cmd = exec.Command(command[0], append(command[1:len(command):len(command)], "--stats", p.statsPath)...)
 	p.cmd.Env = append(append(os.Environ(), "GOMAXPROCS=1"), env...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	if err := by.Start(p.cmd); err != nil {
+	if err := launcher.Start(p.cmd); err != nil {
 		return nil, err
 	}
 	p.pinned = pin(p.cmd.Process.Pid)
@@ -66,16 +66,16 @@
 	}
 }
 
-// pin binds a process to the last core that this program may use, as the load runs mostly on the others. It returns false where that is
-// not possible.
+// pin binds a process to the last core that this program may use, as the load runs mostly on the others. It returns false
+// if that is not possible.
 func pin(pid int) bool {
-	var may unix.CPUSet
-	if unix.SchedGetaffinity(0, &may) != nil || may.Count() < 2 {
+	var allowed unix.CPUSet
+	if unix.SchedGetaffinity(0, &allowed) != nil || allowed.Count() < 2 {
 		return false
 	}
 	last := 0
-	for i := range 8 * len(may) * 8 {
-		if may.IsSet(i) {
+	for i := range 8 * len(allowed) * 8 {
+		if allowed.IsSet(i) {
 			last = i
 		}
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return false
 	}
-	for _, t := range threads { // later ones inherit it
+	for _, t := range threads { // threads that start later inherit the affinity
 		if id, err := strconv.Atoi(t.Name()); err != nil || unix.SchedSetaffinity(id, &one) != nil {
 			return false
 		}
@@ -93,13 +93,13 @@
 	return true
 }
 
-// stop kills the process and waits for its end.
+// stop kills the process and waits until it has exited.
 func (p *measuredProcess) stop() {
 	p.cmd.Process.Kill()
-	_ = p.cmd.Wait() // killed
+	_ = p.cmd.Wait() // returns the error of a killed process
 }
 
-// logTail returns the end of the process's log.
+// logTail returns the last 500 bytes of the process's log.
 func (p *measuredProcess) logTail() string {
 	text, err := os.ReadFile(p.logPath)
 	if err != nil {
@@ -117,12 +117,12 @@
 			return st, json.Unmarshal(text, &st)
 		}
 		if time.Now().After(deadline) {
-			return st, fmt.Errorf("it wrote no figures: %w", err)
+			return st, fmt.Errorf("the process wrote no statistics: %w", err)
 		}
 	}
 }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the processor time that the process has used, or zero if it is not running.
 func (p *measuredProcess) processorTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -133,12 +133,12 @@
 	if len(f) < 13 {
 		return 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64) // the system writes numbers there
+	user, _ := strconv.ParseInt(f[11], 10, 64) // the kernel writes numbers in these fields
 	sys, _ := strconv.ParseInt(f[12], 10, 64)
 	return time.Duration(user+sys) * time.Second / clockTicksPerSecond
 }
 
-// usage returns the process's resident memory in MB and its open descriptors.
+// usage returns the process's resident memory in MB and the number of its open descriptors.
 func (p *measuredProcess) usage() (mb float64, open int) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	if text, err := os.ReadFile(dir + "statm"); err == nil {
@@ -153,7 +153,7 @@
 	return mb, open
 }
 
-// freeAddress returns an address on loopback that nobody listens on.
+// freeAddress returns a free address on loopback.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/cost/stats.go
+++ b/internal/lab/cost/stats.go
@@ -1,5 +1,5 @@
-// Package cost measures throughput, added latency, processor time and memory of one node on one core, in comparison with a baseline
-// relay and with no relay at all.
+// Package cost measures throughput, added latency, processor time and memory of one node on one core, in comparison with
+// a baseline relay and with no relay at all.
 package cost
 
 import (
@@ -24,8 +24,8 @@
 	AllocShare map[string]float64 `json:"alloc_share"` // of the bytes
 }
 
-// The parts into which cost is split. PartNode is the node's own code between the others, PartRuntime the scheduler and the garbage
-// collector.
+// The parts into which cost is split. PartNode is the node's own code between the others, PartRuntime the scheduler and
+// the garbage collector.
 const (
 	PartBalancer = "module"
 	PartSockets  = "sockets"
@@ -40,7 +40,8 @@
 // memProfileRate is the mean number of allocated bytes for each sample of the profile.
 const memProfileRate = 8 << 10
 
-// WriteStatsOnSignals makes this process write its Stats between SIGUSR1 and SIGUSR2 to a file. It has to be called first of all.
+// WriteStatsOnSignals makes this process write its Stats for the time between SIGUSR1 and SIGUSR2 to a file. It must be
+// called before anything else, since it sets runtime.MemProfileRate.
 func WriteStatsOnSignals(path string) {
 	runtime.MemProfileRate = memProfileRate
 	signals := make(chan os.Signal, 2)
@@ -71,7 +72,7 @@
 
 // allocProfile returns the profile of all allocations so far, or nil if there is none.
 func allocProfile() *profile.Profile {
-	runtime.GC() // the profile is as of the last collection
+	runtime.GC() // the profile covers the time until the last collection
 	var b bytes.Buffer
 	if pprof.Lookup("allocs").WriteTo(&b, 0) != nil {
 		return nil
@@ -83,7 +84,7 @@
 	return p
 }
 
-// writeStats writes the Stats of a window to a file, in one step.
+// writeStats writes the Stats of the time between two signals to a file, atomically.
 func writeStats(path string, cpu []byte, from, to *profile.Profile, before, after *runtime.MemStats) error {
 	s := Stats{AllocBytes: after.TotalAlloc - before.TotalAlloc, Allocs: after.Mallocs - before.Mallocs}
 	p, err := profile.ParseData(cpu)
@@ -109,7 +110,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// sharesByPart returns the share of each part in a profile's values.
+// sharesByPart returns the share of each part in a profile's values of the given index.
 func sharesByPart(p *profile.Profile, value int) map[string]float64 {
 	sum := 0.0
 	shares := map[string]float64{}
@@ -124,7 +125,8 @@
 	return shares
 }
 
-// partOf returns the part of a sample: the balancer if it is anywhere on the stack, otherwise that of the innermost frame that has a part.
+// partOf returns the part of a sample. It is the balancer if the balancer is on the stack, and otherwise the part of the
+// innermost frame that has one.
 func partOf(s *profile.Sample) string {
 	found := PartRuntime
 	for _, l := range s.Location { // innermost first
@@ -152,7 +154,7 @@
 	return found
 }
 
-// hasAnyPrefix says whether a name begins with one of the prefixes.
+// hasAnyPrefix reports whether a name begins with one of the prefixes.
 func hasAnyPrefix(name string, prefixes ...string) bool {
 	for _, p := range prefixes {
 		if strings.HasPrefix(name, p) {
--- a/internal/lab/cost/subjects.go
+++ b/internal/lab/cost/subjects.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// nodeSockets is the node's limit of descriptors with defaultServers servers, socketsPerServer that for each further one.
+	// nodeSockets is the node's limit of descriptors with up to defaultServers servers. socketsPerServer is added for
+	// each further one.
 	nodeSockets      = 1024
 	socketsPerServer = 2
 )
 
-// startNode starts a node in front of the servers. Its discovery does not answer, so it keeps the list of its configuration.
-func startNode(ctx context.Context, by *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
+// startNode starts a node in front of the servers. Its discovery is unreachable, so it keeps the list of its configuration.
+func startNode(ctx context.Context, launcher *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
@@ -53,11 +54,11 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
-	return startMeasured(ctx, by, command, []string{"ROUTER_CONFIG=" + path}, dir, "node", addr)
+	return startMeasured(ctx, launcher, command, []string{"ROUTER_CONFIG=" + path}, dir, "node", addr)
 }
 
 // startRelay starts the baseline relay in front of the servers.
-func startRelay(ctx context.Context, by *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
+func startRelay(ctx context.Context, launcher *process.Launcher, command []string, dir string, addrs []string) (*measuredProcess, error) {
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
@@ -69,10 +70,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return startMeasured(ctx, by, append(command[:len(command):len(command)], "--listen", addr, "--to", strings.Join(addrs, ",")), nil, dir, "relay", addr)
+	return startMeasured(ctx, launcher, append(command[:len(command):len(command)], "--listen", addr, "--to", strings.Join(addrs, ",")), nil, dir, "relay", addr)
 }
 
-// ServeRelay runs the baseline relay: net/http alone, with the servers in turn. It returns when ctx ends.
+// ServeRelay runs the baseline relay, a reverse proxy of net/http that uses the servers in turn. It returns nil when ctx ends.
 func ServeRelay(ctx context.Context, listen string, to []string) error {
 	runtime.GOMAXPROCS(1)
 	var next atomic.Uint64
--- a/internal/lab/cost/throughput.go
+++ b/internal/lab/cost/throughput.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// measureThroughput keeps the process busy on all connections, and computes the cost of a request.
+// measureThroughput keeps the process busy on all connections and computes the cost of a request.
 func (p *measuredProcess) measureThroughput(ctx context.Context, d time.Duration, s *ProcessCost) error {
 	l := &loader{addr: p.address}
 	s.IdleMemoryMB, _ = p.usage()
 	if _, err := l.runBusy(ctx, busyConnections, warmUpDuration); err != nil {
 		return err
 	}
-	// First without the profile, which has a cost of its own.
+	// The first load runs without the profiler, which has a cost of its own.
 	before, began := p.processorTime(), time.Now()
 	c, err := l.runBusy(ctx, busyConnections, d)
 	if err != nil {
 		return err
 	}
 	if c.served == 0 {
-		return errors.New("it served nothing")
+		return errors.New("no request was served")
 	}
 	s.Throughput, s.Rejected = float64(c.served)/time.Since(began).Seconds(), c.other
 	s.CPUMicros = (p.processorTime() - before).Seconds() * 1e6 / float64(c.served+c.other)
 	s.MemoryMB, s.Descriptors = p.usage()
 
 	p.cmd.Process.Signal(syscall.SIGUSR1)
-	time.Sleep(100 * time.Millisecond) // the window may begin late: only shares are taken from it
+	time.Sleep(100 * time.Millisecond) // the profile may begin late, as only shares are taken from it
 	if c, err = l.runBusy(ctx, busyConnections, d); err != nil {
 		return err
 	}
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -13,7 +13,7 @@
 	title, note, unit string
 	lines             []line
 	faults            []lab.FaultSpan
-	minTop            float64 // the least value at the top of the axis
+	minTop            float64 // smallest value at the top of the y axis
 }
 
 // line is one line of a chart.
@@ -21,7 +21,7 @@
 	name   string
 	values plotter.XYs
 	dashed bool
-	faint  bool // one of many, without a place in the legend
+	faint  bool // one of many lines, drawn thin and without an entry in the legend
 }
 
 // charts returns the charts of a run.
@@ -42,7 +42,7 @@
 	return all
 }
 
-// series returns a value for each second in which value has one.
+// series returns a point for each second for which value returns true.
 func series(r *lab.Result, value func(*lab.Second) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for i := range r.Series {
@@ -53,7 +53,7 @@
 	return points
 }
 
-// shares returns the share that part has of total, by second, of the i-th class or zone.
+// shares returns part / total of the i-th class or zone for each second. Seconds with a total of zero are left out.
 func shares(r *lab.Result, i int, part, total func(*lab.Second) []int) plotter.XYs {
 	return series(r, func(s *lab.Second) (float64, bool) {
 		parts, totals := part(s), total(s)
@@ -75,7 +75,7 @@
 func servedByClass(r *lab.Result) chart {
 	c := chart{
 		title:  "Served by class",
-		note:   "share of the requests that came in a second and were served within the aim",
+		note:   "share of the requests of each second that were served within the latency objective",
 		unit:   "share",
 		minTop: 1,
 	}
@@ -89,7 +89,7 @@
 func lostByClass(r *lab.Result) chart {
 	c := chart{
 		title:  "Refused and failed by class",
-		note:   "share of the requests that came in a second; dashed: failed",
+		note:   "share of the requests of each second; dashed: failed",
 		unit:   "share",
 		minTop: 0.1,
 	}
@@ -103,7 +103,7 @@
 
 // servedByZone shows the share served of each zone's clients.
 func servedByZone(r *lab.Result) chart {
-	c := chart{title: "Served by the clients' zone", note: "share of the requests that came in a second", unit: "share", minTop: 1}
+	c := chart{title: "Served by the clients' zone", note: "share of the requests of each second", unit: "share", minTop: 1}
 	for i, name := range r.ZoneNames {
 		c.lines = append(c.lines, line{name: name, values: shares(r, i, zoneServed, requestsByZone)})
 	}
@@ -114,16 +114,16 @@
 func latency(r *lab.Result) chart {
 	return chart{
 		title: "Latency",
-		note:  "from the intended arrival to the answer, of what was answered",
+		note:  "from the scheduled arrival to the response, of requests with a response",
 		unit:  "ms",
 		lines: []line{
-			{name: "half", values: series(r, func(s *lab.Second) (float64, bool) { return s.P50MS, s.P50MS > 0 })},
-			{name: "99 in 100", values: series(r, func(s *lab.Second) (float64, bool) { return s.P99MS, s.P99MS > 0 })},
+			{name: "median", values: series(r, func(s *lab.Second) (float64, bool) { return s.P50MS, s.P50MS > 0 })},
+			{name: "99th percentile", values: series(r, func(s *lab.Second) (float64, bool) { return s.P99MS, s.P99MS > 0 })},
 		},
 	}
 }
 
-// requestRates shows requests, attempts and retries a second.
+// requestRates shows requests, attempts and retries per second.
 func requestRates(r *lab.Result) chart {
 	total := func(s *lab.Second) (float64, bool) {
 		sum := 0
@@ -134,7 +134,7 @@
 	}
 	return chart{
 		title: "Requests, attempts and retries",
-		note:  "a second; attempts are those that reached a server of any tier",
+		note:  "per second; attempts are those that reached a server of any tier",
 		unit:  "1/s",
 		lines: []line{
 			{name: "requests", values: series(r, total)},
@@ -144,12 +144,12 @@
 	}
 }
 
-// maxSeparateLines is the largest number of servers that are shown one by one.
+// maxSeparateLines is the largest number of servers that are shown by a line each.
 const maxSeparateLines = 40
 
-// inFlight shows the requests in flight at servers: their mean and maximum, and each server by itself where there are few.
+// inFlight shows the requests in flight at servers: the mean, the maximum, and each server if there are at most maxSeparateLines.
 func inFlight(r *lab.Result) chart {
-	c := chart{title: "In flight by server", note: "requests held at the end of each second; faint: each server", unit: "requests"}
+	c := chart{title: "In flight by server", note: "requests in flight at the end of each second; faint: each server", unit: "requests"}
 	var mean, most plotter.XYs
 	each := map[int]plotter.XYs{}
 	for i, s := range r.Series {
--- a/internal/lab/report/draw.go
+++ b/internal/lab/report/draw.go
@@ -17,7 +17,7 @@
 	"umberbank/internal/lab"
 )
 
-// colours can be told apart by readers with red-green colour blindness, too (palette of Okabe and Ito).
+// colours is the palette of Okabe and Ito, which readers with red-green colour blindness can distinguish.
 var colours = []color.NRGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}, {150, 120, 40, 255}}
 
@@ -28,7 +28,7 @@
 	textSize    = font.Length(9)
 	labelSize   = font.Length(7.5)
 	headroom    = 1.3  // factor by which the y axis is longer than the lines need, for the labels of faults
-	legendSpace = 1.17 // and to their right, for the legend
+	legendSpace = 1.17 // factor by which the x axis is longer, for the legend
 )
 
 // render draws a chart as SVG.
@@ -45,12 +45,12 @@
 	}
 	svg := b.String()
 	if i := strings.Index(svg, "<svg"); i > 0 {
-		svg = svg[i:] // the page has a head of its own
+		svg = svg[i:] // removes the XML declaration, since the SVG is embedded in a page
 	}
 	return svg, nil
 }
 
-// build lays a chart out.
+// build creates the plot of a chart.
 func build(c chart) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "time (s)", c.unit
@@ -85,7 +85,7 @@
 	return end
 }
 
-// addLines adds the lines that have values, the faint ones without a place in the legend.
+// addLines adds the lines that have values. Faint lines get no entry in the legend.
 func addLines(p *plot.Plot, lines []line) error {
 	colour := 0
 	for _, l := range lines {
@@ -115,10 +115,10 @@
 // faultBands draws faults as bands with their kinds as labels, in labelRows rows.
 type faultBands struct {
 	faults []lab.FaultSpan
-	end    float64 // of the run
+	end    float64 // end of the run
 }
 
-// labelRows is the number of rows of labels, from the top.
+// labelRows is the number of rows of labels.
 const labelRows = 4
 
 // Plot implements plot.Plotter.
@@ -136,7 +136,7 @@
 		from := x(f.FromSeconds)
 		to := max(x(math.Min(m.end, f.ToSeconds)), from+1)
 		c.FillPolygon(color.NRGBA{230, 159, 0, 45}, []vg.Point{{X: from, Y: c.Min.Y}, {X: to, Y: c.Min.Y}, {X: to, Y: c.Max.Y}, {X: from, Y: c.Max.Y}})
-		// The label goes into the first row where it covers no other; without one the band has no label.
+		// The label goes into the first row in which it covers no other label. If there is none, the band gets no label.
 		for row := range ends {
 			if from > ends[row] {
 				c.FillText(style, vg.Point{X: from + 1, Y: c.Max.Y - 1 - vg.Length(row)*style.Font.Size*1.1}, f.Kind)
@@ -147,13 +147,13 @@
 	}
 }
 
-// tickSteps are the distances between ticks of time, in seconds.
+// tickSteps are the possible distances between ticks of the time axis, in seconds.
 var tickSteps = []float64{1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200}
 
-// maxTicks is how many ticks of time there are at most.
+// maxTicks is the largest number of ticks of the time axis, apart from very long runs.
 const maxTicks = 16
 
-// ticks marks whole seconds up to the end of the run.
+// ticks returns ticks at whole seconds up to the end of the run.
 func ticks(end float64) plot.ConstantTicks {
 	step := tickSteps[len(tickSteps)-1]
 	for i := len(tickSteps) - 1; i >= 0 && end/tickSteps[i] <= maxTicks; i-- {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/lab"
 )
 
-// Read reads a result in the JSON form of lab run.
+// Read reads a result in the JSON form that "lab run" writes.
 func Read(r io.Reader) (*lab.Result, error) {
 	var res lab.Result
 	d := json.NewDecoder(r)
@@ -24,7 +24,7 @@
 	return &res, nil
 }
 
-// picture is one plot with its title.
+// picture is a rendered chart with its title.
 type picture struct {
 	Title string
 	Note  string
@@ -44,7 +44,7 @@
 	return page.Execute(w, map[string]any{"R": r, "Pictures": pictures})
 }
 
-// page is the template of the page.
+// page is the template of the HTML page.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.R.Scenario}}, seed {{.R.Seed}}</title>
 <style>
@@ -56,12 +56,12 @@
 <h1>{{.R.Scenario}}</h1>
 <p>Seed {{.R.Seed}}, {{if .R.Virtual}}virtual clock{{else}}real processes{{end}}, {{printf "%.0f" .R.Seconds}} s of load, {{.R.Requests}} requests.
 Served {{printf "%.3f" .R.ServedShare}}, worth {{printf "%.3f" .R.WeightedServedShare}}, {{printf "%.2f" .R.AttemptsPerRequest}} attempts a request.
-{{if .R.Partial}}<span class="bad">Broken off.</span>{{else if not .R.Valid}}<span class="bad">Not valid: the load went out late.</span>{{else if .R.FailedExpectations}}<span class="bad">Not held.</span>{{else}}All held.{{end}}</p>
+{{if .R.Partial}}<span class="bad">Interrupted.</span>{{else if not .R.Valid}}<span class="bad">Invalid: the load was sent late.</span>{{else if .R.FailedExpectations}}<span class="bad">Expectations not met.</span>{{else}}All expectations met.{{end}}</p>
 {{range .R.FailedExpectations}}<p class="bad">{{.}}</p>{{end}}
-<table><tr><th>class<th>asked<th>served<th>late<th>refused<th>failed<th>left<th>share<th>p50 ms<th>p90 ms<th>p99 ms</tr>
+<table><tr><th>class<th>asked<th>served<th>late<th>refused<th>failed<th>abandoned<th>share<th>p50 ms<th>p90 ms<th>p99 ms</tr>
 {{range $n := .R.ClassNames}}{{with index $.R.Classes $n}}<tr><td>{{$n}}<td>{{.Requests}}<td>{{.Served}}<td>{{.Late}}<td>{{.Rejected}}<td>{{.Failed}}<td>{{.Abandoned}}<td>{{printf "%.3f" .ServedShare}}<td>{{printf "%.1f" .P50MS}}<td>{{printf "%.1f" .P90MS}}<td>{{printf "%.1f" .P99MS}}</tr>{{end}}{{end}}</table>
 {{range .Pictures}}<h2>{{.Title}}</h2><p class="note">{{.Note}}</p>{{.SVG}}{{end}}
-{{if .R.Faults}}<h2>Faults</h2><table><tr><th>kind<th>from s<th>to s<th>hits</tr>
+{{if .R.Faults}}<h2>Faults</h2><table><tr><th>kind<th>from s<th>to s<th>targets</tr>
 {{range .R.Faults}}<tr><td>{{.Kind}}<td>{{printf "%.1f" .FromSeconds}}<td>{{printf "%.1f" .ToSeconds}}<td>{{range .Nodes}}{{.}} {{end}}{{range .Servers}}{{.}} {{end}}</tr>{{end}}</table>{{end}}
 {{if .R.Violations}}<h2>Rules broken</h2>{{range .R.Violations}}<p class="bad">{{.Rule}}: {{.Request}} {{.Detail}}</p><pre>{{range .Trace}}{{.}}
 {{end}}</pre>{{end}}{{end}}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,7 +11,7 @@
 	"umberbank/labs"
 )
 
-// A run is kept, read again and drawn: each picture with its axes named, and the faults on it.
+// A result is encoded, read again and written as a page. Every chart has labels on its axes, and the faults are shown.
 func TestPage(t *testing.T) {
 	text, err := labs.Files.ReadFile("flap.toml")
 	if err != nil {
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	run.FailedExpectations = []string{"a <wish>"}
-	kept, err := json.Marshal(run)
+	encoded, err := json.Marshal(run)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := Read(bytes.NewReader(kept))
+	read, err := Read(bytes.NewReader(encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		t.Errorf("%d pictures", n)
 	}
 	if strings.Contains(page.String(), "http://") && strings.Contains(page.String(), "src=") {
-		t.Error("the page wants something from elsewhere")
+		t.Error("the page loads external content")
 	}
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// Odd runs can be drawn too: one second, nothing served, a fault that outlasts the run.
-func TestOddRuns(t *testing.T) {
+// Unusual results can be drawn as well: a run of one second, no request served, and faults that begin or end after the run.
+func TestUnusualResults(t *testing.T) {
 	r := &lab.Result{Scenario: "x", ClassNames: []string{"a"}, ZoneNames: []string{"z", "y"}, Classes: map[string]*lab.ClassResult{"a": {}},
 		Series: []lab.Second{{Requests: []int{0}}}, Faults: []lab.FaultSpan{{Kind: "slow", FromSeconds: 0, ToSeconds: 99}, {Kind: "late", FromSeconds: 50, ToSeconds: 60}}}
 	if err := Write(&bytes.Buffer{}, r); err != nil {
--- a/internal/lab/report/served.go
+++ b/internal/lab/report/served.go
@@ -9,15 +9,15 @@
 	"umberbank/internal/lab"
 )
 
-// DrawServed draws the share served by second for several variants, each the mean of its runs, as SVG. The faults shown are those of
-// the first run.
+// DrawServed draws, as SVG, the share served in each second by several variants, over all runs of a variant. The faults shown are
+// those of the first run.
 func DrawServed(w io.Writer, names []string, runs [][]*lab.Result) error {
 	if len(runs) == 0 || len(runs) != len(names) || len(runs[0]) == 0 {
-		return errors.New("nothing was played")
+		return errors.New("there are no runs to draw")
 	}
 	c := chart{unit: "share served", faults: runs[0][0].Faults, minTop: 1}
-	for k, side := range runs {
-		c.lines = append(c.lines, line{name: names[k], values: meanServed(side)})
+	for k, variant := range runs {
+		c.lines = append(c.lines, line{name: names[k], values: meanServed(variant)})
 	}
 	svg, err := render(c)
 	if err != nil {
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -26,9 +26,9 @@
 	KeyControllerMB       Key = "controller_mb"        // resident memory of the controller
 	KeyLoaderCores        Key = "loader_cores"         // of this process with all hollow nodes and agents, idle
 	KeyLoaderMB           Key = "loader_mb"            // resident memory of this process
-	KeyConnect            Key = "connect_s"            // until every hollow node has the full list and the registry has each node's status
+	KeyConnect            Key = "connect_s"            // until every hollow node has the full list and is registered
 	KeyConnectBytes       Key = "connect_bytes"        // of a node until then
-	KeyReconnect          Key = "reconnect_s"          // from the break of all connections until every client has received a response
+	KeyReconnect          Key = "reconnect_s"          // from the break of all connections until every client has a response
 	KeyReconnectBytes     Key = "reconnect_bytes"      // of a node until then
 	KeyListChange         Key = "list_change_s"        // from the change of a server until all nodes have it
 	KeyListChangeBytes    Key = "list_change_bytes"    // of a node, minus its idle traffic
