--- a/internal/lab/accounting.go
+++ b/internal/lab/accounting.go
@@ -125,8 +125,8 @@
 	return fraction(sum, float64(kills))
 }
 
-// servedBetween returns the share served of the requests that arrived in the seconds from (inclusive) to to (exclusive). Seconds
-// outside the series are ignored.
+// servedBetween returns the share served of the requests that arrived in the seconds [from, to). Seconds outside the series are
+// ignored.
 func servedBetween(series []Second, from, to int) float64 {
 	clamp := func(i int) int { return max(0, min(i, len(series))) }
 	served, requests := 0, 0
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -63,14 +63,14 @@
 // maxBodyBytes is the number of bytes after which a body is cut off.
 const maxBodyBytes = 64 << 10
 
-// response is the model's decision on an attempt.
+// response is the model's response to an attempt.
 type response struct {
 	outcome     model.Outcome
 	body        string
 	unsolicited bool
 }
 
-// serve passes a request to the model and sends the response that the model decides on.
+// serve passes a request to the model and sends the model's response.
 func (f *Fleet) serve(w http.ResponseWriter, r *http.Request) {
 	first := f.world.Loop.Elapsed()
 	conn := r.Context().Value(connectionKey{}).(*connectionState)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -277,7 +277,7 @@
 	}
 }
 
-// If a deployment leaves only cold servers in the list, nodes of any number shed load rather than overload a server.
+// If a deployment leaves only cold servers in the list, any number of nodes sheds load rather than overloading a server.
 func TestColdServersAlone(t *testing.T) {
 	t.Parallel()
 	names := func(from, to int) string {
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -16,8 +16,8 @@
 //
 //	| role | what | from | at 920 | bound | factor left | ...
 //
-// A cell of the column "from" is a sum of figures in backquotes. A figure has a factor before it
-// unless that is 1, as in 2 × `a` + `b`. The factor n is the number of nodes. A dash stands for a missing bound or factor left.
+// A cell of the column "from" is a sum of figures in backquotes. A figure has a factor before it unless that is 1, as in
+// 2 × `a` + `b`. The factor n is the number of nodes. A dash stands for a missing bound or factor left.
 
 // maxRelativeError is the largest relative difference between a figure of the page and its computed value. The page gives figures
 // with about three digits.
