--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -31,8 +31,8 @@
 	Node, Replica []string
 	// Progress is called about once per second of the run. It may be nil.
 	Progress func(done, total time.Duration)
-	// Log receives the log lines of nodes, and a line for each action on a node's process and each begin or end of a fault. It may
-	// be nil.
+	// Log receives the log lines of nodes, a line for each action on a node's process, and a line for each begin or end of a
+	// fault. It may be nil.
 	Log func(format string, args ...any)
 	// NewBalancer creates the Balancer of a node on the virtual clock. It defaults to balancer.New.
 	NewBalancer func(settings balancer.Settings, seed uint64) (virtual.Balancer, error)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -39,7 +39,7 @@
 	ClassNames               []string                `json:"class_names"` // in the scenario's order, as in the entries of Series
 	ZoneNames                []string                `json:"zone_names"`
 	NodeNames                []string                `json:"node_names"`
-	MaxNodeMemoryMB          float64                 `json:"node_memory_mb_most"` // maximum over all nodes; zero on the virtual clock
+	MaxNodeMemoryMB          float64                 `json:"node_memory_mb_most"` // maximum of all nodes; zero if Virtual
 	MaxNodeDescriptors       float64                 `json:"node_descriptors_most"`
 }
 
--- a/internal/lab/scale/connections.go
+++ b/internal/lab/scale/connections.go
@@ -11,8 +11,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// connectAll starts all hollow nodes at once and measures the time until each has the full list and is registered. It then brings a
-// first version into force.
+// connectAll starts all hollow nodes at once and measures the time until each has the full list and is registered. It then brings
+// a first version into force.
 func (p *play) connectAll(ctx context.Context) error {
 	began := time.Now()
 	for i := range p.nodes {
