--- a/cmd/umberbank/lab_result.go
+++ b/cmd/umberbank/lab_result.go
@@ -27,7 +27,7 @@
 	}
 	printRuleViolations(w, r)
 	for _, f := range r.FailedExpectations {
-		fmt.Fprintf(w, "MISSED %s\n", f)
+		fmt.Fprintf(w, "NOT HELD %s\n", f)
 	}
 	switch {
 	case r.Partial:
--- a/cmd/umberbank/main_test.go
+++ b/cmd/umberbank/main_test.go
@@ -67,7 +67,7 @@
 		out, errs string
 	}{
 		{[]string{"lab", "run", good, "--virtual"}, exitOK, "all expectations met", ""},
-		{[]string{"lab", "run", strict, "--virtual"}, exitFailed, "MISSED p99 of read is", ""},
+		{[]string{"lab", "run", strict, "--virtual"}, exitFailed, "NOT HELD p99 of read is", ""},
 		{[]string{"lab", "run", bad, "--virtual"}, exitError, "", bad + ":14: expect.served: unknown key\n"},
 		{[]string{"lab", "run", good, "--set", "load.rate=-3"}, exitError, "", "load.rate: -3 is not between"},
 		{[]string{"lab", "run", filepath.Join(t.TempDir(), "none.toml")}, exitError, "", "no such file"},
