--- a/internal/node/bodybudget/bodybudget.go
+++ b/internal/node/bodybudget/bodybudget.go
@@ -15,7 +15,8 @@
 	// MaxBodyBytes is the maximum length of a body in either direction.
 	MaxBodyBytes = 32 << 20
 
-	// uncountedBytes is the length up to which a body counts as part of its connection's own buffers.
+	// uncountedBytes is the length up to which a body needs no reservation. Such a body counts as part
+	// of its connection's own buffers.
 	uncountedBytes = 4 << 10
 	// memoryFraction is the fraction of the process's memory limit that bodies may hold.
 	memoryFraction = 0.25
@@ -23,9 +24,9 @@
 	defaultBytes = 16 << 20
 )
 
-// Budget limits the memory that bodies hold. Requests and responses have one half each: a request holds
-// its body until its response has arrived, and must not block the response. A Budget is safe for
-// concurrent use.
+// Budget limits the memory that bodies hold. Requests and responses have one half each, because a
+// request holds its body until its response has arrived: with a common limit, requests that hold all
+// capacity would block the responses that they wait for. A Budget is safe for concurrent use.
 type Budget struct {
 	Requests, Responses *Limiter
 }
@@ -40,8 +41,8 @@
 }
 
 // ForMemory returns the budget for a memory limit in MiB, which is zero if there is no limit. shared is
-// true if the process can be replaced while it serves; each process then gets half, because two of them
-// share the limit for a while.
+// true if the process can be replaced while it serves. The budget is then half as large, because the old
+// and the new process share the memory limit during the replacement.
 func ForMemory(limitMB float64, shared bool) *Budget {
 	bytes := int64(defaultBytes)
 	if limitMB > 0 {
--- a/internal/node/clientconn/body.go
+++ b/internal/node/clientconn/body.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minBodyRate is the minimum rate of a request body in bytes per second: three quarters of the
-	// slowest rate that clients may have.
+	// minBodyRate is the minimum rate of a request body in bytes per second. It is three quarters of
+	// the rate of the slowest clients that must be served.
 	minBodyRate = 48_000
 	// MaxBodyPause is the maximum duration of one pause within a request body.
 	MaxBodyPause = 2200 * time.Millisecond
@@ -20,10 +20,11 @@
 	// minBodyRate.
 	maxBodyCredit = 4 * time.Second
 	// FirstBodyTimeout is the time from connecting until the first bytes of a connection's first body
-	// must have arrived. A peer that sends none must get an error or a close within 3 s.
+	// must have arrived, unless minFirstPause allows more. A client that sends none must get an error
+	// or a close within 3 s.
 	FirstBodyTimeout = 2800 * time.Millisecond
-	// minFirstPause is how long every body may pause before its first byte, however late its head
-	// arrived.
+	// minFirstPause is the minimum time that a body may pause before its first byte, however late the
+	// head of its request arrived.
 	minFirstPause = 300 * time.Millisecond
 )
 
@@ -73,8 +74,8 @@
 		return n, b.fail(&http.MaxBytesError{Limit: bodybudget.MaxBodyBytes})
 	case err == io.EOF:
 		b.complete.Store(true)
-		// If a deadline passed while the request is served, net/http would take it for a disconnect of
-		// the client.
+		// If the deadline passed while the request is being served, net/http would treat it as a
+		// disconnect of the client.
 		_ = b.setReadDeadline(time.Time{})
 	case err != nil:
 		return n, b.fail(err)
@@ -112,6 +113,6 @@
 	}
 }
 
-// Err returns the reason why the body cannot be read to its end. It must not be called before Failed is
-// closed.
+// Err returns the reason why the body cannot be read to its end. It must not be called before the
+// channel that Failed returns is closed.
 func (b *Body) Err() error { return b.err }
--- a/internal/node/clientconn/client.go
+++ b/internal/node/clientconn/client.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// WatchDisconnect calls disconnected when the client disconnects behind bytes that it sent before its
-// response; see Conn.WatchDisconnect.
+// WatchDisconnect calls disconnected when the client sends more bytes before it has received its
+// response and then disconnects; see Conn.WatchDisconnect.
 func (c *Client) WatchDisconnect(disconnected func()) (stop func()) {
 	if conn, isClient := c.conn.(*Conn); isClient {
 		return conn.WatchDisconnect(disconnected)
@@ -53,8 +53,8 @@
 	return func() {}
 }
 
-// Disconnected reports whether the client has closed its connection, even if no read has returned that
-// yet.
+// Disconnected reports whether the client has shut down sending or closed its connection, even if no
+// read has reported this yet; see Conn.Disconnected.
 func (c *Client) Disconnected() bool {
 	conn, isClient := c.conn.(*Conn)
 	return isClient && conn.Disconnected()
--- a/internal/node/clientconn/conn.go
+++ b/internal/node/clientconn/conn.go
@@ -21,20 +21,21 @@
 )
 
 const (
-	// maxReadAheadBytes is the maximum number of bytes that are read ahead of a response. If a client
-	// sends more, its disconnect is not detected before the response.
+	// maxReadAheadBytes is the maximum number of bytes that WatchDisconnect reads ahead. If a client
+	// sends more before it has received its response, WatchDisconnect does not detect its disconnect.
 	maxReadAheadBytes = 4 << 10
-	// readAheadBytes is the maximum size of one read ahead of a response.
+	// readAheadBytes is the maximum size of one read of WatchDisconnect.
 	readAheadBytes = 512
-	// closeLingerTimeout is how long a closed connection continues to read and discard bytes, so that
-	// no reset destroys what the client has not read yet.
+	// closeLingerTimeout is how long Close continues to read and discard bytes at most, so that no
+	// reset destroys what the client has not read yet.
 	closeLingerTimeout = 400 * time.Millisecond
-	// maxLingerBytes is the maximum number of bytes that a closed connection discards.
+	// maxLingerBytes is the maximum number of bytes that Close discards.
 	maxLingerBytes = 1 << 20
 )
 
-// Conn is a client's connection. It releases its capacity once it is fully closed, and it detects a
-// disconnect where net/http does not: behind bytes that the client sent before its response.
+// Conn is a client's connection. It releases its capacity once it is fully closed. It also detects a
+// disconnect that net/http misses: that of a client that has sent more bytes, for example its next
+// request, before it has received its response.
 //
 // Only net/http reads from it, from one goroutine at a time; the other methods are safe for concurrent
 // use.
@@ -48,7 +49,7 @@
 
 	mu           sync.Mutex
 	ahead        []byte        // bytes read ahead, for the next Read of net/http
-	err          error         // the error that ended reading, for the Read after ahead is empty
+	err          error         // the error that ended reading; Read returns it once ahead is empty
 	probed       bool          // net/http's check for a disconnect has read a byte, so net/http checks no more
 	disconnected func()        // called when the client disconnects; nil while there is no watch
 	readingAhead chan struct{} // closed when reading ahead has ended; nil until it starts
@@ -56,8 +57,8 @@
 
 func newConn(conn net.Conn, release func()) *Conn { return &Conn{Conn: conn, release: release} }
 
-// markIdle makes an active connection idle, unless bytes were read ahead. It is called when a request
-// has ended and net/http has read no byte of another.
+// markIdle makes an active connection idle, unless bytes were read ahead. It is called when net/http
+// reports the connection as new or idle.
 func (c *Conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +87,7 @@
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 && !c.state.CompareAndSwap(stateIdle, stateActive) && c.state.Load() == stateClosing {
-		return 0, net.ErrClosed // the bytes arrived after the decision to close, so the client sends the request again
+		return 0, net.ErrClosed // the bytes arrived after the decision to close, so the client must send the request again
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,9 +100,10 @@
 	return n, err
 }
 
-// WatchDisconnect calls disconnected, from another goroutine and at most once, when the client
-// disconnects behind bytes that it sent before its response. The watch lasts until stop is called;
-// until then nothing but net/http's check for a disconnect may read from the connection.
+// WatchDisconnect calls disconnected, from another goroutine and at most once, when the client sends
+// more bytes before it has received its response and then disconnects. net/http detects a disconnect
+// without such bytes. The watch lasts until stop is called; until then nothing but net/http's check for
+// a disconnect may read from the connection.
 func (c *Conn) WatchDisconnect(disconnected func()) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,9 +157,11 @@
 	}
 }
 
-// Close shuts down sending, and then reads and discards until the client closes too, closeLingerTimeout
-// has passed or maxLingerBytes have been read: closing a connection with unread bytes sends a reset,
-// which may destroy the last response. The capacity is released after that.
+// Close shuts down sending and returns. In the background it then reads and discards until the client
+// closes too, closeLingerTimeout has passed or maxLingerBytes have been read, and closes the connection.
+// Closing a connection with unread bytes would send a reset, which may destroy the last response. If
+// reading has ended with an error, Reset was called or sending cannot be shut down, Close closes the
+// connection immediately. The capacity is released once the connection is closed.
 func (c *Conn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
 		return net.ErrClosed
@@ -197,7 +201,9 @@
 }
 
 // Disconnected reports whether, according to the kernel, the client has shut down sending or closed the
-// connection. It does so even if unread bytes precede that, such as the rest of a body.
+// connection. Unread bytes that arrived before that, such as the rest of a body, make no difference. It
+// also returns true if this side has closed the connection, and false if the connection has no file
+// descriptor.
 func (c *Conn) Disconnected() bool {
 	sc, hasDescriptor := c.Conn.(syscall.Conn)
 	if !hasDescriptor {
--- a/internal/node/clientconn/drain.go
+++ b/internal/node/clientconn/drain.go
@@ -9,8 +9,8 @@
 	// drainInterval is the interval at which a Drainer closes idle connections.
 	drainInterval = 100 * time.Millisecond
 	// minDrainIdle is how long a connection must have been idle to be closed by a drain. A client that
-	// is actively using its connection sends another request within that time, and its response
-	// announces the close.
+	// is actively using its connection sends another request within that time, and the response to that
+	// request announces the close.
 	minDrainIdle = 500 * time.Millisecond
 )
 
--- a/internal/node/clientconn/listener.go
+++ b/internal/node/clientconn/listener.go
@@ -111,7 +111,8 @@
 	l.capacity.Signal()
 }
 
-// Close closes the listener, and Accept returns net.ErrClosed. Open connections stay open.
+// Close closes the listener. Accept then fails with an error that wraps net.ErrClosed. Open connections
+// stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads the configuration of a node: a JSON file that the platform writes. It is read at
 // startup and again on each SIGHUP. docs/oncall/settings.md describes which keys a reload applies.
 //
-// An error in a file is reported in one line that names the key and the reason. Unknown keys are
-// ignored.
+// Each error about a file's content is one line with the reason. It names the key, or the field of
+// balancer.Settings, unless the file is not valid JSON. Unknown keys are ignored.
 package config
 
 import (
@@ -52,7 +52,7 @@
 }
 
 // Registry names the replicas of the registry that a node watches instead of discovery. Without
-// endpoints it watches discovery.
+// endpoints the node watches discovery.
 type Registry struct {
 	Endpoints []string `json:"endpoints"` // host:port of each replica
 	// Cache is a directory, used by this node only, that keeps the last endpoint list across restarts.
@@ -95,7 +95,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads and checks the configuration file at path. Errors of its content name the path.
+// Load reads and checks the configuration file at path. Errors name the path.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +154,8 @@
 	return c, c.Settings.Validate()
 }
 
-// checkAddresses returns an error that names the first address that is not host:port.
+// checkAddresses returns an error that names an address that is not host:port. It does not check the
+// address of Control, which fails when the node listens on it.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if err := checkAddress(a.key, a.addr); err != nil {
@@ -179,7 +180,8 @@
 	return nil
 }
 
-// check returns an error that names the first invalid key of a rollout.
+// check returns an error that names the invalid keys of a rollout. It accepts any values if there are
+// no endpoints.
 func (r *Rollout) check() error {
 	switch {
 	case len(r.Endpoints) == 0:
--- a/internal/node/config/golden_test.go
+++ b/internal/node/config/golden_test.go
@@ -127,7 +127,7 @@
 	return file, keys[len(keys)-1]
 }
 
-// The errors for invalid values of single keys.
+// The golden file has the errors for invalid values in a configuration.
 func TestGoldenErrors(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -14,8 +14,9 @@
 var optionalKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true, "fleet": true}
 
 // CheckReload returns an error if next cannot replace c while the node runs. It is stricter than a
-// start, where there is no earlier file to compare with: every key in c's file must be in next's, with
-// a value of the same JSON type.
+// start. Every key of c's file must also be in next's, with a value of the same JSON type, except for
+// optionalKeys, keys whose value is null in c's file, and the content of "known". The maximum number of
+// attempts must be above zero, and no two classes may have the same name.
 func (c Config) CheckReload(next Config) error {
 	if err := checkSameKeys("", c.document, next.document); err != nil {
 		return err
@@ -69,7 +70,7 @@
 			continue
 		}
 		if path == "" && key == "known" && present {
-			continue // the list of servers may differ between files
+			continue // the entries of the endpoint list may have other keys in the next file
 		}
 		if err := checkSameKeys(path+"."+key, current[key], next[key]); err != nil {
 			return err
--- a/internal/node/config/snapshots.go
+++ b/internal/node/config/snapshots.go
@@ -21,7 +21,8 @@
 	MaxAge   time.Duration // older state is ignored; see balancer.Settings
 }
 
-// parseSnapshots parses the key "state" of the configuration.
+// parseSnapshots parses the key "state" of the configuration. It returns the zero Snapshots if no
+// directory is set. Times are checked even then.
 func parseSnapshots(text json.RawMessage) (Snapshots, error) {
 	state := struct {
 		Dir      string  `json:"dir"`
--- a/internal/node/control/control.go
+++ b/internal/node/control/control.go
@@ -25,7 +25,8 @@
 	MaxConnections = 16
 	// maxLineBytes is the maximum length of a command's line.
 	maxLineBytes = 256
-	// maxUnreadBytes is how much is read and discarded after the line before the connection is reset.
+	// maxUnreadBytes is the maximum number of bytes that are read and discarded after the line. If the
+	// operator sends more, closing the connection resets it.
 	maxUnreadBytes = 64 << 10
 	// readTimeout limits the time to receive the line, and the time until the operator closes the
 	// connection after the response.
@@ -84,8 +85,8 @@
 	return len(s.open)
 }
 
-// add registers a connection. At MaxConnections it closes the oldest one, which must have stalled, as
-// commands do not block.
+// add registers a connection. At MaxConnections it closes the oldest one, which has most likely stalled,
+// because commands do not block.
 func (s *Server) add(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/control/control_test.go
+++ b/internal/node/control/control_test.go
@@ -10,7 +10,7 @@
 	"umberbank/internal/node/nodetest"
 )
 
-// The responses to incomplete lines.
+// The golden file has the responses to incomplete lines.
 func TestGoldenUnfinishedLines(t *testing.T) {
 	s := &Server{commands: Commands{"check": func() string { return "ok" }}}
 	var b strings.Builder
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -25,21 +25,22 @@
 	// FetchTimeout limits the duration of one poll, including its body.
 	FetchTimeout = 2 * time.Second
 	// defaultLineTimeout is how long an incomplete message may pause; discovery sends each message
-	// without a pause. A message that never ends is given up after SilenceTimeout, because an
-	// incomplete message resets no other timer than this one.
+	// without a pause. A message that continues without a pause and never ends fails the watch after
+	// SilenceTimeout, because an incomplete message does not reset the timer of SilenceTimeout.
 	defaultLineTimeout = time.Second
 )
 
-// responseTimeouts limit the time until the response to a new watch begins, by the number of preceding
-// watches without a response. The agent responds at once, so the first timeouts are short. The last one
-// equals the timeout of an open watch, for an agent whose response begins with its first heartbeat.
-// After the last, the first applies again.
+// responseTimeouts limit the time until the response to a new watch begins. The index is the number of
+// consecutive earlier watches that had no response in time; after the last entry, the first applies
+// again. Discovery normally responds at once, so the first timeouts are short. The last one equals the
+// timeout of an open watch, in case discovery sends the head of its response only with its first
+// heartbeat.
 var responseTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, SilenceTimeout}
 
 // serializedResponseTimeouts replace responseTimeouts if discovery serves the requests of all nodes one
-// at a time. A watch that is given up while it waits must still be served, and the next one waits
-// behind it, so with shorter timeouts none might ever get a response. Three timeouts in a row still fit
-// into the 6 s within which a node must learn of a change.
+// at a time. Discovery still serves a watch that the node has cancelled while it was queued, and the
+// node's next watch is queued behind it, so with shorter timeouts no watch might ever get a response.
+// Three timeouts in a row still fit into the 6 s within which a node must learn of a change.
 var serializedResponseTimeouts = []time.Duration{time.Second, time.Second, time.Second, SilenceTimeout}
 
 // Errors that end a watch or a poll.
@@ -58,7 +59,7 @@
 	SilenceTimeout, LineTimeout time.Duration
 
 	http       *http.Client
-	unanswered atomic.Int32 // consecutive watches without a response
+	unanswered atomic.Int32 // consecutive watches that had no response in time
 	serialized atomic.Bool  // discovery serves the requests of all nodes one at a time
 	overloaded atomic.Bool  // the last response to a watch was a 503
 }
@@ -78,8 +79,8 @@
 func (c *Client) SetSerialized(serialized bool) { c.serialized.Store(serialized) }
 
 // responseTimeout returns the time within which the response to the next watch must begin. It is the
-// longest one after discovery has rejected a watch because of its load: discovery is alive, and giving
-// up a request early would only add to the load.
+// longest timeout if discovery has rejected the last watch because of its load: discovery is alive, and
+// another request after a short timeout would only add to the load.
 func (c *Client) responseTimeout() time.Duration {
 	switch n := int(c.unanswered.Load()); {
 	case c.overloaded.Load():
@@ -132,7 +133,7 @@
 type Handler struct {
 	Opened    func()       // the response to the watch has begun
 	Heartbeat func()       // discovery has confirmed that nothing has changed
-	Update    func(Update) // updates arrive in the order of the watch
+	Update    func(Update) // an update has arrived
 }
 
 // Watch watches the list from a revision on, until ctx ends or the watch fails. The error is never nil.
@@ -162,8 +163,9 @@
 	return c.readUpdates(ctx, resp.Body, h, silence, func() { cancel(errTruncated) })
 }
 
-// readUpdates passes the updates and heartbeats in body to h until the body ends. Each of them resets
-// the silence timer. truncated is called when an incomplete message pauses for longer than LineTimeout.
+// readUpdates passes the updates and heartbeats in body to h until the body ends or fails. Each update
+// and heartbeat resets the silence timer. truncated is called when an incomplete message pauses for
+// longer than LineTimeout.
 func (c *Client) readUpdates(ctx context.Context, body io.Reader, h Handler, silence *time.Timer, truncated func()) error {
 	pause := time.AfterFunc(time.Hour, truncated)
 	defer pause.Stop()
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -60,11 +60,12 @@
 	lines <- nodetest.Message(1, true)
 	nodetest.Wait(t, got)
 	if err := nodetest.Wait(t, ended); !errors.Is(err, ErrSilent) {
-		t.Errorf("the watch ended with %v", err)
+		t.Errorf("the watch ended with %v, want ErrSilent", err)
 	}
 }
 
-// Heartbeats keep a watch open while the list does not change.
+// Heartbeats keep a watch open while the list does not change. If the machine that runs the test stalls,
+// the watch may end without failing the test.
 func TestHeartbeats(t *testing.T) {
 	t.Parallel()
 	addr, lines, _ := nodetest.StubDiscovery(t)
@@ -72,7 +73,7 @@
 	d.SilenceTimeout = time.Second
 	ended := make(chan error, 1)
 	go func() { ended <- d.Watch(context.Background(), 0, handler(nil)) }()
-	longest := time.Duration(0) // between two heartbeats; the machine that runs the test may stall
+	longest := time.Duration(0) // longest time between two heartbeats
 	for start, last := time.Now(), time.Now(); time.Since(start) < 2*d.SilenceTimeout; {
 		select {
 		case lines <- "":
@@ -87,7 +88,7 @@
 	}
 	lines <- "end"
 	if err := nodetest.Wait(t, ended); err == nil {
-		t.Error("a watch ended without an error")
+		t.Error("the watch ended without an error")
 	}
 }
 
@@ -99,7 +100,7 @@
 	t.Cleanup(s.Close)
 	d := NewClient(strings.TrimPrefix(s.URL, "http://"))
 	if err := d.Watch(context.Background(), 0, handler(nil)); err == nil || !strings.Contains(err.Error(), "503") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error with the status 503", err)
 	}
 }
 
--- a/internal/node/discovery/golden_test.go
+++ b/internal/node/discovery/golden_test.go
@@ -21,7 +21,7 @@
 
 var portNumber = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 
-// The requests to discovery, byte for byte.
+// The golden file has the requests to discovery, byte for byte, and the errors for a 503 response.
 func TestGoldenRequests(t *testing.T) {
 	t.Parallel()
 	heads := make(chan string, 2)
@@ -42,7 +42,7 @@
 	nodetest.Golden(t, "requests.golden", b.String())
 }
 
-// Every key of a message is parsed, and the golden file has the errors of invalid messages.
+// Every key of a message is parsed, and the golden file has the errors for invalid messages.
 func TestGoldenMessages(t *testing.T) {
 	t.Parallel()
 	complete := `{"rev":42,"all":true,"targets":[` + fullTarget + `]}`
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -5,10 +5,11 @@
 // runs the node's target version. Its invariants:
 //
 //   - It never replaces a version with one that has a lower number.
-//   - A version is saved before it is run, so that a process that dies in between starts with it. A save that
-//     fails is logged, and the version runs nevertheless.
+//   - If the configuration sets a file for it, a version is saved before it is run, so that if the process dies
+//     in between, the next process starts with that version. A save that fails is logged, and the version runs
+//     nevertheless.
 //   - It counts the node as in sync only after it has received a view of the registry that includes this
-//     process's own report of its running version. Any earlier view describes an earlier process.
+//     process's own report of its running version. An earlier view may describe an earlier process.
 //
 // It runs on its own goroutine beside the node's event loop, and traffic never waits for it. While the
 // registry cannot be reached, the node keeps running its last target.
@@ -38,8 +39,8 @@
 	maxBackoff = 300 * time.Millisecond
 )
 
-// Options configure a Follower for a node, or for an emulated node in a test. All fields but Log and
-// Dial must be set.
+// Options configure a Follower for a node, or for a hollow node, which the lab emulates without
+// traffic. All fields but Log and Dial must be set.
 type Options struct {
 	Name     string
 	Addr     func() string // returns the address that the node listens on
@@ -56,13 +57,13 @@
 type Follower struct {
 	Options
 	writer *client.Client
-	lease  *client.LeaseHolder // holds the node's entry; nil if it is not registered yet or an agent holds the entry
+	lease  *client.LeaseHolder // holds the node's entry; nil until the node is registered, or if an agent holds the entry
 
 	running   Version
-	proposed  Version // the last version that was validated
+	proposed  Version // the last proposed version that was validated, even if it was rejected
 	rejection string  // why proposed cannot be run; empty if it can
 
-	reportedAt  int64         // registry revision of this process's last report of its running version; zero before the first
+	reportedAt  int64         // registry revision of this process's last successful report of its running version; zero before the first
 	inSync      bool          // whether a view at or after reportedAt has the node in sync
 	firstInSync chan struct{} // closed when inSync becomes true for the first time
 }
@@ -98,8 +99,8 @@
 // started with.
 func (f *Follower) RunningVersion() Version { return f.running }
 
-// Run follows the node's versions until ctx ends or another process has registered the node's name. It
-// logs the latter.
+// Run follows the node's versions until ctx ends or another process has registered the node's name. In
+// the latter case it logs an error.
 func (f *Follower) Run(ctx context.Context) {
 	f.notify(Event{Kind: Running, Version: f.running})
 	var revision int64 // registry revision of the last view; zero makes the registry respond at once
@@ -125,7 +126,8 @@
 }
 
 // isThisIncarnation reports whether the registry's view describes this start of the node, and not an
-// earlier process.
+// earlier process. If an agent holds the node's entry, it only reports whether the view describes the
+// node at all.
 func (f *Follower) isThisIncarnation(view *state.NodeSettings) bool {
 	return view != nil && view.Node != nil && (f.lease == nil || view.Node.Incarnation == f.lease.Token(f.Name))
 }
@@ -148,7 +150,9 @@
 	f.validateProposed(ctx, view, incarnation)
 }
 
-// report reports the running version to the registry, unless the view shows that the registry has it.
+// report reports the running version to the registry. It does nothing if the view shows that the
+// registry has that version, except before this process's first successful report, and when the node
+// runs its target and the registry still counts it as syncing.
 func (f *Follower) report(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	node := view.Node
 	hasCaughtUp := node.Syncing && !node.Unreachable && node.Violation == "" && view.Target.Number == f.running.Number
@@ -161,8 +165,9 @@
 	} // otherwise a later view shows whether the report was applied
 }
 
-// validateProposed validates the proposed version and acknowledges or rejects it, unless the view shows
-// that this is done.
+// validateProposed validates the proposed version and acknowledges or rejects it. It does nothing if the
+// view shows that this is done, if the node runs that version or a later one, or if the view lacks the
+// settings that it needs.
 func (f *Follower) validateProposed(ctx context.Context, view *state.NodeSettings, incarnation int64) {
 	p := view.Pending
 	if p == nil || view.Node.AcknowledgedVersion == p.Number || view.Node.RejectReason != "" || p.Number <= f.running.Number {
@@ -216,7 +221,8 @@
 }
 
 // Activate saves a version, for a restarted process, and runs it. It ignores a version without settings
-// or whose hash does not match its settings. Errors are logged.
+// or whose hash does not match its settings. Errors are logged. Activate does not compare numbers: the
+// caller must not pass a version with a lower number than the running one.
 func (f *Follower) Activate(content state.VersionContent) {
 	next := Version{content.Number, content.Hash, content.Settings}
 	if next.Settings == nil && f.proposed.Number == next.Number {
--- a/internal/node/follower/golden_test.go
+++ b/internal/node/follower/golden_test.go
@@ -42,7 +42,7 @@
 
 var timeAtEnd = regexp.MustCompile(` at \d+$`)
 
-// The log lines about versions, which the fault-injection tests parse.
+// The golden file has the log lines about versions, which the fault-injection tests parse.
 func TestGoldenVersionLog(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
--- a/internal/node/follower/register.go
+++ b/internal/node/follower/register.go
@@ -12,13 +12,13 @@
 const (
 	// defaultLeaseTTL is the time to live of a node's lease if the configuration does not set it.
 	defaultLeaseTTL = 2 * time.Second
-	// registerTimeout limits one attempt to register.
+	// registerTimeout limits the write that registers the node.
 	registerTimeout = time.Second
 )
 
-// register registers this start of the node's process, once, and starts renewing its lease until ctx
-// ends. It returns client.ErrFenced if another process has registered the node's name since. It does
-// nothing if an agent holds the entry.
+// register registers this start of the node's process, and starts renewing its lease until ctx ends. If
+// the process is already registered, register only checks that, and returns client.ErrFenced if another
+// process has registered the node's name since. It does nothing if an agent holds the entry.
 func (f *Follower) register(ctx context.Context) error {
 	if f.Rollout.ByAgent {
 		return nil
--- a/internal/node/header/header.go
+++ b/internal/node/header/header.go
@@ -48,11 +48,13 @@
 	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
 }
 
-// maxCostHintMS is the bound, in milliseconds, at and above which values of effort-ms are ignored.
+// maxCostHintMS is the exclusive upper bound of effort-ms, in milliseconds. Values at or above it are
+// ignored.
 const maxCostHintMS = 1e9
 
 // ParseCostHint returns the expected cost of a request from a value of Facts, which is a
-// comma-separated list of name=value pairs. It returns zero if the value has no valid effort-ms.
+// comma-separated list of name=value pairs. The cost is the first valid effort-ms, or zero if there is
+// none.
 func ParseCostHint(facts string) time.Duration {
 	for _, fact := range strings.Split(facts, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
--- a/internal/node/listener/listener.go
+++ b/internal/node/listener/listener.go
@@ -20,7 +20,7 @@
 // most of these.
 type Persistent struct{ net.Listener }
 
-// Accept waits for the next connection. The only error is net.ErrClosed.
+// Accept waits for the next connection. Every error wraps net.ErrClosed.
 func (l Persistent) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -49,8 +49,9 @@
 	m.resultsOf(class)
 }
 
-// CountResponse counts the final response to a request of a class, by its HTTP status. An incomplete
-// response, which was not written to its end, counts as failed whatever its status.
+// CountResponse counts the final response to a request of a class. A response with the status 200 counts
+// as succeeded, or as failed if it is incomplete, which means that it was not written to its end. 429
+// and 503 count as rejected, complete or not, and every other status counts as failed.
 func (m *Metrics) CountResponse(class string, status int, incomplete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -22,7 +22,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(Timeout):
-		t.Fatal("nothing was received on the channel")
+		t.Fatal("nothing was received on the channel within the timeout")
 		panic("unreachable")
 	}
 }
@@ -33,7 +33,7 @@
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, Timeout)
+			t.Fatalf("%s: did not happen within %v", what, Timeout)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 			}
 			b, err := io.ReadAll(req.Body)
 			if err != nil {
-				return // a server processes a request only once its last byte has arrived
+				return // a request whose body is incomplete is not sent to got
 			}
 			got <- Received{req, string(b)}
 			io.WriteString(c, response)
--- a/internal/node/snapshotter/golden_test.go
+++ b/internal/node/snapshotter/golden_test.go
@@ -16,11 +16,11 @@
 // storedDir contains snapshots that a node saved under traffic, with slow, failing and new endpoints.
 const storedDir = "testdata"
 
-// Snapshots that an earlier process saved are found and read completely, and are encoded to the same
-// bytes again.
+// The newest snapshot that an earlier process saved is found and read completely, and is encoded to the
+// same bytes again.
 func TestGoldenSnapshots(t *testing.T) {
 	t.Parallel()
-	dir := t.TempDir() // loading may write to the directory
+	dir := t.TempDir() // the test must not change the stored files
 	if err := os.CopyFS(dir, os.DirFS(storedDir)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/snapshotter/snapshotter.go
+++ b/internal/node/snapshotter/snapshotter.go
@@ -19,7 +19,7 @@
 const Kind = "node"
 
 const (
-	// schema is the version of the payload's format. It must change when the format of
+	// schema is the version of the payload's format. It must be increased when the format of
 	// balancer.Snapshot changes.
 	schema = 1
 	// maxPayloadBytes is the maximum size of a snapshot, which takes about 100 bytes per server.
@@ -45,8 +45,8 @@
 	}
 }
 
-// Restore returns the newest usable snapshot of an earlier process. found is false if there is none.
-// Unusable files are logged and skipped, and never prevent a start.
+// Restore returns the newest usable snapshot of an earlier process. found is false if there is none;
+// the event must not be used then. Unusable files are logged and skipped, and never prevent a start.
 func (s *Snapshotter) Restore(now time.Time) (event balancer.Restore, found bool) {
 	snapshot, skipped := durable.Load(s.options, func(stored durable.Snapshot) error {
 		event = balancer.Restore{Age: now.Sub(stored.Taken)}
