--- a/internal/durable/corruption_test.go
+++ b/internal/durable/corruption_test.go
@@ -24,13 +24,14 @@
 	}
 }
 
-// A snapshot with any flipped bit, truncated at any byte or extended by any number of bytes is reported and skipped, and the
-// previous one is loaded. A damaged log loses its records from the damage on, and no others.
+// A snapshot with any flipped bit, truncated at any byte, or extended by up to its own length is reported and skipped, and the
+// previous one is loaded. From a log with a flipped bit or a missing end, at most the records before the last one are applied.
+// A flipped bit in a log is reported. A truncated log is not always reported, because it may end after a complete record.
 func TestCorruptedBytes(t *testing.T) {
 	f := faultfs.New()
 	session(f, 0)
 	names := list(t, f)
-	if len(names) != 3 { // two snapshots, and the log between them
+	if len(names) != 3 { // two snapshots, and the log of the older one
 		t.Fatal(names)
 	}
 	log, newest := filepath.Join(dir, names[0]), filepath.Join(dir, names[2])
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -7,7 +7,8 @@
 //
 //   - After a crash, Load returns the last snapshot whose Save returned nil, or a later one. It never returns a partial one.
 //   - Replay applies, in order and without gaps, every record whose Append returned nil, and possibly later ones.
-//   - A damaged file is reported and skipped. It is never loaded, and it never prevents a process from starting.
+//   - A damaged snapshot is reported and skipped. A damaged log is reported, and its records before the damage are applied.
+//     Neither prevents a process from starting.
 //   - Sequence numbers only increase. A number is never used for two snapshots.
 //   - After a failed write or sync, nothing is appended until a new snapshot has been saved to a new file, because the state
 //     that the failed call left on the disk is unknown.
@@ -17,7 +18,7 @@
 // # Files
 //
 // KIND-SEQUENCE.state is a snapshot (see Encode). KIND-SEQUENCE.log is the log that follows it. The Store holds a lock on the
-// file named lock. Files of other kinds in the directory are not touched. Sizes are in bytes.
+// file named lock. Files of other kinds in the directory are not touched. All sizes in this package are in bytes.
 //
 // # Concurrency
 //
--- a/internal/durable/faultfs/fs.go
+++ b/internal/durable/faultfs/fs.go
@@ -1,9 +1,10 @@
 // Package faultfs provides an in-memory file system that simulates disk errors and power loss, for tests of package durable.
 //
-// A power loss may drop, tear or keep unsynced data, independently for each file and directory entry and in any order. A failed
-// sync drops the data that it should have written, although the next sync succeeds, as on Linux. Every call except reads counts
-// as a step. A step can be made to fail, or to be the first one after a power loss. An FS must not be used by several
-// goroutines.
+// A power loss may drop or keep each unsynced change of a directory independently. It may drop, tear or keep unsynced data, in
+// the same way for all files; see ForEachPowerLoss. After a failed sync, the next sync succeeds without writing the data, as on
+// Linux, unless the file is written again in between: then it also writes the earlier data. Every call except reads, Put and the
+// release of a lock counts as a step. A step can be made to fail, or to be the first one after a power loss. An FS must not be
+// used by several goroutines.
 package faultfs
 
 import (
@@ -175,7 +176,7 @@
 	f.visible[name], f.onDisk[name] = n, n
 }
 
-// Lock takes a lock, which is held until it is closed or the power is lost.
+// Lock takes a lock, which is held until it is closed. The file systems after a power loss hold no locks.
 func (f *FS) Lock(name string) (io.Closer, error) {
 	if err := f.step(); err != nil {
 		return nil, err
@@ -223,7 +224,8 @@
 	return n, err
 }
 
-// Sync makes written data durable. If it fails, the data is dropped, and the next Sync has nothing to write.
+// Sync makes written data durable. If it fails, the data is not durable, and the next Sync has nothing to write unless Write was
+// called in between.
 func (w *file) Sync() error {
 	err := w.fs.step()
 	if errors.Is(err, ErrPowerLost) {
--- a/internal/durable/faultfs/powerloss.go
+++ b/internal/durable/faultfs/powerloss.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// outcome is what a power loss may leave of a file that was not synced.
+// outcome is what a power loss may leave of a file with unsynced data.
 type outcome int
 
 const (
@@ -38,7 +38,7 @@
 }
 
 // ForEachPowerLoss calls do with every state in which a power loss at this step may leave the disk. It combines every subset of
-// the unsynced directory changes with every outcome for the unsynced files.
+// the unsynced directory changes with every outcome for the unsynced data, which is the same for all files.
 func (f *FS) ForEachPowerLoss(do func(after *FS)) {
 	for subset := range 1 << len(f.pending) {
 		files := maps.Clone(f.onDisk)
--- a/internal/durable/file.go
+++ b/internal/durable/file.go
@@ -15,7 +15,7 @@
 		return err
 	}
 	if err := fsys.Rename(temporary, path); err != nil {
-		_ = fsys.Remove(temporary) // if this fails, the next Open removes the file
+		_ = fsys.Remove(temporary) // if this fails, the next Open of a Store removes the file
 		return err
 	}
 	return fsys.SyncDir(filepath.Dir(path))
@@ -35,7 +35,7 @@
 		err = closeErr
 	}
 	if err != nil {
-		_ = fsys.Remove(name) // if this fails, the next Open removes the file
+		_ = fsys.Remove(name) // if this fails, the next Open of a Store removes the file
 	}
 	return err
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the file system that Store, Load and Replay use. Tests inject faults through it. All names are paths.
+// FS is the file system that Store, Load and Replay use. Tests inject faults through it. All arguments that name
+// files are paths.
 type FS interface {
 	// MkdirAll creates a directory and its parents unless they exist.
 	MkdirAll(dir string) error
@@ -21,7 +22,7 @@
 	Remove(name string) error
 	// SyncDir makes earlier creations, renames and removals in a directory durable.
 	SyncDir(dir string) error
-	// ReadDir lists the names of the regular files in a directory.
+	// ReadDir lists the names of the regular files in a directory, without the directory's path.
 	ReadDir(dir string) ([]string, error)
 	// ReadFile returns a file's content.
 	ReadFile(name string) ([]byte, error)
@@ -37,7 +38,7 @@
 	Sync() error
 }
 
-// ErrInUse is returned if another process holds the lock on a directory.
+// ErrInUse is returned if the lock on a directory is held, by another process or by another Store of this process.
 var ErrInUse = errors.New("another process keeps its state there")
 
 // OS is the operating system's file system.
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -11,8 +11,8 @@
 )
 
 // A log holds the records appended after the snapshot with the same sequence number. It consists of a header and a series of
-// records, each with its length and a checksum that also covers its position. A log is valid only with that snapshot, because
-// a snapshot may differ from the state that results from the previous log.
+// records, each with its length and a checksum that also covers its position. A log must be replayed only on that snapshot: a
+// later snapshot may differ from the state that replaying the log gives.
 const (
 	logMagic  = "umbrlog1"
 	logSuffix = ".log"
@@ -22,7 +22,8 @@
 	recordHeaderSize = recordLengthSize + checksumSize
 )
 
-// ErrLogFailed is returned by Append after an earlier write failed. The content of the log is unknown until a Save succeeds.
+// ErrLogFailed is returned by Append after an Append, or the write of a snapshot, has failed. Nothing is appended until a Save
+// succeeds, because the content of the log is unknown or a newer snapshot may make it obsolete.
 var ErrLogFailed = errors.New("an earlier write to the log failed")
 
 // ErrNoSnapshot is returned by Append before the first successful Save of a Store.
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// encodedSize returns the size of records in the log in bytes, without the log's header.
+// encodedSize returns the size of records in the log in bytes, without the log's header. It fails if a record is longer than
+// Options.MaxPayload.
 func (s *Store) encodedSize(records [][]byte) (int, error) {
 	size := 0
 	for _, r := range records {
@@ -97,11 +99,12 @@
 	return b
 }
 
-// LogSize returns the size in bytes of the records appended since the last snapshot, which Replay has to read.
+// LogSize returns the size in bytes of the records appended since the last snapshot, with their headers. Replay has to read
+// them.
 func (s *Store) LogSize() int { return s.logSize }
 
-// recordChecksum returns the checksum of a record and its position, which is the log's sequence number and the record's index
-// in the log.
+// recordChecksum returns the checksum of a record, its length and its position, which is the log's sequence number and the
+// record's index in the log.
 func recordChecksum(seq, index uint64, record []byte) uint64 {
 	var position [8 + 8 + recordLengthSize]byte
 	binary.LittleEndian.PutUint64(position[:], seq)
@@ -151,8 +154,8 @@
 
 // Replay calls apply, in order, with the records appended after a snapshot that Load returned. seq is the sequence number of
 // that snapshot. Replay stops at the first damaged record or when apply fails, and returns the reason. The records applied
-// before are valid. After a crash, the damaged record is one whose Append had not returned. Replay returns nil if there is no
-// log or the log was read to its end.
+// before are valid. A record that is damaged because of a crash is one whose Append had not returned nil. Replay returns nil if
+// there is no log or the log was read to its end.
 func Replay(o Options, seq uint64, apply func(record []byte) error) *SkippedFile {
 	o.setDefaults()
 	path := o.logPath(seq)
--- a/internal/durable/options.go
+++ b/internal/durable/options.go
@@ -12,7 +12,7 @@
 type Options struct {
 	Dir        string // directory of the files; Open creates it
 	Kind       string // kind of the state, 1 to 64 bytes; files of other kinds in Dir are not touched
-	Schema     uint32 // newest version of the payload format that the caller supports
+	Schema     uint32 // version of the payload format that Save writes, and the newest that the caller can read
 	Retain     int    // number of snapshots to retain; 3 if zero
 	MaxPayload int    // maximum size of a payload or a record in bytes; 64 MiB if zero
 	FS         FS     // file system to use; OS if nil
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -43,14 +43,15 @@
 	ErrUnrecognized = errors.New("no state of this program")
 	// ErrTruncated is returned for a file whose size does not match the lengths recorded in it.
 	ErrTruncated = errors.New("file size does not match the lengths recorded in it")
-	// ErrChecksum is returned for a file whose content changed after it was written.
+	// ErrChecksum is returned for a file or a log record whose content does not match its checksum.
 	ErrChecksum = errors.New("the checksum does not fit: what is in it is not what was written")
 	// ErrNewerVersion is returned for a file in a format that only a newer version of the program supports.
 	ErrNewerVersion = errors.New("written by a newer version of this program")
 )
 
-// Encode returns the content of a snapshot file: magic, version, kind, schema, sequence number, time in nanoseconds since 1970,
-// payload length, payload, and the xxhash of everything before it. It fails if the kind is empty or too long.
+// Encode returns the content of a snapshot file: magic, version of the file format, kind length, kind, schema, sequence number,
+// time in nanoseconds since 1970, payload length, payload, and the xxhash of everything before it. It fails if the kind is empty
+// or too long.
 func Encode(s Snapshot) ([]byte, error) {
 	if len(s.Kind) == 0 || len(s.Kind) > maxKindSize {
 		return nil, fmt.Errorf("durable: kind %q is empty or longer than %d bytes", s.Kind, maxKindSize)
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -15,7 +15,7 @@
 	opt      Options
 	lock     io.Closer
 	lastSeq  uint64   // highest sequence number assigned
-	retained []uint64 // sequence numbers of the snapshots in the directory, in increasing order
+	retained []uint64 // sequence numbers of the snapshots that Open found or Save wrote, without removed ones; increasing
 
 	// The log that follows the last saved snapshot.
 	snapshotSeq  uint64 // zero until the first successful Save
@@ -23,11 +23,11 @@
 	log          File   // nil until the first Append after a Save
 	recordCount  uint64
 	logSize      int  // size of its records in bytes
-	logFailed    bool // a write failed and left the content of the log unknown
+	logFailed    bool // an Append or the write of a snapshot has failed since the last successful Save
 }
 
-// Open creates the directory if it does not exist and takes its lock. It fails with ErrInUse if another process holds the
-// lock. It removes temporary files left by a process that died.
+// Open creates the directory if it does not exist and takes its lock. It fails with ErrInUse if the lock is held. It removes
+// temporary files left by a process that died.
 func Open(o Options) (*Store, error) {
 	o.setDefaults()
 	if err := o.FS.MkdirAll(o.Dir); err != nil {
@@ -116,8 +116,8 @@
 	return errors.Join(err, s.lock.Close())
 }
 
-// LockDir takes the lock on a directory of the operating system's file system, as Open does. It fails with ErrInUse if a Store
-// holds the lock. The caller must Close the lock.
+// LockDir takes the lock on a directory of the operating system's file system, as Open does. It fails with ErrInUse if the
+// lock is held. The caller must Close the lock.
 func LockDir(dir string) (io.Closer, error) {
 	lock, err := OS.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -108,8 +108,9 @@
 	return content
 }
 
-// After a power loss at any step, with any part of the unsynced data kept, the loaded state was written completely and is no
-// older than the last acknowledged write. A second session starts from each of these states, with a power loss at each step.
+// After a power loss at any step, with every outcome that faultfs simulates for the unsynced data, the loaded state was written
+// completely and is no older than the last acknowledged write. A second session starts from each of these states, with a power
+// loss at each step.
 func TestPowerLoss(t *testing.T) {
 	states := 0
 	crashAtEveryStep := func(begin func() *faultfs.FS, acknowledgedBefore, first int, check func(after *faultfs.FS, loaded int)) {
@@ -168,8 +169,8 @@
 	}
 }
 
-// Load skips a snapshot of a newer version, a snapshot that the caller rejects, and files of other kinds. None of them is
-// overwritten.
+// Load skips a snapshot with a newer schema, a snapshot that the caller rejects, and files of other kinds. A Store can still
+// write after a snapshot with a newer schema.
 func TestSkipsUnusableSnapshots(t *testing.T) {
 	f := faultfs.New()
 	session(f, 0)
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -69,7 +69,7 @@
 func (x *Execution) Finally(check func()) { x.finally = check }
 
 // beforeOperation lets the checker decide which thread proceeds. enabled reports whether the operation can be performed. It is
-// nil for an operation that always can.
+// nil for an operation that always can. beforeOperation does nothing if no thread of an Execution is running.
 func beforeOperation(object any, write bool, name string, enabled func() bool) {
 	x := current
 	if x == nil || x.running == nil || x.abandoned {
@@ -108,8 +108,9 @@
 	}
 }
 
-// run starts the threads, lets them proceed along a path, and extends the path from its end. It returns the extended path.
-// complete is false if every continuation was run before in an equivalent order or exceeds the limit on preemptions.
+// run starts the threads, lets them proceed along a path, and extends the path from its end. It returns the extended path. While
+// replay has a thread for the next step, the extension follows it. complete is false if every continuation was run before in an
+// equivalent order or exceeds the limit on preemptions.
 func (x *Execution) run(o Options, path []*searchNode, replay []int) (extended []*searchNode, complete bool) {
 	current = x
 	defer func() { current = nil }()
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// MaxPreemptions omits the orders with more preemptions and keeps the others.
+// A search with MaxPreemptions runs fewer orders, but at least the two that need no preemption.
 func TestPreemptionBound(t *testing.T) {
 	body := func(x *Execution) {
 		var n Int64
@@ -158,6 +158,6 @@
 	all, _ := Explore(Options{}, body)
 	bounded, _ := Explore(Options{MaxPreemptions: 1}, body)
 	if all != 20 || bounded >= all || bounded < 2 {
-		t.Errorf("%d schedules, %d with one preemption", all, bounded)
+		t.Errorf("%d schedules, %d with at most one preemption", all, bounded)
 	}
 }
--- a/internal/process/launcher.go
+++ b/internal/process/launcher.go
@@ -1,6 +1,6 @@
 // Package process runs child processes for tests, benchmarks and the lab. It injects process faults: it kills, signals and
-// restarts the children. When this process ends for any reason, the kernel kills them. Package relay injects faults into the
-// connections between processes.
+// restarts the children. When the parent process ends for any reason, the kernel kills the children. Package relay injects
+// faults into the connections between processes.
 package process
 
 import (
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -17,8 +17,8 @@
 
 	mu      sync.Mutex
 	command []string
-	cmd     *exec.Cmd // nil if the process was not started or was killed
-	done    chan struct{}
+	cmd     *exec.Cmd     // the last started command, which may have ended; nil before Start and after Kill
+	done    chan struct{} // closed when cmd has ended
 }
 
 // logTailSize is the maximum size of the output that LogTail returns, in bytes.
@@ -70,7 +70,7 @@
 	}
 }
 
-// Kill kills the process and waits until it has ended. It does nothing if the process was not started or was killed.
+// Kill kills the process and waits until it has ended. It does nothing if the process was not started since the last Kill.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Done returns a channel that is closed when the current process ends, or nil if none was started or it was killed.
+// Done returns a channel that is closed when the last started process ends, or nil if none was started since the last Kill.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,7 @@
 	return p.done
 }
 
-// Pid returns the process identifier, or zero if no process was started or it was killed.
+// Pid returns the identifier of the last started process, which may have ended, or zero if none was started since the last Kill.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,8 @@
 	return p.cmd.Process.Pid
 }
 
-// LogTail returns the end of the process's output, or the error's text if the log file cannot be read.
+// LogTail returns the end of the log file, at most 800 bytes without surrounding white space, or the text of the error if the file
+// cannot be read.
 func (p *Process) LogTail() string {
 	text, err := os.ReadFile(p.LogPath)
 	if err != nil {
--- a/internal/process/relay/listener.go
+++ b/internal/process/relay/listener.go
@@ -11,7 +11,7 @@
 const (
 	// fillerCount is the maximum number of connections dialled to fill a backlog of length 0.
 	fillerCount = 4
-	// fillerTimeout is the dial timeout of such a connection.
+	// fillerTimeout is the timeout for dialling one of these connections.
 	fillerTimeout = 20 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = time.Millisecond
--- a/internal/process/relay/relay.go
+++ b/internal/process/relay/relay.go
@@ -33,7 +33,7 @@
 	addr, target string
 
 	mu            sync.Mutex
-	changed       *sync.Cond       // uses mu; signalled when a field below changes
+	changed       *sync.Cond       // uses mu; signalled when a field below changes, except pipes and stalledCopies
 	listener      *net.TCPListener // nil while connections are refused
 	impairments   []*Impairment
 	pipes         map[*pipe]struct{}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -15,7 +15,7 @@
 	readBufferSize = 1 << 20
 	// listCount is the number of endpoint lists that can be kept at once.
 	listCount = 16
-	// noInstance is the instance before the first "about" of a batch.
+	// noInstance stands for the missing instance before the first "about" of a batch.
 	noInstance = -1
 )
 
@@ -33,8 +33,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
 }
 
-// Next returns the next message. It returns io.EOF if the input ends between two batches. Any other error contains
-// the line number.
+// Next returns the next message. It returns io.EOF if the input ends after a complete line outside a batch. Any other
+// error contains the line number.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		line, err := d.readLine()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -74,8 +74,8 @@
 	}
 )
 
-// Connections holds the settings of connections to endpoints. The simulator applies them itself, but a real node
-// has to apply them to its connections. Zero means that a value is not set.
+// Connections holds the settings of connections to endpoints. The simulator applies them itself, but a node has to
+// apply them to its connections. Zero means that a value is not set.
 type Connections struct {
 	IdleTimeout    time.Duration // an endpoint closes a connection after this time without a request
 	ConnectTimeout time.Duration // an endpoint that does not accept a connection within this time is unreachable
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -9,7 +9,8 @@
 	"umberbank/balancer"
 )
 
-// Every key of the settings object sets its own field. The numbers in the file differ, so that swapped fields show.
+// Every key of the settings object sets its own field. The numbers in the file differ, so that swapped fields are
+// detected.
 func TestSettingsKeys(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
--- a/internal/stricttoml/stricttoml.go
+++ b/internal/stricttoml/stricttoml.go
@@ -1,5 +1,5 @@
-// Package stricttoml decodes TOML files and rejects unknown keys. Each error is a single line with the file, the line number, the
-// key and the reason.
+// Package stricttoml decodes TOML files and rejects unknown keys. Each error is a single line with the file, the line number and
+// the key, if they are known, and the reason.
 package stricttoml
 
 import (
