--- a/internal/node/clientconn/listener.go
+++ b/internal/node/clientconn/listener.go
@@ -24,7 +24,7 @@
 	mu       sync.Mutex
 	capacity *sync.Cond // signalled when there may be capacity or the listener is closed
 	limit    int
-	open     int
+	open     int // accepted connections that are not fully closed, and capacity that Accept has reserved
 	closed   bool
 }
 
@@ -52,7 +52,8 @@
 	return l.limit
 }
 
-// OpenConnections returns the number of accepted connections that are not fully closed.
+// OpenConnections returns the number of accepted connections that are not fully closed, plus one while
+// Accept has capacity and waits for a connection.
 func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/header/header.go
+++ b/internal/node/header/header.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Names of headers. Clients send all of them except Unprocessed. TimeLeft is also sent to servers with
-// each attempt, with the time left at that moment.
+// Names of headers. Clients send all of them except Unprocessed. Nodes forward CorrelationID and
+// IdempotencyKey to servers, and send TimeLeft with each attempt, with the time left at that moment.
 const (
 	CorrelationID  = "X-Correlation-Id"
 	TimeLeft       = "X-Time-Left"
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -24,7 +24,7 @@
 }
 
 // ClassResults count the final responses to the requests of one class. Requests whose client
-// disconnected are not counted.
+// disconnected before the final response was available are not counted.
 type ClassResults struct {
 	Succeeded int64 `json:"succeeded"`
 	Rejected  int64 `json:"declined"`
