--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -26,14 +26,14 @@
 	errNotSuccessor = errors.New("record is not a change that follows the previous one")
 )
 
-// cache stores the list of a Watcher in a directory, as a snapshot and a log of the events since the snapshot, so that the
-// cost of an event does not depend on the length of the list. A single goroutine writes the files, so applying an event
-// never waits for the disk.
+// cache stores the list of a Watcher in a directory, as a snapshot and a log of the events since the snapshot, so that most
+// events are stored without writing the full list again. A single goroutine writes the files, so applying an event never
+// waits for the disk.
 type cache struct {
 	opt       durable.Options
 	logger    *slog.Logger
 	store     *durable.Store // nil until the directory has been opened
-	lastError string         // the error that was logged last; it is not logged twice in a row
+	lastError string         // text of the last write's error; empty if that write succeeded
 
 	mu       *sync.Mutex       // the Watcher's lock, so that pending and list are consistent
 	list     func() WatchEvent // returns the full list; mu must be held
@@ -53,8 +53,8 @@
 	}
 }
 
-// load applies the newest intact snapshot and the intact part of its log. apply reports whether an event follows those that
-// were applied before.
+// load applies the newest intact snapshot, and then the records of its log up to the first damaged or invalid one. apply
+// reports whether it has applied an event.
 func (c *cache) load(apply func(WatchEvent) bool) {
 	found, skipped := durable.Load(c.opt, func(s durable.Snapshot) error {
 		var event WatchEvent
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, s := range skipped {
-		c.logger.Warn("skipping a damaged file of the cached list", "file", s.File, "reason", s.Reason)
+		c.logger.Warn("cannot load a file of the cached list completely", "file", s.File, "reason", s.Reason)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// run writes queued events until ctx is done, and then writes the remaining ones.
+// run writes queued events until ctx is done. It then writes the remaining ones and closes the store.
 func (c *cache) run(ctx context.Context) {
 	defer func() {
 		if c.store != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// logError logs an error unless it repeats the previous one.
+// logError logs the error of a write, unless the previous write failed with the same error. err may be nil.
 func (c *cache) logError(err error) {
 	if err == nil {
 		c.lastError = ""
@@ -132,7 +132,7 @@
 // write writes the changes since the last write. After an error, the next write stores the full list.
 func (c *cache) write() error {
 	list, pending := c.takePending()
-	if list != nil && list.Revision == 0 { // no event has been received yet
+	if list != nil && list.Revision == 0 { // no list has been loaded or received yet
 		c.scheduleFullList()
 		return nil
 	}
--- a/internal/registry/client/cache_test.go
+++ b/internal/registry/client/cache_test.go
@@ -15,13 +15,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// After a restart, the Watcher loads the last list from a snapshot and the log of the changes since. Wherever a cache file is
-// truncated or has a corrupted byte, the loaded list is still one that the registry had at its revision.
+// After a restart, the Watcher loads the last list from a snapshot and the log of the changes since. If a cache file is
+// truncated at any byte, or any byte of it has a flipped bit, the loaded list is still the one that the registry had at the
+// loaded revision.
 func TestCache(t *testing.T) {
 	cache := filepath.Join(t.TempDir(), "cache")
 	listAt := map[int64]string{7: "a b", 8: "a b c", 9: "b c", 0: ""}
 	f := &fakeReplica{scripts: [][]string{
-		{list(7, true, "a", "b") + "\n", "hang"}, // the idle time-out of each makes its event a separate write
+		{list(7, true, "a", "b") + "\n", "hang"}, // while a watch hangs until the idle timeout, the cache writes its event
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}}
@@ -80,7 +81,7 @@
 	return b.text.String()
 }
 
-// If the cache directory cannot be opened, or another process has locked it, the Watcher works without a cache and logs the
+// If the cache directory cannot be created, or another Store holds its lock, the Watcher works without a cache and logs the
 // reason.
 func TestCacheUnavailable(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -21,7 +21,7 @@
 // callTimeout limits a request to one replica, including its response.
 const callTimeout = 4 * time.Second
 
-// opIDBytes is the length of a generated write id before it is encoded.
+// opIDBytes is the length of a generated write id before it is encoded in hexadecimal.
 const opIDBytes = 12
 
 // Client sends requests to the registry and fails over between its replicas. It is safe for concurrent use.
@@ -30,7 +30,7 @@
 	http *http.Client
 
 	mu      sync.Mutex
-	current int // replica to call first, as an index modulo the number of endpoints; each failed request increments it
+	current int // index of the replica to call first, modulo the number of endpoints; see skipReplica
 }
 
 // New returns a Client that starts with a random replica. It fails if opt has no endpoints.
@@ -56,8 +56,9 @@
 // Unwrap returns the underlying error, for errors.Is and errors.As.
 func (e rejectedError) Unwrap() error { return e.err }
 
-// Call sends a request with body, encoded as JSON, to one replica after another until one succeeds or rejects the request
-// (status 400 to 499), or ctx is done. The response is decoded into the value that result points to.
+// Call sends a request with body, encoded as JSON, to one replica after another until a replica responds with status 200 or
+// rejects the request (status 400 to 499), or until ctx is done. The response is decoded into the value that result points
+// to. A response that cannot be decoded counts as a failed attempt.
 func (c *Client) Call(ctx context.Context, method, path string, body, result any) error {
 	payload, err := json.Marshal(body)
 	if err != nil {
@@ -85,7 +86,8 @@
 	return c.current
 }
 
-// skipReplica advances to the next replica, unless another request has already done so.
+// skipReplica advances to the next replica after a request to this replica failed, unless another request has already done
+// so.
 func (c *Client) skipReplica(replica int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +132,7 @@
 }
 
 // Write applies ops in their order, each at most once, and returns the result of each. It sets the ID of each op that has
-// none. Write retries until a replica responds or ctx is done; in the latter case it is unknown whether the ops have been
-// applied.
+// none. Write retries as Call does. If ctx is done first, it is unknown whether the ops have been applied.
 func (c *Client) Write(ctx context.Context, ops ...state.Op) ([]state.Result, error) {
 	for i := range ops {
 		if ops[i].ID == "" {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -39,18 +39,18 @@
 			fmt.Fprint(w, `{"error":"no"}`)
 		}
 	}))
-	w, err := New(Options{Endpoints: []string{first}, InitialBackoff: time.Millisecond, MaxBackoff: time.Millisecond})
+	cl, err := New(Options{Endpoints: []string{first}, InitialBackoff: time.Millisecond, MaxBackoff: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	a, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"})
-	if err != nil || a[0].Revision != 3 || len(ids) != 3 || ids[0] == "" || ids[0] != ids[1] || ids[1] != ids[2] {
-		t.Errorf("got results %+v, error %v, ids %q; want revision 3 and the same id three times", a, err, ids)
+	results, err := cl.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"})
+	if err != nil || results[0].Revision != 3 || len(ids) != 3 || ids[0] == "" || ids[0] != ids[1] || ids[1] != ids[2] {
+		t.Errorf("got results %+v, error %v, ids %q; want revision 3 and the same id three times", results, err, ids)
 	}
-	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}); err == nil || !strings.Contains(err.Error(), "no") || calls != 4 {
+	if _, err := cl.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}); err == nil || !strings.Contains(err.Error(), "no") || calls != 4 {
 		t.Errorf("rejected write: error %v after %d requests, want the replica's error after 4", err, calls)
 	}
-	w.http.CloseIdleConnections()
+	cl.http.CloseIdleConnections()
 }
--- a/internal/registry/client/compat_test.go
+++ b/internal/registry/client/compat_test.go
@@ -25,9 +25,9 @@
 
 // recorder is a fake registry that records each request and returns a fixed response for each path.
 type recorder struct {
-	mu      sync.Mutex
-	out     bytes.Buffer
-	answers map[string]string
+	mu        sync.Mutex
+	out       bytes.Buffer
+	responses map[string]string
 }
 
 // idPattern matches the id that a client generates for a write.
@@ -54,45 +54,45 @@
 		fmt.Fprintln(&r.out, h)
 	}
 	fmt.Fprintf(&r.out, "%s\n\n", idPattern.ReplaceAll(body, []byte(`"id":"ID"`)))
-	io.WriteString(w, r.answers[q.URL.Path])
+	io.WriteString(w, r.responses[q.URL.Path])
 }
 
-// The encodings of requests and responses do not change, because clients and replicas of different versions exchange them.
+// The encodings of requests and responses must not change, because clients and replicas of different versions exchange them.
 func TestRequestsGolden(t *testing.T) {
-	r := &recorder{answers: map[string]string{
+	r := &recorder{responses: map[string]string{
 		"/registry/write":     `{"answers":[{"rev":3,"token":4},{"rev":5,"fault":"conflict","why":"because"}]}`,
 		"/registry/agreed":    `{"rev":9,"permits":[],"records":[],"units":[{"uid":"u1","endpoint":"a:1","state":"SERVING","boot_ms":2000}]}`,
 		"/registry/renew":     `{"unknown":["u1"]}`,
 		"/registry/instances": `{"rev":12,"all":true,"targets":[{"uid":"a","endpoint":"a:1","state":"SERVING","mod":11}]}` + "\n",
 	}}
 	address := serve(t, r)
-	w, err := New(Options{Endpoints: []string{address}})
+	cl, err := New(Options{Endpoints: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.http.CloseIdleConnections()
+	defer cl.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	answers, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}, state.Op{Kind: state.OpNoop, ID: "own"})
+	results, err := cl.Write(ctx, state.Op{Kind: state.OpRemove, UID: "a"}, state.Op{Kind: state.OpNoop, ID: "own"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(answers)
+	text, err := json.Marshal(results)
 	if err != nil || string(text) != `[{"rev":3,"token":4},{"rev":5,"fault":"conflict","why":"because"}]` {
 		t.Errorf("results encode as %s, error %v", text, err)
 	}
-	if _, err := w.PollCoordination(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
+	if _, err := cl.PollCoordination(ctx, url.Values{"unit": {"u1"}}, 7, 250*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	startTime, err := w.NextStartTime(ctx, "u1", time.UnixMilli(1000))
+	startTime, err := cl.NextStartTime(ctx, "u1", time.UnixMilli(1000))
 	if err != nil || startTime != 2001 {
 		t.Errorf("got start time %v, error %v; want 2001", startTime, err)
 	}
-	r.answers["/registry/write"] = `{"answers":[{"rev":3,"token":4}]}`
-	if _, err := w.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: "u1", Token: 4}); err != nil {
+	r.responses["/registry/write"] = `{"answers":[{"rev":3,"token":4}]}`
+	if _, err := cl.WriteOne(ctx, state.Op{Kind: state.OpBeginPermit, UID: "u1", Token: 4}); err != nil {
 		t.Fatal(err)
 	}
-	h := NewLeaseHolder(w)
+	h := NewLeaseHolder(cl)
 	if err := h.Register(ctx, &state.Instance{UID: "u1", Endpoint: "a:1", State: state.Serving, TTLMS: 2000}); err != nil {
 		t.Fatal(err)
 	}
@@ -141,12 +141,12 @@
 	golden.Check(t, "cache.golden", fmt.Appendf(nil, "%d %s\n", v.Revision, entries))
 }
 
-// cacheScript returns the scripts of a fake registry for writing a cache: the full list, and two changes one by one.
+// cacheScript returns the scripts of a fakeReplica: the full list and two changes, each in a watch of its own.
 func cacheScript() [][]string {
 	const instance = `{"uid":"s0","endpoint":"10.0.0.1:3000","az":"a","model":"m5","pod_group":1,"state":"SERVING","capacity_hint":1.5,"boot_ms":1,` +
 		`"role":"node","tier":"web","region":"north","version":"v1","ttl_ms":2000,"token":3,"mod":7,"suspect":true,"cold":0.5}`
 	return [][]string{
-		{`{"rev":7,"all":true,"targets":[` + instance + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // the idle time-out of each makes its event a separate write
+		{`{"rev":7,"all":true,"targets":[` + instance + `,{"uid":"a","endpoint":"a:1","state":"SERVING","mod":6}]}` + "\n", "hang"}, // while a watch hangs until the idle timeout, the cache writes its event
 		{list(8, false, "c") + "\n", "hang"},
 		{list(9, false, "-a") + "\n", "hang"},
 	}
@@ -159,7 +159,7 @@
 	follow(t, Options{Endpoints: []string{serve(t, f)}, CacheDir: dir, IdleTimeout: 50 * time.Millisecond}, func(v View) bool { return v.Revision == 9 })
 }
 
-// The format of the cache files does not change, because an older version may be started on them after a rollback.
+// The format of the cache files must not change, because after a rollback an older version reads them.
 func TestCacheGolden(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "cache")
 	writeCache(t, dir)
--- a/internal/registry/client/coordination.go
+++ b/internal/registry/client/coordination.go
@@ -11,11 +11,12 @@
 	"umberbank/internal/registry/state"
 )
 
-// responseTimeout limits the time of a response, in addition to the time for which a request waits for a change.
+// responseTimeout limits a call with its retries. The time for which a poll waits for a change is added to it.
 const responseTimeout = time.Second
 
-// PollCoordination returns the coordination view. It waits up to wait for a revision later than after. query selects a part
-// of the view, see api.PathCoordination; PollCoordination sets its parameters after and wait_ms.
+// PollCoordination returns the coordination view as soon as its revision is later than after, or the current view when the
+// duration wait is over. A replica waits for at most 10 s. query selects a part of the view; see api.PathCoordination. It must
+// not be nil, because PollCoordination sets its parameters after and wait_ms.
 func (c *Client) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	query.Set("after", strconv.FormatInt(after, 10))
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
@@ -37,7 +38,7 @@
 }
 
 // NextStartTime returns the start time to register a unit with, in Unix milliseconds. It is now, but at least 1 ms later
-// than any start time of the unit in the registry, because the wall clock may have been set back.
+// than the start time that the registry has for the unit, because the wall clock may have been set back.
 func (c *Client) NextStartTime(ctx context.Context, uid string, now time.Time) (float64, error) {
 	view, err := c.PollCoordination(ctx, url.Values{"unit": {uid}, "consistent": {"1"}}, 0, 0)
 	if err != nil {
--- a/internal/registry/client/helpers_test.go
+++ b/internal/registry/client/helpers_test.go
@@ -21,7 +21,7 @@
 // testTimeout limits the wait for any event that a test expects.
 const testTimeout = 20 * time.Second
 
-// fakeReplica responds to each watch with the lines of the next script. The line "hang" keeps the watch open without data.
+// fakeReplica responds to each watch with the texts of the next script. The text "hang" keeps the watch open without data.
 type fakeReplica struct {
 	mu      sync.Mutex
 	scripts [][]string
@@ -53,6 +53,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
+// list returns an event in JSON, without a line end. A uid with the prefix "-" is that of a deleted instance.
 func list(rev int, all bool, uids ...string) string {
 	var l []string
 	for _, u := range uids {
--- a/internal/registry/client/leaseholder.go
+++ b/internal/registry/client/leaseholder.go
@@ -13,14 +13,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// The interval between renewals is a third of the lease's time to live, times a random factor from 0.8 to 1.2.
+// The wait before each renewal is a third of the lease's time to live, times a random factor from 0.8 to 1.2.
 const (
 	renewalsPerTTL     = 3
 	minRenewalFactor   = 0.8
 	renewalFactorRange = 0.4
 )
 
-// ErrFenced is returned when a later process has registered the same instance.
+// ErrFenced is returned by Register and Renew when a later process has registered the same instance.
 var ErrFenced = errors.New("another process has registered the instance")
 
 // LeaseHolder keeps instances registered. It renews all their leases in one request, and registers an instance again when
@@ -124,8 +124,8 @@
 }
 
 // MaxRenewalGap returns the longest time from sending one successful renewal to the response to the next, or to now, since
-// the previous call of MaxRenewalGap. A lease whose time to live is longer than this gap plus the interval of the leader's
-// checks must not have expired.
+// the previous call of MaxRenewalGap. The registry must not have let a lease expire whose time to live is longer than this
+// gap plus the interval of the leader's checks.
 func (h *LeaseHolder) MaxRenewalGap() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -137,7 +137,7 @@
 	return gap
 }
 
-// Run renews all leases until ctx is done, at intervals of about a third of ttl. The intervals have a jitter, so that many
+// Run renews all leases until ctx is done. The wait before each renewal is about a third of ttl, with a jitter so that many
 // holders do not send their renewals at the same time.
 func (h *LeaseHolder) Run(ctx context.Context, ttl time.Duration) {
 	for {
--- a/internal/registry/client/options.go
+++ b/internal/registry/client/options.go
@@ -17,13 +17,13 @@
 type Options struct {
 	// Endpoints are the addresses of the replicas, as host:port. At least one is required.
 	Endpoints []string
-	// CacheDir is the directory in which a Watcher stores its last list for the next start. No other Watcher may use it. If
-	// empty, the list is not cached.
+	// CacheDir is the directory in which a Watcher stores its last list for the next start. Only one Watcher at a time can
+	// write to it. If empty, the list is not cached.
 	CacheDir string
 	// Logger receives the errors of the cache. Nil discards them.
 	Logger *slog.Logger
-	// IdleTimeout is the time without any data, heartbeats included, after which a watch is closed. Zero means 5 s, which is
-	// more than two heartbeat intervals.
+	// IdleTimeout is the time after which a watch is closed if neither an event nor a heartbeat has arrived. Zero means 5 s,
+	// which is more than two heartbeat intervals.
 	IdleTimeout time.Duration
 	// InitialBackoff is the mean delay before the first retry. Each delay has a jitter of half its length in both directions,
 	// and the delays grow up to MaxBackoff. Zero means 50 ms.
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -26,7 +26,7 @@
 // Reasons for which a watch is closed.
 var (
 	errIdle          = errors.New("no data received within the idle timeout")
-	errOlderRevision = errors.New("event is older than the current list")
+	errOlderRevision = errors.New("event is not newer than the current list")
 	errNoInstances   = errors.New("event has no targets")
 )
 
@@ -34,12 +34,12 @@
 type Watcher struct {
 	opt   Options
 	http  *http.Client
-	cache *cache // nil if there is none, and while it is loaded
+	cache *cache // nil without a CacheDir, and while the cached list is being loaded
 
 	mu          sync.Mutex
 	revision    int64
 	instances   map[string]*state.Instance
-	lastContact time.Time // when a replica last sent data; zero if none has, in which case any list is from the cache
+	lastContact time.Time // when the last heartbeat or valid event arrived; zero if none has, and any list is from the cache
 	fullLists   int       // full lists applied
 	changes     int       // changes applied
 }
@@ -67,7 +67,7 @@
 type View struct {
 	Revision    int64
 	Instances   []*state.Instance // sorted by UID
-	LastContact time.Time         // when a replica last sent data; zero if none has since the start
+	LastContact time.Time         // when the last heartbeat or valid event arrived; zero if none has since the start
 	FullLists   int               // full lists applied since the start
 	Changes     int               // changes applied since the start
 }
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Incomplete lines, invalid JSON, older revisions, a watch without data and a list without targets do not change the list.
-// After each of them, the Watcher resumes from its own revision.
+// Incomplete lines, invalid JSON, older revisions, an event without targets and a watch that stops sending data do not change
+// the list. After each of them, the Watcher resumes from its own revision.
 func TestWatcher(t *testing.T) {
 	f := &fakeReplica{scripts: [][]string{
 		{list(10, true, "a", "b") + "\n", list(11, false, "c") + "\n", list(12, false, "-a")}, // the last line is incomplete
--- a/internal/registry/state/helpers_test.go
+++ b/internal/registry/state/helpers_test.go
@@ -7,6 +7,7 @@
 	"umberbank/internal/coordination/disruption"
 )
 
+// halfLimits returns limits that allow half of the capacity of tier web to be unavailable.
 func halfLimits() *disruption.Limits {
 	v := 0.5
 	return &disruption.Limits{Tiers: []disruption.Limit{{Tier: "web", Total: &v}}, InitialFraction: 0.4, WarmUpMS: 1000}
@@ -36,8 +37,8 @@
 	return c
 }
 
-// newStateWithNodes returns a State with nodes n0, n1, ... that have reported the version that they run. Nodes with even
-// numbers are in zone a, the others in zone b.
+// newStateWithNodes returns a State with nodes n0, n1, ... that have reported that they run version 0. Nodes with even numbers
+// are in zone a, the others in zone b.
 func newStateWithNodes(t *testing.T, nodes int) *State {
 	t.Helper()
 	s := New()
--- a/internal/registry/state/instance.go
+++ b/internal/registry/state/instance.go
@@ -9,7 +9,7 @@
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
-	Deleted  = "DELETED" // only in changes: the instance was removed
+	Deleted  = "DELETED" // only in the changes that Apply returns and watches report
 )
 
 // Roles of instances. Servers have an empty role. Instances with a role are left out of the endpoint list.
@@ -45,7 +45,7 @@
 // maxText is the maximum length in bytes of the texts of an instance and of the keys of records.
 const maxText = 256
 
-// Validate returns an error that names the first invalid field of an instance that is to be registered.
+// Validate returns an error that names the first invalid fields of an instance, or nil. The state Deleted is invalid.
 func (i *Instance) Validate() error {
 	switch {
 	case i.UID == "" || len(i.UID) > maxText:
--- a/internal/registry/state/instances.go
+++ b/internal/registry/state/instances.go
@@ -27,7 +27,7 @@
 	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// registerAgain registers an instance whose UID is already registered by old.
+// registerAgain registers an instance whose UID is that of the registered instance old.
 func (s *State) registerAgain(old *Instance, instance Instance, ifModRevision int64) (Result, *Instance) {
 	if ifModRevision == Absent {
 		return Result{Code: CodeConflict}, nil
@@ -79,7 +79,7 @@
 	return Result{Token: instance.Token}, s.put(instance)
 }
 
-// update applies an OpUpdate of old to instance, which is a copy of old. The failure is the zero Result on success.
+// update applies an OpUpdate to instance, which is a copy of the stored instance old. failure is the zero Result on success.
 func (s *State) update(old, instance *Instance, op Op) (failure Result) {
 	if plan, changing := s.changingRelease(old); changing && op.State == Serving {
 		return Result{Code: CodeConflict, Reason: "release " + plan + " is changing it"}
--- a/internal/registry/state/op.go
+++ b/internal/registry/state/op.go
@@ -13,19 +13,19 @@
 const (
 	OpRegister  OpKind = "register" // by the process of an instance; the result has its token
 	OpUpdate    OpKind = "update"   // by the holder of the token, or by an operator without a token
-	OpRemove    OpKind = "remove"
-	OpExpire    OpKind = "expire"  // by the leader: a lease has expired and the instance is removed
-	OpSuspect   OpKind = "suspect" // by the leader: a lease has expired and the instance stays as a suspect
-	OpTrust     OpKind = "trust"   // by the leader: a suspect has renewed its lease
-	OpWarmUp    OpKind = "warm"    // by the leader: the fraction of its capacity that an instance still lacks
-	OpSetMember OpKind = "member"  // sets the API address of a replica
-	OpNoop      OpKind = "nothing" // changes nothing
+	OpRemove    OpKind = "remove"   // by the holder of the token; without a token, by an operator, it also decommissions a unit
+	OpExpire    OpKind = "expire"   // by the leader: a lease has expired and the instance is removed
+	OpSuspect   OpKind = "suspect"  // by the leader: a lease has expired and the instance stays as a suspect
+	OpTrust     OpKind = "trust"    // by the leader: a suspect has renewed its lease
+	OpWarmUp    OpKind = "warm"     // by the leader: the fraction of its capacity that an instance still lacks
+	OpSetMember OpKind = "member"   // sets the API address of a replica
+	OpNoop      OpKind = "nothing"  // changes nothing
 )
 
 // Kinds of writes that concern disruption budgets and records. UID names the unit.
 const (
 	OpSetLimits     OpKind = "limits"
-	OpGrantPermit   OpKind = "permit" // to take one incarnation of a unit out of service
+	OpGrantPermit   OpKind = "permit" // requests a permit to take one incarnation of a unit out of service
 	OpBeginPermit   OpKind = "begin"  // the unit is taken out of service; a server drains from then on
 	OpReturnPermit  OpKind = "return" // gives back a permit that has not begun
 	OpDecommission  OpKind = "gone"   // removes a unit that will not return
@@ -38,13 +38,14 @@
 	OpPropose     OpKind = "propose"
 	OpAcknowledge OpKind = "ack"      // by a node: it can run the proposed version, or the reason why not
 	OpReport      OpKind = "report"   // by a node: the version that it runs
-	OpAdvance     OpKind = "commit"   // starts the next stage; the last one commits; the result's token is the committed version
+	OpAdvance     OpKind = "commit"   // starts the next stage of a version; the last stage commits it
 	OpWithdraw    OpKind = "withdraw" // withdraws the proposed version before any stage has started
 	OpRollback    OpKind = "go-back"  // proposes the committed content as a new version
 	OpHalt        OpKind = "halt"     // halts the pending version
 )
 
-// Absent is the Op.IfModRevision of a write that requires that the instance or record does not exist.
+// Absent is the Op.IfModRevision of an OpRegister or OpPutRecord that requires that the instance or record does not exist. An
+// OpRegister ignores any other IfModRevision.
 const Absent = -1
 
 // Fence makes a write conditional on an instance being registered with a token, so that the writes of a controller whose
@@ -67,7 +68,7 @@
 	// zero if unknown.
 	WallTimeMS int64 `json:"wall_ms,omitempty"`
 
-	// OpUpdate. Absent fields stay unchanged.
+	// OpUpdate. A field that is not set leaves the instance's value unchanged.
 	State    string   `json:"state,omitempty"`
 	Capacity *float64 `json:"capacity,omitempty"`
 
@@ -77,10 +78,10 @@
 	// Disruption budgets and records.
 	Limits        *disruption.Limits `json:"limits,omitempty"`
 	Incarnation   int64              `json:"start,omitempty"`  // token of the unit's process
-	Holder        string             `json:"holder,omitempty"` // of the permit; the reason for OpHalt
+	Holder        string             `json:"holder,omitempty"` // who requests the permit; for OpHalt, the reason
 	Plan          string             `json:"plan,omitempty"`
 	TargetVersion string             `json:"to,omitempty"`
-	ReplacesPlan  string             `json:"over,omitempty"` // plan whose begun permit this one replaces
+	ReplacesPlan  string             `json:"over,omitempty"` // plan of the begun permit that the new permit replaces
 	WarmUpDeficit *float64           `json:"cold,omitempty"`
 	Ejected       []string           `json:"avoids,omitempty"` // UIDs of servers
 	Key           string             `json:"key,omitempty"`
--- a/internal/registry/state/permits.go
+++ b/internal/registry/state/permits.go
@@ -22,8 +22,8 @@
 	return Result{}
 }
 
-// grantPermit grants a permit whose token is the revision of the write. A repeated write for the same holder gets the token
-// of the existing permit.
+// grantPermit grants a permit whose token is the revision of the write. A request with the same holder, incarnation, plan and
+// version as the existing permit gets the token of that permit.
 func (s *State) grantPermit(op Op) Result {
 	before := s.budget.Permit(op.UID)
 	p, err := s.budget.Grant(disruption.Permit{
@@ -38,8 +38,8 @@
 	return Result{Token: p.Token}
 }
 
-// beginPermit lets the holder of a permit take its unit out of service; a server drains from then on. A permit that has
-// begun can begin again, even while its release is halted, because the first result may have been lost.
+// beginPermit lets the holder of a permit take its unit out of service; a server drains from then on. It succeeds again for
+// a permit that has begun, even while the release is halted, because the first result may have been lost.
 func (s *State) beginPermit(op Op) (Result, *Instance) {
 	p := s.budget.Permit(op.UID)
 	hadBegun := p != nil && p.Begun
--- a/internal/registry/state/permits_test.go
+++ b/internal/registry/state/permits_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Writes that concern permits in sequence: each part continues with the State that the part before it has left.
+// Writes that concern permits give the expected results. Each part continues from the State that the previous part has left.
 func TestPermitWrites(t *testing.T) {
 	w := &permitWrites{state: newStateWithUnits(4), permits: map[string]int64{}}
 	for _, part := range []struct {
@@ -93,8 +93,8 @@
 		w.t.Errorf("process lacks %v of its capacity, want 0.6, or its permit has ended", w.state.Get("s0").WarmUpDeficit)
 	}
 	w.unavailable(1)
-	warm := 0.0
-	w.step("end the warm-up", Op{Kind: OpWarmUp, UID: "s0", Token: w.token("s0"), WarmUpDeficit: &warm}, "")
+	noDeficit := 0.0
+	w.step("end the warm-up", Op{Kind: OpWarmUp, UID: "s0", Token: w.token("s0"), WarmUpDeficit: &noDeficit}, "")
 	w.unavailable(0)
 }
 
--- a/internal/registry/state/records.go
+++ b/internal/registry/state/records.go
@@ -15,7 +15,7 @@
 }
 
 // HaltKeyPrefix is the prefix of the key of a record that halts a release. The name of the release's plan follows it. While
-// the record exists, no permit of the release can begin.
+// the record exists, no further permit of the release can begin.
 const HaltKeyPrefix = "halt/"
 
 // Record returns the record under a key, or nil if there is none.
--- a/internal/registry/state/restore.go
+++ b/internal/registry/state/restore.go
@@ -7,10 +7,11 @@
 	"umberbank/internal/coordination/disruption"
 )
 
-// RestoreBackup returns the State that replaces running when a backup is restored. It has the instances of the backup, in
-// an epoch later than both, so that no revision is used twice and watchers get the full list. What a restore cannot
-// undo is taken from running: the replicas, the elected controller, the versions of the nodes, and the units that are out of
-// service.
+// RestoreBackup returns the State that replaces running when a backup is restored. It has the instances and limits of the
+// backup, in an epoch later than both, so that no revision is used twice and watchers get the full list. What a restore cannot
+// undo is taken from running: the replicas, the elected controller, the rollout if it has nodes, the permits, and the records.
+// Unreachable units of running are added unless the backup has them. The results for repeated writes are dropped, so that a
+// write that is repeated after the restore is applied again.
 func RestoreBackup(backup, running *State) *State {
 	epoch := max(Epoch(backup.revision), Epoch(running.revision)) + 1
 	s := New()
@@ -27,15 +28,15 @@
 		}
 	}
 	coordination.Permits = s.mergePermits(coordination.Permits, running)
-	// The running State's records come last and override those of the backup under the same key. A halt that was lifted
-	// since the backup applies again.
+	// The running State's records come last and override those of the backup under the same key. A record that was deleted
+	// since the backup exists again: for example, a release whose halt was lifted is halted again.
 	coordination.Records = append(coordination.Records, running.Records("")...)
 	s.loadCoordination(coordination)
 	return s
 }
 
-// preserveController replaces the elected controller of the backup by the current one. Otherwise a controller that has lost
-// its lease since the backup could write again.
+// preserveController removes the elected controller of the backup and adds that of the running State, if any. Otherwise a
+// controller that has lost its lease since the backup could write again.
 func (s *State) preserveController(running *State) {
 	maps.DeleteFunc(s.instances, func(_ string, instance *Instance) bool { return instance.Role == RoleController })
 	for uid, instance := range running.instances {
--- a/internal/registry/state/result.go
+++ b/internal/registry/state/result.go
@@ -7,23 +7,23 @@
 
 // Result is the outcome of a write.
 type Result struct {
-	Revision int64  `json:"rev"` // of the State after the write
-	Token    int64  `json:"token,omitempty"`
+	Revision int64  `json:"rev"`             // of the State after the write
+	Token    int64  `json:"token,omitempty"` // of the instance or the permit; for OpPropose, OpRollback and OpAdvance a version
 	Code     Code   `json:"fault,omitempty"`
 	Reason   string `json:"why,omitempty"` // details of the code
 }
 
 // Codes of results.
 const (
-	CodeFenced   Code = "fenced"    // the token of the write or of its fence is not the current one
-	CodeConflict Code = "conflict"  // another modification revision, or a release is changing the unit
+	CodeFenced   Code = "fenced"    // the write or its fence is of a process that is not the current one
+	CodeConflict Code = "conflict"  // the modification revision differs, or a release is changing the unit
 	CodeNotFound Code = "not-found" // the instance or record does not exist
 	CodeInvalid  Code = "bad"       // the write is malformed
 
-	CodeOverBudget Code = "over-budget" // the permit is not granted; the reason has the figures
+	CodeOverBudget Code = "over-budget" // the permit is not granted; the reason says why
 	CodeHalted     Code = "halted"      // the permit's release is halted
-	CodeNoPermit   Code = "no-permit"
-	CodeNotReady   Code = "not-yet" // a version or a node does not allow the write; the reason says why
+	CodeNoPermit   Code = "no-permit"   // no permit has the token, or the permit to return has begun
+	CodeNotReady   Code = "not-yet"     // the rollout does not allow the write in its current state; the reason says why
 )
 
 // Error is the error of a write that was not applied.
--- a/internal/registry/state/settings.go
+++ b/internal/registry/state/settings.go
@@ -21,8 +21,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// applyRollout applies a write that concerns versions of the nodes' settings. The token of the result is the number of the
-// version that the write proposes, that of the committed version for OpAdvance, and otherwise zero.
+// applyRollout applies a write that concerns versions of the nodes' settings. The token of the result is a version number: for
+// OpPropose and OpRollback that of the proposed version, for OpAdvance that of the committed version, and otherwise zero.
 func (s *State) applyRollout(op Op) Result {
 	if op.Kind == OpPropose && !op.hasValidValue() {
 		return Result{Code: CodeInvalid}
--- a/internal/registry/state/snapshot.go
+++ b/internal/registry/state/snapshot.go
@@ -54,7 +54,7 @@
 	return stored
 }
 
-// Load decodes a State that [State.Snapshot] has encoded. The error says why the text is invalid.
+// Load decodes a State that [State.Snapshot] has encoded.
 func Load(text []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// loadCoordination loads the rest of a snapshot after the instances. The order matters: units are counted once the rollout
-// and the nodes are loaded, and permits are restored after their units.
+// loadCoordination loads stored into a State that already has its instances. The order matters: units are added after the
+// rollout is loaded, because adding a node also updates the rollout, and permits are restored after their units.
 func (s *State) loadCoordination(stored coordinationSnapshot) {
 	if stored.Limits != nil {
 		s.limits = stored.Limits
@@ -98,12 +98,12 @@
 	for _, p := range stored.Permits {
 		s.budget.Restore(*p)
 		if instance := s.unit(p.Unit); instance != nil {
-			s.updateUnit(instance) // ends the permit if the unit has restarted since and is available
+			s.updateUnit(instance) // ends the permit if the unit is available and was seen unavailable or has restarted
 		}
 	}
 }
 
-// loadUnits adds all units to the budget and the rollout.
+// loadUnits adds all units to the budget, and nodes also to the rollout. Then it loads the ejections.
 func (s *State) loadUnits(stored coordinationSnapshot) {
 	for _, instance := range stored.Unreachable {
 		if s.instances[instance.UID] == nil {
--- a/internal/registry/state/snapshot_test.go
+++ b/internal/registry/state/snapshot_test.go
@@ -11,7 +11,8 @@
 )
 
 // After any sequence of writes, a State loaded from a snapshot gives the same results to further writes as the State that was
-// stored, although its sums were added up in another order. Restoring a backup ends no permit that has begun.
+// stored, although the sums of its budget were added up in another order. Restoring a backup loses no permit of the running
+// State, except of units that were decommissioned or have restarted, and a reachable unit whose permit has begun is draining.
 func TestSnapshotContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStateWithUnits(5)
@@ -81,8 +82,8 @@
 	})
 }
 
-// Restoring a backup does not bring back the controller that was elected when the backup was taken. Its fence does not hold,
-// whether or not another controller is elected now.
+// Restoring a backup does not bring back the controller that was elected when the backup was taken. A write with its fence is
+// rejected, whether or not another controller is elected at the time of the restore.
 func TestRestoreBackupKeepsController(t *testing.T) {
 	elect := func(s *State, startTimeMS float64) *Fence {
 		result, _ := s.Apply(Op{Kind: OpRegister, Instance: &Instance{UID: "controller", Endpoint: "c", State: Serving, Role: RoleController, StartTimeMS: startTimeMS, TTLMS: 1000}})
@@ -121,7 +122,8 @@
 }
 
 // After any sequence of writes that concern nodes and versions, a State loaded from a snapshot has the same rollout as the State
-// that was stored, and gives the same results to further writes.
+// that was stored, and gives the same results to further writes. Restoring a backup changes no target version and brings no node
+// in sync.
 func TestSnapshotOfRollout(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newStateWithNodes(t, 4)
@@ -162,7 +164,6 @@
 				rt.Fatalf("%+v: stored State %+v, loaded State %+v", op, want, got)
 			}
 		}
-		// Restoring a backup changes no target version, and brings no node in sync.
 		restored := RestoreBackup(loaded, s)
 		for uid, n := range s.Rollout().Nodes {
 			if r := restored.Rollout().Nodes[uid]; r == nil || r.TargetVersion != n.TargetVersion || r.InSync() && !n.InSync() {
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -21,7 +21,7 @@
 
 	limits *disruption.Limits // nil if none were set; only nodes count as unreachable then
 	budget *disruption.Budget
-	// unreachable holds by UID the units whose lease has expired or that have left, and that are not decommissioned.
+	// unreachable holds by UID the units whose lease has expired or that have deregistered, and that are not decommissioned.
 	unreachable map[string]*Instance
 	ejections   ejections
 	tierNodes   map[string]int // number of nodes that send requests to a tier, by tier
@@ -31,10 +31,10 @@
 	settings map[int64]json.RawMessage // contents of versions by number
 }
 
-// epochShift is the number of low bits of a revision, which count the writes within an epoch.
+// epochShift is the number of low bits of a revision, which count the changes within an epoch.
 const epochShift = 40
 
-// New returns an empty State of the first epoch.
+// New returns an empty State at the first revision of epoch 1.
 func New() *State {
 	return &State{
 		revision: 1 << epochShift, instances: map[string]*Instance{}, members: map[string]string{}, replies: newReplies(),
@@ -66,8 +66,8 @@
 // Members returns a copy of the API addresses of the replicas by ID.
 func (s *State) Members() map[string]string { return maps.Clone(s.members) }
 
-// Apply applies one write. changed is the instance that the write has stored, or with the state Deleted the one that it has
-// removed. It is nil if no instance has changed.
+// Apply applies one write. changed is the instance that the write has stored, or the one that it has removed, with the state
+// Deleted. It is nil if no instance has changed.
 func (s *State) Apply(op Op) (result Result, changed *Instance) {
 	if op.ID != "" {
 		if first, done := s.replies.get(op.ID); done {
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -12,7 +12,7 @@
 	return &Instance{UID: uid, Endpoint: "10.0.0.1:3000", State: Serving, StartTimeMS: startTimeMS}
 }
 
-// A replaced process cannot overwrite its successor with any kind of write.
+// A process that was replaced cannot register again, and cannot update, remove or expire its successor.
 func TestFencing(t *testing.T) {
 	s := New()
 	first, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
@@ -39,7 +39,8 @@
 	}
 }
 
-// A write with a modification revision is applied only if the instance still has that revision.
+// A write with a modification revision is applied only if the instance still has that revision. An update of an unknown
+// instance, an unknown kind of write and malformed writes are rejected.
 func TestIfModRevision(t *testing.T) {
 	s := New()
 	registered, _ := s.Apply(Op{Kind: OpRegister, Instance: server("a", 1)})
@@ -76,7 +77,7 @@
 
 // The revision increases by one with each change of an instance, and with none of the other writes drawn here. A repeated write
 // changes nothing and gets the first result. Two States that applied the same writes are equal, even if one of them was loaded
-// from a snapshot in between.
+// from a snapshot in between. Restoring a backup begins a later epoch and brings back the instances of the backup.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
--- a/internal/registry/state/units.go
+++ b/internal/registry/state/units.go
@@ -34,10 +34,10 @@
 // Unreachable returns the unit with a UID if it counts as unreachable, or nil.
 func (s *State) Unreachable(uid string) *Instance { return s.unreachable[uid] }
 
-// unit returns the reachable or unreachable unit with a UID, or nil.
+// unit returns the registered instance or the unreachable unit with a UID, or nil.
 func (s *State) unit(uid string) *Instance { return cmp.Or(s.instances[uid], s.unreachable[uid]) }
 
-// updateUnit updates a unit in the budget, and a node also in the rollout.
+// updateUnit updates a unit in the budget, and a node also in the rollout. It ignores an instance that is not a unit.
 func (s *State) updateUnit(instance *Instance) {
 	if !instance.isUnit() {
 		return
@@ -87,8 +87,8 @@
 	return 1 - s.limits.InitialFraction
 }
 
-// nodeChanged updates the number of nodes of a tier and the ejections after a node was stored or removed. old is the instance
-// that it replaces, or nil. A new process of a node starts without ejections.
+// nodeChanged updates the numbers of nodes by tier and the ejections after an instance was stored or removed. It ignores an
+// instance that is not a node. old is the instance before the change, or nil. A new process of a node starts without ejections.
 func (s *State) nodeChanged(old, instance *Instance) {
 	if instance.Role != RoleNode {
 		return
@@ -100,8 +100,8 @@
 	}
 }
 
-// countNode adds n to the number of nodes that send to a node's tier, and updates the ejected servers, because the majority
-// of the nodes may have changed.
+// countNode adds n to the number of nodes that send requests to the tier instance.Kind, if instance is a registered node. It
+// then updates the ejected servers, because the number of nodes that is a majority may have changed.
 func (s *State) countNode(instance *Instance, n int) {
 	if instance == nil || instance.Role != RoleNode || instance.State == Deleted {
 		return
@@ -128,7 +128,7 @@
 // count returns the number of nodes that have ejected a server.
 func (e *ejections) count(server string) int { return e.byServer[server] }
 
-// set replaces the servers that a node has ejected. It returns those that the node had ejected before or has ejected now.
+// set replaces the servers that a node has ejected. It returns the replaced ones and the new ones.
 func (e *ejections) set(node string, servers []string) (affected []string) {
 	before := e.byNode[node]
 	for _, uid := range before {
@@ -148,7 +148,7 @@
 	return slices.Concat(before, servers)
 }
 
-// setEjected records which servers a node has ejected.
+// setEjected records which servers a node has ejected, and updates their availability.
 func (s *State) setEjected(node string, servers []string) {
 	for _, uid := range s.ejections.set(node, servers) {
 		if instance := s.instances[uid]; instance != nil {
--- a/internal/registry/state/units_test.go
+++ b/internal/registry/state/units_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A server is unavailable while most of the nodes that send to its tier have ejected it.
+// A server is unavailable while more than half of the nodes that send requests to its tier have ejected it.
 func TestServerEjectedByMajority(t *testing.T) {
 	s := newStateWithUnits(2)
 	for i := range 3 {
--- a/internal/registry/state/view.go
+++ b/internal/registry/state/view.go
@@ -16,10 +16,10 @@
 	Unavailable  []disruption.UnavailableUnit `json:"outs,omitempty"`
 	Permits      []*disruption.Permit         `json:"permits"`
 	Records      []*Record                    `json:"records"`
-	Units        []*Instance                  `json:"units,omitempty"` // including unreachable ones
-	Leader       *Instance                    `json:"lead,omitempty"`  // the elected controller; nil unless the caller names it
-	Rollout      *rollout.State               `json:"book,omitempty"`  // nil if it has no nodes
-	NodeSettings *NodeSettings                `json:"config,omitempty"`
+	Units        []*Instance                  `json:"units,omitempty"`  // including unreachable ones
+	Leader       *Instance                    `json:"lead,omitempty"`   // the elected controller; nil unless the caller names it
+	Rollout      *rollout.State               `json:"book,omitempty"`   // nil if it has no nodes, or in a UnitView or NodeView
+	NodeSettings *NodeSettings                `json:"config,omitempty"` // nil except in a NodeView
 }
 
 // NodeSettings is the part of the rollout of settings that concerns one node.
@@ -29,15 +29,16 @@
 	Pending *VersionContent `json:"pending,omitempty"` // the version to check and acknowledge; nil if there is none
 }
 
-// VersionContent is a version with its settings. Settings is nil if the node already has them.
+// VersionContent is a version with its settings. Settings is nil if the node already has them, or if the registry does not have
+// them, as for version 0.
 type VersionContent struct {
 	Number   int64           `json:"number"`
 	Hash     string          `json:"hash"`
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// CoordinationView returns the view of everything. It has the units only if units is set, and the leader if leaderUID names
-// an instance.
+// CoordinationView returns the view of everything. It has the units only if units is set. Its Leader is the instance with the
+// UID leaderUID, or nil if there is none.
 func (s *State) CoordinationView(units bool, leaderUID string) CoordinationView {
 	v := CoordinationView{
 		Revision: s.revision, Limits: s.limits, Usages: s.budget.Usages(), Unavailable: s.budget.UnavailableUnits(),
@@ -65,7 +66,7 @@
 }
 
 // NodeView returns the UnitView of a node with its settings. has contains the numbers of the versions whose content the node
-// already has.
+// already has. NodeSettings is nil if the rollout does not have the node.
 func (s *State) NodeView(uid string, has map[int64]bool) CoordinationView {
 	v := s.UnitView(uid)
 	node := s.rollout.Nodes[uid]
