--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -1,9 +1,9 @@
 // Package api defines the HTTP API between replicas of the registry and its clients: the paths, headers and JSON bodies. The
 // types of writes and views of the state are in package state.
 //
-// Every replica serves every path. Writes, and reads with consistent=1, are forwarded to the leader. A response with a status
-// other than 200 has an Error as its body. Status 400 means an invalid request, 503 a request that may succeed if it is
-// retried.
+// Every replica serves every path. POST requests, and reads with consistent=1, are forwarded to the leader. A response with a
+// status other than 200 has an Error as its body. Status 400 means that the request is invalid, 503 that it may succeed if it
+// is retried. Only the responses to unknown paths and methods, with status 404 or 405, are plain text.
 package api
 
 import "umberbank/internal/registry/state"
@@ -11,12 +11,13 @@
 // Paths.
 const (
 	// PathInstances returns the list of servers in response to a GET, in the format of a discovery service. Parameters:
-	// follow=1 starts a watch, from the revision in since=REV; at_least=REV waits for a revision; consistent=1 reads the
-	// state that was committed when the request arrived.
+	// follow=1 starts a watch, from the revision in since=REV; at_least=REV waits up to 5 s until the replica has a revision;
+	// consistent=1 waits until the leader has applied everything that was committed when the request arrived.
 	PathInstances = "/registry/instances"
 	// PathCoordination returns the state.CoordinationView in response to a GET. Parameters: after=REV waits for a later
-	// revision, for at most wait_ms=MS; unit=UID, node=UID with has=N,M, units=1 and lead=UID select a part of the view;
-	// consistent=1 is as for PathInstances.
+	// revision, for at most wait_ms=MS (default 1,000, maximum 10,000); unit=UID selects the State.UnitView; node=UID selects
+	// the State.NodeView, without the contents of the versions has=N,M. In the view of everything, units=1 adds the units, and
+	// lead=UID the elected controller with that UID. consistent=1 is as for PathInstances.
 	PathCoordination = "/registry/agreed"
 	// PathStatus returns the Status of a replica in response to a GET.
 	PathStatus = "/registry/status"
@@ -38,8 +39,9 @@
 const (
 	// HeaderRevision is the revision of the state that a response contains.
 	HeaderRevision = "X-Registry-Revision"
-	// HeaderStaleness is the time in milliseconds since the replica last had contact with its leader. The state that it returns
-	// is at most that time plus one raft heartbeat old.
+	// HeaderStaleness is the time in milliseconds since the replica last had contact with its leader, zero on the leader. A raft
+	// heartbeat counts as contact, so the state can be older than that while the replica has not received or applied the latest
+	// entries.
 	HeaderStaleness = "X-Registry-Stale-Ms"
 	// HeaderForwarded is the id of the replica that forwarded a request to the leader. Such a request is not forwarded again.
 	HeaderForwarded = "X-Registry-Forwarded"
@@ -90,12 +92,12 @@
 	Entries         int               `json:"entries"`  // number of instances, of all roles
 	Suspects        int               `json:"suspects"` // instances that stay in the list although their leases have expired
 	Watchers        int64             `json:"watchers"`
-	StalenessMS     int64             `json:"stale_ms"` // time since the last contact with the leader
+	StalenessMS     int64             `json:"stale_ms"` // time since the last contact with the leader; zero on the leader
 	ClientAddresses map[string]string `json:"members"`  // by replica id
 	RaftAddresses   map[string]string `json:"replicas"` // by replica id
 }
 
-// Error is the body of a response with a status other than 200.
+// Error is the body of a response with status 400 or 503.
 type Error struct {
 	Error string `json:"error"`
 }
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -25,7 +25,7 @@
 	Instances      int          // instances in the list, at least 1
 	Watches        int          // watches of the list, at least 1
 	Changes        int          // changes whose propagation is timed; zero means 100
-	ReplicaCommand []string     // command that runs a replica and takes --config FILE; if empty, the command of this program
+	ReplicaCommand []string     // runs a replica when --config FILE is added; if empty, this program with "registry serve"
 	Progress       func(string) // called with the name of each step when it begins; may be nil
 }
 
@@ -36,12 +36,13 @@
 	PropagationP50MS      float64 `json:"propagation_p50_ms"` // from the start of a write to the event on a watch
 	PropagationP99MS      float64 `json:"propagation_p99_ms"`
 	WritesPerSecond       float64 `json:"writes_per_s"`
-	BytesPerWatch         float64 `json:"bytes_per_watch"` // growth of the replicas' resident memory per watch
-	FailoverMS            float64 `json:"failover_ms"`     // from killing the leader until a write succeeds
-	ReconnectStormSeconds float64 `json:"reconnect_storm_s"`
-	ResumedFraction       float64 `json:"resumed_share"` // fraction of the reconnected watches that got no full list
-	WriteMeanMS           float64 `json:"write_mean_ms"` // mean time of a change, written one at a time
-	// CPUPerChangeMS is the CPU time of all replicas per change. The total over all changes is measured in steps of 10 ms.
+	BytesPerWatch         float64 `json:"bytes_per_watch"`   // growth of the replicas' resident memory per watch
+	FailoverMS            float64 `json:"failover_ms"`       // from the exit of the killed leader until a write succeeds
+	ReconnectStormSeconds float64 `json:"reconnect_storm_s"` // until all watches have reconnected and caught up
+	ResumedFraction       float64 `json:"resumed_share"`     // fraction of the reconnected watches that got no full list
+	WriteMeanMS           float64 `json:"write_mean_ms"`     // mean time of a change, written one at a time
+	// CPUPerChangeMS is the CPU time of all replicas per change. The total over all changes is measured with a resolution of
+	// 10 ms per replica.
 	CPUPerChangeMS float64 `json:"cpu_per_change_ms"`
 }
 
@@ -82,7 +83,7 @@
 	step    string // name of the current step
 }
 
-// measure runs steps on a new registry and closes it.
+// measure starts a registry, runs the steps on it, and closes it.
 func measure(ctx context.Context, o Options, steps ...func(*measurement, context.Context) error) (*Result, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -97,11 +98,11 @@
 			return nil, err
 		}
 	}
-	w, err := client.New(client.Options{Endpoints: c.Addresses(), InitialBackoff: initialBackoff, MaxBackoff: maxBackoff})
+	cl, err := client.New(client.Options{Endpoints: c.Addresses(), InitialBackoff: initialBackoff, MaxBackoff: maxBackoff})
 	if err != nil {
 		return nil, err
 	}
-	m := &measurement{options: o, cluster: c, client: w, result: &Result{Instances: o.Instances, Watches: o.Watches}}
+	m := &measurement{options: o, cluster: c, client: cl, result: &Result{Instances: o.Instances, Watches: o.Watches}}
 	for _, step := range steps {
 		if err := m.run(ctx, step); err != nil {
 			return nil, err
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// registerBatch registers the instances with numbers from (inclusive) to to (exclusive).
+// registerBatch registers the instances with the numbers from, from+1, ..., to-1.
 func (m *measurement) registerBatch(ctx context.Context, from, to int) error {
 	var ops []state.Op
 	for i := from; i < to; i++ {
@@ -191,7 +192,8 @@
 	return m.writeOne(ctx, state.Op{Kind: state.OpNoop})
 }
 
-// changeInstance changes one instance, which increases the revision by one, and returns the new revision.
+// changeInstance sets the capacity of instance i, modulo the number of instances, to a value that depends on i, and returns the
+// new revision. The write increases the revision by one unless the instance already has that capacity.
 func (m *measurement) changeInstance(ctx context.Context, i int) (int64, error) {
 	capacity := float64(i + 2)
 	return m.writeOne(ctx, state.Op{Kind: state.OpUpdate, UID: uid(i % m.options.Instances), Capacity: &capacity})
@@ -206,7 +208,7 @@
 	return results[0].Revision, nil
 }
 
-// failover kills the leader and measures the time until a write succeeds.
+// failover kills the leader, or replica 0 if no replica reports that it leads, and measures the time until a write succeeds.
 func (m *measurement) failover(ctx context.Context) error {
 	m.beginStep("failover")
 	m.cluster.Kill(m.cluster.Leader(0))
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A small measurement with real processes fills in every figure of the result.
+// A small measurement with real processes fills in the figures of propagation, writes, failover and the reconnect storm.
 func TestMeasure(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/registry/bench/permits.go
+++ b/internal/registry/bench/permits.go
@@ -23,21 +23,21 @@
 	P50MS              float64 `json:"p50_ms"` // from the scheduled time of a request to its response
 	P99MS              float64 `json:"p99_ms"`
 	Granted            int     `json:"granted"`
-	Returned           int     `json:"returned"`
+	Returned           int     `json:"returned"` // returns with a response, even if the permit had already ended
 }
 
 const (
-	maxPermitWorkers     = 512
-	permitTierFraction   = 0.5    // fraction of the tier, and of each zone, that may be disrupted at once
-	permitExpiryMS       = 60_000 // long enough that no permit expires during a measurement
-	permitHolder         = "bench"
-	permitMinimalWatches = 1
+	maxPermitWorkers   = 512
+	permitTierFraction = 0.5    // fraction of the tier, and of each zone, that may be disrupted at once
+	permitExpiryMS     = 60_000 // long enough that no permit expires during a measurement
+	permitHolder       = "bench"
+	unusedWatches      = 1 // Options require a watch, although MeasurePermits opens none
 )
 
-// MeasurePermits requests and returns disruption permits at a fixed rate per second, with one write for each decision. Every
-// instance of the list is a unit.
+// MeasurePermits requests and returns disruption permits at a fixed rate per second. Each request and each return is a decision
+// and a write of its own. Every instance of the list is a unit.
 func MeasurePermits(ctx context.Context, o Options, rate int, duration time.Duration) (*PermitResult, error) {
-	o.Watches = permitMinimalWatches
+	o.Watches = unusedWatches
 	var result *PermitResult
 	_, err := measure(ctx, o, (*measurement).registerInstances, func(m *measurement, ctx context.Context) (err error) {
 		result, err = m.permits(ctx, rate, duration)
@@ -86,7 +86,8 @@
 	return err
 }
 
-// permitLoad is an open-loop load of decisions about permits.
+// permitLoad is an open-loop load of decisions about permits: each decision has a scheduled time, and its latency includes the
+// delay until a worker sends it.
 type permitLoad struct {
 	*measurement
 	units    []*state.Instance
@@ -117,7 +118,8 @@
 	return time.Since(began), l.err
 }
 
-// runWorker makes decisions at the due times: it requests a permit, and returns a granted permit with the next decision.
+// runWorker makes one decision for each scheduled time that it receives. It requests a permit, and returns a granted permit with
+// its next decision.
 func (l *permitLoad) runWorker(ctx context.Context, due <-chan time.Time) {
 	var toReturn *state.Op
 	for at := range due {
@@ -139,7 +141,7 @@
 	}
 }
 
-// nextRequest returns a request for a permit of the next unit.
+// nextRequest returns the write that requests a permit for the next unit.
 func (l *permitLoad) nextRequest() *state.Op {
 	unit := l.units[int(l.nextUnit.Add(1))%len(l.units)]
 	return &state.Op{Kind: state.OpGrantPermit, UID: unit.UID, Incarnation: unit.Token, Holder: permitHolder}
--- a/internal/registry/bench/propagation.go
+++ b/internal/registry/bench/propagation.go
@@ -16,7 +16,8 @@
 	maxLatencyMS        = 60_000
 	latencyDigits       = 3
 	stormChanges        = 20
-	// Each step numbers its changes from a different start, so that no two steps set the same capacities.
+	// Each step numbers its changes from a different start, so that no two steps set the same capacities. This holds for up to
+	// 999 timed changes.
 	firstStormChange = 1000
 	failoverChange   = 5000
 	// eventsPerStormWatch is the capacity per watch of the channel for the events of a storm. It exceeds the number of changes,
@@ -29,13 +30,13 @@
 	return hdrhistogram.New(1, maxLatencyMS*1000, latencyDigits)
 }
 
-// recordLatency records a latency, rounded up to 1 µs if it is shorter. A latency beyond the range of the histogram cannot
-// occur, because a step times out before.
+// recordLatency records a latency, rounded up to 1 µs if it is shorter. A latency beyond the range of the histogram is dropped.
+// Only a step that has timed out can have one.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(max(1, d.Microseconds())) //nolint:errcheck // see above
 }
 
-// quantileMS returns a quantile, given in percent, of latencies in milliseconds.
+// quantileMS returns a quantile of latencies in milliseconds. percent is between 0 and 100.
 func quantileMS(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
@@ -167,12 +168,12 @@
 	}
 	began := time.Now()
 	caughtUp := make(chan struct{}, len(w.all)*eventsPerStormWatch)
-	note := func(revision int64) {
+	onEvent := func(revision int64) {
 		if revision >= last {
 			caughtUp <- struct{}{}
 		}
 	}
-	if err := w.reopen(ctx, note); err != nil {
+	if err := w.reopen(ctx, onEvent); err != nil {
 		return err
 	}
 	for range w.all {
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs the replicas of a registry as processes on loopback for tests, benchmarks and the lab. The raft
-// connections from each replica to each other go through a relay of their own. Replicas are identified by their index,
-// starting at 0.
+// Package cluster runs the replicas of a registry as processes on loopback for tests, benchmarks and the lab. For each ordered
+// pair of replicas, the raft connections that the first one opens to the second go through a relay of their own. Replicas are
+// identified by their index, starting at 0.
 //
 // Methods are safe for concurrent use, except that Close must be the last call.
 package cluster
@@ -54,8 +54,8 @@
 	return ln.Addr().String(), nil
 }
 
-// New creates the configuration files and relays of the replicas, and starts none of them. The command that runs a replica
-// takes --config FILE. extraConfig is appended to each configuration file.
+// New creates the configuration files and relays of the replicas. It does not start the replicas. The command that runs a
+// replica takes --config FILE. extraConfig is appended to each configuration file.
 func New(command []string, replicas int, extraConfig string) (*Cluster, error) {
 	if len(command) == 0 {
 		return nil, errNoCommand
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// config returns the configuration file of replica i.
+// config returns the content of the configuration file of replica i, without extraConfig.
 func (c *Cluster) config(i int) string {
 	var b strings.Builder
 	m := c.members[i]
@@ -139,7 +139,7 @@
 	return b.String()
 }
 
-// Close kills the running replicas and removes all data.
+// Close kills the running replicas, closes the relays and removes all data.
 func (c *Cluster) Close() {
 	for i := range c.members {
 		c.Kill(i)
--- a/internal/registry/cluster/control.go
+++ b/internal/registry/cluster/control.go
@@ -41,20 +41,22 @@
 // SetCommand sets the command of one replica from its next start on.
 func (c *Cluster) SetCommand(i int, command []string) { c.members[i].SetCommand(command) }
 
-// SetSyncDelay delays each sync of a replica's log from now on. Zero removes the delay.
+// SetSyncDelay delays each sync of a replica's log that begins from now on. Zero removes the delay.
 func (c *Cluster) SetSyncDelay(i int, delay time.Duration) error {
 	return renameio.WriteFile(c.syncDelayFile(i), []byte(delay.String()), 0o600)
 }
 
 func (c *Cluster) syncDelayFile(i int) string { return filepath.Join(c.dir, c.members[i].id+".sync") }
 
-// Exited returns a channel that is closed when the process of a replica has exited. It is nil if the replica is not running.
+// Exited returns a channel that is closed when the current process of a replica has exited. It is nil if no process was started
+// or if it was killed with Kill.
 func (c *Cluster) Exited(i int) <-chan struct{} { return c.members[i].Done() }
 
 // Logs returns the end of the log output of a replica.
 func (c *Cluster) Logs(i int) string { return c.members[i].LogTail() }
 
-// PID returns the process id of a replica, or 0 if it is not running.
+// PID returns the id of the process of a replica, even if that process has exited by itself. It is 0 if no process was started
+// or if it was killed with Kill.
 func (c *Cluster) PID(i int) int { return c.members[i].Pid() }
 
 // AwaitReady waits until every replica responds and has a leader, and fails if ctx is done first. It checks every replica
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// Leader returns the replica that reports itself as the leader, or fallback if none does.
+// Leader returns the first replica that reports itself as the leader, or fallback if none does within 200 ms each.
 func (c *Cluster) Leader(fallback int) int {
 	for i, m := range c.members {
 		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
--- a/internal/registry/faulttest/check.go
+++ b/internal/registry/faulttest/check.go
@@ -34,7 +34,7 @@
 	}
 )
 
-// unknownRevision is the revision of an instance after a write without a response.
+// unknownRevision is the modification revision of an instance before its first operation and after a write without a response.
 const unknownRevision = -1
 
 // instanceState is the state of an instance in the model.
@@ -43,7 +43,7 @@
 	modRevision int64
 }
 
-// mayHaveRevision reports whether the instance can have this revision.
+// mayHaveRevision reports whether the instance can have this modification revision.
 func (s instanceState) mayHaveRevision(revision int64) bool {
 	return s.modRevision == revision || s.modRevision == unknownRevision
 }
@@ -110,14 +110,14 @@
 	}
 }
 
-// viewViolations finds acknowledged writes that are missing from a view although it has a later revision, and instances that
-// are newer than the revision of the view.
+// viewViolations finds acknowledged writes that are missing from a view although its revision is not lower than theirs, and
+// instances whose modification revision is higher than the revision of the view.
 func (h *history) viewViolations(v client.View) (found []string) {
 	revisions := map[string]int64{}
 	for _, e := range v.Instances {
 		revisions[e.UID] = e.ModRevision
 		if e.ModRevision > v.Revision {
-			found = append(found, fmt.Sprintf("a watcher at revision %d has %s at %d", v.Revision, e.UID, e.ModRevision))
+			found = append(found, fmt.Sprintf("a watcher at revision %d has %s at the later revision %d", v.Revision, e.UID, e.ModRevision))
 		}
 	}
 	for _, w := range h.acknowledged {
@@ -128,7 +128,7 @@
 	return found
 }
 
-// finalViolations reports a violation if a watcher had a list other than the registry's at the registry's last revision.
+// finalViolations returns a violation if a watcher reached the revision of final, the registry's list, with a different list.
 func (h *history) finalViolations(final *api.WatchEvent) []string {
 	data, err := json.Marshal(final.Instances)
 	if held, known := h.lists[final.Revision]; err != nil || known && held != string(data) {
--- a/internal/registry/faulttest/disk_test.go
+++ b/internal/registry/faulttest/disk_test.go
@@ -15,11 +15,11 @@
 	"umberbank/internal/registry/state"
 )
 
-// The disk of the leader is full, simulated by a limit on the size of its files. The other replicas continue, no acknowledged
-// write is lost, and the replica catches up when it is restarted with free space.
+// The leader is killed and restarted with a full disk, simulated by a limit on the size of its files. The other replicas
+// continue, no acknowledged write is lost, and the replica catches up when it is restarted without the limit.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
-	c, w := startCluster(t)
+	c, cl := startCluster(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 	defer cancel()
 	registered := map[string]bool{}
@@ -31,13 +31,14 @@
 				ops = append(ops, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: uid, Endpoint: "a:1", State: state.Serving}})
 				registered[uid] = true
 			}
-			if _, err := w.Write(ctx, ops...); err != nil {
+			if _, err := cl.Write(ctx, ops...); err != nil {
 				t.Fatalf("%s %d: %v", name, i, err)
 			}
 		}
 	}
 	write("before", 5)
-	// The limit is in blocks of 512 bytes. It is a little larger than the current log of the replica.
+	// The limit is in blocks of 512 bytes. It is larger than the current log, so that the replica starts, and smaller than the
+	// log after the next writes.
 	full := c.Leader(0)
 	c.Kill(full)
 	c.SetCommand(full, append([]string{"/bin/sh", "-c", `ulimit -f 512; exec "$@"`, "sh"}, replicaCommand(t)...))
@@ -46,9 +47,9 @@
 	}
 	write("full", 150)
 	if log := c.Logs(full); !strings.Contains(log, "file too large") {
-		t.Errorf("the disk was not full: %s", log)
+		t.Errorf("the replica's log output does not report \"file too large\": %s", log)
 	}
-	// The replica has either exited or rejected entries. In both cases it must start again with free space.
+	// The replica has either exited or rejected entries. In both cases it must start again without the limit.
 	c.Kill(full)
 	c.SetCommand(full, replicaCommand(t))
 	if err := c.Start(full); err != nil {
@@ -56,7 +57,7 @@
 	}
 	write("after", 5)
 	var all api.WatchEvent
-	if err := w.Call(ctx, "GET", api.PathInstances+"?consistent=1", nil, &all); err != nil {
+	if err := cl.Call(ctx, "GET", api.PathInstances+"?consistent=1", nil, &all); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := client.New(client.Options{Endpoints: []string{c.Addresses()[full]}})
@@ -75,11 +76,11 @@
 }
 
 // meanWriteTime returns the mean time of n sequential writes.
-func meanWriteTime(ctx context.Context, t *testing.T, w *client.Client, n int) time.Duration {
+func meanWriteTime(ctx context.Context, t *testing.T, cl *client.Client, n int) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for range n {
-		if _, err := w.Write(ctx, state.Op{Kind: state.OpNoop}); err != nil {
+		if _, err := cl.Write(ctx, state.Op{Kind: state.OpNoop}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -94,19 +95,19 @@
 	for name, delay := range map[string]time.Duration{"slow": 600 * time.Millisecond, "hung": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, w := startCluster(t)
+			c, cl := startCluster(t)
 			ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 			defer cancel()
-			meanWriteTime(ctx, t, w, 5)
+			meanWriteTime(ctx, t, cl, 5)
 			slow := c.Leader(0)
 			ended := c.Exited(slow)
 			if err := c.SetSyncDelay(slow, delay); err != nil {
 				t.Fatal(err)
 			}
 			for c.Leader(slow) == slow { // the leader detects a slow disk only while it writes
-				meanWriteTime(ctx, t, w, 1)
+				meanWriteTime(ctx, t, cl, 1)
 			}
-			if took := meanWriteTime(ctx, t, w, 10); took > delay/2 {
+			if took := meanWriteTime(ctx, t, cl, 10); took > delay/2 {
 				t.Errorf("a write takes %v after the leader's disk became slow", took)
 			}
 			if delay == time.Hour {
@@ -124,17 +125,17 @@
 // exit and log the reason; the others must continue with all acknowledged writes.
 func TestCorruptEntryWhileRunning(t *testing.T) {
 	t.Parallel()
-	c, w := startCluster(t)
+	c, cl := startCluster(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 	defer cancel()
-	meanWriteTime(ctx, t, w, 5)
+	meanWriteTime(ctx, t, cl, 5)
 	leader := c.Leader(0)
 	lagging := (leader + 1) % c.Len()
 	c.Kill(lagging)
 	ended := c.Exited(leader)
 	const marker = "corrupt-this-entry"
 	e := &state.Instance{UID: marker, Endpoint: "a:1", State: state.Serving}
-	results, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
+	results, err := cl.Write(ctx, state.Op{Kind: state.OpRegister, Instance: e})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/faulttest/faults.go
+++ b/internal/registry/faulttest/faults.go
@@ -28,7 +28,7 @@
 	delaySyncs     faultKind = "slow-disk"
 )
 
-// faultKinds lists all kinds. A run chooses a kind by its index, so the order is part of what a seed determines.
+// faultKinds lists all kinds. A run chooses a kind by its index, so another order would change the faults of every seed.
 var faultKinds = []faultKind{
 	killReplica, suspendReplica, isolate, blockIncoming, blockOutgoing, cutOneLink, killAll, delayLinks, delaySyncs,
 }
@@ -87,7 +87,7 @@
 	return replica
 }
 
-// drawDuration returns a random duration from shortest to less than spread milliseconds above it.
+// drawDuration returns a random duration that exceeds shortest by 0 to spread-1 milliseconds.
 func (inj *injector) drawDuration(shortest time.Duration, spread int) time.Duration {
 	return shortest + time.Duration(inj.rand.IntN(spread))*time.Millisecond
 }
@@ -103,8 +103,8 @@
 	})
 }
 
-// inject starts a fault and returns a function that ends it. Errors while ending it are ignored, because a replica that does
-// not start, or a delay that is not removed, shows in the result of the run.
+// inject starts a fault and returns a function that ends it. That function ignores errors, because a replica that does not
+// start, or a delay that is not removed, shows in the result of the run.
 func (inj *injector) inject(kind faultKind, replica int) (revert func(), err error) {
 	c := inj.cluster
 	switch kind {
@@ -145,13 +145,14 @@
 	}
 	return func() {
 		for _, l := range links {
-			l.Remove(impairment) //nolint:errcheck // it fails only if it reopens a listener, which stays open here
+			l.Remove(impairment) //nolint:errcheck // as in inject: a link that stays stalled shows in the result
 		}
 	}, nil
 }
 
 // affectedLinks returns the links that a fault affects. Depending on its kind, these are all links of the replica, its
-// incoming links, its outgoing links, or its links to and from one other replica.
+// incoming links, its outgoing links, or its links to and from one other replica. There are none in a cluster of one replica,
+// and for cutOneLink if other is the replica itself.
 func affectedLinks(c *cluster.Cluster, kind faultKind, replica, other int) []*relay.Relay {
 	var links []*relay.Relay
 	c.EachLink(func(from, to int, r *relay.Relay) {
--- a/internal/registry/faulttest/history.go
+++ b/internal/registry/faulttest/history.go
@@ -41,7 +41,7 @@
 	reads         int
 }
 
-// acknowledgedWrite is a write that the registry has confirmed.
+// acknowledgedWrite is a write whose response says that it was applied.
 type acknowledgedWrite struct {
 	uid         string
 	modRevision int64
@@ -52,7 +52,7 @@
 }
 
 // runUser writes and reads until ctx is done. Each write has a unique value. Half of the writes are conditional on the
-// revision that the user read last.
+// modification revision at which the user last read the instance, if it has read the instance before.
 func (h *history) runUser(ctx context.Context, user int, seed uint64, endpoints []string) {
 	c, err := client.New(client.Options{Endpoints: endpoints, InitialBackoff: userInitialBackoff, MaxBackoff: userMaxBackoff})
 	if err != nil {
@@ -81,7 +81,7 @@
 	return h.lastValue
 }
 
-// write writes the value of one instance and records the outcome.
+// write sets the capacity of one instance to the value of in, and records the outcome.
 func (h *history) write(ctx context.Context, c *client.Client, user int, in input) {
 	called := time.Since(h.start)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
@@ -95,9 +95,9 @@
 	h.add(user, in, result, called, time.Since(h.start))
 }
 
-// read reads one instance consistently and stores its revision in lastRead. A read without a response is not recorded,
-// because it has no effect to check.
-func (h *history) read(ctx context.Context, c *client.Client, user int, key string, seen map[string]int64) {
+// read reads one instance consistently and stores its modification revision in lastRead. A read without a response is not
+// recorded, because it has no effect to check.
+func (h *history) read(ctx context.Context, c *client.Client, user int, key string, lastRead map[string]int64) {
 	called := time.Since(h.start)
 	ctx, cancel := context.WithTimeout(ctx, opTimeout)
 	defer cancel()
@@ -107,7 +107,7 @@
 	}
 	for _, e := range l.Instances {
 		if e.UID == key {
-			seen[key] = e.ModRevision
+			lastRead[key] = e.ModRevision
 			h.add(user, input{uid: key}, output{responded: true, value: e.Capacity, modRevision: e.ModRevision}, called, time.Since(h.start))
 			return
 		}
--- a/internal/registry/faulttest/members_test.go
+++ b/internal/registry/faulttest/members_test.go
@@ -15,8 +15,8 @@
 	"umberbank/internal/registry/state"
 )
 
-// The leader is replaced between writes: a new replica is added and catches up, the old leader is removed and killed. No
-// acknowledged write may be lost, and revisions must keep increasing.
+// The leader is replaced between writes: a new replica is added, and the old leader is removed and then killed. The new replica
+// must catch up, no acknowledged write may be lost, and revisions must keep increasing.
 func TestReplaceMember(t *testing.T) {
 	t.Parallel()
 	raft, err := cluster.FreeAddress()
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	c, w := startCluster(t, address)
+	c, cl := startCluster(t, address)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	written, last := 0, int64(0)
 	write := func(n int) {
 		for range n {
-			res, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
+			res, err := cl.Write(ctx, state.Op{Kind: state.OpRegister, Instance: &state.Instance{UID: fmt.Sprint("s", written), Endpoint: "a:1", State: state.Serving}})
 			if err != nil || res[0].Code != "" || res[0].Revision <= last {
 				t.Fatalf("write %d: %+v after %d, %v", written, res, last, err)
 			}
@@ -50,7 +50,7 @@
 	write(50)
 	old := c.Leader(0) // the leader, whose loss has the largest effect
 	for _, change := range []map[string]any{{"add": replica.Peer{ID: "r9", RaftAddress: raft, ClientAddress: address}}, {"remove": c.ID(old)}} {
-		if err := w.Call(ctx, "POST", "/registry/members", change, &struct{}{}); err != nil {
+		if err := cl.Call(ctx, "POST", "/registry/members", change, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
 		write(20)
--- a/internal/registry/faulttest/node_test.go
+++ b/internal/registry/faulttest/node_test.go
@@ -22,11 +22,11 @@
 // testTimeout limits the wait for any event that a test expects.
 const testTimeout = 30 * time.Second
 
-// A node uses the registry as its discovery service. It gets its servers from the registry, keeps serving while all replicas
-// are unreachable, and receives the changes when they are reachable again.
+// A node gets its servers from the registry, which is configured either as its discovery service or as its registry. It keeps
+// serving while no replica runs, and receives the changes when the replicas run again.
 func TestNodeFollowsRegistry(t *testing.T) {
 	t.Parallel()
-	c, w := startCluster(t)
+	c, cl := startCluster(t)
 	server := func(name string) *state.Instance {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, name) }))
 		t.Cleanup(s.Close)
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	if _, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: server("one")}); err != nil {
+	if _, err := cl.Write(ctx, state.Op{Kind: state.OpRegister, Instance: server("one")}); err != nil {
 		t.Fatal(err)
 	}
 	configs := map[string]map[string]any{
@@ -46,9 +46,9 @@
 		nodes[name] = startNode(t, keys)
 		awaitResponse(t, nodes[name], "one")
 	}
-	// A node that is configured with all endpoints receives changes as long as any replica serves.
+	// A node that is configured with the endpoints of all replicas still receives changes after one replica has died.
 	c.Kill(0)
-	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "one"}, state.Op{Kind: state.OpRegister, Instance: server("more")}); err != nil {
+	if _, err := cl.Write(ctx, state.Op{Kind: state.OpRemove, UID: "one"}, state.Op{Kind: state.OpRegister, Instance: server("more")}); err != nil {
 		t.Fatal(err)
 	}
 	awaitResponse(t, nodes["as registry"], "more")
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := w.Write(ctx, state.Op{Kind: state.OpRemove, UID: "more"}, state.Op{Kind: state.OpRegister, Instance: server("two")}); err != nil {
+	if _, err := cl.Write(ctx, state.Op{Kind: state.OpRemove, UID: "more"}, state.Op{Kind: state.OpRegister, Instance: server("two")}); err != nil {
 		t.Fatal(err)
 	}
 	for name := range configs {
--- a/internal/registry/faulttest/run.go
+++ b/internal/registry/faulttest/run.go
@@ -25,7 +25,7 @@
 	Seed           uint64
 	Replicas       int           // 1, 3 or 5
 	Duration       time.Duration // time during which faults are injected; zero means 3 s
-	ReplicaCommand []string      // command that runs a replica and takes --config FILE; if empty, the command of this program
+	ReplicaCommand []string      // runs a replica when --config FILE is added; if empty, this program with "registry serve"
 	// Proxy returns the address that clients use instead of a replica's address. Tests use it to corrupt responses. If nil,
 	// clients connect to the replicas.
 	Proxy func(address string) string
@@ -41,7 +41,7 @@
 	WatchEvents     int      `json:"watched"`   // events that watchers applied
 	Faults          []string `json:"faults"`    // kind, replica and duration of each fault
 	Violations      []string `json:"broken"`    // violations of the guarantees
-	RecoverySeconds float64  `json:"recover_s"` // from the end of the faults until all watchers have a later write
+	RecoverySeconds float64  `json:"recover_s"` // from the end of the faults until all watchers have a later write and the list was read
 }
 
 const (
@@ -56,13 +56,13 @@
 	watchMaxBackoff  = 300 * time.Millisecond
 )
 
-// Stream numbers of the random generators of a run, in addition to its seed.
+// Stream numbers, which give the random generators of a run different sequences with the same seed.
 const (
 	userStream  = 1
 	faultStream = 2
 )
 
-var errWatcherBehind = errors.New("a watcher did not reach the last revision")
+var errWatcherBehind = errors.New("a watcher did not reach the revision of the last write")
 
 func uid(key int) string { return fmt.Sprintf("s%d", key) }
 
@@ -110,11 +110,11 @@
 		}
 	}
 	addresses := opt.addresses(c)
-	w, err := client.New(client.Options{Endpoints: addresses})
+	cl, err := client.New(client.Options{Endpoints: addresses})
 	if err != nil {
 		return nil, err
 	}
-	if err := registerKeys(ctx, w); err != nil {
+	if err := registerKeys(ctx, cl); err != nil {
 		return nil, fmt.Errorf("the registry did not start: %w: %s", err, c.Logs(0))
 	}
 	h := newHistory()
@@ -129,7 +129,7 @@
 	if err := injectFaults(ctx, c, opt, res); err != nil {
 		return nil, err
 	}
-	final := recoverAll(ctx, c, w, watchers, res)
+	final := recoverAll(ctx, c, cl, watchers, res)
 	users.stop()
 	watchers.stop()
 	h.check(res, final)
@@ -137,7 +137,7 @@
 }
 
 // registerKeys registers the instances that users write and read.
-func registerKeys(ctx context.Context, w *client.Client) error {
+func registerKeys(ctx context.Context, cl *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	var ops []state.Op
@@ -145,7 +145,7 @@
 		instance := &state.Instance{UID: uid(key), Endpoint: "10.0.0.1:3000", State: state.Serving}
 		ops = append(ops, state.Op{Kind: state.OpRegister, Instance: instance})
 	}
-	_, err := w.Write(ctx, ops...)
+	_, err := cl.Write(ctx, ops...)
 	return err
 }
 
@@ -197,12 +197,12 @@
 	return t, nil
 }
 
-// recoverAll restarts or resumes all replicas, waits until the registry has recovered, and returns its list. It returns nil,
-// and records a violation, if the registry does not recover in time.
-func recoverAll(ctx context.Context, c *cluster.Cluster, w *client.Client, watchers *watchers, res *Result) *api.WatchEvent {
+// recoverAll restarts or resumes all replicas, waits until the registry has recovered, and returns its list. If the registry
+// does not recover in time, recoverAll records a violation and returns nil.
+func recoverAll(ctx context.Context, c *cluster.Cluster, cl *client.Client, watchers *watchers, res *Result) *api.WatchEvent {
 	start := time.Now()
 	c.ResumeAll()
-	final, err := awaitRecovery(ctx, w, watchers.all)
+	final, err := awaitRecovery(ctx, cl, watchers.all)
 	if err != nil {
 		res.Violations = append(res.Violations, "after the faults: "+err.Error())
 		return nil
@@ -211,13 +211,13 @@
 	return final
 }
 
-// awaitRecovery waits until the registry accepts a write and all watchers have received it, and returns the list of the
-// registry.
-func awaitRecovery(ctx context.Context, w *client.Client, watchers []*client.Watcher) (*api.WatchEvent, error) {
+// awaitRecovery waits until the registry applies a write and all watchers have reached its revision. It returns the list of the
+// registry after that.
+func awaitRecovery(ctx context.Context, cl *client.Client, watchers []*client.Watcher) (*api.WatchEvent, error) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	last := &state.Instance{UID: "last", Endpoint: "10.0.0.9:3000", State: state.Serving}
-	results, err := w.Write(ctx, state.Op{Kind: state.OpRegister, Instance: last})
+	results, err := cl.Write(ctx, state.Op{Kind: state.OpRegister, Instance: last})
 	if err != nil {
 		return nil, err
 	}
@@ -229,7 +229,7 @@
 		}
 	}
 	var l api.WatchEvent
-	if err := w.Call(ctx, http.MethodGet, api.PathInstances+"?consistent=1", nil, &l); err != nil {
+	if err := cl.Call(ctx, http.MethodGet, api.PathInstances+"?consistent=1", nil, &l); err != nil {
 		return nil, err
 	}
 	return &l, nil
--- a/internal/registry/faulttest/run_test.go
+++ b/internal/registry/faulttest/run_test.go
@@ -61,11 +61,11 @@
 			t.Fatal(err)
 		}
 	}
-	w, err := client.New(client.Options{Endpoints: append(c.Addresses(), more...)})
+	cl, err := client.New(client.Options{Endpoints: append(c.Addresses(), more...)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, w
+	return c, cl
 }
 
 func runFaults(t *testing.T, opt Options) *Result {
@@ -95,8 +95,8 @@
 	}
 }
 
-// corruptingProxy returns a function for Options.Proxy. It starts a proxy in front of a replica, which passes each response
-// body, or each line of a watch, through corrupt.
+// corruptingProxy returns a function for Options.Proxy, which starts a proxy in front of a replica. The proxy replaces each
+// response body, or each line of a watch, by the result of corrupt.
 func corruptingProxy(t *testing.T, corrupt func(q *http.Request, body []byte) []byte) func(string) string {
 	t.Helper()
 	return func(address string) string {
