--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -1,13 +1,13 @@
 // Package agent supervises the process of one unit. It starts the process, holds the unit's lease in the registry for as
-// long as the process runs, and replaces the process when a permit asks for another version.
+// long as the process runs, and replaces the process when the target version of a permit is another one.
 //
 // The only state that an agent stores is the unit's version. Permits and releases are in the registry, so that a new agent
 // can continue after the old one was killed at any point. An agent begins a permit with a write to the registry before it
-// stops the process. The write fails if the agent is partitioned, if the permit has ended, or if the release was halted. The
-// process then keeps running.
+// stops the process. The write fails if the agent cannot reach the registry, if the permit has ended, or if the release was
+// halted before the permit began. The process then keeps running.
 //
-// An [Agent] runs in the goroutine that calls [Agent.Run], with one more goroutine that renews the lease and one that waits
-// for the process to exit. They end when the lease or the process ends.
+// An [Agent] runs in the goroutine that calls [Agent.Run]. A second goroutine renews the lease until the renewal is stopped, and
+// a third one waits for the process to exit.
 package agent
 
 import (
@@ -29,10 +29,10 @@
 // Agent supervises one unit. The exported fields must be set before Run and not be changed after.
 type Agent struct {
 	Registry    []string       // addresses of the replicas, host:port
-	Instance    state.Instance // of the unit; Run sets the start time, state and TTL, and the version after each change
+	Instance    state.Instance // of the unit; Run sets the start time, state and TTL, and a stored or changed version
 	TTL         time.Duration  // of the unit's lease
-	Command     []string       // starts the process, {version} is replaced; empty if the agent only holds the lease
-	ReadyURL    string         // returns status 200 once the process is ready; if empty, the process is ready after 500 ms
+	Command     []string       // starts the process, with {version} replaced; empty if the agent only holds the lease
+	ReadyURL    string         // returns status 200 once the process is ready; if empty, the process counts as ready after 500 ms
 	DrainTime   time.Duration  // from the start of draining until the process is stopped
 	StopTimeout time.Duration  // from SIGTERM until the process is killed
 	VersionFile string         // keeps the version across restarts of the agent; empty to start with Instance.Version each time
@@ -44,8 +44,8 @@
 	registry       registry
 	newLeaseHolder func() leaseHolder
 	holder         leaseHolder        // of the unit's lease
-	stopLease      context.CancelFunc // stops the renewal of the lease, nil if the unit is not registered
-	process        *process           // nil if the process is not running
+	stopLease      context.CancelFunc // stops the renewal of the lease, nil if the lease is not being renewed
+	process        *process           // nil if the agent has not started a process or has stopped it
 }
 
 // registry is the part of the registry's client that an agent uses. [client.Client] implements it.
@@ -65,14 +65,15 @@
 
 const (
 	readyTimeout      = 10 * time.Second       // of waiting for the process to be ready, and of registering the unit
-	restartDelay      = time.Second            // after a failed start
+	restartDelay      = time.Second            // after a failure to start or register the unit
 	pollWait          = time.Second            // longest time that a poll of the registry waits for a change
 	deregisterTimeout = time.Second            // of the write that removes the unit at shutdown
-	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
+	maxBackoff        = 300 * time.Millisecond // longest delay between two attempts to reach the registry
 )
 
-// Run keeps the unit running until ctx ends. It then removes the unit from the registry and stops the process. It returns
-// [client.ErrFenced] if another agent has registered the same unit.
+// Run keeps the unit running until ctx ends. It then removes the unit from the registry and stops the process. The error wraps
+// [client.ErrFenced] if another agent has registered the same unit. Run also fails if a.Registry is invalid, if the stored
+// version cannot be read, or if the unit cannot be removed from the registry.
 func (a *Agent) Run(ctx context.Context) error {
 	registry, err := client.New(client.Options{Endpoints: a.Registry, MaxBackoff: maxBackoff, Dial: a.Dial})
 	if err != nil {
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// ensureServing starts the process if it is not running and registers the unit if it is not registered. It returns
-// [client.ErrFenced] if another agent has registered the unit.
+// ensureServing starts the process if it is not running, and registers the unit if its lease is not being renewed. The error
+// wraps [client.ErrFenced] if another agent has registered the unit.
 func (a *Agent) ensureServing(ctx context.Context) error {
 	if a.process != nil && a.process.hasExited() {
 		a.Log.Warn("unit process exited", "unit", a.Instance.UID, "error", a.process.err)
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// deregister removes the unit from the registry. It does nothing if the unit is not registered.
+// deregister removes the unit from the registry. It does nothing if the unit's lease is not being renewed.
 func (a *Agent) deregister(ctx context.Context) error {
 	if a.stopLease == nil {
 		return nil
@@ -254,7 +255,7 @@
 	}
 }
 
-// stopUnit stops renewing the unit's lease and stops its process.
+// stopUnit stops the renewal of the unit's lease, and then the unit's process.
 func (a *Agent) stopUnit() {
 	if a.stopLease != nil {
 		a.stopLease()
--- a/internal/coordination/agent/agent_test.go
+++ b/internal/coordination/agent/agent_test.go
@@ -224,7 +224,7 @@
 			t.Fatal(err)
 		}
 		if err := a.prepare(); err != nil || a.Instance.Version != c.want {
-			t.Errorf("version with %q stored is %q (error %v)", c.stored, a.Instance.Version, err)
+			t.Errorf("version after %q was stored: got %q (error %v)", c.stored, a.Instance.Version, err)
 		}
 	}
 }
--- a/internal/coordination/agent/process.go
+++ b/internal/coordination/agent/process.go
@@ -14,8 +14,8 @@
 // process is the process of a unit. It is not safe for concurrent use.
 type process struct {
 	cmd    *exec.Cmd  // nil if the process has exited or the unit has no process
-	exited chan error // receives the result of cmd.Wait, nil if the unit has no process
-	err    error      // the result of cmd.Wait, set when it has been received from exited
+	exited chan error // receives the result of cmd.Wait; a nil channel if the unit has no process
+	err    error      // the result of cmd.Wait, once it has been received from exited
 }
 
 const (
@@ -24,7 +24,7 @@
 )
 
 // startProcess starts command, with each {version} in it replaced by version. The kernel kills the process if the agent
-// dies. If command is empty, nothing is started, and the returned process counts as ready.
+// dies. If command is empty, nothing is started, and waitReady of the returned process returns nil at once.
 func startProcess(command []string, version string) (*process, error) {
 	if len(command) == 0 {
 		return &process{}, nil
@@ -44,7 +44,7 @@
 	return p, nil
 }
 
-// hasExited reports whether the process has exited without having been stopped.
+// hasExited reports whether the process has exited without having been stopped. It reports the exit only once.
 func (p *process) hasExited() bool {
 	select {
 	case err := <-p.exited:
@@ -57,8 +57,8 @@
 
 func (p *process) setExited(err error) { p.cmd, p.err = nil, err }
 
-// waitReady waits until url returns status 200. If url is empty, it waits until the process has run for
-// assumedReadyAfter.
+// waitReady waits until url returns status 200, for at most readyTimeout. If url is empty, it waits until the process has run
+// for assumedReadyAfter. It returns an error if the process exits first.
 func (p *process) waitReady(ctx context.Context, url string) error {
 	switch {
 	case p.cmd == nil:
@@ -84,7 +84,7 @@
 	}
 }
 
-// waitRunning waits until the process has run for assumedReadyAfter.
+// waitRunning waits until the process has run for assumedReadyAfter. It returns an error if the process exits first.
 func (p *process) waitRunning() error {
 	select {
 	case err := <-p.exited:
@@ -95,7 +95,7 @@
 	}
 }
 
-// exitStatus formats the result of cmd.Wait, which is nil if the process has exited with status 0.
+// exitStatus formats the result of cmd.Wait. It returns "<nil>" if the process has exited with status 0.
 func exitStatus(err error) string { return fmt.Sprint(err) }
 
 // isReady reports whether url returns status 200. It returns an error only if url is malformed.
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -1,9 +1,9 @@
 // Package controller drives releases and rollouts of settings. Any number of controllers may run at the same time. Only the
-// leader, the one that holds the leader lease in the registry, drives them.
+// leader, which is the controller that holds the leader lease in the registry, sends the writes of releases and rollouts.
 //
-// A controller keeps no state of its own on disk. All state is in the registry, so that another controller can take over at
-// any point. Every write is fenced by the leader lease: the registry does not apply one that arrives after the lease has
-// ended.
+// A controller stores nothing on disk. All state that must survive is in the registry, so that another controller can take over
+// at any point. Every write of a release or a rollout is fenced by the leader lease: the registry does not apply one that
+// arrives after the lease has ended.
 //
 // A [Controller] runs in the goroutine that calls [Controller.Run].
 package controller
@@ -45,7 +45,7 @@
 
 	registry  registry
 	token     int64     // of the leader lease, 0 if this controller is not the leader
-	renewedAt time.Time // when the last successful renewal was sent
+	renewedAt time.Time // when the last successful renewal, or the last attempt to acquire the lease, was sent
 	scheduler release.Scheduler
 	bakeTimer rollout.BakeTimer
 }
@@ -54,7 +54,7 @@
 	pollInterval      = 200 * time.Millisecond // longest time that a poll waits for a change
 	renewalsPerTTL    = 3
 	deregisterTimeout = time.Second            // of the write that releases the leader lease at shutdown
-	maxBackoff        = 300 * time.Millisecond // between attempts to reach the registry
+	maxBackoff        = 300 * time.Millisecond // longest delay between two attempts to reach the registry
 )
 
 // registry is the part of the registry's client that a controller uses. [client.Client] implements it.
@@ -124,8 +124,8 @@
 	c.Log.Info("started rollout stage", "controller", c.Name, "version", r.Pending.Number, "stage", r.StartedStages)
 }
 
-// sendReleaseWrites sends writes of releases in order, up to the first that is not applied. The scheduler issues the
-// remaining ones again after the next poll.
+// sendReleaseWrites sends writes of releases in order, up to the first that is not applied. After the next poll the scheduler
+// returns those of them that are still due.
 func (c *Controller) sendReleaseWrites(ctx context.Context, writes []release.Write) {
 	for _, w := range writes {
 		w.Fence = c.fence()
--- a/internal/coordination/controller/lease.go
+++ b/internal/coordination/controller/lease.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// acquireLease tries to acquire the leader lease. It fails if another controller has registered first.
+// acquireLease tries to acquire the leader lease. The write fails if another controller has registered first.
 func (c *Controller) acquireLease(ctx context.Context) {
 	instance := &state.Instance{
 		UID: LeaderUID, Endpoint: c.Name, State: state.Serving, Role: state.RoleController, TTLMS: c.TTL.Milliseconds(),
@@ -35,8 +35,8 @@
 	}
 }
 
-// renewLease renews the leader lease and reports whether the registry responded. If the response says that the lease has
-// ended, this controller stops being the leader.
+// renewLease renews the leader lease and reports whether the request succeeded. If the response says that the lease has ended,
+// the request counts as successful, and this controller is no longer the leader.
 func (c *Controller) renewLease(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.TTL)
 	defer cancel()
--- a/internal/coordination/disruption/budget.go
+++ b/internal/coordination/disruption/budget.go
@@ -9,12 +9,12 @@
 	Zone                string
 	Region              string
 	Rack                int
-	Capacity            float64 // above 0, in the unit of the endpoint list
+	Capacity            float64 // not negative; in the same unit of measure as in the endpoint list
 	UnavailableFraction float64 // fraction of its capacity that is unavailable
 	Reason              string  // why UnavailableFraction is above 0
 }
 
-// ReasonUnreachable is the reason of a unit whose lease has ended or that has deregistered.
+// ReasonUnreachable is the Reason of a [Unit] whose lease has ended or that has deregistered.
 const ReasonUnreachable = "missing"
 
 // Budget holds the units, limits and permits of a site. Its methods must not be called concurrently.
@@ -73,8 +73,8 @@
 	return millionths(u.Capacity * u.UnavailableFraction)
 }
 
-// count adds a unit to the sums of its scopes (sign 1) or subtracts it (sign -1). A unit must be subtracted before it or its
-// permit changes, and added again afterwards.
+// count adds a unit to the sums of its scopes (sign 1) or subtracts it (sign -1). A unit must be subtracted before its fields
+// change or its permit is added or removed, and added again afterwards.
 func (b *Budget) count(u *Unit, sign int) {
 	for _, k := range scopesOf(u) {
 		s := b.sums[k]
--- a/internal/coordination/disruption/budget_test.go
+++ b/internal/coordination/disruption/budget_test.go
@@ -44,7 +44,7 @@
 	return m
 }
 
-// excess returns the larger of the amounts by which the tier and the zone of a unit exceed their limits.
+// excess returns the larger of the amounts by which the tier and the zone of a unit exceed their limits, or zero if neither does.
 func (m *modelBudget) excess(of *Unit) (worst float64) {
 	for _, zone := range []string{"", of.Zone} {
 		var capacity, unavailable float64
@@ -118,7 +118,8 @@
 }
 
 // Units fail, warm up and restart while permits are requested, begun and returned in random order. No granted permit may
-// exceed a limit, the incremental sums must match a full computation, and a permit must end exactly when the rules say so.
+// exceed a limit, the incremental sum of the tier must match a full computation, and a change of a unit's state must end its
+// permit exactly when the unit is fully available after it was unavailable or restarted.
 func TestPermitsNeverExceedLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModelBudget(t)
--- a/internal/coordination/disruption/limits.go
+++ b/internal/coordination/disruption/limits.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// Limit is the fraction, from 0 to 1, of a tier's capacity that may be unavailable at the same time: in the whole tier, and in
-// each of its zones, regions and racks. Total is required; nil in the other fields means no limit.
+// Limit sets how much of the capacity of a tier, and of each of its zones, regions and racks, may be unavailable at the same
+// time. Each field is a fraction, from 0 to 1, of the capacity of that tier, zone, region or rack. Total applies to the whole
+// tier and is required; nil in the other fields means no limit.
 type Limit struct {
 	Tier   string   `json:"tier" toml:"tier"`
 	Total  *float64 `json:"whole,omitempty" toml:"whole"`
@@ -20,7 +21,7 @@
 	return [scopeKinds]*float64{scopeTier: l.Total, scopeZone: l.Zone, scopeRegion: l.Region, scopeRack: l.Rack}
 }
 
-// Limits holds the limits of all tiers of a site, the warm-up of its units, and the expiry of permits. No permit is granted
+// Limits holds the limits of all tiers of a site, the warm-up of its units, and the expiry time of permits. No permit is granted
 // in a tier without a Limit.
 type Limits struct {
 	Tiers           []Limit `json:"tiers" toml:"tier"`
@@ -29,7 +30,7 @@
 	PermitExpiryMS  int64   `json:"lapse_ms" toml:"lapse_ms"`   // ms until a permit that has not begun expires; zero means 2,000
 }
 
-// Validate returns an error that names the first invalid key and its value, or nil.
+// Validate returns an error that names the first invalid key, or nil.
 func (l *Limits) Validate() error {
 	seen := map[string]bool{}
 	for i := range l.Tiers {
--- a/internal/coordination/disruption/permit.go
+++ b/internal/coordination/disruption/permit.go
@@ -17,7 +17,7 @@
 	Plan            string  `json:"plan,omitempty"` // release that the permit belongs to; empty if it belongs to none
 	TargetVersion   string  `json:"to,omitempty"`   // version that the unit must run when it returns; empty if any
 	Begun           bool    `json:"begun"`          // the holder may have taken the unit out of service
-	SeenUnavailable bool    `json:"seen_out"`       // the unit was seen unavailable or restarted after the permit had begun
+	SeenUnavailable bool    `json:"seen_out"`       // the unit has been unavailable or has restarted since the permit began
 }
 
 // observe updates the permit from its unit's current state, and reports whether the permit ends.
@@ -35,10 +35,11 @@
 	ErrUnitRestarted  = errors.New("the unit has started anew since")
 )
 
-// Grant grants a permit for the current incarnation of a unit. The error names the exceeded limit with its figures, or the
-// other reason for the rejection. A repeated request for the same holder, incarnation, plan and version returns the existing
-// permit. If the unit's permit belongs to the plan replacesPlan and has begun, the new permit replaces it. The limits are not
-// checked then, since the unit already counts as unavailable. The caller must not change the returned permit.
+// Grant grants a permit for the current incarnation of a unit. If the permit would exceed a limit, the error names the limit
+// with its figures. Grant also fails if the unit is unknown, runs another incarnation or has another permit, or if its tier has
+// no limit. A repeated request for the same holder, incarnation, plan and version returns the existing permit. If the unit's
+// permit belongs to the plan replacesPlan and has begun, the new permit replaces it. The limits are not checked then, since the
+// unit already counts as unavailable. The caller must not change the returned permit.
 func (b *Budget) Grant(p Permit, replacesPlan string) (*Permit, error) {
 	u := b.units[p.Unit]
 	if u == nil {
@@ -48,8 +49,8 @@
 		return nil, fmt.Errorf("%s: start %d is asked for, and start %d runs", p.Unit, p.Incarnation, u.Incarnation)
 	}
 	p.StartTimeMS = u.StartTimeMS
-	if has := b.permits[p.Unit]; has != nil {
-		return b.grantAgain(has, p, replacesPlan)
+	if existing := b.permits[p.Unit]; existing != nil {
+		return b.grantAgain(existing, p, replacesPlan)
 	}
 	if err := b.checkLimits(u); err != nil {
 		return nil, err
@@ -60,20 +61,20 @@
 }
 
 // grantAgain handles a request for a unit that already has a permit.
-func (b *Budget) grantAgain(has *Permit, p Permit, replacesPlan string) (*Permit, error) {
-	if replacesPlan != "" && has.Plan == replacesPlan && has.Begun {
-		p.Begun, p.SeenUnavailable = true, has.SeenUnavailable
+func (b *Budget) grantAgain(existing *Permit, p Permit, replacesPlan string) (*Permit, error) {
+	if replacesPlan != "" && existing.Plan == replacesPlan && existing.Begun {
+		p.Begun, p.SeenUnavailable = true, existing.SeenUnavailable
 		b.permits[p.Unit] = &p
 		return &p, nil
 	}
-	if has.Incarnation == p.Incarnation && has.Holder == p.Holder && has.Plan == p.Plan && has.TargetVersion == p.TargetVersion {
-		return has, nil
+	if existing.Incarnation == p.Incarnation && existing.Holder == p.Holder && existing.Plan == p.Plan && existing.TargetVersion == p.TargetVersion {
+		return existing, nil
 	}
-	return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, has.Holder)
+	return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, existing.Holder)
 }
 
-// checkLimits returns an error if the tier of a unit has no limit, or names the first limit that is exceeded when the unit's
-// whole capacity is unavailable.
+// checkLimits returns an error if the tier of a unit has no limit, or if a limit would be exceeded while the unit's whole
+// capacity is unavailable. The error names the first such limit.
 func (b *Budget) checkLimits(u *Unit) error {
 	limit := b.limits[u.Tier]
 	if limit == nil {
@@ -107,7 +108,7 @@
 
 // Begin marks the permit with this token as begun. From then on its holder may take the unit out of service. A repeated call
 // has no further effect. The error wraps [ErrPermitNotFound] if the unit has no permit with this token, and [ErrUnitRestarted]
-// if the permit has not begun and the unit runs in another incarnation.
+// if the permit has not begun and is for another incarnation than the unit's current one.
 func (b *Budget) Begin(unit string, token int64) (*Permit, error) {
 	p := b.permits[unit]
 	if p == nil || p.Token != token {
--- a/internal/coordination/disruption/scope.go
+++ b/internal/coordination/disruption/scope.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// sum is the number of units in a scope and their total capacities, in millionths.
+// sum is the number of units in a scope, their total capacity, and how much of that capacity is unavailable, in millionths.
 type sum struct {
 	units       int
 	capacity    int64
--- a/internal/coordination/disruption/usage.go
+++ b/internal/coordination/disruption/usage.go
@@ -45,7 +45,7 @@
 	Permitted bool    `json:"permitted"`
 }
 
-// reasonPermitted is the reason of a unit that is fully available and has a permit.
+// reasonPermitted is the Reason of an [UnavailableUnit] that is fully available and has a permit.
 const reasonPermitted = "permitted"
 
 // UnavailableUnits returns all units that are not fully available or have a permit, in ascending order of their IDs.
--- a/internal/coordination/eventlog/eventlog.go
+++ b/internal/coordination/eventlog/eventlog.go
@@ -1,5 +1,5 @@
 // Package eventlog records the actions of agents and controllers in a file, as one line of JSON per event. Package
-// faulttest reads these files to check the rules on disruption budgets and leases.
+// faulttest reads these files to check the rules on disruption budgets, leases and rollouts of settings.
 //
 // Timestamps come from the machine's monotonic clock. All processes of a machine share it, so that the logs of several
 // processes can be merged. A [Log] is safe for concurrent use.
@@ -20,8 +20,8 @@
 
 // Kinds of events.
 const (
-	UnitStarted    Kind = "up"   // an agent's unit serves and is about to be registered
-	UnitStopped    Kind = "down" // an agent's unit has stopped serving or is about to be stopped
+	UnitStarted    Kind = "up"   // the process of an agent's unit is ready, and the unit is about to be registered
+	UnitStopped    Kind = "down" // the process of an agent's unit has exited or is about to be stopped
 	PermitBegun    Kind = "out"  // a permit has begun, and the agent is about to take its unit out of service
 	StageRequested Kind = "asks" // a controller is about to request the next stage of a rollout
 	WriteApplied   Kind = "act"  // the registry has applied a write of a controller
@@ -30,12 +30,12 @@
 // Event is one line of a log.
 type Event struct {
 	At            time.Duration `json:"at_ns"` // on the clock of [Now]; zero when passed to Append means now
-	Process       string        `json:"who"`
+	Process       string        `json:"who"`   // UID of the agent's unit, or name of the controller
 	Kind          Kind          `json:"what"`
 	Unit          string        `json:"unit,omitempty"`
 	Version       string        `json:"version,omitempty"`
 	Plan          string        `json:"plan,omitempty"`
-	Token         int64         `json:"token,omitempty"`   // of the permit or of the controller's lease
+	Token         int64         `json:"token,omitempty"`   // of the permit, or of the leader lease if a controller logs the event
 	SentAt        time.Duration `json:"sent_ns,omitempty"` // when the write that caused the event was sent
 	Reason        string        `json:"why,omitempty"`
 	MaxRenewalGap time.Duration `json:"span_ns,omitempty"` // longest time between two renewals of the lease, zero if not recorded
--- a/internal/coordination/fakeregistry/fakeregistry.go
+++ b/internal/coordination/fakeregistry/fakeregistry.go
@@ -1,6 +1,6 @@
 // Package fakeregistry provides an in-memory registry with one replica, for tests of code that uses the registry's client.
-// It applies writes to the real registry state, but has no network and no Raft log, and leases do not expire. It takes the
-// time from package time, so that it can run in a testing/synctest bubble.
+// It applies writes to a real [state.State], but has no network and no Raft log, and leases do not expire on their own. It takes
+// the time from package time, so that it can run in a testing/synctest bubble.
 package fakeregistry
 
 import (
@@ -16,14 +16,14 @@
 	"umberbank/internal/registry/state"
 )
 
-// ErrUnreachable is returned by every call while the registry is unreachable; see [Registry.SetUnreachable].
+// ErrUnreachable is returned by calls of the client's methods while the registry is unreachable; see [Registry.SetUnreachable].
 var ErrUnreachable = errors.New("registry is unreachable")
 
 // Registry is an in-memory registry. It is safe for concurrent use.
 type Registry struct {
 	mu          sync.Mutex
 	state       *state.State
-	changed     chan struct{} // closed at the next write or change of unreachable
+	changed     chan struct{} // closed at the next write, or at the next call of SetUnreachable
 	unreachable bool
 }
 
@@ -78,8 +78,8 @@
 	return results[0], nil
 }
 
-// PollCoordination returns the view as soon as its revision is greater than after, and the current view when wait has
-// elapsed, as client.Client does. If the registry is unreachable at that time, it returns [ErrUnreachable].
+// PollCoordination returns the view as soon as its revision is greater than after, and otherwise the current view when wait has
+// elapsed, as client.Client does. If the registry is unreachable when wait has elapsed, it returns [ErrUnreachable].
 func (r *Registry) PollCoordination(ctx context.Context, query url.Values, after int64, wait time.Duration) (*state.CoordinationView, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -117,7 +117,7 @@
 	return &copied, r.changed, json.Unmarshal(text, &copied)
 }
 
-// NextStartTime returns clock in Unix milliseconds, or the unit's last start time plus one if that is later, as
+// NextStartTime returns clock in Unix milliseconds, or the unit's last start time plus 1 ms if that is later, as
 // client.Client does.
 func (r *Registry) NextStartTime(_ context.Context, uid string, clock time.Time) (float64, error) {
 	r.mu.Lock()
@@ -172,7 +172,7 @@
 	token int64
 }
 
-// Register registers the first of instances and ignores the others.
+// Register registers the first of instances and ignores the others. The error of a rejected write does not wrap client.ErrFenced.
 func (h *LeaseHolder) Register(ctx context.Context, instances ...*state.Instance) error {
 	result, err := h.Registry.WriteOne(ctx, state.Op{Kind: state.OpRegister, Instance: instances[0]})
 	if err != nil {
@@ -184,7 +184,7 @@
 	return result.Err()
 }
 
-// Token returns the token of the unit's registration, or 0 if another process has registered the unit since.
+// Token returns the token of the unit's registration, or 0 if the unit has been removed or registered by a later process since.
 func (h *LeaseHolder) Token(uid string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/coordination/release/doc.go
+++ b/internal/coordination/release/doc.go
@@ -11,10 +11,11 @@
 //
 //   - A unit is recorded in the progress before a permit is requested for it, so that a rollback includes every unit that may
 //     have changed.
-//   - A stage starts only after every step of the previous stage has been finished for the bake time. A step is finished when
-//     its unit has been decommissioned, or when the unit runs the step's version, has no permit and is fully available.
-//   - A halted release requests no permits, and the registry lets none of its permits begin.
+//   - A stage starts only after all steps of the previous stage have been finished without interruption for the bake time. A
+//     step is finished when its unit has been decommissioned, or when the unit runs the step's version, has no permit and is
+//     fully available.
+//   - A halted release requests no permits, and the registry does not let those that have not begun begin.
 //
-// Fractions are between 0 and 1. Capacities are in the unit of the endpoint list. Times are in milliseconds in fields whose
-// name ends in MS.
+// Fractions are between 0 and 1. Capacities have the same unit of measure as in the endpoint list. Times are in milliseconds in
+// fields whose name ends in MS.
 package release
--- a/internal/coordination/release/golden_test.go
+++ b/internal/coordination/release/golden_test.go
@@ -62,11 +62,11 @@
 }
 
 func TestGoldenWrites(t *testing.T) {
-	m := &Scheduler{Holder: "c0"}
+	scheduler := &Scheduler{Holder: "c0"}
 	for i, line := range golden.Lines(t, "testdata/looks.jsonl") {
 		poll := golden.Decode[goldenPoll](t, line)
 		view := View{Units: poll.Units, Unavailable: poll.Unavailable, Permits: poll.Permits, Records: poll.Records}
-		writes := m.NextWrites(view, time.Duration(i)*time.Second)
+		writes := scheduler.NextWrites(view, time.Duration(i)*time.Second)
 		if len(writes) != len(poll.Writes) {
 			t.Fatalf("poll %d: %d writes, want %d", i, len(writes), len(poll.Writes))
 		}
@@ -76,7 +76,7 @@
 				t.Errorf("poll %d: reason %q, want %q", i, writes[k].Reason, want.Reason)
 			}
 			if want.Applied {
-				m.WriteApplied(writes[k])
+				scheduler.WriteApplied(writes[k])
 			}
 		}
 	}
--- a/internal/coordination/release/plan.go
+++ b/internal/coordination/release/plan.go
@@ -12,7 +12,7 @@
 	Name              string   `json:"name"`
 	RollsBack         string   `json:"undoes,omitempty"`  // the release that this one rolls back; empty if none
 	MaxConcurrent     int      `json:"at_once,omitempty"` // maximum number of permits held at the same time; zero means 256
-	BakeMS            int64    `json:"bake_ms"`           // from the end of a stage until the next one starts
+	BakeMS            int64    `json:"bake_ms"`           // how long a stage must be finished before the next starts
 	RecoveryTimeoutMS int64    `json:"back_within_ms"`    // how long a begun permit may last before the release halts
 	Stages            [][]Step `json:"stages"`
 }
@@ -47,14 +47,14 @@
 	return state.Op{Kind: state.OpPutRecord, Key: state.HaltKeyPrefix + name, Value: encode(halt{reason}), IfModRevision: state.Absent}
 }
 
-// encode encodes a value that contains only strings, numbers and booleans, which cannot fail.
+// encode returns v as JSON. v must consist of structs and slices of strings, numbers and booleans, whose encoding cannot fail.
 func encode(v any) json.RawMessage {
 	text, _ := json.Marshal(v)
 	return text
 }
 
-// RollbackPlan returns the plan that rolls a release back under the same limits. Its single stage has every unit for which the
-// release requested a permit, the most recent first.
+// RollbackPlan returns the plan that rolls a release back. It has the MaxConcurrent and RecoveryTimeoutMS of the release and no
+// bake time. Its single stage has every unit for which the release requested a permit, the most recently requested first.
 func RollbackPlan(p *Plan, progress Progress) *Plan {
 	stepOf := map[string]Step{}
 	for _, stage := range p.Stages {
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -17,18 +17,18 @@
 	Name             string             `toml:"name"`
 	Version          string             `toml:"version"`     // version that the units must run after the release
 	MaxConcurrent    int                `toml:"at_once"`     // maximum number of permits held at the same time; zero means 256
-	BakeTime         string             `toml:"bake"`        // from the end of a stage until the next one starts; empty means 2s
+	BakeTime         string             `toml:"bake"`        // how long a stage must be finished before the next starts; empty means 2s
 	RecoveryTimeout  string             `toml:"back_within"` // how long a begun permit may last before a halt; empty means 60s
 	RequiredCapacity map[string]float64 `toml:"needs"`       // capacity that the current load needs, by tier
 	Stages           []PlanFileStage    `toml:"stage"`
 }
 
-// PlanFileStage is one stage of a PlanFile. It selects either a fraction of a tier, which includes the units of earlier stages,
-// or the units that it names.
+// PlanFileStage is one stage of a PlanFile. It selects either the units that it names, or as many units as are missing until the
+// stages up to this one have selected the given fraction of a tier.
 type PlanFileStage struct {
 	Tier     string   `toml:"tier"`
 	Zones    []string `toml:"zones"` // zones of the tier to select from; empty means all
-	Fraction float64  `toml:"share"` // above 0 and at most 1
+	Fraction float64  `toml:"share"` // of the number of units in those zones; above 0 and at most 1
 	Units    []string `toml:"units"` // UIDs; if not empty, the other fields are ignored
 }
 
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// validate checks the keys whose validity does not depend on the units of the site.
+// validate checks the keys name, version and at_once, and that there is a stage.
 func (f *PlanFile) validate() error {
 	switch {
 	case f.Name == "" || strings.ContainsAny(f.Name, "/ \t\n"):
@@ -177,8 +177,9 @@
 	return units, nil
 }
 
-// pickFraction returns the units that complete a stage's fraction of its tier and zones, together with the units that earlier
-// stages selected. They are evenly spaced in the order of their UIDs. The number of units is rounded up.
+// pickFraction returns the units with which the selected units make up the stage's fraction of the units in its tier and zones.
+// The number of selected units, which includes those of earlier stages, is rounded up. The returned units are evenly spaced
+// among the ones that no earlier stage selected, in the order of their UIDs.
 func (p *unitPicker) pickFraction(stage *PlanFileStage) ([]*state.Instance, error) {
 	if !p.tiers[stage.Tier] {
 		return nil, fmt.Errorf("tier: there is no tier %q", stage.Tier)
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -14,7 +14,7 @@
 	"umberbank/internal/registry/state"
 )
 
-// site is the State of a registry with a simulated clock. Its methods simulate the agents of the units.
+// site is the State of a registry with a simulated clock. Its methods simulate the controllers and the agents of the units.
 type site struct {
 	*state.State
 	now time.Duration
@@ -55,19 +55,19 @@
 
 // applyWrites applies at most the given number of a scheduler's next writes, up to the first that fails. It returns how many
 // writes the scheduler requested.
-func (s *site) applyWrites(m *Scheduler, limit int) int {
-	writes := m.NextWrites(s.view(), s.now)
+func (s *site) applyWrites(scheduler *Scheduler, limit int) int {
+	writes := scheduler.NextWrites(s.view(), s.now)
 	for _, w := range writes[:min(limit, len(writes))] {
-		if a, _ := s.Apply(w.Op); a.Code != "" {
+		if result, _ := s.Apply(w.Op); result.Code != "" {
 			break
 		}
-		m.WriteApplied(w)
+		scheduler.WriteApplied(w)
 	}
 	return len(writes)
 }
 
-// runAgent takes the next step of a unit's agent: it begins the permit, starts the target version if canStart is set, or sets the
-// started unit to serve.
+// runAgent takes the next step of a unit's agent: it begins the permit, starts the target version if canStart is set, or sets a
+// draining unit that runs the target version to serving.
 func (s *site) runAgent(uid string, canStart bool) {
 	p := s.Budget().Permit(uid)
 	if p == nil {
@@ -77,35 +77,35 @@
 		s.Apply(state.Op{Kind: state.OpBeginPermit, UID: uid, Token: p.Token})
 		return
 	}
-	e := s.Get(uid)
+	instance := s.Get(uid)
 	switch {
-	case e == nil:
-	case e.Version == p.TargetVersion && e.State == state.Draining:
-		s.Apply(state.Op{Kind: state.OpUpdate, UID: uid, Token: e.Token, State: state.Serving})
-	case canStart && e.Version != p.TargetVersion:
-		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(uid, p.TargetVersion, e.StartTimeMS+1)})
+	case instance == nil:
+	case instance.Version == p.TargetVersion && instance.State == state.Draining:
+		s.Apply(state.Op{Kind: state.OpUpdate, UID: uid, Token: instance.Token, State: state.Serving})
+	case canStart && instance.Version != p.TargetVersion:
+		s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance(uid, p.TargetVersion, instance.StartTimeMS+1)})
 	}
 }
 
 func (s *site) warmUp(uid string) {
-	if e := s.Get(uid); e != nil && e.WarmUpDeficit > 0 {
+	if instance := s.Get(uid); instance != nil && instance.WarmUpDeficit > 0 {
 		zero := 0.0
-		s.Apply(state.Op{Kind: state.OpWarmUp, UID: uid, Token: e.Token, WarmUpDeficit: &zero})
+		s.Apply(state.Op{Kind: state.OpWarmUp, UID: uid, Token: instance.Token, WarmUpDeficit: &zero})
 	}
 }
 
-func (s *site) versions() (l []string) {
+func (s *site) versions() (versions []string) {
 	for _, u := range s.Units() {
-		l = append(l, u.Version)
+		versions = append(versions, u.Version)
 	}
-	return slices.Compact(slices.Sorted(slices.Values(l)))
+	return slices.Compact(slices.Sorted(slices.Values(versions)))
 }
 
 const twoStagePlanFile = "name = \"p\"\nversion = \"v2\"\nbake = \"1s\"\nback_within = \"1h\"\n[[stage]]\ntier = \"web\"\nshare = 0.2\n[[stage]]\ntier = \"web\"\nshare = 1.0\n"
 
-// Two controllers act in random order and are replaced at any step, while agents begin permits, start units and warm up. An
-// operator may halt the release and roll it back. No limit may be exceeded. In the end every unit must run the new version, or
-// the old one after a rollback.
+// Two controllers send writes in random order and are replaced at any step, while agents begin permits and start units, and the
+// units warm up. An operator may halt the release and roll it back. No limit may be exceeded. In the end every unit must run the
+// new version, or the old one after a rollback.
 func TestAnyControllerContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(rapid.IntRange(3, 12).Draw(t, "units"), 0.4)
@@ -125,8 +125,8 @@
 			case 5:
 				s.warmUp(uid)
 			case 6:
-				if pt := s.Budget().Permit(uid); pt != nil {
-					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: pt.Token}) // no effect if it has begun
+				if permit := s.Budget().Permit(uid); permit != nil {
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: uid, Token: permit.Token}) // no effect if it has begun
 				}
 			case 7:
 				if !rolledBack && rapid.IntRange(0, 9).Draw(t, "roll back") == 0 {
@@ -152,8 +152,8 @@
 			for _, u := range s.Units() {
 				s.runAgent(u.UID, true)
 				s.warmUp(u.UID)
-				if pt := s.Budget().Permit(u.UID); pt != nil {
-					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: u.UID, Token: pt.Token})
+				if permit := s.Budget().Permit(u.UID); permit != nil {
+					s.Apply(state.Op{Kind: state.OpReturnPermit, UID: u.UID, Token: permit.Token})
 				}
 			}
 			s.now += time.Second
@@ -173,28 +173,28 @@
 func TestHaltsOnRecoveryTimeout(t *testing.T) {
 	s := newSite(5, 0.4)
 	p := s.storePlanFile(t, strings.Replace(twoStagePlanFile, "1h", "10s", 1))
-	m := &Scheduler{Holder: "a"}
-	s.applyWrites(m, 10)
+	scheduler := &Scheduler{Holder: "a"}
+	s.applyWrites(scheduler, 10)
 	s.runAgent("s00", false)
-	s.applyWrites(m, 10)
-	e := s.Get("s00")
-	s.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: e.Token}) // its new version crashes repeatedly
-	if s.now = 9 * time.Second; s.applyWrites(m, 10) > 0 && HaltReason(s.view(), "p") != "" {
+	s.applyWrites(scheduler, 10)
+	instance := s.Get("s00")
+	s.Apply(state.Op{Kind: state.OpExpire, UID: "s00", Token: instance.Token}) // its new version crashes repeatedly
+	if s.now = 9 * time.Second; s.applyWrites(scheduler, 10) > 0 && HaltReason(s.view(), "p") != "" {
 		t.Error("the release halted before the timeout")
 	}
 	s.now = 11 * time.Second
-	if s.applyWrites(m, 10); !strings.Contains(HaltReason(s.view(), "p"), "s00 has not come back within 10000 ms") {
-		t.Fatalf("halt reason %q", HaltReason(s.view(), "p"))
+	if s.applyWrites(scheduler, 10); !strings.Contains(HaltReason(s.view(), "p"), "s00 has not come back within 10000 ms") {
+		t.Fatalf("halt reason %q, want that s00 has not come back", HaltReason(s.view(), "p"))
 	}
 	s.storePlan(RollbackPlan(p, ProgressOf(s.view(), "p")))
-	s.applyWrites(m, 10)
-	if pt := s.Budget().Permit("s00"); pt == nil || pt.TargetVersion != "v1" || !pt.Begun {
-		t.Fatalf("permit %+v, want a begun one to v1", pt)
+	s.applyWrites(scheduler, 10)
+	if permit := s.Budget().Permit("s00"); permit == nil || permit.TargetVersion != "v1" || !permit.Begun {
+		t.Fatalf("permit %+v, want a begun one to v1", permit)
 	}
 	s.Apply(state.Op{Kind: state.OpRegister, Instance: s.instance("s00", "v1", 5)})
 	s.warmUp("s00")
 	for range 3 {
-		s.applyWrites(m, 10)
+		s.applyWrites(scheduler, 10)
 	}
 	if len(ActivePlans(s.view())) > 0 || len(s.Budget().Permits()) > 0 || s.versions()[0] != "v1" {
 		t.Errorf("the rollback has not ended: %+v", s.view())
--- a/internal/coordination/release/scheduler.go
+++ b/internal/coordination/release/scheduler.go
@@ -13,7 +13,7 @@
 // Write is a write to the registry that a [Scheduler] requests.
 type Write struct {
 	state.Op
-	Reason string // for the log; empty if the write is not logged
+	Reason string // why the write is sent; if empty, the write causes no log message
 }
 
 // Scheduler decides which writes advance the active releases. It belongs to one controller and must not be used by several
@@ -22,21 +22,21 @@
 type Scheduler struct {
 	Holder string // of the permits that it requests
 
-	trueSince map[string]time.Duration // when a condition became true, on the controller's clock
+	trueSince map[string]time.Duration // when a condition became true, on the controller's clock, by the condition's key
 	grants    map[string]int           // number of applied writes by permitKey
 }
 
 const (
-	// maxPermitsPerIncarnation is the number of permits above which a release halts, if one incarnation of a unit was granted
-	// them and still runs another version. Either the unit returns to service with the old version each time, or its agent does
-	// not begin the permits.
+	// maxPermitsPerIncarnation limits the permits of one incarnation of a unit. A release halts, instead of requesting another
+	// permit, once it has been granted more than this number and the unit still runs another version. The permits have then
+	// ended because the unit was fully available again without a restart, or expired because its agent did not begin them.
 	maxPermitsPerIncarnation = 20
-	// maxConcurrentPermits bounds the permits that a release holds at the same time if its plan sets no bound.
+	// maxConcurrentPermits limits the number of permits that a release holds at the same time if its plan sets no limit.
 	maxConcurrentPermits = 256
 )
 
-// WriteApplied records that the registry has applied a write of NextWrites. The Scheduler counts the permits that were granted to
-// each incarnation of a unit.
+// WriteApplied records that the registry has applied a write of NextWrites. If the write requested a permit, the Scheduler adds
+// the permit to its count for the unit's incarnation.
 func (s *Scheduler) WriteApplied(w Write) { s.grants[permitKey(w.Plan, w.UID, w.Incarnation)]++ }
 
 // permitKey returns the key of an incarnation of a unit in Scheduler.grants.
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("%s %s %d", plan, unit, incarnation)
 }
 
-// NextWrites returns the writes to send now, in order. now is the time on a monotonic clock of the controller. Every write may
-// be repeated. The caller must add its fence to each write, so that the registry applies only those of the leading controller.
+// NextWrites returns the writes to send now, in order. now is the time on a monotonic clock of the controller. It is safe to send
+// a write more than once. The caller must add its fence to each write, so that the registry applies only those of the leader.
 func (s *Scheduler) NextWrites(v View, now time.Duration) []Write {
 	if s.trueSince == nil {
 		s.trueSince, s.grants = map[string]time.Duration{}, map[string]int{}
@@ -57,7 +57,7 @@
 	return writes
 }
 
-// trueFor returns for how long a condition has been true at every call of this Scheduler, or 0 if it is not true now.
+// trueFor returns for how long a condition has been true at every poll of this Scheduler, or 0 if it is not true now.
 func (s *Scheduler) trueFor(condition string, isTrue bool, now time.Duration) time.Duration {
 	if !isTrue {
 		delete(s.trueSince, condition)
@@ -76,11 +76,11 @@
 	plan        *Plan
 	now         time.Duration
 	progress    Progress
-	modRevision int64 // of the progress record; state.Absent if there is none
+	modRevision int64 // of the progress record; state.Absent if there is none or it cannot be decoded
 	units       map[string]*state.Instance
 	unavailable map[string]disruption.UnavailableUnit
 	permits     map[string]*disruption.Permit // by unit
-	heldPermits int                           // number of permits of this plan
+	heldPermits int                           // number of permits of this plan, including those that are about to be requested
 }
 
 func newPlanEvaluation(s *Scheduler, p *Plan, v *View, now time.Duration) *planEvaluation {
@@ -88,8 +88,8 @@
 		scheduler: s, plan: p, now: now,
 		units: map[string]*state.Instance{}, unavailable: map[string]disruption.UnavailableUnit{}, permits: map[string]*disruption.Permit{},
 	}
-	var found bool
-	if r.modRevision, found = v.record(ProgressKeyPrefix+p.Name, &r.progress); !found {
+	var decoded bool
+	if r.modRevision, decoded = v.record(ProgressKeyPrefix+p.Name, &r.progress); !decoded {
 		r.modRevision = state.Absent
 	}
 	for _, u := range v.Units {
@@ -127,7 +127,7 @@
 }
 
 // unfinishedSteps returns the steps of the current stage for which a permit can be requested now, and the number of steps that
-// are not finished. haltReason is not empty if a unit has not recovered within the plan's timeout.
+// are not finished. haltReason is not empty if a unit's begun permit has lasted longer than the plan's recovery timeout.
 func (r *planEvaluation) unfinishedSteps() (requestable []Step, unfinished int, haltReason string) {
 	for _, step := range r.plan.Stages[r.progress.Stage] {
 		permit := r.permits[step.Unit]
@@ -154,7 +154,8 @@
 }
 
 // canRequest reports whether a permit can be requested for an unfinished step. Either the unit has no permit, is reachable and
-// runs another version, or its permit has begun and belongs to the release that this plan rolls back.
+// runs another version, or its permit has begun and belongs to the release that this plan rolls back. If this plan rolls none
+// back, a begun permit that belongs to no release has the same effect.
 func (r *planEvaluation) canRequest(step Step) bool {
 	permit := r.permits[step.Unit]
 	if permit == nil {
@@ -173,7 +174,8 @@
 	return []Write{r.writeProgress(fmt.Sprintf("stage %d finished", r.progress.Stage-1))}
 }
 
-// requestPermits returns the writes that request permits for steps, up to the number of permits that the plan may hold.
+// requestPermits returns the writes that request permits for steps, up to the number of permits that the plan may hold, after
+// the write that adds their units to the progress. It returns only a halt if a unit has had too many permits.
 func (r *planEvaluation) requestPermits(steps []Step) []Write {
 	var writes []Write
 	requested := slices.Clone(r.progress.Requested)
@@ -208,7 +210,7 @@
 	return Write{Op: op, Reason: fmt.Sprintf("%s from %q to %q", step.Unit, step.FromVersion, step.ToVersion)}
 }
 
-// writeProgress returns the write that stores the progress. It fails if another controller has stored a progress since.
+// writeProgress returns the write that stores the progress. The write fails if the progress record has changed since it was read.
 func (r *planEvaluation) writeProgress(reason string) Write {
 	op := state.Op{Kind: state.OpPutRecord, Key: ProgressKeyPrefix + r.plan.Name, Value: encode(r.progress), IfModRevision: r.modRevision}
 	return Write{Op: op, Reason: reason}
--- a/internal/coordination/release/view.go
+++ b/internal/coordination/release/view.go
@@ -45,7 +45,7 @@
 	return plans
 }
 
-// HaltReason returns why a release is halted, or an empty string if it is not.
+// HaltReason returns why a release is halted, or an empty string if it is not halted or its halt record cannot be decoded.
 func HaltReason(v View, name string) string {
 	var h halt
 	if _, halted := v.record(state.HaltKeyPrefix+name, &h); !halted {
@@ -57,7 +57,7 @@
 	return h.Reason
 }
 
-// ProgressOf returns the progress of a release, or the zero value if it has not started.
+// ProgressOf returns the progress of a release, or the zero value if no progress is stored.
 func ProgressOf(v View, name string) (p Progress) {
 	v.record(ProgressKeyPrefix+name, &p)
 	return p
