--- a/cmd/umberbank/fleet.go
+++ b/cmd/umberbank/fleet.go
@@ -16,7 +16,7 @@
 	Halt         fleetHaltCmd         `name:"halt" cmd:"" help:"Halt a release: no further change begins."`
 	Resume       fleetResumeCmd       `name:"resume" cmd:"" help:"Lift the halt of a release."`
 	Rollback     fleetRollbackCmd     `name:"rollback" aliases:"back" cmd:"" help:"Halt a release and undo it, newest change first."`
-	Config       fleetConfigCmd       `name:"config" cmd:"" help:"Roll out versions of nodes' settings, which a quorum of the nodes commits."`
+	Config       fleetConfigCmd       `name:"config" cmd:"" help:"Roll out versions of nodes' settings in stages, once a quorum of the nodes has acknowledged them."`
 	Controller   fleetControllerCmd   `name:"controller" aliases:"control" cmd:"" help:"Run a controller. Only the controller that holds the leader lease makes changes."`
 	Agent        fleetAgentCmd        `name:"agent" cmd:"" help:"Run the agent of a unit: it starts the unit's process, holds its lease and changes its version under a permit."`
 	FaultTest    fleetFaultTestCmd    `name:"fault-test" aliases:"trial" cmd:"" help:"Run releases on real processes, inject faults and check for violations."`
--- a/cmd/umberbank/fleet_agent.go
+++ b/cmd/umberbank/fleet_agent.go
@@ -65,7 +65,7 @@
 	return unit.Run(env.ctx)
 }
 
-// instance returns the unit's entry in the registry.
+// instance returns the instance that the agent registers.
 func (c *fleetAgentCmd) instance() state.Instance {
 	instance := state.Instance{
 		UID:      c.UID,
--- a/cmd/umberbank/fleet_budget.go
+++ b/cmd/umberbank/fleet_budget.go
@@ -37,16 +37,16 @@
 	if err != nil {
 		return err
 	}
-	var l disruption.Limits
-	if err := stricttoml.Decode(c.File, text, &l); err != nil {
+	var limits disruption.Limits
+	if err := stricttoml.Decode(c.File, text, &limits); err != nil {
 		return err
 	}
-	if err := l.Validate(); err != nil {
+	if err := limits.Validate(); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpSetLimits, Limits: &l}); err != nil {
+	if _, err := c.apply(env.ctx, state.Op{Kind: state.OpSetLimits, Limits: &limits}); err != nil {
 		return err
 	}
-	fmt.Fprintf(env.stdout, "limits of %d tiers are in force\n", len(l.Tiers))
+	fmt.Fprintf(env.stdout, "limits of %d tiers are in force\n", len(limits.Tiers))
 	return nil
 }
--- a/cmd/umberbank/fleet_config.go
+++ b/cmd/umberbank/fleet_config.go
@@ -15,8 +15,8 @@
 	Push     fleetConfigPushCmd     `name:"push" cmd:"" help:"Propose a version, which controllers roll out in stages."`
 	Status   fleetConfigStatusCmd   `name:"status" cmd:"" help:"Print the version in force, the pending version, and what each node runs."`
 	Halt     fleetConfigHaltCmd     `name:"halt" cmd:"" help:"Halt the rollout of the pending version."`
-	Withdraw fleetConfigWithdrawCmd `name:"withdraw" cmd:"" help:"Withdraw the pending version before a stage began."`
-	Rollback fleetConfigRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Propose the content of the previous version in force as a new version."`
+	Withdraw fleetConfigWithdrawCmd `name:"withdraw" cmd:"" help:"Withdraw the pending version before its first stage starts."`
+	Rollback fleetConfigRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Replace the pending version by a new one with the content of the version in force."`
 }
 
 // fleetConfigPushCmd is "umberbank fleet config push".
@@ -31,8 +31,9 @@
 // Help is shown by --help.
 func (fleetConfigPushCmd) Help() string {
 	return `Every node validates the version as it does at SIGHUP, and acknowledges it or rejects it with a reason. The first stage begins once
-more than half of the nodes of each zone have acknowledged it. Unreachable nodes count in that quorum until they are decommissioned; the
-nodes of a lost zone count only in the quorum of all nodes. No stage waits for unreachable nodes.
+more than half of the nodes of each zone, and more than half of all nodes, have acknowledged it. Unreachable nodes count in these
+quorums until they are decommissioned; the nodes of a lost zone count only in the quorum of all nodes. A later stage begins once
+the nodes that the earlier stages reached run the version. It does not wait for the unreachable ones if they are at most half.
 
 Example:
   umberbank fleet config push settings.json --stages 0.1,0.5,1 --bake 30s`
@@ -112,12 +113,12 @@
 // fleetConfigRollbackCmd is "umberbank fleet config rollback".
 type fleetConfigRollbackCmd struct{ registryFlags }
 
-// Run proposes the content of the previous version in force as a new version.
+// Run replaces the pending version by a new one with the content of the version in force.
 func (c *fleetConfigRollbackCmd) Run(env *environment) error {
 	result, err := c.apply(env.ctx, state.Op{Kind: state.OpRollback})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(env.stdout, "version %d is proposed, with the content of the previous version in force\n", result.Token)
+	fmt.Fprintf(env.stdout, "version %d is proposed, with the content of the version in force\n", result.Token)
 	return nil
 }
--- a/cmd/umberbank/fleet_config_status.go
+++ b/cmd/umberbank/fleet_config_status.go
@@ -46,7 +46,7 @@
 		fmt.Fprintf(w, "zone %s is LOST since %s: its quorum is passed over\n", zone, formatTime(s.LostZones[zone]))
 	}
 	if outOfSync := s.OutOfSync(); len(outOfSync) > 0 {
-		fmt.Fprintf(w, "%d of %d nodes are out of sync: the rollout does not wait for them, and they must run their target version before they count as in sync\n", len(outOfSync), len(s.Nodes))
+		fmt.Fprintf(w, "%d of %d nodes are out of sync: each must run its target version before it counts as in sync; the rollout goes on without them if enough other nodes acknowledge and run the version\n", len(outOfSync), len(s.Nodes))
 	}
 }
 
@@ -93,7 +93,7 @@
 	return fmt.Sprintf("%d to %d", n.RunningVersion, n.HighestPossibleVersion)
 }
 
-// formatTime formats the time of a write by the leader's clock, or the write's revision if the time is unknown.
+// formatTime formats the time of a write by the leader's clock. If the time is unknown, it gives the write's revision, if known.
 func formatTime(ts rollout.Timestamp) string {
 	switch {
 	case ts.UnixMS > 0:
--- a/cmd/umberbank/fleet_drain.go
+++ b/cmd/umberbank/fleet_drain.go
@@ -9,7 +9,7 @@
 // fleetDrainCmd is "umberbank fleet drain".
 type fleetDrainCmd struct {
 	registryFlags
-	UIDs   []string `arg:"" name:"uid" help:"UIDs of the servers, in the order in which to drain them. If one would exceed the budget, those before it stay drained."`
+	UIDs   []string `arg:"" name:"uid" help:"UIDs of the servers, in the order in which to drain them. If one would exceed the budget, those before it stay drained, and those after it are tried."`
 	Holder string   `name:"holder" help:"Holder of the permits." default:"staff"`
 }
 
--- a/cmd/umberbank/fleet_faulttest.go
+++ b/cmd/umberbank/fleet_faulttest.go
@@ -22,11 +22,12 @@
 
 // Help is shown by --help.
 func (fleetFaultTestCmd) Help() string {
-	return `Each run is a site of real processes: three replicas of the registry, twelve servers and four nodes with their agents, three
-controllers, and commands of operators that release, halt, resume, roll back and drain two zones at once. Processes are killed, stopped,
-and partitioned in one or both directions; disks are slow, backups are restored, clocks differ by up to an hour.
-With --config one node is also killed and not started again, zones are partitioned or killed and return, and a zone with a replica
-and a controller is partitioned from the rest as a region.
+	return `Each run is a site of real processes. Without --config it has three replicas of the registry, twelve servers and four nodes
+with their agents, three controllers, and operators that release, halt, resume and roll back, and drain servers of two zones at
+once. Processes are killed, stopped, and partitioned in one or both directions; disks are slow, backups are restored, and the
+clocks of agents are up to an hour off.
+With --config one node is also killed and not started again, all nodes of a zone are partitioned from the registry or killed for
+a time, and a zone with its nodes, a replica and a controller is partitioned from the rest.
 The run is checked from the logs of the processes. Exit codes: 0 no violation, 1 a violation, 2 a run could not be carried out.
 
 Example:
--- a/cmd/umberbank/fleet_faulttest_settings.go
+++ b/cmd/umberbank/fleet_faulttest_settings.go
@@ -11,7 +11,7 @@
 	"umberbank/internal/coordination/faulttest"
 )
 
-// Limits of --nodes: a quorum needs three nodes, and the names of nodes have two digits.
+// Limits of --nodes: each of the three zones has at least one node, and the names of nodes have two digits.
 const (
 	minFaultTestNodes = 3
 	maxFaultTestNodes = 99
@@ -25,10 +25,10 @@
 	Versions           int              `json:"versions"`
 	Uncommitted        int              `json:"versions_uncommitted"` // times that a version ran without a stage or a quorum
 	MaxContents        int              `json:"versions_at_once_max"` // most contents that nodes in sync ran at the same time
-	VersionDecreases   int              `json:"went_back"`            // a node ran a lower version than before
-	ServedEarly        int              `json:"served_early"`         // served too early, or in sync with an old version
-	OldIncarnations    int              `json:"old_starts"`           // in sync by an earlier incarnation
-	WronglyOutOfSync   int              `json:"called_dead"`          // out of sync while no fault affected the node
+	VersionDecreases   int              `json:"went_back"`            // times that a node ran a lower version than before
+	ServedEarly        int              `json:"served_early"`         // times that a node served early or in sync with an old version
+	OldIncarnations    int              `json:"old_starts"`           // times that a node was in sync by an earlier incarnation
+	WronglyOutOfSync   int              `json:"called_dead"`          // times that a node was out of sync without a fault
 	OutOfSync          int              `json:"out_of_touch"`
 	ZoneFaults         int              `json:"zones_lost"`
 	KilledNodes        int              `json:"dead"` // runs in which a node was killed and not started again
--- a/cmd/umberbank/fleet_faulttest_test.go
+++ b/cmd/umberbank/fleet_faulttest_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if len(r.Violations) > 0 || r.AppliedWrites == 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want no violations, and writes of controllers", r)
 	}
 }
 
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if len(r.Violations) > 0 || r.Versions == 0 || r.KilledNode == "" {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want no violations, a version that ran, and a killed node", r)
 	}
 }
 
@@ -60,7 +60,7 @@
 			case err != nil:
 				t.Fatal(err)
 			case c.found == nil && (len(r.Violations) > 0 || r.Versions == 0):
-				t.Errorf("%+v", r)
+				t.Errorf("got %+v, want no violations, and a version that ran", r)
 			case c.found != nil && c.found(r) == 0:
 				t.Errorf("no violation found: %+v", r)
 			}
@@ -68,8 +68,8 @@
 	}
 }
 
-// The checks of releases detect each kind of misbehaving process. They report nothing if no process misbehaves: dead units that
-// are not decommissioned count as unavailable.
+// The checks of releases detect each kind of misbehaving process. They report nothing if no process misbehaves, even if some
+// units are dead: these count as unavailable as long as they are not decommissioned.
 func TestFleetFaultTestFindsViolations(t *testing.T) {
 	extraProcess := func(mode string) func([]string, string) []string {
 		return func(endpoints []string, dir string) []string {
@@ -89,7 +89,7 @@
 		{"nothing", faulttest.Options{DeadUnits: deadUnits}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) { // not in parallel: each run starts about twenty processes
-			const lastSeed = 4 // a misbehaving process does not win its race with every seed
+			const lastSeed = 4 // a misbehaving process does not cause a violation with every seed
 			for seed := uint64(1); seed <= lastSeed; seed++ {
 				c.options.Seed, c.options.Duration, c.options.NoFaults, c.options.Program = seed, 4*time.Second, true, commandInMode(t, modeProgram)
 				r, err := faulttest.Run(t.Context(), c.options)
@@ -99,7 +99,7 @@
 				switch {
 				case c.found == nil:
 					if len(r.Violations) > 0 || r.Permits == 0 {
-						t.Errorf("%+v", r)
+						t.Errorf("got %+v, want no violations, and permits", r)
 					}
 					return
 				case c.found(r) > 0:
--- a/cmd/umberbank/fleet_release.go
+++ b/cmd/umberbank/fleet_release.go
@@ -37,7 +37,7 @@
   share = 1.0`
 }
 
-// Run checks a plan against the current state and stores it in the registry.
+// Run checks a plan against the current state and, without --check, stores it in the registry.
 func (c *fleetReleaseCmd) Run(env *environment) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
--- a/cmd/umberbank/fleet_rollback.go
+++ b/cmd/umberbank/fleet_rollback.go
@@ -14,15 +14,15 @@
 	Reason string `name:"reason" aliases:"why" help:"Reason, which the status shows." default:"by staff"`
 }
 
-// findRelease returns the release of a name and the view from which it was read.
+// findRelease returns the release with a name and the view from which it was read.
 func (r registryFlags) findRelease(env *environment, name string) (*releaseRecord, *state.CoordinationView, error) {
 	view, err := r.coordinationState(env.ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, r := range listReleases(view) {
-		if r.plan.Name == name {
-			return &r, view, nil
+	for _, record := range listReleases(view) {
+		if record.plan.Name == name {
+			return &record, view, nil
 		}
 	}
 	return nil, nil, fmt.Errorf("there is no release %q", name)
@@ -76,7 +76,7 @@
 	if err := c.haltRelease(env, c.Name, "taken back"); err != nil {
 		return err
 	}
-	halted, view, err := c.findRelease(env, c.Name) // read after the halt, so that the progress is final
+	halted, view, err := c.findRelease(env, c.Name) // read after the halt, so that the progress has every unit whose permit began
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbank/fleet_status.go
+++ b/cmd/umberbank/fleet_status.go
@@ -75,13 +75,13 @@
 	records := release.View{Records: view.Records}
 	var releases []releaseRecord
 	for _, r := range view.Records {
-		var x releaseRecord
-		if !strings.HasPrefix(r.Key, release.PlanKeyPrefix) || json.Unmarshal(r.Value, &x.plan) != nil {
+		var record releaseRecord
+		if !strings.HasPrefix(r.Key, release.PlanKeyPrefix) || json.Unmarshal(r.Value, &record.plan) != nil {
 			continue
 		}
-		x.progress = release.ProgressOf(records, x.plan.Name)
-		x.haltReason = release.HaltReason(records, x.plan.Name)
-		releases = append(releases, x)
+		record.progress = release.ProgressOf(records, record.plan.Name)
+		record.haltReason = release.HaltReason(records, record.plan.Name)
+		releases = append(releases, record)
 	}
 	return releases
 }
--- a/cmd/umberbank/fleet_test.go
+++ b/cmd/umberbank/fleet_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if results[0].Code != "" {
-		t.Fatalf("%+v", results[0])
+		t.Fatalf("the registry rejected a write: %+v", results[0])
 	}
 	return results[0].Token
 }
@@ -121,12 +121,13 @@
 		t.Fatalf("exit code %d, %v: %s%s", code, err, out, errs)
 	}
 	if s.Nodes["n2"].OutOfSyncSince.UnixMS != expired || s.LostZones["b"].UnixMS != expired || !s.Nodes["n4"].Syncing {
-		t.Errorf("%s", out)
+		t.Errorf("want n2 and zone b out of sync and lost since the lease expired, and n4 syncing: %s", out)
 	}
 }
 
 // Runs a sequence of commands and checks the exit code and a part of the output of each. Invalid input is reported on one line
-// with file and key, before anything changes. The commands and flags have their names of earlier releases, which are aliases.
+// with file and key, before anything changes. Where a command or flag has an alias, which is its name in earlier releases, the
+// test uses the alias.
 func TestFleetBadInput(t *testing.T) {
 	address := startReplica(t)
 	limits := write(t, "limits.toml", "[[tier]]\ntier = \"web\"\nwhole = 0.5\n")
--- a/cmd/umberbank/lab_check.go
+++ b/cmd/umberbank/lab_check.go
@@ -12,7 +12,7 @@
 	return "Each error is printed on one line, with file, line, key and reason.\n\nExample:\n  umberbank lab check labs/*.toml"
 }
 
-// Run checks each scenario and prints its errors or its size.
+// Run checks each scenario and prints its error, or its number of nodes and faults and its duration.
 func (c *labCheckCmd) Run(env *environment) error {
 	var result error
 	for _, f := range c.Files {
--- a/cmd/umberbank/lab_compare.go
+++ b/cmd/umberbank/lab_compare.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// compare prints the differences between two variants. It reports whether their mean served shares differ by more than
-// the tolerance.
+// compare prints the differences between two variants. It reports whether a tolerance is set and their mean served shares differ
+// by more than it.
 func (c *labCompareCmd) compare(env *environment, a, b *variantRuns, invalidRuns int) (toleranceExceeded bool, err error) {
 	differences, err := compare.Compare(a.results, b.results)
 	if err != nil {
--- a/cmd/umberbank/lab_run.go
+++ b/cmd/umberbank/lab_run.go
@@ -18,7 +18,7 @@
 	Seed     uint64 `name:"seed" help:"Seed of all random choices." default:"1"`
 	Virtual  bool   `name:"virtual" help:"Simulate on a virtual clock, with the balancer package in place of node processes."`
 	Node     string `name:"node" help:"Command of the node, such as one of an earlier build. Default: this program." placeholder:"COMMAND"`
-	Attempts int    `name:"attempts" aliases:"tries" help:"Maximum number of attempts while the run is not valid." default:"1"`
+	Attempts int    `name:"attempts" aliases:"tries" help:"Maximum number of attempts to get a valid run." default:"1"`
 	JSON     bool   `name:"json" help:"Print a JSON object."`
 	Output   string `name:"output" aliases:"out" help:"Write the result to this file, for lab report." placeholder:"FILE"`
 }
--- a/cmd/umberbank/main.go
+++ b/cmd/umberbank/main.go
@@ -65,10 +65,11 @@
 	os.Exit(code)
 }
 
-// exitRequest is the value with which kong's exit function panics, for example after --help. run recovers it.
+// exitRequest is the value with which kong's exit function panics, for example after --help. run recovers the panic.
 type exitRequest int
 
-// run parses the command line, runs the command and returns the exit code.
+// run parses the command line, runs the command and returns the exit code. It recovers every panic: it returns the value of an
+// exitRequest, and 0 for a panic with another value.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		if e, ok := recover().(exitRequest); ok {
--- a/cmd/umberbank/misbehaving_test.go
+++ b/cmd/umberbank/misbehaving_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// tryWrite sends a write and reports whether it was accepted. The caller retries a rejected write with the next state.
+// tryWrite sends a write and reports whether it was applied. A write that is rejected is sent again with the next state.
 func tryWrite(ctx context.Context, c *client.Client, op state.Op) bool {
 	results, err := c.Write(ctx, op)
 	return err == nil && results[0].Code == ""
@@ -238,7 +238,7 @@
 	})
 }
 
-// serveEarly is a node that serves with the stored settings of an earlier process, before it has contacted the registry.
+// serveEarly is a node that logs that it runs version 0 and serves before it has contacted the registry.
 func serveEarly(ctx context.Context) {
 	n := newMisbehavingNode()
 	printNodeEvent("runs version 0 -")
--- a/cmd/umberbank/registry_client.go
+++ b/cmd/umberbank/registry_client.go
@@ -27,7 +27,7 @@
 	return do(ctx, c)
 }
 
-// call sends one request to the registry's API and decodes the response into its last argument.
+// call sends one request to the registry's API and decodes the response into the value that into points to.
 func (r registryFlags) call(ctx context.Context, method, path string, body, into any) error {
 	return r.withClient(ctx, func(ctx context.Context, c *client.Client) error {
 		return c.Call(ctx, method, path, body, into)
--- a/cmd/umberbank/registry_get.go
+++ b/cmd/umberbank/registry_get.go
@@ -24,7 +24,7 @@
 	JSON        bool     `name:"json" help:"Print a JSON object."`
 }
 
-// Run prints the instances. It returns errCheckFailed if a requested one is missing.
+// Run prints the instances. Without --json it returns errCheckFailed if a requested one is missing.
 func (c *registryGetCmd) Run(env *environment) error {
 	path := api.PathInstances + "?"
 	if c.Consistent {
@@ -72,19 +72,19 @@
 	Count int `name:"count" help:"Stop after this many changes. 0 means no limit." default:"0"`
 }
 
-// Run prints a line for each change until the context is done.
+// Run prints a line for each change until the context is done or c.Count lines are printed.
 func (c *registryWatchCmd) Run(env *environment) error {
-	r, err := client.NewWatcher(client.Options{Endpoints: c.Endpoints})
+	watcher, err := client.NewWatcher(client.Options{Endpoints: c.Endpoints})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(env.ctx)
 	defer cancel()
-	n := 0
-	err = r.Run(ctx, func(client.WatchEvent) {
-		v := r.View()
+	printed := 0
+	err = watcher.Run(ctx, func(client.WatchEvent) {
+		v := watcher.View()
 		fmt.Fprintf(env.stdout, "revision %d: %d entries\n", v.Revision, len(v.Instances))
-		if n++; n == c.Count {
+		if printed++; printed == c.Count {
 			cancel()
 		}
 	})
--- a/cmd/umberbank/registry_status.go
+++ b/cmd/umberbank/registry_status.go
@@ -16,7 +16,8 @@
 	JSON bool `name:"json" help:"Print a JSON object for each replica."`
 }
 
-// Run prints the status of each replica.
+// Run prints the status of each replica. A replica that does not respond has a row of its own, also with --json, and its error is
+// returned. If several do not respond, the error is that of the last one.
 func (c *registryStatusCmd) Run(env *environment) error {
 	t := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
 	if !c.JSON {
--- a/cmd/umberbank/state.go
+++ b/cmd/umberbank/state.go
@@ -32,7 +32,8 @@
 	Damage   string          `json:"fault,omitempty"` // why the file cannot be used, empty if it is intact
 }
 
-// inspectFile reads and checks a state file. It decodes the payload if it is a node's or JSON.
+// inspectFile reads and checks a state file. The report has the content if the file is a node's snapshot or its payload is JSON.
+// A file that cannot be read counts as damaged.
 func inspectFile(path string) fileReport {
 	report := fileReport{File: path}
 	snapshot, err := durable.ReadFile(path)
@@ -89,7 +90,7 @@
 
 // Help is shown by --help.
 func (stateVerifyCmd) Help() string {
-	return "Exit codes: 0 all are intact, 1 some are damaged, 2 one could not be read.\n\nExample:\n  umberbank state verify /var/lib/balancer"
+	return "Exit codes: 0 all are intact, 1 some are damaged or cannot be read, 2 a path was not found.\n\nExample:\n  umberbank state verify /var/lib/balancer"
 }
 
 // Run prints for each state file whether it is intact.
--- a/internal/coordination/disruption/permit.go
+++ b/internal/coordination/disruption/permit.go
@@ -49,8 +49,8 @@
 		return nil, fmt.Errorf("%s: start %d is asked for, and start %d runs", p.Unit, p.Incarnation, u.Incarnation)
 	}
 	p.StartTimeMS = u.StartTimeMS
-	if existing := b.permits[p.Unit]; existing != nil {
-		return b.grantAgain(existing, p, replacesPlan)
+	if held := b.permits[p.Unit]; held != nil {
+		return b.grantAgain(held, p, replacesPlan)
 	}
 	if err := b.checkLimits(u); err != nil {
 		return nil, err
@@ -61,16 +61,16 @@
 }
 
 // grantAgain handles a request for a unit that already has a permit.
-func (b *Budget) grantAgain(existing *Permit, p Permit, replacesPlan string) (*Permit, error) {
-	if replacesPlan != "" && existing.Plan == replacesPlan && existing.Begun {
-		p.Begun, p.SeenUnavailable = true, existing.SeenUnavailable
+func (b *Budget) grantAgain(held *Permit, p Permit, replacesPlan string) (*Permit, error) {
+	if replacesPlan != "" && held.Plan == replacesPlan && held.Begun {
+		p.Begun, p.SeenUnavailable = true, held.SeenUnavailable
 		b.permits[p.Unit] = &p
 		return &p, nil
 	}
-	if existing.Incarnation == p.Incarnation && existing.Holder == p.Holder && existing.Plan == p.Plan && existing.TargetVersion == p.TargetVersion {
-		return existing, nil
+	if held.Incarnation == p.Incarnation && held.Holder == p.Holder && held.Plan == p.Plan && held.TargetVersion == p.TargetVersion {
+		return held, nil
 	}
-	return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, existing.Holder)
+	return nil, fmt.Errorf("%s: %s holds a permit for it", p.Unit, held.Holder)
 }
 
 // checkLimits returns an error if the tier of a unit has no limit, or if a limit would be exceeded while the unit's whole
--- a/internal/coordination/release/planfile.go
+++ b/internal/coordination/release/planfile.go
@@ -17,7 +17,7 @@
 	Name             string             `toml:"name"`
 	Version          string             `toml:"version"`     // version that the units must run after the release
 	MaxConcurrent    int                `toml:"at_once"`     // maximum number of permits held at the same time; zero means 256
-	BakeTime         string             `toml:"bake"`        // how long a stage must be finished before the next starts; empty means 2s
+	BakeTime         string             `toml:"bake"`        // how long a stage must be finished before the next; empty means 2s
 	RecoveryTimeout  string             `toml:"back_within"` // how long a begun permit may last before a halt; empty means 60s
 	RequiredCapacity map[string]float64 `toml:"needs"`       // capacity that the current load needs, by tier
 	Stages           []PlanFileStage    `toml:"stage"`
