--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -1,7 +1,7 @@
 // Package controller drives releases and rollouts of settings. Any number of controllers may run at the same time. Only the
 // leader, which is the controller that holds the leader lease in the registry, sends the writes of releases and rollouts.
 //
-// A controller stores nothing on disk. All state that must survive is in the registry, so that another controller can take over
+// A controller keeps no state on disk. All state that must survive is in the registry, so that another controller can take over
 // at any point. Every write of a release or a rollout is fenced by the leader lease: the registry does not apply one that
 // arrives after the lease has ended.
 //
