--- a/internal/lab/accounting.go
+++ b/internal/lab/accounting.go
@@ -147,7 +147,7 @@
 	return part / total
 }
 
-// quantileMS returns a quantile, in percent, of a histogram of microseconds, in milliseconds.
+// quantileMS returns the given percentile of a histogram of microseconds, converted to milliseconds.
 func quantileMS(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -50,7 +50,7 @@
 	Verdict           string  `json:"verdict"`
 }
 
-// minSeeds is the smallest number of pairs for a verdict. Fewer pairs have too few distinct resamples for 95% confidence.
+// minSeeds is the smallest number of seeds for a verdict. Fewer seeds give too few distinct resamples for 95% confidence.
 const minSeeds = 6
 
 // resamples is the number of bootstrap resamples.
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -15,7 +15,8 @@
 	// Node is the command of a node, and Relay that of the baseline relay (see ServeRelay). Both take --stats FILE (see
 	// WriteStatsOnSignals). Each defaults to a subcommand of this program.
 	Node, Relay []string
-	// Duration is the duration of each of the five measurements. It defaults to 3 s.
+	// Duration is the duration of each load. Throughput takes two loads for the node and two for the relay, and latency takes
+	// three loads in all. It defaults to 3 s.
 	Duration time.Duration
 	// Step receives the name of each measurement. It may be nil.
 	Step func(string)
@@ -43,7 +44,7 @@
 // ProcessCost is the cost of the node or of the baseline relay.
 type ProcessCost struct {
 	Throughput   float64            `json:"held_rps"` // requests served per second with every connection busy
-	Rejected     int                `json:"refused"`
+	Rejected     int                `json:"refused"`  // responses with a status other than 200
 	CPUMicros    float64            `json:"cpu_us_per_request"`
 	AllocBytes   float64            `json:"alloc_bytes_per_request"`
 	Allocs       float64            `json:"allocs_per_request"`
@@ -106,8 +107,8 @@
 	}
 }
 
-// Measure measures a node and the baseline relay. It takes about five times Options.Duration, and stops its processes before it
-// returns. If the options are invalid, it starts no process.
+// Measure measures a node and the baseline relay. It takes about seven times Options.Duration, and 2 s for the load before
+// the throughput measurements. It stops its processes before it returns. If the options are invalid, it starts no process.
 func Measure(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
--- a/internal/lab/cost/stats.go
+++ b/internal/lab/cost/stats.go
@@ -24,8 +24,8 @@
 	AllocShare map[string]float64 `json:"alloc_share"` // of the bytes
 }
 
-// The parts into which cost is split. PartNode is the node's own code between the others, PartRuntime the scheduler and
-// the garbage collector.
+// The parts into which cost is split. PartNode is the program's other code. PartRuntime is everything else, which is mostly the
+// scheduler and the garbage collector.
 const (
 	PartBalancer = "module"
 	PartSockets  = "sockets"
--- a/internal/lab/cost/throughput.go
+++ b/internal/lab/cost/throughput.go
@@ -14,7 +14,7 @@
 	if _, err := l.runBusy(ctx, busyConnections, warmUpDuration); err != nil {
 		return err
 	}
-	// The first load runs without the profiler, which has a cost of its own.
+	// The first load runs without the profiler, whose cost would be included.
 	before, began := p.processorTime(), time.Now()
 	c, err := l.runBusy(ctx, busyConnections, d)
 	if err != nil {
@@ -28,7 +28,7 @@
 	s.MemoryMB, s.Descriptors = p.usage()
 
 	p.cmd.Process.Signal(syscall.SIGUSR1)
-	time.Sleep(100 * time.Millisecond) // the profile may begin late, as only shares are taken from it
+	time.Sleep(100 * time.Millisecond) // the process must handle the signal before the load begins
 	if c, err = l.runBusy(ctx, busyConnections, d); err != nil {
 		return err
 	}
--- a/internal/lab/fault/injector.go
+++ b/internal/lab/fault/injector.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// during calls apply with true now, and with false at the end of the event.
+// during calls apply(true) now. At the end of the event it calls Notify and apply(false).
 func (inj *Injector) during(e *Event, apply func(on bool)) {
 	apply(true)
 	inj.World.Loop.At(e.End, func() {
@@ -126,8 +126,8 @@
 	switch {
 	case on && inj.World.Site.Budget.Enabled():
 		notDrained[server] = true // until the permit is granted
-		inj.World.Backend.RequestPermit(server, func(rejected error) {
-			if rejected == nil {
+		inj.World.Backend.RequestPermit(server, func(err error) {
+			if err == nil {
 				notDrained[server] = false
 				s.Drain()
 			}
@@ -153,7 +153,8 @@
 	})
 }
 
-// impairment returns the impairment of links. DirectionToServers is towards the servers or, for a partition, into the zone.
+// impairment returns the impairment of links. DirectionToServers means towards the servers or, for a partition, into the zone or
+// region.
 func (e *Event) impairment(l links) *model.Impairment {
 	toServer, toNode := e.Direction != scenario.DirectionFromServers, e.Direction != scenario.DirectionToServers
 	if l.outbound {
--- a/internal/lab/fault/schedule.go
+++ b/internal/lab/fault/schedule.go
@@ -24,7 +24,7 @@
 // links are all links from some nodes to some servers.
 type links struct {
 	nodes, servers []int
-	outbound       bool // the links lead out of the partitioned zone
+	outbound       bool // the links lead out of the partitioned zone or region
 }
 
 // Schedule returns the occurrences of a site's faults in chronological order, with their targets drawn from the site's seed.
--- a/internal/lab/fault/target.go
+++ b/internal/lab/fault/target.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// allTiers stands for the tier of a fault that names no tier.
+// allTiers is the value of tier for a fault that names no tier.
 const allTiers = -1
 
 // tier returns the index of the tier that the fault names, or allTiers.
--- a/internal/lab/fleet/agent.go
+++ b/internal/lab/fleet/agent.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// changesSince returns the messages that take a watcher from revision since to the current one, the current revision, and
-// a channel that is closed at the next change.
+// changesSince returns the messages that update a watcher from revision since to the current one, the current revision, and a
+// channel that is closed at the next change.
 func (a *discoveryAgent) changesSince(since int64) (messages [][]byte, rev int64, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -10,8 +10,8 @@
 	"umberbank/internal/lab/scenario"
 )
 
-// exchange is a call in flight. A goroutine of its own writes the request and reads the response. disconnect may be called from
-// any goroutine.
+// exchange is a call in flight. A separate goroutine for each call writes the request and reads the response. disconnect may be
+// called from any goroutine.
 type exchange struct {
 	mu           sync.Mutex
 	conn         *poolConn
@@ -43,14 +43,14 @@
 	x := &exchange{}
 	text := f.request(c)
 	go func() {
-		late := f.world.Loop.Elapsed() - c.SentAt
+		sendDelay := f.world.Loop.Elapsed() - c.SentAt
 		a := f.pools[c.Node].exchange(x, text, c.Timeout+time.Second)
-		a.SendDelay = late
+		a.SendDelay = sendDelay
 		f.world.Loop.Post(func() {
 			x.mu.Lock()
-			gone := x.disconnected
+			disconnected := x.disconnected
 			x.mu.Unlock()
-			if !gone {
+			if !disconnected {
 				done(a)
 			}
 		})
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -51,7 +51,7 @@
 	f.agents[node].push(l.Revision+1, f.encodeList(node, l), f.encodeList(node, full), l.Complete)
 }
 
-// MuteWatches makes the watches of a node silent, or allows new ones again.
+// MuteWatches makes the open and new watches of a node silent, or serves new watches again. Silent watches remain silent.
 func (f *Fleet) MuteWatches(node int, on bool) {
 	a := f.agents[node]
 	a.mu.Lock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,9 +1,10 @@
-// Package fleet runs a fleet of nodes on real processes and the machine's clock. Each node is a process of its own;
-// servers, discovery, clients and the relays between them share this process. All sockets are on loopback, in a network
-// of 127/8 that the run reserves.
+// Package fleet runs a fleet of nodes on real processes and the machine's clock. Each node is a separate process, and so is
+// each replica of the registry, if the site has one. Servers, the agents of discovery, clients, and the relays on the links run
+// in this process. All sockets are on loopback. Those of servers, agents and nodes are in a network of 127/8 that the run
+// reserves.
 //
-// Fleet is a model.Backend. Its state belongs to the goroutine of the model's loop, except where a type's comment says
-// otherwise; other goroutines post functions to the loop. Run ends all processes and goroutines before it returns.
+// Fleet is a model.Backend. Its state is accessed only on the goroutine of the model's loop, except where a type's comment states
+// otherwise. Other goroutines post functions to the loop. Run ends all processes and goroutines before it returns.
 package fleet
 
 import (
--- a/internal/lab/fleet/leases.go
+++ b/internal/lab/fleet/leases.go
@@ -26,7 +26,8 @@
 	return e
 }
 
-// acquireLease registers a server and renews its lease until dropLease. It is called on the loop, or before the run.
+// acquireLease registers a server and renews its lease until dropLease is called. While the server's heartbeats do not reach the
+// registry, it only drops the current lease. It is called on the loop, or before the run.
 func (r *registry) acquireLease(server int, st model.State) {
 	r.dropLease(server)
 	if r.heartbeatsLost[server] {
@@ -42,7 +43,7 @@
 	}
 	r.running.Go(func() {
 		h := client.NewLeaseHolder(w)
-		for h.Register(ctx, e) != nil { // rejected in favor of a newer registration
+		for h.Register(ctx, e) != nil { // rejected in favor of a newer registration, or not reachable
 			select {
 			case <-time.After(ttl / 4):
 			case <-ctx.Done():
@@ -61,8 +62,8 @@
 	}
 }
 
-// PublishState registers the state of a server that serves or drains. A removed server is detected by the expiry of its lease. It
-// returns false if the run has no registry.
+// PublishState registers the state of a server that serves or drains. It does not publish model.Deleted, which the registry
+// detects by the expiry of the server's lease. It returns false if the run has no registry.
 func (f *Fleet) PublishState(server int, st model.State) bool {
 	if f.registry == nil {
 		return false
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -17,7 +17,7 @@
 	relay           *relay.Relay // nil if no fault affects the link
 	impairments     map[*model.Impairment]*relay.Impairment
 	downImpairments []*relay.Impairment // present while the server is down
-	jobs            chan func() error   // run in order on a goroutine of their own, as the loop must not wait for a relay
+	jobs            chan func() error   // run in order on a separate goroutine, because the loop must not wait for a relay
 }
 
 // maxQueuedJobs is the capacity of each queue of jobs.
@@ -83,8 +83,8 @@
 	}
 }
 
-// ServerDown resets a server's connections and refuses new ones. If silent is set, it stalls them instead, as if the machine had
-// disappeared.
+// ServerDown ends a server's heartbeats, resets its connections and refuses new ones. If silent is true, it stalls the
+// connections instead, as if the machine had disappeared.
 func (f *Fleet) ServerDown(server int, silent bool) {
 	if f.registry != nil {
 		f.registry.dropLease(server)
--- a/internal/lab/fleet/listener.go
+++ b/internal/lab/fleet/listener.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// countedConn counts as open until it is closed.
+// countedConn is a connection that is counted in open until it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -10,7 +10,7 @@
 
 // network is a /16 of 127/8 that is reserved for one run by a listening socket.
 type network struct {
-	octet int
+	octet int // second octet of its addresses
 	lock  net.Listener
 }
 
@@ -21,8 +21,8 @@
 	firstAgentHost  = 20_000
 	firstServerHost = 30_000
 	hostsPerOctet   = 250
-	firstOctet      = 20  // of 127.X
-	octets          = 200 // networks to choose from
+	firstOctet      = 20  // second octet of the first network, 127.20.0.0/16
+	octets          = 200 // number of networks to choose from
 	nodePort        = "3000"
 	lockPort        = "2999"
 )
--- a/internal/lab/fleet/pool.go
+++ b/internal/lab/fleet/pool.go
@@ -112,8 +112,8 @@
 	return a
 }
 
-// roundTrip writes a call to one connection and reads the response. unread reports that the connection was closed before
-// the first byte of the response.
+// roundTrip writes a call to one connection and reads the response. unread is true if the write failed, or if the node closed the
+// connection before the first byte of the response.
 func (p *connectionPool) roundTrip(x *exchange, c *poolConn, text []byte, timeout time.Duration) (a model.Response, unread bool) {
 	a.Result = model.ConnectionLost
 	if !x.use(c) {
@@ -149,8 +149,8 @@
 	case http.StatusOK:
 		return model.Response{Result: model.Served, Body: string(body)}, false
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		advice, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // zero if absent or invalid
-		return model.Response{Result: model.Rejected, RetryAfter: time.Duration(advice * float64(time.Second))}, false
+		retryAfter, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // zero if absent or invalid
+		return model.Response{Result: model.Rejected, RetryAfter: time.Duration(retryAfter * float64(time.Second))}, false
 	}
 	return model.Response{Result: model.Failed}, false
 }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -15,8 +15,8 @@
 	"umberbank/internal/lab/model"
 )
 
-// nodeProcess is the process of a node, over its restarts. Its fields are accessed only on the loop; the goroutine that
-// waits for the process posts to the loop.
+// nodeProcess is the process of a node, across its restarts. Its fields are accessed only on the loop, or before the loop runs.
+// The goroutine that waits for the process posts to the loop.
 type nodeProcess struct {
 	fleet          *Fleet
 	node           int
@@ -87,7 +87,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("node %s is not ready after %v", f.world.Site.Nodes[node].Name, f.world.Site.Limits.StartTimeout.Std())
+			return fmt.Errorf("node %s did not become ready before the run ended or within %v", f.world.Site.Nodes[node].Name, f.world.Site.Limits.StartTimeout.Std())
 		case <-time.After(readyPollInterval):
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	p.cmd = nil
 	if !p.exitExpected {
-		p.fleet.observer.RecordCrash(p.node, fmt.Sprintf("it ended by itself: %v: %v", err, p.log))
+		p.fleet.observer.RecordCrash(p.node, fmt.Sprintf("the process exited without a signal from the lab: %v: %v", err, p.log))
 		p.fleet.observer.RecordProcessAction(p.node, model.Kill)
 	}
 	if p.restartPending {
--- a/internal/lab/fleet/registry.go
+++ b/internal/lab/fleet/registry.go
@@ -27,7 +27,7 @@
 	heartbeatsLost []bool         // by server; true while its heartbeats do not reach the registry
 	views          []map[int]model.Entry
 	partitions     map[int]*relay.Impairment // by replica
-	jobs           chan func()               // run in order on a goroutine of their own, as the loop must not wait for a process
+	jobs           chan func()               // run in order on a separate goroutine, because the loop must not wait for a process
 }
 
 // registryStartTimeout is the timeout for starting the registry and registering all servers.
@@ -132,7 +132,7 @@
 	r.cluster.Close()
 }
 
-// SetReplicaFault begins or ends a fault at replicas: registry-kill, registry-stop or a partition.
+// SetReplicaFault begins or ends a fault at replicas. kind is one of the scenario package's kinds of faults of replicas.
 func (f *Fleet) SetReplicaFault(replicas []int, kind string, on bool) {
 	r := f.registry
 	if r == nil {
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -23,7 +23,8 @@
 	used bool // it has carried a request
 }
 
-// startServers starts every server with one listener for each node of its tier, behind a relay if a fault affects the link.
+// startServers starts every server with one listener for each node that sends to its tier. If a fault affects the link, a relay
+// is in front of the listener.
 func (f *Fleet) startServers(affected map[nodeServer]bool) error {
 	for s := range f.world.Site.Servers {
 		host := f.network.host(firstServerHost + s)
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// maxBodyBytes is the number of bytes after which a body is cut off.
+// maxBodyBytes is the largest number of bytes that is read of a body. The rest is ignored.
 const maxBodyBytes = 64 << 10
 
 // response is the model's response to an attempt.
@@ -72,16 +73,16 @@
 
 // serve passes a request to the model and sends the model's response.
 func (f *Fleet) serve(w http.ResponseWriter, r *http.Request) {
-	first := f.world.Loop.Elapsed()
+	firstByteAt := f.world.Loop.Elapsed()
 	conn := r.Context().Value(connectionKey{}).(*connectionState)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return // the request was incomplete
 	}
-	fresh := !conn.used
+	newConnection := !conn.used
 	conn.used = true
 	responses := make(chan response, 1)
-	at := &model.Attempt{Node: conn.node, FirstByteAt: first, NewConnection: fresh}
+	at := &model.Attempt{Node: conn.node, FirstByteAt: firstByteAt, NewConnection: newConnection}
 	at.Done = func(o model.Outcome, body string) { responses <- response{outcome: o, body: body} }
 	id := r.Header.Get("X-Correlation-Id")
 	f.world.Loop.Post(func() {
@@ -109,7 +110,7 @@
 	}
 	switch {
 	case v.unsolicited:
-		http.Error(w, "no client sent this", http.StatusBadRequest)
+		http.Error(w, "no call matches this request", http.StatusBadRequest)
 	case v.outcome == model.Completed:
 		io.WriteString(w, v.body)
 	case v.outcome == model.ServerError:
@@ -117,26 +118,26 @@
 	case v.outcome == model.ServerRejected:
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	default: // reset, or dropped while the sender still waits
+	default: // reset, or cancelled while the node still waits
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// mismatch returns how a request differs from the call that its client sent, or "" if it does not.
+// mismatch describes how a request differs from the call that its sender sent to the node. It returns "" if they are equal.
 func mismatch(w *model.World, c *model.Call, r *http.Request, body []byte) string {
 	if c == nil {
-		return "no client sent this id"
+		return "no call with this ID was sent, or it ended long ago"
 	}
 	method, path, key, content := requestForm(w, c)
 	switch {
 	case r.Method != method:
-		return "the method was " + method + " and is " + r.Method
+		return "the call was sent with the method " + method + ", and arrived with " + r.Method
 	case r.URL.RequestURI() != path:
-		return "the path was " + path + " and is " + r.URL.RequestURI()
+		return "the call was sent to the path " + path + ", and arrived at " + r.URL.RequestURI()
 	case r.Header.Get("Idempotency-Key") != key:
-		return "the key is another"
+		return "the idempotency key differs from that of the call"
 	case string(body) != content:
-		return "the body is another"
+		return "the body differs from that of the call"
 	}
 	return ""
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -71,7 +71,7 @@
 	return r.result, err
 }
 
-// newRun creates loop, model, oracle and clients of a run and connects them.
+// newRun creates the loop, model, oracle and clients of a run and connects them.
 func newRun(site *scenario.Site, opt Options) *run {
 	if opt.Log == nil {
 		opt.Log = func(string, ...any) {}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -163,8 +163,8 @@
 rules_broken = 0
 `
 
-// twoTierScenario is smallScenario with a second tier, which the first tier calls through nodes beside its servers. Servers of
-// both tiers crash, and others of the first tier drain or vanish.
+// twoTierScenario is smallScenario with a second tier, which the servers of the first tier call through the nodes that they
+// own. Servers of both tiers crash, and others of the first tier drain or vanish.
 var twoTierScenario = strings.Replace(strings.Replace(smallScenario, "[[tier]]\n", "[[tier]]\ncalls = [1.5, 1.5]\n", 1), "[[class]]\n",
 	"[[tier]]\nname = \"data\"\nservers = 4\nwork = 0.5\n[[class]]\n", 1) + `
 [[fault]]
@@ -184,8 +184,8 @@
 names = ["web-2"]
 `
 
-// On both clocks the node beside a server is stopped and started together with the server, and the site keeps serving.
-func TestNodesBesideServers(t *testing.T) {
+// On both clocks the node of a server is stopped and started together with the server, and the site keeps serving.
+func TestNodesOwnedByServers(t *testing.T) {
 	for _, virtual := range []bool{true, false} {
 		t.Run(fmt.Sprint("virtual=", virtual), func(t *testing.T) {
 			t.Parallel()
@@ -209,8 +209,8 @@
 	}
 }
 
-// Real replicas of the registry replace the simulated discovery. They are killed while servers crash and drain, and restarted.
-// The site keeps serving and breaks no rule. On the virtual clock the scenario is rejected.
+// Real replicas of the registry replace the simulated discovery. All are killed and restarted while a server crashes, and one is
+// paused while a server drains. The site keeps serving and breaks no rule. On the virtual clock the scenario is rejected.
 func TestRegistryOutage(t *testing.T) {
 	t.Parallel()
 	text := smallScenario + `
@@ -246,8 +246,8 @@
 	}
 }
 
-// drainBehindStalledLink drains a server behind a stalled link. Requests that were written to the link and then given up must not
-// arrive when the link recovers.
+// drainBehindStalledLink drains a server while its links are stalled. Requests that a node has written and then abandoned must
+// not arrive when the links recover.
 const drainBehindStalledLink = `
 [[fault]]
 kind = "silence"
@@ -261,7 +261,8 @@
 names = ["web-0"]
 `
 
-// Hundreds of nodes that each send a call or two do not overload a cold server, even if most servers restart at the same time.
+// Three hundred nodes with eight requests per second each do not overload a cold server, even if most servers restart at the same
+// time.
 func TestColdServersOfManyNodes(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(smallScenario, "servers = 4", "servers = 20", 1) + "\n[[fault]]\nkind = \"crash\"\nat = \"2s\"\nfor = \"500ms\"\nshare = 0.6\n"
@@ -277,7 +278,8 @@
 	}
 }
 
-// If a deployment leaves only cold servers in the list, any number of nodes sheds load rather than overloading a server.
+// If a deployment leaves only cold servers in the list, nodes reject requests rather than overload a server, whether there are
+// few nodes or many.
 func TestColdServersAlone(t *testing.T) {
 	t.Parallel()
 	names := func(from, to int) string {
@@ -305,7 +307,8 @@
 	}
 }
 
-// Two operators drain one zone each at the same time. On both clocks no more capacity is unavailable than the budget allows.
+// Two operators drain one zone each at the same time. On both clocks the budget delays drains so that nearly all requests are
+// served. Without a budget at least a tenth of the requests is not.
 func TestDrainsByBudget(t *testing.T) {
 	t.Parallel()
 	s := func(set ...string) *scenario.Scenario {
@@ -407,8 +410,9 @@
 	}
 }
 
-// Extreme cases on the virtual clock: no server at the start, all servers down at once, overlapping faults, and a thousand faults
-// in a minute. The run ends, every request has exactly one outcome, and the share served is within the bounds of the case.
+// Extreme cases on the virtual clock: no servers at all, all servers down at the same time, overlapping faults, and a thousand
+// faults in a minute. The run ends, every request has exactly one outcome, and the share served is within the bounds of the
+// case.
 func TestHardCases(t *testing.T) {
 	every := func(kind, more string) string {
 		return fmt.Sprintf("\n[[fault]]\nkind = %q\nrepeat = 125\nevery = \"480ms\"\nfor = \"700ms\"\ncount = 1\n%s\n", kind, more)
@@ -425,7 +429,7 @@
 		most  float64
 	}{
 		"no servers":  {smallScenario, []string{"duration=\"2s\""}, 0, 0},
-		"all gone":    {smallScenario + "\n[[fault]]\nkind = \"crash\"\nat = \"1s\"\nfor = \"2s\"\n", []string{"duration=\"8s\"", "discovery.notice=\"300ms\""}, 0.4, 0.9},
+		"all down":    {smallScenario + "\n[[fault]]\nkind = \"crash\"\nat = \"1s\"\nfor = \"2s\"\n", []string{"duration=\"8s\"", "discovery.notice=\"300ms\""}, 0.4, 0.9},
 		"overlapping": {smallScenario + every("delay", "delay = \"5ms\"") + every("silence", "") + every("reset", ""), []string{"duration=\"60s\""}, 0.5, 1},
 		"two tiers":   {twoTierScenario, nil, 0.8, 1},
 		"thousand":    {smallScenario + thousand, []string{"duration=\"60s\""}, 0.01, 1},
@@ -457,7 +461,7 @@
 	t.Parallel()
 	_, err := Run(t.Context(), parseScenario(t, smallScenario), Options{Seed: 1, Node: []string{"/bin/sh", "-c", "echo cannot start >&2; exit 3"}})
 	if err == nil || !strings.Contains(err.Error(), "exit status 3") || !strings.Contains(err.Error(), "cannot start") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one with the exit status and the output of the node", err)
 	}
 }
 
@@ -493,10 +497,10 @@
 	r, err := Run(ctx, parseScenario(t, smallScenario, "duration=\"60s\""), Options{Seed: 1, Node: command,
 		Progress: func(done, total time.Duration) { once.Do(cancel) }})
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("got error %v, want context.Canceled", err)
 	}
 	if r == nil || !r.Partial || r.Valid || r.Requests == 0 {
-		t.Errorf("result %+v", r)
+		t.Errorf("got result %+v, want a partial and invalid result with requests", r)
 	}
 	text, err := os.ReadFile(pids)
 	if err != nil {
@@ -504,7 +508,7 @@
 	}
 	started := strings.Fields(string(text))
 	if len(started) != 2 {
-		t.Errorf("%d processes were started", len(started))
+		t.Errorf("%d processes were started, want 2", len(started))
 	}
 	for _, pid := range started {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
@@ -556,6 +560,6 @@
 		t.Fatalf("%v\n%s", err, all.String())
 	}
 	if !strings.Contains(all.String(), "RESULT valid=false") || !strings.Contains(all.String(), "lost=0") {
-		t.Errorf("want an invalid run that blames no node:\n%s", all.String())
+		t.Errorf("want an invalid run without lost requests, got:\n%s", all.String())
 	}
 }
--- a/internal/lab/model/attempt.go
+++ b/internal/lab/model/attempt.go
@@ -6,7 +6,7 @@
 type Attempt struct {
 	Call          *Call
 	Node          int           // index of the node that sent it
-	FirstByteAt   time.Duration // when its first byte arrived
+	FirstByteAt   time.Duration // when its first byte arrived or, on real processes, when its header had been read
 	NewConnection bool          // whether it is the first call on its connection
 	// Done is called once with the outcome and the response body. It is nil if no caller waits for the response.
 	Done func(o Outcome, body string)
--- a/internal/lab/model/call.go
+++ b/internal/lab/model/call.go
@@ -11,7 +11,7 @@
 	Key     string        // idempotency key, empty if the call has none
 	Work    time.Duration // processing time on a reference core
 	SentAt  time.Duration
-	Timeout time.Duration // how long the sender waits, counted from SentAt
+	Timeout time.Duration // time limit of the response, counted from SentAt; the sender waits 2*Limits.Slack longer
 	IsRetry bool          // whether the sender marks it as a retry
 }
 
@@ -32,12 +32,12 @@
 	return [...]string{"served", "refused", "failed", "unreached", "lost"}[r]
 }
 
-// Response is what the sender of a call receives.
+// Response is the response to a call, or the failure of its connection.
 type Response struct {
 	Result     CallResult
 	RetryAfter time.Duration // zero if the node gave none
 	Body       string        // empty unless the call was served
-	SendDelay  time.Duration // time from SentAt until the call was written
+	SendDelay  time.Duration // time from SentAt until its goroutine began to send it; zero on the virtual clock
 }
 
 // Outcome is the result of an attempt at its server.
--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -20,9 +20,9 @@
 	Entries  []Entry
 }
 
-// Directory emulates discovery. A change gets its revision immediately and reaches the agent of each node after a delay, in the
-// order of revisions. A node counts as notified of a change when its agent has received it. In a run with a registry the
-// Directory holds no changes, because the registry notifies nodes.
+// Directory emulates discovery. A change gets its revision immediately and reaches the agents of nodes after a delay. An agent
+// receives changes in the order of their revisions. A node counts as notified of a change when its agent has received it. In a
+// run with a registry the Directory holds no changes, because the registry notifies nodes.
 type Directory struct {
 	world  *World
 	log    []Entry // index i holds the entry of revision i+1
@@ -37,8 +37,8 @@
 	// Faults.
 	extraDelay     time.Duration
 	hidden         func(Entry) bool // reports whether to leave out an entry; nil if none is left out
-	oldRevision    int64            // 1 + the old revision that is listed; zero if the latest one is listed
-	revisionOffset int64            // added to revisions, so that each list that a fault changes has a new revision
+	oldRevision    int64            // 1 + the older revision that ShowOldList lists; zero if the latest one is listed
+	revisionOffset int64            // added to revisions, so that a list that HideEntries changes has a new revision
 	muteCount      int              // number of times that its watches were muted
 	mutedAt        time.Duration    // when its watches were last muted
 }
@@ -50,7 +50,8 @@
 	return &Directory{world: w, agents: make([]agent, len(w.Site.Nodes))}
 }
 
-// Publish records a server's new state and sends it to the agents of all nodes that send to the server's tier.
+// Publish records a server's new state and sends it to the agents of all nodes that send to the server's tier. In a run with a
+// registry it only passes the state to Backend.PublishState.
 func (d *Directory) Publish(server int, state State) {
 	if d.world.Backend.PublishState(server, state) {
 		return // the registry notifies nodes
@@ -93,7 +94,8 @@
 	})
 }
 
-// deliver updates an agent to a revision and sends the changed entries to its node.
+// deliver updates an agent to a revision, reports the changed entries to the observer, and sends them to the agent's node. While
+// ShowOldList applies, it sends nothing.
 func (d *Directory) deliver(node int, revision int64) {
 	a := &d.agents[node]
 	if revision <= a.revision {
@@ -118,13 +120,13 @@
 // Discovery.WatchTimeout ago, the report is delayed to the end of that time, when the node must have detected the silent watch.
 func (d *Directory) notify(node int, e Entry) {
 	a := &d.agents[node]
-	notified := func() { d.world.Observer.NodeNotified(node, e.Server, e.State) }
-	noticed := a.mutedAt + d.world.Site.Discovery.WatchTimeout.Std()
-	if a.muteCount > 0 && d.world.Loop.Now() < noticed {
-		d.world.Loop.At(noticed, notified)
+	report := func() { d.world.Observer.NodeNotified(node, e.Server, e.State) }
+	detectedAt := a.mutedAt + d.world.Site.Discovery.WatchTimeout.Std()
+	if a.muteCount > 0 && d.world.Loop.Now() < detectedAt {
+		d.world.Loop.At(detectedAt, report)
 		return
 	}
-	notified()
+	report()
 }
 
 // List returns the whole list of a node's agent, including the effects of faults.
@@ -163,8 +165,7 @@
 	return d.List(node).Entries
 }
 
-// MuteWatches with on set permanently silences the watches that a node has open. Watches that the node opens later are silent
-// too, until MuteWatches is called with on unset.
+// MuteWatches begins or ends a fault of a node's watches. See Backend.MuteWatches.
 func (d *Directory) MuteWatches(node int, on bool) {
 	if on {
 		d.agents[node].muteCount++
@@ -173,7 +174,7 @@
 	d.world.Backend.MuteWatches(node, on)
 }
 
-// AddDelay adds a delay to all changes that an agent receives, or removes it again.
+// AddDelay adds a delay to all changes that are published from now on to an agent, or removes that delay again.
 func (d *Directory) AddDelay(node int, delay time.Duration, on bool) {
 	if !on {
 		delay = -delay
@@ -181,8 +182,9 @@
 	d.agents[node].extraDelay += delay
 }
 
-// HideEntries makes an agent send a whole list without the entries for which hidden returns true. With a nil hidden it sends the
-// complete list again.
+// HideEntries makes an agent send a whole list without the entries for which hidden returns true, and leave them out of later
+// updates. It reports these servers to the observer as deleted. If hidden is nil, the agent sends the complete list
+// again, and the servers that it lists again are reported with their states.
 func (d *Directory) HideEntries(node int, hidden func(Entry) bool) {
 	a := &d.agents[node]
 	before := a.hidden
--- a/internal/lab/model/downstream.go
+++ b/internal/lab/model/downstream.go
@@ -25,7 +25,8 @@
 	s.callDownstream(a, c)
 }
 
-// drawOutcome returns ServerError with the probability of the server's error rates, and Completed otherwise.
+// drawOutcome returns ServerError with the probability that results from the server's error rates together, and Completed
+// otherwise.
 func (s *Server) drawOutcome() Outcome {
 	rate := s.MachineType.ErrorRate
 	for _, r := range s.errorRates {
@@ -37,7 +38,8 @@
 	return Completed
 }
 
-// downstreamCall is a call that an attempt waits for. It ends once: with its response, with its timeout, or with the attempt.
+// downstreamCall is a call that an attempt waits for. It ends exactly once, because of its response, its timeout, or the end of
+// the attempt.
 type downstreamCall struct {
 	server  *Server
 	attempt *Attempt
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -42,7 +42,7 @@
 	running     attemptHeap
 	queue       []*Attempt
 	usedSlots   int           // slots of attempts that run or wait for a downstream call
-	workDone    float64       // virtual time of processor sharing: nanoseconds of work done for each running attempt
+	workDone    float64       // work in nanoseconds that an attempt would have received if it had always been running
 	advancedAt  time.Duration // when workDone was last computed
 	finishTimer *sim.Timer    // for the next attempt to finish; nil if no attempt runs
 
--- a/internal/lab/model/server_faults.go
+++ b/internal/lab/model/server_faults.go
@@ -45,8 +45,8 @@
 	return -1
 }
 
-// Stop stops the server. Its connections are reset, unless silent is set: then its machine is down and sends nothing. Discovery
-// lists the server as deleted after Discovery.DetectionDelay, unless it has started again by then.
+// Stop stops the server. If silent is false, its connections are reset. If silent is true, its machine is down and sends nothing.
+// The simulated discovery lists the server as deleted after Discovery.DetectionDelay, unless it has started again by then.
 func (s *Server) Stop(silent bool) {
 	s.starting = false
 	if !s.up {
@@ -61,8 +61,9 @@
 	})
 }
 
-// crash ends the server and all attempts in flight. They are sorted by call ID, because the order of map iteration is random and
-// would make runs with the same seed differ.
+// crash ends the server and all attempts in flight. If silent is true, the senders of these attempts get no response. The
+// attempts are ended in the order of their call IDs, because the random order of map iteration would make runs with the same
+// seed differ.
 func (s *Server) crash(silent bool) {
 	s.up = false
 	for _, timer := range []*sim.Timer{s.finishTimer, s.overloadTimer, s.recoveryTimer} {
--- a/internal/lab/model/server_overload.go
+++ b/internal/lab/model/server_overload.go
@@ -7,12 +7,12 @@
 	"umberbank/internal/lab/sim"
 )
 
-// offeredWorkSlices is the number of slices of the window in which the load of a server that warms up is measured.
+// offeredWorkSlices is the number of slices of equal length into which Limits.CrashLoadWindow is divided.
 const offeredWorkSlices = 20
 
 // updateOverload starts or stops the timers of overload. The server becomes overloaded when its load has stayed above the
-// threshold for OnsetDelay. It recovers when its load has stayed below the recovery threshold for RecoveryDelay, or after
-// MaxDuration.
+// threshold for OnsetDelay. It recovers when its load has stayed below the recovery threshold for RecoveryDelay, or when
+// MaxDuration has passed. The timer for MaxDuration is not stopped by an earlier recovery, so it may end a later overload.
 func (s *Server) updateOverload() {
 	spec := &s.MachineType.Overload
 	if spec.Threshold == 0 {
@@ -51,8 +51,8 @@
 
 // recordOfferedWork adds up the work of all attempts that arrive at a server during its warm-up, including rejected ones. It
 // crashes the server if the work within Limits.CrashLoadWindow (setting fall_for) exceeds N + 2*sqrt(N) + 2 requests of mean
-// work. N is the number of such requests that the server can process in the window, times Limits.CrashLoadMultiple (setting
-// fall_multiple). The other terms allow for random variation of the load.
+// work. N is the number of such requests that the server can process in the window at its present capacity, times
+// Limits.CrashLoadMultiple (setting fall_multiple). The other terms allow for random variation of the load.
 func (s *Server) recordOfferedWork(a *Attempt) {
 	limits := &s.world.Site.Limits
 	now := s.world.Loop.Now()
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// A server that warms up sustains three times the load that it can process, and crashes at a higher load.
+// A server that warms up sustains the load that its initial capacity can process, and crashes at five times that load.
 func TestCrashWhileWarmingUp(t *testing.T) {
 	for _, c := range []struct {
 		interval time.Duration
@@ -184,7 +184,7 @@
 		}
 		runUntil(t, w, 4*time.Second)
 		if backend.crashes != c.crashes || s.IsUp() != (c.crashes == 0) {
-			t.Errorf("10 ms of work every %v: wrong number of crashes, or server up after a crash; got %d crashes",
+			t.Errorf("10 ms of work every %v: got %d crashes, and the number is wrong or the server is up after a crash",
 				c.interval, backend.crashes)
 		}
 	}
--- a/internal/lab/model/server_work.go
+++ b/internal/lab/model/server_work.go
@@ -10,8 +10,7 @@
 const (
 	// warmUpStep is the longest interval at which the rate of a server that warms up is recomputed.
 	warmUpStep = 50 * time.Millisecond
-	// duplicateWorkFraction is the fraction of its work that a call costs if a call with the same idempotency key was accepted
-	// before in the same scope.
+	// duplicateWorkFraction is the fraction of its work that a call costs if checkDuplicate reports it as a duplicate.
 	duplicateWorkFraction = 0.05
 	// finishTolerance is how much work, in nanoseconds, an attempt may lack when it finishes. It compensates for the rounding of
 	// times.
@@ -42,7 +41,8 @@
 	s.advancedAt = now
 }
 
-// scheduleFinish sets the timer for the next attempt to finish. It must be called after any change of the work rate.
+// scheduleFinish sets the timer for the next attempt to finish, and updates the timers of overload. It must be called after any
+// change of the work rate.
 func (s *Server) scheduleFinish() {
 	s.world.Loop.Stop(s.finishTimer)
 	s.finishTimer = nil
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -26,7 +26,7 @@
 
 // scopedKey is an idempotency key in its scope, which is a rack, a zone or the whole site.
 type scopedKey struct {
-	scope int // a rack, globalScope, or zoneScope minus the zone's index
+	scope int // a rack, globalScope, or zoneScope minus the index of a zone
 	key   string
 }
 
@@ -62,8 +62,8 @@
 }
 
 // checkDuplicate reports whether a call with the same idempotency key was accepted before, in the same scope and within the
-// class's window. If not, it records the key. A call without a key, or of a class that is not idempotent by
-// key, is never a duplicate.
+// class's window. If not, it records the key. The zone of a scope is that of the call's node. A call without a key, or of a class
+// that is not idempotent by key, is never a duplicate.
 func (w *World) checkDuplicate(rack int, c *Call) bool {
 	class := &w.Site.Classes[c.Class]
 	if c.Key == "" || class.Idempotency != scenario.IdempotentByKey {
--- a/internal/lab/oracle/calls.go
+++ b/internal/lab/oracle/calls.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// checkResponseBody checks that a server that completed an attempt of the call produced the response body for it.
+// checkResponseBody checks that the response body was produced for this call by a server that completed an attempt of it.
 func (o *Oracle) checkResponseBody(r *callRecord, body string) {
 	for _, s := range r.attempts {
 		if s.endedAt > 0 && s.outcome == model.Completed && body == model.ResponseBody(r.call, o.site.Servers[s.server].Name) {
@@ -100,8 +100,8 @@
 	return s
 }
 
-// checkRejection checks that a rejected call can be retried safely: it is idempotent in all scopes, or all its attempts are
-// proven not to have run.
+// checkRejection checks that a rejected call can be retried safely. That is so if its class is idempotent, if all servers
+// recognize its idempotency key, or if none of its attempts can have been processed.
 func (o *Oracle) checkRejection(r *callRecord) {
 	class := &o.site.Classes[r.call.Class]
 	if class.Idempotency == scenario.Idempotent ||
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -1,5 +1,5 @@
-// Package oracle checks the rules of a run. It uses only what clients sent and received, what arrived at servers and what
-// discovery sent to nodes, and never what a node reports about itself.
+// Package oracle checks the rules of a run. It observes what clients send and receive, what arrives at servers, what discovery
+// sends to nodes, and the state of servers and processes. It never uses what a node reports about itself.
 //
 // Oracle is a model.Observer. Only the goroutine of the run's loop may use it. Time during which the loop was stalled
 // (sim.Loop.StallTime) is added to all time limits.
@@ -44,7 +44,8 @@
 	}
 }
 
-// SetWorld gives the oracle access to the actual state of the servers. It must be called before the run.
+// SetWorld sets the model from which the oracle reads when servers started and which of them warm up. It must be called before
+// the run.
 func (o *Oracle) SetWorld(w *model.World) { o.world = w }
 
 // recordViolation counts a violation. It also records the violation with the history of its call, unless r is nil, as long as
--- a/internal/lab/oracle/rules.go
+++ b/internal/lab/oracle/rules.go
@@ -4,14 +4,14 @@
 
 // Names of the rules. They are part of the --json output and of scenarios.
 const (
-	RuleLost            = "lost"     // an accepted request gets exactly one final response in time
+	RuleLost            = "lost"     // a request that a node has accepted gets a complete response in time
 	RuleRepeated        = "twice"    // a non-idempotent request is repeated only if earlier attempts are proven not to have run
 	RuleIdempotencyKey  = "keyed"    // a request with an idempotency key is repeated only within its scope and window
 	RuleAttemptLimit    = "copies"   // no more attempts than allowed, and no hedged attempts unless hedging is enabled
 	RuleRejection       = "promised" // a rejected request can be retried safely
 	RuleDraining        = "drained"  // no new attempt is sent to a draining or removed server
 	RuleSlowStart       = "cold"     // no server is overloaded during its warm-up
-	RuleUnsolicited     = "phantom"  // no request arrives at a server unless a client sent it
+	RuleUnsolicited     = "phantom"  // every request at a server was sent to the node that forwards it, and is unchanged
 	RuleCorruptResponse = "spoilt"   // a successful response is one that a server produced for this request
 	RuleDisconnected    = "gone"     // no attempt begins for a client that has disconnected
 	RuleCrash           = "crash"    // no node's process exits on its own or fails to start
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// maxSeparateLines is the largest number of servers that are shown by a line each.
+// maxSeparateLines is the largest number of servers that are each shown by a separate line.
 const maxSeparateLines = 40
 
 // inFlight shows the requests in flight at servers: the mean, the maximum, and each server if there are at most maxSeparateLines.
--- a/internal/lab/report/draw.go
+++ b/internal/lab/report/draw.go
@@ -150,7 +150,8 @@
 // tickSteps are the possible distances between ticks of the time axis, in seconds.
 var tickSteps = []float64{1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200}
 
-// maxTicks is the largest number of ticks of the time axis, apart from very long runs.
+// maxTicks is the largest number of intervals on the time axis. A run that is longer than maxTicks times the largest of
+// tickSteps has more.
 const maxTicks = 16
 
 // ticks returns ticks at whole seconds up to the end of the run.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -14,15 +14,16 @@
 	Scenario               string  `json:"scenario"`
 	Seed                   uint64  `json:"seed"`
 	Virtual                bool    `json:"virtual"`
-	Valid                  bool    `json:"valid"`   // the load was generated on time
+	Valid                  bool    `json:"valid"`   // the run ended normally, and its load was generated on time
 	Partial                bool    `json:"partial"` // the run was interrupted
 	Seconds                float64 `json:"seconds"` // duration of the load
 	Requests               int     `json:"asked"`
-	ServedShare            float64 `json:"served_share"` // share of requests served within the latency objective
+	ServedShare            float64 `json:"served_share"` // share served within the latency objective, without abandoned requests
 	WeightedServedShare    float64 `json:"worth_share"`  // the same, weighted by priority
 	LastQuarterServedShare float64 `json:"tail_served"`  // ServedShare of the last quarter of the load
-	// RecoveryAfterRestart is the share served after a node's restart relative to the share before its kill. It is the mean over
-	// all kills, and zero if there was none.
+	// RecoveryAfterRestart is the share served after a node's restart relative to the share before its kill, as the mean over
+	// kills. It leaves out kills before which nothing was served, and those that end in the last second of the run or later. It
+	// is zero if no kill remains.
 	RecoveryAfterRestart     float64                 `json:"after_restart"`
 	RulesBroken              int                     `json:"rules_broken"`
 	ViolationsByRule         map[string]int          `json:"rules"`
--- a/internal/lab/scale/atrest.go
+++ b/internal/lab/scale/atrest.go
@@ -7,7 +7,7 @@
 )
 
 // traffic returns the total traffic so far of the hollow nodes that are alive, and of their agents.
-func (p *play) traffic() (nodes, agents traffic) {
+func (p *measurement) traffic() (nodes, agents traffic) {
 	for _, h := range p.hollowNodes {
 		if h == nil {
 			continue
@@ -26,7 +26,7 @@
 }
 
 // sampleUsage samples the traffic and the processor time of the given processes.
-func (p *play) sampleUsage(pids []int) usageSample {
+func (p *measurement) sampleUsage(pids []int) usageSample {
 	s := usageSample{processor: map[int]time.Duration{}}
 	s.nodes, s.agents = p.traffic()
 	for _, pid := range pids {
@@ -42,7 +42,7 @@
 }
 
 // measureIdle measures traffic, processor time and memory while nothing changes.
-func (p *play) measureIdle(ctx context.Context) error {
+func (p *measurement) measureIdle(ctx context.Context) error {
 	if err := sleep(ctx, p.options.Pace.SettleTime); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 }
 
 // recordIdleTraffic records the traffic of a node and of an agent between two samples.
-func (p *play) recordIdleTraffic(before, after usageSample) {
+func (p *measurement) recordIdleTraffic(before, after usageSample) {
 	seconds := after.at.Sub(before.at).Seconds()
 	perNode := func(from, to int64) float64 { return float64(to-from) / seconds / float64(p.nodes) }
 	p.figures.set(KeyIdleBytes, perNode(before.nodes.bytes, after.nodes.bytes))
@@ -77,7 +77,7 @@
 }
 
 // recordIdleReplicas records processor usage and memory of the replicas.
-func (p *play) recordIdleReplicas(leader int, cores func(pid int) float64) {
+func (p *measurement) recordIdleReplicas(leader int, cores func(pid int) float64) {
 	total, busiestFollower, largestMB := 0.0, 0.0, 0.0
 	for i := range p.cluster.Len() {
 		used := cores(p.cluster.PID(i))
@@ -95,8 +95,9 @@
 	p.figures.set(KeyReplicaMB, largestMB)
 }
 
-// measureSyncs measures the duration of syncs to the replicas' disk while the replicas are idle.
-func (p *play) measureSyncs() error {
+// measureSyncs measures the duration of syncs while the replicas are idle, on the disk of temporary files, which the replicas
+// use.
+func (p *measurement) measureSyncs() error {
 	syncs, err := timeSyncs(p.dir)
 	if err != nil {
 		return err
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -17,12 +17,13 @@
 	MaxProcesses = 200
 	maxPlays     = 20
 	maxNodes     = 10_000
-	// Estimates for the validation of options: memory per node over all processes, memory without nodes, and descriptors
-	// per node in this process.
+	// Estimates for the validation of options: memory per node in all processes together, memory without nodes, and
+	// descriptors per node in this process.
 	planMBPerNode    = 2
 	planBaseMB       = 700
 	planFilesPerNode = 8
-	guardInterval    = 250 * time.Millisecond
+	// guardInterval is the interval at which the guard checks the usage.
+	guardInterval = 250 * time.Millisecond
 )
 
 // ErrBounds is returned if the options or a run exceed the bounds.
@@ -79,7 +80,7 @@
 		return 0
 	}
 	var t unix.Timespec
-	const scheduled = 2 // CPUCLOCK_SCHED of a whole process, as clock_getcpuclockid(3) makes it
+	const scheduled = 2 // CPUCLOCK_SCHED of a whole process, as clock_getcpuclockid(3) encodes it
 	if unix.ClockGettime(int32(^pid<<3|scheduled), &t) != nil {
 		return 0
 	}
--- a/internal/lab/scale/connections.go
+++ b/internal/lab/scale/connections.go
@@ -11,9 +11,9 @@
 	"umberbank/internal/registry/state"
 )
 
-// connectAll starts all hollow nodes at once and measures the time until each has the full list and is registered. It then brings
-// a first version into force.
-func (p *play) connectAll(ctx context.Context) error {
+// connectAll starts all hollow nodes without waiting between them, and measures the time until each has the full list and is
+// registered. It then brings a first version into force.
+func (p *measurement) connectAll(ctx context.Context) error {
 	began := time.Now()
 	for i := range p.nodes {
 		h, err := startHollow(ctx, i, p.endpoints(), p.versions.recordRunning)
@@ -45,7 +45,7 @@
 
 // measureListChange changes one server and measures the time until all nodes have the change. It also measures the size of a full
 // list.
-func (p *play) measureListChange(ctx context.Context) error {
+func (p *measurement) measureListChange(ctx context.Context) error {
 	before, _ := p.traffic()
 	capacity := 2.0
 	began := time.Now()
@@ -79,7 +79,7 @@
 
 // measureReconnect closes all connections of all hollow nodes and agents and measures the time until each has received a response
 // again.
-func (p *play) measureReconnect(ctx context.Context) error {
+func (p *measurement) measureReconnect(ctx context.Context) error {
 	before, _ := p.traffic()
 	began := time.Now()
 	var meters []*meter
--- a/internal/lab/scale/failures.go
+++ b/internal/lab/scale/failures.go
@@ -11,7 +11,7 @@
 )
 
 // measureReplicaKilled kills the registry's leader and proposes a version.
-func (p *play) measureReplicaKilled(ctx context.Context) error {
+func (p *measurement) measureReplicaKilled(ctx context.Context) error {
 	leader := p.cluster.Leader(0)
 	p.cluster.Kill(leader)
 	began := time.Now()
@@ -29,7 +29,7 @@
 }
 
 // killNodes kills the selected nodes with their servers. It returns a function that starts them again.
-func (p *play) killNodes(selected func(*hollowNode) bool) (restart func(context.Context) error) {
+func (p *measurement) killNodes(selected func(*hollowNode) bool) (restart func(context.Context) error) {
 	var killed []int
 	var all sync.WaitGroup
 	for i, h := range p.hollowNodes {
@@ -53,7 +53,7 @@
 }
 
 // measureDeadNode kills a node and proposes versions once its death has been detected.
-func (p *play) measureDeadNode(ctx context.Context) error {
+func (p *measurement) measureDeadNode(ctx context.Context) error {
 	name := p.hollowNodes[p.nodes-1].node
 	restart := p.killNodes(func(h *hollowNode) bool { return h.node == name })
 	if err := pollUntil(ctx, pollInterval, detectTimeout, func(ctx context.Context) (bool, string) {
@@ -87,7 +87,7 @@
 }
 
 // measureLostZone kills the nodes and servers of a zone at once, proposes a version, and starts them again.
-func (p *play) measureLostZone(ctx context.Context) error {
+func (p *measurement) measureLostZone(ctx context.Context) error {
 	zone := fmt.Sprint("z", zoneCount-1)
 	restart := p.killNodes(func(h *hollowNode) bool { return h.zone == zone })
 	if err := sleep(ctx, p.options.Pace.LossTime); err != nil {
@@ -111,7 +111,7 @@
 
 // measurePartitionedRegions partitions the regions from each other in both directions, proposes a version, and heals the
 // partition.
-func (p *play) measurePartitionedRegions(ctx context.Context) error {
+func (p *measurement) measurePartitionedRegions(ctx context.Context) error {
 	heal, err := p.partitionRegions()
 	if err == nil {
 		err = sleep(ctx, p.options.Pace.LossTime)
@@ -149,7 +149,7 @@
 
 // partitionRegions partitions the regions and returns a function that heals the partition. The function is valid even if
 // an error is returned.
-func (p *play) partitionRegions() (heal func(), err error) {
+func (p *measurement) partitionRegions() (heal func(), err error) {
 	endpoints := p.endpoints()
 	unreachable := map[string]map[string]bool{
 		majorityRegion: {endpoints[minorityReplica]: true},
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -40,12 +40,12 @@
 	KeyVersionCalls       Key = "version_calls"        // of a node, minus its idle calls
 	KeyVersionWrites      Key = "version_writes"       // revisions of the registry
 	KeyVersionReplicaTime Key = "version_replica_s"    // processor time of all three replicas, minus their idle usage
-	KeyBurst10            Key = "burst_10_in_force_s"  // until the last of 10 versions that are proposed at once
-	KeyBurst40            Key = "burst_in_force_s"     // until the last of 40 versions
-	KeyBurstRate          Key = "burst_versions_s"     // versions per second that came into force, in the larger measured burst
+	KeyBurst10            Key = "burst_10_in_force_s"  // until the last of 10 versions, proposed one after another
+	KeyBurst40            Key = "burst_in_force_s"     // the same for 40 versions
+	KeyBurstRate          Key = "burst_versions_s"     // versions per second that came into force, in the last measured burst
 	KeyReplicaLost        Key = "replica_in_force_s"   // a version proposed when the leader is killed
 	KeyDeadFirst          Key = "dead_first_s"         // the first version after one node has died
-	KeyDeadInForce        Key = "dead_in_force_s"      // the version after it; later versions take as long
+	KeyDeadInForce        Key = "dead_in_force_s"      // the second version after the node has died; later versions take as long
 	KeyZoneLost           Key = "zone_lost_in_force_s" // a version while a zone's nodes are lost
 	KeyZoneRecovered      Key = "zone_back_in_force_s" // from the zone's return until that version is in force everywhere
 	KeyPartitionInForce   Key = "cut_in_force_s"       // a version while the regions cannot reach each other
@@ -69,8 +69,8 @@
 	Values       map[Key]float64
 	Missing      map[Key]string
 	BlockedBy    []string // the reasons of blocked versions
-	Notes        []string // other failures during the play
-	WithinBounds bool     // the play stayed within the bounds of a run
+	Notes        []string // other failures during the measurement
+	WithinBounds bool     // the measurement stayed within the bounds of a run
 }
 
 // newFigures returns empty figures for a number of nodes.
--- a/internal/lab/scale/hollownode.go
+++ b/internal/lab/scale/hollownode.go
@@ -37,10 +37,11 @@
 		region: fmt.Sprint("r", z*regionCount/zoneCount), service: fmt.Sprintf("svc%02d", i%serviceCount), rack: i / 20}
 }
 
-// endpointOf returns the address of a server. It is never connected to, as hollow servers have no traffic.
+// endpointOf returns the address of a server. Nothing connects to it, because hollow servers get no requests.
 func endpointOf(i int) string { return fmt.Sprintf("10.%d.%d.1:3000", i/250, i%250) }
 
-// hollowNode is a server with its node and agent, without traffic. They run the same clients of the control plane as real ones.
+// hollowNode is a server with its node and agent. They run the same clients of the control plane as real ones, and get no
+// requests.
 type hollowNode struct {
 	location
 	listMeter, versionsMeter, agentMeter meter
@@ -50,16 +51,17 @@
 	running                              sync.WaitGroup
 }
 
-// startHollow starts the i-th hollow node. onApply is called with the node's name whenever the node applies settings.
-func startHollow(ctx context.Context, i int, at []string, onApply func(name string, settings []byte)) (*hollowNode, error) {
+// startHollow starts the i-th hollow node. registry has the addresses of the replicas. onApply is called with the node's name
+// whenever the node applies settings.
+func startHollow(ctx context.Context, i int, registry []string, onApply func(name string, settings []byte)) (*hollowNode, error) {
 	h := &hollowNode{location: locationOf(i)}
 	var err error
-	if h.watcher, err = client.NewWatcher(client.Options{Endpoints: at, Dial: h.listMeter.dial}); err != nil {
+	if h.watcher, err = client.NewWatcher(client.Options{Endpoints: registry, Dial: h.listMeter.dial}); err != nil {
 		return nil, err
 	}
 	ctx, h.cancel = context.WithCancel(ctx)
 	follow := follower.Options{Name: h.node, Addr: func() string { return endpointOf(i) }, Dial: h.versionsMeter.dial,
-		Rollout:  config.Rollout{Endpoints: at, Tier: "front", Zone: h.zone, Region: h.region, SendsTo: h.service},
+		Rollout:  config.Rollout{Endpoints: registry, Tier: "front", Zone: h.zone, Region: h.region, SendsTo: h.service},
 		Validate: validateSettings,
 		Notify:   func(follower.Event) {},
 		Log:      slog.New(slog.DiscardHandler),
@@ -70,7 +72,7 @@
 			onApply(h.node, settings)
 			return nil
 		}}
-	unit := &agent.Agent{Registry: at, TTL: leaseTTL, Dial: h.agentMeter.dial, Log: slog.New(slog.DiscardHandler),
+	unit := &agent.Agent{Registry: registry, TTL: leaseTTL, Dial: h.agentMeter.dial, Log: slog.New(slog.DiscardHandler),
 		Instance: state.Instance{UID: h.server, Endpoint: endpointOf(i), Tier: h.service, Kind: h.service, Zone: h.zone, Region: h.region, Rack: h.rack, Capacity: 1}}
 	// Each returns when ctx ends, with its error.
 	h.running.Go(func() { _ = h.watcher.Run(ctx, func(u client.WatchEvent) { h.listRevision.Store(u.Revision) }) })
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -13,7 +13,7 @@
 // meter opens the connections of one client and counts all bytes on them, including headers.
 type meter struct {
 	in, out atomic.Int64 // bytes
-	calls   atomic.Int64 // requests that were sent
+	calls   atomic.Int64 // requests whose sending has begun
 	dials   atomic.Int64
 
 	mu           sync.Mutex
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -12,8 +12,8 @@
 	"umberbank/internal/registry/cluster"
 )
 
-// play is one pass through all measurements at one size. It has the processes, the hollow nodes, and the figures measured so far.
-type play struct {
+// measurement is the measurement of one size in one play. It has the processes, the hollow nodes, and the figures up to now.
+type measurement struct {
 	options  Options
 	nodes    int
 	figures  *Figures
@@ -52,14 +52,14 @@
 	proposalRetryInterval = 30 * time.Millisecond
 )
 
-// step is one measurement of a play.
+// step is one step of a measurement.
 type step struct {
 	name    string
 	measure func(context.Context) error
 }
 
-// steps returns the measurements of a play in their order. After each step all nodes are alive and run the version in force.
-func (p *play) steps() []step {
+// steps returns the steps of a measurement in their order. After each step all nodes are alive and run the version in force.
+func (p *measurement) steps() []step {
 	return []step{
 		{"connecting all nodes", p.connectAll},
 		{"idle", p.measureIdle},
@@ -74,12 +74,12 @@
 	}
 }
 
-// measure performs one play at one size. With an error it returns the figures measured before it. label is the prefix of progress
+// measure measures one size in one play. With an error it returns the figures measured before it. label is the prefix of progress
 // messages.
 func measure(ctx context.Context, options Options, nodes int, maxMB float64, label string) (*Figures, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	p := &play{
+	p := &measurement{
 		options:  options,
 		nodes:    nodes,
 		figures:  newFigures(nodes),
@@ -104,7 +104,7 @@
 }
 
 // run starts the processes and performs the steps in order, while the guard watches the processes.
-func (p *play) run(ctx context.Context, cancel context.CancelCauseFunc, label string) error {
+func (p *measurement) run(ctx context.Context, cancel context.CancelCauseFunc, label string) error {
 	began := time.Now()
 	measureStep := func(s step) error {
 		p.options.Step(fmt.Sprintf("%s%s, at %.1f s", label, s.name, time.Since(began).Seconds()))
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -18,7 +18,7 @@
 )
 
 // pids returns the PIDs of all processes of the run, starting with this one.
-func (p *play) pids() []int {
+func (p *measurement) pids() []int {
 	l := []int{os.Getpid()}
 	for i := range p.cluster.Len() {
 		l = append(l, p.cluster.PID(i))
@@ -30,7 +30,7 @@
 }
 
 // close stops the hollow nodes and the processes, and removes their files.
-func (p *play) close() {
+func (p *measurement) close() {
 	var all sync.WaitGroup
 	for _, h := range p.hollowNodes {
 		if h != nil {
@@ -51,12 +51,12 @@
 }
 
 // program returns the command line of the program with arguments.
-func (p *play) program(args ...string) []string {
+func (p *measurement) program(args ...string) []string {
 	return append(p.options.Program[:len(p.options.Program):len(p.options.Program)], args...)
 }
 
 // startProcesses starts the replicas, the controller, and the two real nodes.
-func (p *play) startProcesses(ctx context.Context) (err error) {
+func (p *measurement) startProcesses(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if p.dir, err = os.MkdirTemp("", "umberbank-scale-"); err != nil {
@@ -95,7 +95,7 @@
 }
 
 // newProcess returns a process that has not been started. It logs to a file with its name.
-func (p *play) newProcess(name string, env []string, command []string) *process.Process {
+func (p *measurement) newProcess(name string, env []string, command []string) *process.Process {
 	created := &process.Process{Launcher: p.launcher, LogPath: filepath.Join(p.dir, name+".log")}
 	if len(env) > 0 {
 		command = append(append([]string{"/usr/bin/env"}, env...), command...)
@@ -106,7 +106,7 @@
 
 // startNode starts a real node. Both real nodes have the same list from the start. With control the node also follows the
 // registry.
-func (p *play) startNode(name string, control bool) (*process.Process, error) {
+func (p *measurement) startNode(name string, control bool) (*process.Process, error) {
 	list := p.serverList()
 	if err := p.serveDiscovery(list); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 }
 
 // serverList returns all servers of the size in the form of the discovery protocol.
-func (p *play) serverList() map[string]any {
+func (p *measurement) serverList() map[string]any {
 	var targets []map[string]any
 	for i := range p.nodes {
 		loc := locationOf(i)
@@ -135,7 +135,7 @@
 }
 
 // serveDiscovery starts the discovery of the real nodes, unless it is running.
-func (p *play) serveDiscovery(list map[string]any) error {
+func (p *measurement) serveDiscovery(list map[string]any) error {
 	if p.staticDiscovery != nil {
 		return nil
 	}
@@ -148,7 +148,7 @@
 }
 
 // nodeConfig returns the configuration file of a real node.
-func (p *play) nodeConfig(name string, control bool, list map[string]any) ([]byte, error) {
+func (p *measurement) nodeConfig(name string, control bool, list map[string]any) ([]byte, error) {
 	listen, err := cluster.FreeAddress()
 	if err != nil {
 		return nil, err
@@ -174,7 +174,7 @@
 }
 
 // restartExitedReplicas restarts replicas that have exited by themselves, as they do when their disk hangs, and records a note.
-func (p *play) restartExitedReplicas() {
+func (p *measurement) restartExitedReplicas() {
 	if p.cluster == nil {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // replicaProcessorTime returns the total processor time of all replicas so far.
-func (p *play) replicaProcessorTime() (sum time.Duration) {
+func (p *measurement) replicaProcessorTime() (sum time.Duration) {
 	for i := range p.cluster.Len() {
 		sum += processorTime(p.cluster.PID(i))
 	}
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -21,7 +21,7 @@
 
 	mu        sync.Mutex
 	waiting   map[string]bool // expected nodes that do not run the version yet
-	durations []time.Duration // time from began until each of the others ran it
+	durations []time.Duration // time from began until each of the other expected nodes ran it
 }
 
 // expect starts to track when nodes run a version with the given settings. It must be called before the proposal.
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,9 +1,9 @@
-// Package scale measures the cost of the control plane at several sizes, which are numbers of nodes. A run measures each
-// size several times; each of these measurements is called a play.
+// Package scale measures the cost of the control plane at several sizes, which are numbers of nodes. A run consists of several
+// plays. A play measures every size once.
 //
-// A play runs three real replicas of the registry, a real controller, two real nodes and hollow nodes. A hollow node has the same
-// clients of the control plane as a real one (registration, renewal, watch, versions, acknowledgments) and no traffic. All hollow
-// nodes share this process.
+// The measurement of a size uses three real replicas of the registry, a real controller, two real nodes and hollow nodes. A
+// hollow node has the same clients of the control plane as a real one (registration, renewal, watch, versions, acknowledgments)
+// and gets no requests. All hollow nodes run in this process.
 package scale
 
 import (
@@ -20,18 +20,18 @@
 // Options configure a run.
 type Options struct {
 	Nodes   []int        // sizes, in ascending order
-	Plays   int          // number of plays of each size
+	Plays   int          // number of plays
 	Program []string     // command of this program; its own executable if empty
 	Step    func(string) // receives a progress message for each step; may be nil
 	Pace    Pace
 }
 
-// Pace configures the duration of the steps of a play.
+// Pace configures the duration of the steps of a measurement.
 type Pace struct {
 	SettleTime     time.Duration // pause before the idle measurement
 	IdleTime       time.Duration // duration of the idle measurement
 	SingleVersions int           // number of versions that are proposed one at a time
-	Bursts         []int         // sizes of the bursts: the first is recorded as KeyBurst10, the others as KeyBurst40
+	Bursts         []int         // sizes of the bursts; the first is recorded as KeyBurst10, the others as KeyBurst40
 	VersionTimeout time.Duration // timeout of a version or a burst
 	BlockedTimeout time.Duration // timeout of a version that may be blocked by a failure
 	LossTime       time.Duration // pause between the loss of a zone or region and the next proposal
@@ -44,9 +44,9 @@
 		BlockedTimeout: 19 * time.Second, LossTime: 2500 * time.Millisecond}
 }
 
-// Run measures all sizes, play after play. If the options are invalid, it starts nothing and returns a nil Result. If a
-// size fails, Run records it in Result.Failed and continues with the next one. It stops when the run exceeds its bounds
-// (ErrBounds) or ctx ends. In all these cases it returns the Result so far with an error.
+// Run measures all sizes in each play. If the options are invalid, it starts nothing and returns a nil Result. If a size fails,
+// Run records it in Result.Failed and continues with the next one. It stops when the run exceeds its bounds (ErrBounds) or ctx
+// ends. In all these cases it returns the Result so far with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	r := &Result{Machine: machine(), Plays: o.Plays, LoadAverage: loadAverage(), Bounds: fmt.Sprintf("%.0f MB, %d processes", maxMB, MaxProcesses)}
 	began, stopped := time.Now(), false
 	for play := range o.Plays {
-		playing := time.Now()
+		playBegan := time.Now()
 		var l []*Figures
 		for _, n := range o.Nodes {
 			f, err := measure(ctx, o, n, maxMB, fmt.Sprintf("play %d of %d, %d nodes: ", play+1, o.Plays, n))
@@ -84,7 +84,7 @@
 			}
 		}
 		r.ByPlay = append(r.ByPlay, l)
-		r.LongestPlaySeconds = max(r.LongestPlaySeconds, time.Since(playing).Seconds())
+		r.LongestPlaySeconds = max(r.LongestPlaySeconds, time.Since(playBegan).Seconds())
 		if stopped {
 			break
 		}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -20,7 +20,7 @@
 	"umberbank/internal/registry/replica"
 )
 
-// The test binary is also the program of a play's processes. It supports the command lines that a play uses.
+// The test binary is also the program of the processes of a measurement. It supports the command lines that a measurement uses.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALE_TEST") == "" {
 		os.Exit(m.Run())
@@ -48,8 +48,8 @@
 	}
 }
 
-// A complete play with real processes. Every figure is either measured or has a reason why it is not, such as a version that a
-// failure blocked.
+// A complete run of one play and one size, with real processes. Every figure is either measured or has a reason why it is not,
+// such as a version that a failure blocked.
 func TestRun(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/lab/scale/staticdiscovery.go
+++ b/internal/lab/scale/staticdiscovery.go
@@ -16,7 +16,7 @@
 // heartbeatInterval is the interval of heartbeats on a watch. It is the same as the registry's.
 const heartbeatInterval = 2 * time.Second
 
-// serveStaticList serves an encoded list on a port of its own until close is called.
+// serveStaticList serves an encoded list on a free port until close is called.
 func serveStaticList(list []byte) (*staticDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/scale/versions.go
+++ b/internal/lab/scale/versions.go
@@ -15,9 +15,9 @@
 // Error implements error.
 func (b blockedError) Error() string { return "blocked: " + b.reason }
 
-// proposeNext proposes the next version, retries while the proposal is rejected, and waits until all reachable nodes run
-// the version. If that takes longer than timeout, the error is a blockedError.
-func (p *play) proposeNext(ctx context.Context, timeout time.Duration) (*propagation, error) {
+// proposeNext proposes the next version, retries until the proposal is accepted, and waits until all reachable nodes run the
+// version. If that takes longer than timeout, the error is a blockedError.
+func (p *measurement) proposeNext(ctx context.Context, timeout time.Duration) (*propagation, error) {
 	p.settingsMark++
 	settings, err := settingsOf(p.settingsMark)
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 // propose writes a proposal repeatedly until it is accepted, and waits for its propagation.
-func (p *play) propose(ctx context.Context, version *propagation, settings []byte, timeout time.Duration) (*propagation, error) {
+func (p *measurement) propose(ctx context.Context, version *propagation, settings []byte, timeout time.Duration) (*propagation, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	rejection := ""
@@ -55,7 +55,7 @@
 }
 
 // tryPropose writes a proposal once. It returns the reason if the registry rejects it, or "" if it is accepted.
-func (p *play) tryPropose(ctx context.Context, settings []byte) (rejection string, _ error) {
+func (p *measurement) tryPropose(ctx context.Context, settings []byte) (rejection string, _ error) {
 	results, err := p.client.Write(ctx, state.Op{
 		Kind:     state.OpPropose,
 		Value:    settings,
@@ -74,7 +74,7 @@
 }
 
 // blockedReason returns the reason why the version in progress is not in force yet.
-func (p *play) blockedReason() string {
+func (p *measurement) blockedReason() string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	view, err := p.coordinationView(ctx)
@@ -93,7 +93,7 @@
 }
 
 // recordVersion records the outcome of a version that may be blocked, and reports whether it was.
-func (p *play) recordVersion(key Key, version *propagation, err error, took time.Duration) (isBlocked bool, _ error) {
+func (p *measurement) recordVersion(key Key, version *propagation, err error, took time.Duration) (isBlocked bool, _ error) {
 	var blocked blockedError
 	switch {
 	case err == nil:
@@ -109,7 +109,7 @@
 }
 
 // measureSingleVersions brings versions into force one at a time and records their time and cost.
-func (p *play) measureSingleVersions(ctx context.Context) error {
+func (p *measurement) measureSingleVersions(ctx context.Context) error {
 	var times []time.Duration
 	var bytes, agentBytes, calls, writes, processorSeconds float64
 	for range p.options.Pace.SingleVersions {
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// measureBursts measures versions that services propose at the same time. Since the registry accepts one at a time, the
-// others are queued here.
-func (p *play) measureBursts(ctx context.Context) error {
+// measureBursts measures bursts of versions, as if several services proposed versions at the same time. The registry accepts one
+// version at a time, so each version of a burst is proposed when the version before it is in force.
+func (p *measurement) measureBursts(ctx context.Context) error {
 	for i, size := range p.options.Pace.Bursts {
 		key := []Key{KeyBurst10, KeyBurst40}[min(i, 1)]
 		if before := p.figures.Values[KeyBurstRate]; i > 0 && float64(size)/before > p.options.Pace.VersionTimeout.Seconds() {
@@ -169,7 +169,7 @@
 }
 
 // measureBurst brings size versions into force, each directly after the one before, within VersionTimeout.
-func (p *play) measureBurst(ctx context.Context, key Key, size int) {
+func (p *measurement) measureBurst(ctx context.Context, key Key, size int) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Pace.VersionTimeout)
 	defer cancel()
 	began, inForce := time.Now(), 0
--- a/internal/lab/scale/wait.go
+++ b/internal/lab/scale/wait.go
@@ -29,9 +29,10 @@
 	}
 }
 
-// awaitConvergence waits until every node that the registry counts runs the version in force. It also reads the number of that
-// version, which the next proposal must name, since the response to an earlier proposal may have been lost.
-func (p *play) awaitConvergence(ctx context.Context) error {
+// awaitConvergence waits until all nodes are registered, including the real node with control, no version is pending, and every
+// node in sync runs the version in force. It also reads the number of that version, which the next proposal must contain,
+// because the response to an earlier proposal may have been lost.
+func (p *measurement) awaitConvergence(ctx context.Context) error {
 	return pollUntil(ctx, pollInterval, convergeTimeout, func(ctx context.Context) (bool, string) {
 		view, err := p.coordinationView(ctx)
 		switch {
@@ -64,16 +65,16 @@
 }
 
 // endpoints returns the addresses of the replicas.
-func (p *play) endpoints() []string { return p.cluster.Addresses() }
+func (p *measurement) endpoints() []string { return p.cluster.Addresses() }
 
 // coordinationView reads the coordination state, without the units, from the registry.
-func (p *play) coordinationView(ctx context.Context) (*state.CoordinationView, error) {
+func (p *measurement) coordinationView(ctx context.Context) (*state.CoordinationView, error) {
 	var view state.CoordinationView
 	return &view, p.client.Call(ctx, "GET", api.PathCoordination+"?consistent=1", nil, &view)
 }
 
 // reachableNodes returns the names of the hollow nodes that are alive and on the side of the registry's majority.
-func (p *play) reachableNodes() (names []string) {
+func (p *measurement) reachableNodes() (names []string) {
 	for _, h := range p.hollowNodes {
 		if h != nil && h.region != p.partitionedRegion {
 			names = append(names, h.node)
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -19,7 +19,7 @@
 	Region         string   `toml:"region"` // all regions if empty
 	Count          int      `toml:"count"`  // how many of these targets it hits; zero means all
 	Share          float64  `toml:"share"`  // alternative to Count: fraction of the targets, or of the requests for FaultHeavy
-	Factor         float64  `toml:"factor"`
+	Factor         float64  `toml:"factor"` // above 1, or a fraction for FaultError and FaultShrunkList
 	Delay          Duration `toml:"delay"`
 	Jitter         Duration `toml:"jitter"`
 	BytesPerSecond int      `toml:"bytes_per_s"`
@@ -140,7 +140,7 @@
 	v.requireFraction(key+".share", f.Share)
 	v.require(f.Count == 0 || f.Share == 0, key+".share", "cannot be combined with count")
 	v.require(f.Direction == "" || f.Direction == DirectionToServers || f.Direction == DirectionFromServers, key+".direction", "%q is neither there nor back", f.Direction)
-	v.require(f.Delay >= 0 && f.Jitter >= 0, key+".delay", "is negative")
+	v.require(f.Delay >= 0 && f.Jitter >= 0, key+".delay", "delay or jitter is negative")
 	f.validateStrength(v, key)
 	f.validateNames(v, key, s, target)
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -18,8 +18,9 @@
 	return Parse(path, content, overrides)
 }
 
-// Parse parses a scenario, sets defaults and validates it. Overrides are KEY=VALUE with a TOML value, such as load.rate=200, and
-// take precedence over the content. Errors are of type *Error, name the file as given by file, and report the first violation.
+// Parse parses a scenario, sets defaults and validates it. Overrides are KEY=VALUE with a TOML value, such as load.rate=200,
+// and take precedence over the content. Errors are of type *Error and describe only the first fault. Their File is the file
+// argument, or the override if that cannot be decoded.
 func Parse(file string, content []byte, overrides []string) (*Scenario, error) {
 	s := defaults()
 	if err := stricttoml.Decode(file, content, s); err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Scenario is the content of a file. For fields that have a default the zero value stands for it.
+// Scenario is the content of a file. In tiers, machine types and classes a value of zero is replaced by the default of its
+// key. Elsewhere the default applies only if the key is missing.
 type Scenario struct {
 	Name         string           `toml:"name"`
 	Duration     Duration         `toml:"duration"` // of the load; the run then waits for the requests in flight
@@ -133,7 +134,7 @@
 }
 
 // Budget is the disruption budget of each tier, as fractions of its capacity that may be unavailable at the same time. With a
-// budget a server drains only under a permit. Without one every drain is allowed.
+// budget a server drains only under a permit. Without a budget every drain is allowed.
 type Budget struct {
 	Tier float64 `toml:"whole"`
 	Zone float64 `toml:"zone"` // of each zone; zero means no limit
@@ -165,7 +166,7 @@
 	ConnectTimeout    Duration `toml:"connect_timeout"`
 	IdleTimeout       Duration `toml:"idle"`         // of connections
 	DrainTimeout      Duration `toml:"drain_within"` // time within which a node must stop sending to a draining server
-	Slack             Duration `toml:"slack"`        // added to every time limit
+	Slack             Duration `toml:"slack"`        // tolerance added to the time limits that are checked
 	CrashLoadMultiple float64  `toml:"fall_multiple"`
 	CrashLoadWindow   Duration `toml:"fall_for"` // how long a warming server withstands CrashLoadMultiple times its capacity
 	MaxMemoryMB       int      `toml:"memory_mb"`
@@ -174,8 +175,7 @@
 	StartTimeout      Duration `toml:"start_within"`     // of a node's process
 }
 
-// Expectations are the limits against which a run is checked. Absent limits are not checked, except for MaxRulesBroken, which is
-// then zero.
+// Expectations are the limits against which a run is checked. A limit of zero is not checked, except for MaxRulesBroken.
 type Expectations struct {
 	MinServedShare            float64            `toml:"served_share"` // fraction of requests served within the latency objective
 	MinWeightedServedShare    float64            `toml:"worth_share"`  // the same, weighted by priority
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -63,7 +63,7 @@
 func TestOverrides(t *testing.T) {
 	s, err := Parse("x.toml", []byte(minimalScenario), []string{"load.rate=25", "limits.slack=\"1s\"", "clients.backoff=300ms"})
 	if err != nil || s.Load.Rate != 25 || s.Limits.Slack.Std().Seconds() != 1 || s.Clients.Backoff.Std().Milliseconds() != 300 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got %+v, %v; want a rate of 25, a slack of 1s and a backoff of 300ms", s, err)
 	}
 	for _, o := range []string{"load.rait=1", "load.rate=many", "load.rate", "nodes=0"} {
 		if _, err := Parse("x.toml", []byte(minimalScenario), []string{o}); err == nil {
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// ruleSettings returns the rules for a tier. Of its machine types they take the lowest initial capacity and the longest warm-up.
+// ruleSettings returns the rules for a tier, with the lowest initial capacity and the longest warm-up of its machine types.
 func (s *Site) ruleSettings(tier int) ruleSettings {
 	initialCapacity, warmUp := 1.0, Duration(0)
 	for _, m := range s.Tiers[tier].MachineTypes {
--- a/internal/lab/scenario/site.go
+++ b/internal/lab/scenario/site.go
@@ -14,8 +14,8 @@
 type Site struct {
 	*Scenario
 	Seed          uint64
-	Servers       []Server        // by tier
-	Nodes         []Node          // front nodes first, then the nodes beside servers, in the order of the servers
+	Servers       []Server        // in the order of their tiers
+	Nodes         []Node          // front nodes first, then the nodes that servers own, in the order of the servers
 	MeanClassWork []time.Duration // mean work of a request, by class
 	MeanCalls     []float64       // mean number of calls to the next tier for each call, by tier
 }
@@ -35,13 +35,14 @@
 // AdvertisedCapacity returns the capacity that discovery lists, rounded to tenths.
 func (s *Server) AdvertisedCapacity() float64 { return math.Round(s.Capacity*10) / 10 }
 
-// Node is a node of a site. It is a front node, or runs beside a server that calls the next tier through it.
+// Node is a node of a site. It is a front node, which clients call, or it is owned by a server, which calls the next tier through
+// it. An owned node runs on the machine of its server.
 type Node struct {
 	Name        string
 	TargetTier  int // tier that it sends to
 	Zone        int
 	Index       int // index among the nodes with the same target tier
-	OwnerServer int // index of the server beside which it runs, or noOwner for a front node
+	OwnerServer int // index of the server that owns it, or noOwner for a front node
 }
 
 const noOwner = -1
@@ -78,7 +79,7 @@
 	return site
 }
 
-// addServer adds a server, and a node beside it if it calls the next tier. index is that of the server in its tier.
+// addServer adds a server, and the node that it owns if it calls the next tier. index is the server's index in its tier.
 func (s *Site) addServer(server Server, index int) {
 	target := server.Tier + 1
 	if target < len(s.Tiers) && s.Tiers[server.Tier].CallsRange[1] > 0 {
@@ -99,7 +100,7 @@
 	for i := range t.MachineTypes {
 		sum += t.MachineTypes[i].Weight
 	}
-	deficits := make([]float64, len(t.MachineTypes)) // by type, the number of servers that it is short of its share
+	deficits := make([]float64, len(t.MachineTypes)) // by type, the number of servers that are missing from its share
 	assigned := make([]*MachineType, t.Servers)
 	for i := range assigned {
 		next := 0
@@ -150,7 +151,7 @@
 	return limits
 }
 
-// DisruptionUnit returns an available server as a unit of the disruption budget.
+// DisruptionUnit returns the unit of the disruption budget for a server. The unit is fully available.
 func (s *Site) DisruptionUnit(server int) disruption.Unit {
 	spec := &s.Servers[server]
 	zone := &s.Zones[spec.Zone]
@@ -175,8 +176,8 @@
 
 func serverName(tier string, index int) string { return fmt.Sprintf("%s-%d", tier, index) }
 
-// hasNode reports whether the scenario may have a node with the given name. It assumes a node beside every server above the last
-// tier, even if the server makes no calls.
+// hasNode reports whether the scenario may have a node with the given name. It assumes that every server of a tier before the
+// last one owns a node, even if the server makes no calls.
 func (s *Scenario) hasNode(name string) bool {
 	for i := range s.Nodes {
 		if nodeName(0, i) == name {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -44,7 +44,7 @@
 	v.require(value >= 0 && value <= 1, key, "%v is not between 0 and 1", value)
 }
 
-// requireRange requires a minimum and a maximum that is not below it, both not below bound.
+// requireRange requires a range of two values, the first of which is at least bound and at most the second.
 func requireRange[T int | float64 | Duration](v *validator, key string, span []T, bound T) {
 	v.require(len(span) == 2, key, "needs two values, the minimum and the maximum, and has %d", len(span))
 	if len(span) == 2 {
--- a/internal/lab/sim/loop.go
+++ b/internal/lab/sim/loop.go
@@ -135,7 +135,8 @@
 	t.f()
 }
 
-// scheduleHeartbeat schedules the next check for a delay of the loop, which records a Stall if it runs too late.
+// scheduleHeartbeat schedules the next check for a delay of the loop. The check records a Stall if it runs more than
+// stallThreshold late.
 func (l *Loop) scheduleHeartbeat() {
 	scheduled := l.now + heartbeatInterval
 	l.At(scheduled, func() {
--- a/internal/lab/traffic/clients.go
+++ b/internal/lab/traffic/clients.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxArrivalStep limits the gap to the next arrival that is drawn with one rate, so that a burst takes effect soon.
+	// maxArrivalStep is the longest gap to the next arrival that is used as drawn. After a longer one the gap is drawn again,
+	// with the rate at that time, so that a burst takes effect soon.
 	maxArrivalStep = 50 * time.Millisecond
 	// minRate is the lowest rate of arrivals, in requests per second. It keeps the gaps finite.
 	minRate = 1e-3
--- a/internal/lab/traffic/request.go
+++ b/internal/lab/traffic/request.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// setAttemptTimer ends an attempt when an impatient client disconnects. Otherwise it ends the attempt twice Limits.Slack after
-// its timeout, so that a response sent just before the timeout still arrives.
+// setAttemptTimer ends an attempt when an impatient client disconnects. Otherwise it ends the attempt 2*Limits.Slack after its
+// timeout, so that a response sent just before the timeout still arrives.
 func (c *Clients) setAttemptTimer(r *request, now, timeout time.Duration) {
 	loop := c.world.Loop
 	if r.abandonsAt > now && r.abandonsAt < now+timeout {
--- a/internal/lab/virtual/attempt.go
+++ b/internal/lab/virtual/attempt.go
@@ -137,8 +137,8 @@
 	model.ConnectionReset: balancer.ConnectionLost, model.Abandoned: balancer.Cancelled,
 }
 
-// finishAttempt ends an attempt and passes its outcome to the Balancer. If broken is true, the connection of the attempt is not
-// reused.
+// finishAttempt ends an attempt and passes its outcome to the Balancer. If the attempt succeeded, it first responds to the
+// client. If broken is true, the connection of the attempt is not reused.
 func (n *node) finishAttempt(a *attempt, result balancer.Result, broken bool, body string) {
 	if a.ended {
 		return
--- a/internal/lab/virtual/backend.go
+++ b/internal/lab/virtual/backend.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// RequestPermit requests a disruption permit for a server from a budget with the current state of all servers.
+// RequestPermit creates a disruption budget from the current state of all servers and requests a permit for a server from it.
 func (f *Fleet) RequestPermit(server int, done func(error)) {
 	budget := disruption.NewBudget()
 	budget.SetLimits(f.world.Site.DisruptionLimits())
@@ -93,7 +93,8 @@
 	done(err)
 }
 
-// MuteWatches starts or ends a fault in which discovery sends nothing to a node. The node reopens its watch after watchTimeout.
+// MuteWatches begins or ends a fault in which discovery sends nothing to a node. The node replaces its silent watch after
+// watchTimeout, or shortly after the end of the fault if that is later.
 func (f *Fleet) MuteWatches(i int, on bool) {
 	n := f.nodes[i]
 	n.discoverySilent = on
@@ -135,7 +136,7 @@
 	}
 }
 
-// ServerUp lets a server accept connections again.
+// ServerUp makes a server accept connections again.
 func (f *Fleet) ServerUp(s int) {
 	delete(f.stopped, s)
 	delete(f.unreachable, s)
--- a/internal/lab/virtual/call.go
+++ b/internal/lab/virtual/call.go
@@ -20,8 +20,8 @@
 	outstanding int // attempts that have not ended
 }
 
-// responseMargin is the part of a client's timeout that a node reserves for returning the response. A short timeout has a margin
-// of at most a quarter.
+// responseMargin is the part of a client's timeout that a node reserves for returning the response. It is limited to a quarter of
+// the timeout.
 const responseMargin = 20 * time.Millisecond
 
 // handle passes an event to the Balancer and executes the resulting actions. An event that an action causes immediately is queued
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -12,7 +12,7 @@
 // messageBytes is the assumed size of a request or a response, in bytes, on links with a limited rate.
 const messageBytes = 300
 
-// link returns the state of a link with all its impairments. A link with jitter has half of it as a constant delay.
+// link returns the state of a link with all its impairments. Half of the jitter of an impairment is added as a constant delay.
 func (f *Fleet) link(n, s int) link {
 	base := f.world.Site.Network.SameZone.Std()
 	if f.world.Site.Nodes[n].Zone != f.world.Site.Servers[s].Zone {
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtual/process.go
@@ -17,7 +17,7 @@
 	balancer        Balancer
 	persisted       balancer.Snapshot // the last snapshot on its disk, valid if persistedAt is not zero
 	persistedAt     time.Duration     // on the node's clock; zero if there is no snapshot
-	incarnation     int               // number of starts and kills; events that an earlier process has scheduled are dropped
+	incarnation     int               // number of starts and kills; an event of an earlier incarnation is dropped
 	running         bool
 	paused          bool
 	deferred        []func() // work to run when the paused process resumes
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -99,9 +99,9 @@
 		}
 		s.mu.Lock()
 		if !l.All {
-			news := l.Targets
-			l.Targets = append(news, slices.DeleteFunc(s.targets, func(t faultyNodeTarget) bool {
-				return slices.ContainsFunc(news, func(n faultyNodeTarget) bool { return n.UID == t.UID })
+			changed := l.Targets
+			l.Targets = append(changed, slices.DeleteFunc(s.targets, func(t faultyNodeTarget) bool {
+				return slices.ContainsFunc(changed, func(c faultyNodeTarget) bool { return c.UID == t.UID })
 			})...)
 		}
 		s.targets = l.Targets
@@ -115,8 +115,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	left, err := os.ReadDir(dir)
-	for _, f := range left {
+	entries, err := os.ReadDir(dir)
+	for _, f := range entries {
 		text, err := os.ReadFile(filepath.Join(dir, f.Name()))
 		if err != nil {
 			return err
@@ -128,7 +128,7 @@
 		}
 		req.Header.Set("X-Correlation-Id", f.Name())
 		go func() {
-			if response, err := http.DefaultClient.Do(req); err == nil { // dropped, as the client has disconnected
+			if response, err := http.DefaultClient.Do(req); err == nil { // dropped, because the client has disconnected
 				response.Body.Close()
 			}
 		}()
@@ -139,7 +139,8 @@
 // closingClient closes the connection when an attempt times out, without a reset.
 var closingClient = &http.Client{Timeout: 800 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
-// pickServer returns the serving servers in turn. In mode overload-new-server it returns one that has restarted.
+// pickServer returns the address of a serving server, using the servers in turn. In mode overload-new-server it returns that of a
+// server that has restarted, if there is one.
 func (s *faultyNode) pickServer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,11 +197,11 @@
 	case s.mode == "exit" && s.next.Add(1) > 10:
 		os.Exit(7)
 	case s.mode == "resend-after-restart" && class == "pay":
-		held := filepath.Join(s.journal, id)
-		if err := os.WriteFile(held, []byte(path+"\n"+string(body)), 0o600); err != nil {
+		file := filepath.Join(s.journal, id)
+		if err := os.WriteFile(file, []byte(path+"\n"+string(body)), 0o600); err != nil {
 			panic(err)
 		}
-		defer os.Remove(held)
+		defer os.Remove(file)
 	case s.mode == "send-twice" && class == "pay", s.mode == "resend-elsewhere" && class == "apply":
 		send(path, id)
 	case s.mode == "many-attempts" && class == "read":
