--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -174,7 +174,7 @@
 	d.world.Backend.MuteWatches(node, on)
 }
 
-// AddDelay adds a delay to all changes that are published from now on to an agent, or removes that delay again.
+// AddDelay adds a delay to the changes that are published to an agent from now on, or removes that delay again.
 func (d *Directory) AddDelay(node int, delay time.Duration, on bool) {
 	if !on {
 		delay = -delay
--- a/internal/lab/oracle/attempts.go
+++ b/internal/lab/oracle/attempts.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// RecordUnsolicited records a request that arrived at a server and belongs to no call. reason
-// describes what is wrong with the request.
+// RecordUnsolicited records a request that arrived at a server and belongs to no call. reason describes what is wrong
+// with the request.
 func (o *Oracle) RecordUnsolicited(node, server int, id, reason string) {
 	o.recordViolation(RuleUnsolicited, nil, "request %q arrived at %s from %s: %s",
 		truncate(id), o.site.Servers[server].Name, o.site.Nodes[node].Name, reason)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -14,7 +14,7 @@
 	Scenario               string  `json:"scenario"`
 	Seed                   uint64  `json:"seed"`
 	Virtual                bool    `json:"virtual"`
-	Valid                  bool    `json:"valid"`   // the run ended normally, and its load was generated on time
+	Valid                  bool    `json:"valid"`   // the run ended normally with requests, nearly all sent on time
 	Partial                bool    `json:"partial"` // the run was interrupted
 	Seconds                float64 `json:"seconds"` // duration of the load
 	Requests               int     `json:"asked"`
--- a/internal/lab/scale/atrest.go
+++ b/internal/lab/scale/atrest.go
@@ -95,8 +95,8 @@
 	p.figures.set(KeyReplicaMB, largestMB)
 }
 
-// measureSyncs measures the duration of syncs while the replicas are idle, on the disk of temporary files, which the replicas
-// use.
+// measureSyncs measures the duration of syncs in the directory for temporary files, where the replicas keep their data, while
+// the replicas are idle.
 func (p *measurement) measureSyncs() error {
 	syncs, err := timeSyncs(p.dir)
 	if err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -136,9 +136,9 @@
 // Budget is the disruption budget of each tier, as fractions of its capacity that may be unavailable at the same time. With a
 // budget a server drains only under a permit. Without a budget every drain is allowed.
 type Budget struct {
-	Tier float64 `toml:"whole"`
-	Zone float64 `toml:"zone"` // of each zone; zero means no limit
-	Rack float64 `toml:"rack"` // of each rack; zero means no limit
+	Tier float64 `toml:"whole"` // of the whole tier; zero means that there is no budget
+	Zone float64 `toml:"zone"`  // of each zone; zero means no limit
+	Rack float64 `toml:"rack"`  // of each rack; zero means no limit
 }
 
 // Enabled reports whether there is a budget.
